--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -5,11 +5,11 @@
 use celerypond_types::TargetKey;
 use tokio::time::Instant;
 
-use crate::{place::rank, Note, Part, Target, Targets, Want};
+use crate::{place::rank, PromptLocation, PromptPart, Target, TargetQuery, Targets};
 
 /// What a stream asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Asks {
+pub struct StreamRequest {
     /// Tokens of its prompt.
     pub prompt: u64,
     /// The last event that its caller has; zero where it has none.
@@ -20,14 +20,14 @@
 
 /// The least time that a stream needs, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Needs {
+pub struct TimeNeeded {
     /// Until its first event.
     pub read: Duration,
     /// From there to its end.
     pub run: Duration,
 }
 
-impl Needs {
+impl TimeNeeded {
     /// Returns whether the stream can be whole within a time.
     ///
     /// # Examples
@@ -35,9 +35,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use celerypond_relay::Needs;
+    /// use celerypond_relay::TimeNeeded;
     ///
-    /// let needs = Needs { read: Duration::from_millis(1_200), run: Duration::from_millis(2_500) };
+    /// let needs = TimeNeeded { read: Duration::from_millis(1_200), run: Duration::from_millis(2_500) };
     /// assert!(needs.fit(Duration::from_secs(4)));
     /// assert!(!needs.fit(Duration::from_secs(3)));
     /// ```
@@ -59,7 +59,7 @@
         now.saturating_duration_since(self.at) < HELD_TTL
     }
 
-    fn is_whole(&self, part: Part, now: Instant) -> bool {
+    fn is_whole(&self, part: PromptPart, now: Instant) -> bool {
         self.is_fresh(now) && self.tokens as f64 >= part.tokens as f64 * WHOLE
     }
 }
@@ -81,7 +81,7 @@
     /// The load it answers: all instances lose their power at once, and with it what they knew of where
     /// prompts were read. The engines still hold them. Callers come back when there is no time to read
     /// them again, though enough to go on.
-    pub fn ask_for(&mut self, want: &Want<'_>, now: Instant) -> Vec<TargetKey> {
+    pub fn ask_for(&mut self, want: &TargetQuery<'_>, now: Instant) -> Vec<TargetKey> {
         let affinity = want.affinity.unwrap_or_default();
         let engines = self.iter().filter(|(key, target)| {
             let is_asked = |at: Instant| now.saturating_duration_since(at) < LISTED;
@@ -104,7 +104,7 @@
     }
 
     /// Takes in which prompt parts an engine holds.
-    pub fn hold_parts(&mut self, key: TargetKey, parts: &[Part], now: Instant) {
+    pub fn hold_parts(&mut self, key: TargetKey, parts: &[PromptPart], now: Instant) {
         let Some(target) = self.get(key).map(|target| target.hash) else {
             return;
         };
@@ -123,7 +123,7 @@
 
     /// Takes the engine that holds nearly all of a prompt part, if one reported so, for the one that has read
     /// it; returns whether there is one. Engines drop parts piece by piece.
-    pub fn find_part(&mut self, part: Part, now: Instant) -> bool {
+    pub fn find_part(&mut self, part: PromptPart, now: Instant) -> bool {
         if self.holder(part.id, now).is_some() {
             return true;
         }
@@ -131,7 +131,7 @@
         let Some(held) = held.filter(|held| held.is_whole(part, now)) else {
             return false;
         };
-        let note = Note {
+        let note = PromptLocation {
             part: part.id,
             target: held.target,
         };
@@ -150,7 +150,12 @@
     /// at the deadline, and all streams beside them are held up. Each figure here errs to the side of the
     /// caller: the fastest engine, a short answer, no other prompt before this one, and no reading at all
     /// where an engine has read the prompt.
-    pub fn needs(&self, want: &Want<'_>, asks: &Asks, now: Instant) -> Option<Needs> {
+    pub fn needs(
+        &self,
+        want: &TargetQuery<'_>,
+        asks: &StreamRequest,
+        now: Instant,
+    ) -> Option<TimeNeeded> {
         let events = self.history.events_least(want.service, asks.last)?;
         let of_service = self
             .iter()
@@ -165,7 +170,7 @@
             false => asks.prompt as f64 / self.history.read_rate(want.service)?,
         };
         let run_ms = events * f64::from(fastest);
-        Some(Needs {
+        Some(TimeNeeded {
             read: Duration::from_secs_f64(read_ms / 1_000.0),
             run: Duration::from_secs_f64(run_ms / 1_000.0),
         })
--- a/crates/relay/src/board.rs
+++ b/crates/relay/src/board.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::{Rest, Sends, Tally};
+use crate::{IdleLimit, SendCounts, Tally};
 
 /// How long an instance's list holds without a new one. Lists are sent again each second, so three
 /// of them were lost, or the instance is gone and its streams with it.
@@ -42,20 +42,20 @@
     /// what the one before named.
     pub dead: Vec<u64>,
     /// Engines that were observed under another name than before.
-    pub adopted: Vec<Adoption>,
+    pub adopted: Vec<RestartReport>,
     /// What came of requests at targets lately; empty if nothing changed.
     pub tallies: Vec<(u64, Tally)>,
     /// How long connections may rest; empty if nothing changed.
-    pub rests: Vec<Rest>,
+    pub rests: Vec<IdleLimit>,
     /// What the instance sent to each service lately.
-    pub sends: Vec<Sends>,
+    pub sends: Vec<SendCounts>,
     /// How fast engines make events; empty if nothing changed.
     pub paces: Vec<(u64, f32)>,
 }
 
 /// A prompt part and the engine that it was sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Note {
+pub struct PromptLocation {
     /// The prompt part that belongs to a request alone.
     pub part: u64,
     /// The hash of the engine's name.
@@ -64,7 +64,7 @@
 
 /// An engine that was observed under another name than before, as it restarted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Adoption {
+pub struct RestartReport {
     /// The hash of the name before.
     pub before: u64,
     /// The name.
@@ -81,9 +81,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use celerypond_relay::{Adoption, Placements};
+    /// use celerypond_relay::{RestartReport, Placements};
     ///
-    /// let adopted = vec![Adoption { before: 7, name: "e-1".into(), age_ms: 100 }];
+    /// let adopted = vec![RestartReport { before: 7, name: "e-1".into(), age_ms: 100 }];
     /// let mut list = Placements { adopted, ..Placements::default() };
     /// list.add_age(Duration::from_millis(250));
     /// assert_eq!(list.adopted[0].age_ms, 350);
@@ -98,7 +98,7 @@
 
 /// What streams of other instances take of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Taken {
+pub struct EngineUsage {
     /// Streams that run or are read.
     pub streams: u32,
     /// Streams whose prompts are being read.
@@ -119,10 +119,10 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_relay::{Board, Placement, Placements};
+/// use celerypond_relay::{PeerStreams, Placement, Placements};
 /// use tokio::time::Instant;
 ///
-/// let mut board = Board::default();
+/// let mut board = PeerStreams::default();
 /// let stream = Placement { target: 7, part: 1, tokens: 9_000, is_reading: true };
 /// let list = Placements { origin: 1, sequence: 1, streams: vec![stream], ..Placements::default() };
 /// let now = Instant::now();
@@ -130,11 +130,11 @@
 /// assert_eq!(board.taken(now)[&7].reading, 9_000);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct PeerStreams {
     lists: HashMap<u64, Heard>,
     /// What the streams of all lists take. Kept beside them, as each placement asks for it three times
     /// and a sum of all lists takes most of a placement's time.
-    sums: HashMap<u64, Taken>,
+    sums: HashMap<u64, EngineUsage>,
     /// Where prompt parts were read last, and when that was heard.
     parts: HashMap<u64, (u64, Instant)>,
 }
@@ -146,7 +146,7 @@
     streams: Vec<Placement>,
 }
 
-impl Board {
+impl PeerStreams {
     /// Takes in the list of another instance; an older one than known is dropped.
     pub fn hear(&mut self, list: Placements, now: Instant) {
         let known = self.lists.get(&list.origin);
@@ -215,11 +215,11 @@
     }
 
     /// Returns what the streams of other instances take of each engine.
-    pub fn taken(&self, now: Instant) -> Cow<'_, HashMap<u64, Taken>> {
+    pub fn taken(&self, now: Instant) -> Cow<'_, HashMap<u64, EngineUsage>> {
         if self.lists.values().all(|heard| is_fresh(heard, now)) {
             return Cow::Borrowed(&self.sums);
         }
-        let mut all: HashMap<u64, Taken> = HashMap::new();
+        let mut all: HashMap<u64, EngineUsage> = HashMap::new();
         let lists = self.lists.values().filter(|heard| is_fresh(heard, now));
         for stream in lists.flat_map(|heard| &heard.streams) {
             all.entry(stream.target).or_default().add(stream);
@@ -228,7 +228,7 @@
     }
 }
 
-impl Taken {
+impl EngineUsage {
     fn add(&mut self, stream: &Placement) {
         let tokens = u64::from(stream.tokens);
         self.streams += 1;
--- a/crates/relay/src/ended.rs
+++ b/crates/relay/src/ended.rs
@@ -6,7 +6,7 @@
 
 /// How an attempt at a target ended without a response to pass on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptFailure {
     /// No connection was made, or it closed before a byte was written.
     Unsent,
     /// The target takes no new work any more, which became known before anything was sent.
@@ -27,7 +27,7 @@
     Foreign,
 }
 
-impl Ended {
+impl AttemptFailure {
     /// Returns whether the end proves that the request has not run at this target.
     pub const fn proves_not_run(self) -> bool {
         self.proves_unsent() || matches!(self, Self::NotRun | Self::Misdirected)
@@ -55,7 +55,7 @@
 
 /// What is known of a request when an attempt has ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Situation {
+pub struct AttemptState {
     /// What may be repeated.
     pub kind: RouteKind,
     /// Targets at which the request may have run.
@@ -72,7 +72,7 @@
 
 /// What follows the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Send it to another target.
     Elsewhere,
     /// Send it to another target once the budget allows; it may have run and may be repeated.
@@ -101,7 +101,7 @@
 /// in a row within half a second. As refusals they would end it, though most engines are idle.
 const UNREACHED_LIMIT: u32 = 20;
 
-impl Situation {
+impl AttemptState {
     /// Decides what follows an attempt that ended so; `budget` says whether one more send is
     /// allowed, and is only asked when one is wanted.
     ///
@@ -110,9 +110,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use celerypond_relay::{Ended, Next, RouteKind, Situation};
+    /// use celerypond_relay::{AttemptFailure, NextStep, RouteKind, AttemptState};
     ///
-    /// let reservation = Situation {
+    /// let reservation = AttemptState {
     ///     kind: RouteKind::Unsafe,
     ///     runs: 1,
     ///     attempts: 1,
@@ -120,17 +120,17 @@
     ///     unreached: 0,
     ///     left: Duration::from_secs(1),
     /// };
-    /// assert_eq!(reservation.next(Ended::Broken, || true), Next::Failed);
-    /// let unsent = Situation { runs: 0, ..reservation };
-    /// assert_eq!(unsent.next(Ended::Unsent, || true), Next::Elsewhere);
+    /// assert_eq!(reservation.next(AttemptFailure::Broken, || true), NextStep::Failed);
+    /// let unsent = AttemptState { runs: 0, ..reservation };
+    /// assert_eq!(unsent.next(AttemptFailure::Unsent, || true), NextStep::Elsewhere);
     /// ```
-    pub fn next(&self, ended: Ended, budget: impl FnOnce() -> bool) -> Next {
+    pub fn next(&self, ended: AttemptFailure, budget: impl FnOnce() -> bool) -> NextStep {
         let may_have_run = self.runs > 0;
         if self.left < LEAST_LEFT {
             return if may_have_run {
-                Next::Expired
+                NextStep::Expired
             } else {
-                Next::NotRun
+                NextStep::NotRun
             };
         }
         let may_send = !may_have_run || self.kind.may_repeat();
@@ -140,19 +140,19 @@
         // sends reach none, and streams would break for want of budget.
         if may_send && has_room {
             if ended.proves_unsent() || budget() {
-                return Next::Elsewhere;
+                return NextStep::Elsewhere;
             }
             // A stream that its caller would have to begin anew can wait for some hundred milliseconds
             // until others are done. At 71 instances a third of the engines dies, and an instance with
             // four lost streams has budget for three at that moment.
             if may_have_run && matches!(self.kind, RouteKind::Stream { .. }) {
-                return Next::Later;
+                return NextStep::Later;
             }
         }
         match ended {
-            _ if !may_have_run => Next::NotRun,
-            Ended::Silent => Next::Expired,
-            _ => Next::Failed,
+            _ if !may_have_run => NextStep::NotRun,
+            AttemptFailure::Silent => NextStep::Expired,
+            _ => NextStep::Failed,
         }
     }
 }
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -20,9 +20,9 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_relay::Events;
+/// use celerypond_relay::EventSplitter;
 ///
-/// let mut events = Events::default();
+/// let mut events = EventSplitter::default();
 /// events.push(b"id: 1\ndata: a\n\nid: 2\nda");
 /// let first = events.next().unwrap();
 /// assert_eq!((first.id, &first.bytes[..]), (Some(1), &b"id: 1\ndata: a\n\n"[..]));
@@ -30,13 +30,13 @@
 /// assert!(events.has_rest());
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Events {
+pub struct EventSplitter {
     buffer: BytesMut,
     /// How far the buffer was searched for the end of an event.
     searched: usize,
 }
 
-impl Events {
+impl EventSplitter {
     /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
@@ -73,7 +73,7 @@
     }
 }
 
-impl Iterator for Events {
+impl Iterator for EventSplitter {
     type Item = Event;
 
     fn next(&mut self) -> Option<Event> {
--- a/crates/relay/src/evidence.rs
+++ b/crates/relay/src/evidence.rs
@@ -29,7 +29,7 @@
 
 /// Answers of one version on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answers {
+pub struct ResponseCounts {
     /// All answers.
     pub all: u32,
     /// Those that failed.
@@ -38,7 +38,7 @@
     pub slow: u32,
 }
 
-impl Answers {
+impl ResponseCounts {
     const fn failed(self) -> Seen {
         Seen {
             hits: self.bad as u64,
@@ -62,14 +62,14 @@
 
 /// The answers of both versions on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pair {
+pub struct VersionCounts {
     /// Of the versions before.
-    pub old: Answers,
+    pub old: ResponseCounts,
     /// Of the version that the order names.
-    pub new: Answers,
+    pub new: ResponseCounts,
 }
 
-impl Pair {
+impl VersionCounts {
     fn add(&mut self, other: Self) {
         self.old.add(other.old);
         self.new.add(other.new);
@@ -85,22 +85,22 @@
 
 /// What one instance has seen of an order; all counts only grow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct EvidenceReport {
     /// The run of the instance.
     pub origin: u64,
     /// The version that the order names.
     pub version: VersionName,
     /// The answers by the hash of their route's name.
-    pub routes: Vec<(u64, Pair)>,
+    pub routes: Vec<(u64, VersionCounts)>,
 }
 
 /// What became of requests at the old and the new version of a service, as all instances saw it.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    own: BTreeMap<u64, Pair>,
+    own: BTreeMap<u64, VersionCounts>,
     /// The usual time of the old version by route, in seconds, and of how many answers.
     usual: HashMap<u64, (f64, u32)>,
-    told: HashMap<u64, (Report, Instant)>,
+    told: HashMap<u64, (EvidenceReport, Instant)>,
 }
 
 impl Evidence {
@@ -115,7 +115,7 @@
         }
         let pair = self.own.entry(route).or_default();
         let answers = if is_new { &mut pair.new } else { &mut pair.old };
-        answers.add(Answers {
+        answers.add(ResponseCounts {
             all: 1,
             bad: u32::from(is_bad),
             slow: u32::from(is_slow),
@@ -123,8 +123,8 @@
     }
 
     /// Returns what this instance saw.
-    pub fn report(&self, origin: u64, version: &VersionName) -> Report {
-        Report {
+    pub fn report(&self, origin: u64, version: &VersionName) -> EvidenceReport {
+        EvidenceReport {
             origin,
             version: version.clone(),
             routes: self
@@ -136,15 +136,15 @@
     }
 
     /// Takes in what another instance saw; it replaces what that instance told before.
-    pub fn hear(&mut self, report: Report, now: Instant) {
+    pub fn hear(&mut self, report: EvidenceReport, now: Instant) {
         self.told.insert(report.origin, (report, now));
         self.told
             .retain(|_, (_, at)| now.saturating_duration_since(*at) < REPORT_TTL);
     }
 
     /// Returns all answers, over all routes.
-    pub fn sum(&self) -> Pair {
-        let mut sum = Pair::default();
+    pub fn sum(&self) -> VersionCounts {
+        let mut sum = VersionCounts::default();
         self.routes().values().for_each(|pair| sum.add(*pair));
         sum
     }
@@ -161,11 +161,11 @@
 
     fn odds(&self) -> f64 {
         let routes = self.routes();
-        let odds = routes.values().map(Pair::odds);
+        let odds = routes.values().map(VersionCounts::odds);
         odds.fold(self.sum().odds(), f64::max)
     }
 
-    fn routes(&self) -> BTreeMap<u64, Pair> {
+    fn routes(&self) -> BTreeMap<u64, VersionCounts> {
         let mut all = self.own.clone();
         let told = self.told.values().flat_map(|(report, _)| &report.routes);
         for (route, pair) in told {
--- a/crates/relay/src/first_wait.rs
+++ b/crates/relay/src/first_wait.rs
@@ -19,23 +19,23 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use celerypond_relay::FirstWait;
+/// use celerypond_relay::FirstEventWait;
 /// use tokio::time::Instant;
 ///
 /// let begun = Instant::now();
-/// let mut wait = FirstWait::new(begun);
+/// let mut wait = FirstEventWait::new(begun);
 /// let (short, long) = (Duration::from_secs(3), Duration::from_secs(5));
 /// assert!(wait.look(long, begun).is_some());
 /// assert!(wait.look(short, begun + Duration::from_secs(4)).is_some());
 /// assert!(wait.look(short, begun + long).is_none());
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct FirstWait {
+pub struct FirstEventWait {
     begun: Instant,
     until: Instant,
 }
 
-impl FirstWait {
+impl FirstEventWait {
     /// Begins to wait.
     pub const fn new(begun: Instant) -> Self {
         Self {
--- a/crates/relay/src/head.rs
+++ b/crates/relay/src/head.rs
@@ -28,12 +28,12 @@
     /// The most tokens to be generated.
     pub tokens_out: u64,
     /// The parts in order; the last one belongs to the request or its session.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
 }
 
 /// A part of a prompt that requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptPart {
     /// The id.
     pub id: u64,
     /// Its tokens.
@@ -42,7 +42,7 @@
 
 /// What the instance itself says in the head of a request to a target.
 #[derive(Clone, Debug)]
-pub struct TargetHead<'a> {
+pub struct TargetRequestHead<'a> {
     /// The account of the caller.
     pub account: Option<&'a AccountName>,
     /// How long the response is waited for.
@@ -80,7 +80,7 @@
 
 /// What the head of a target's response says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct TargetAnswer {
+pub struct TargetResponseHead {
     /// The id of the request that is answered.
     pub request: Option<SmolStr>,
     /// Whether the response is signed by its target.
--- a/crates/relay/src/left.rs
+++ b/crates/relay/src/left.rs
@@ -12,14 +12,14 @@
 
 /// When a request came and by when it must be answered.
 #[derive(Clone, Copy, Debug)]
-pub struct Clock {
+pub struct RequestDeadline {
     /// When the request was read.
     pub start: Instant,
     /// When the caller or the route gives it up, whichever is first.
     pub end: Instant,
 }
 
-impl Clock {
+impl RequestDeadline {
     /// Makes the clock of a request that was read at `start`.
     pub fn new(start: Instant, deadline: Option<Duration>, timeout: Duration) -> Self {
         // A caller that hears nothing before its own time is over cannot tell a failure from a lost
--- a/crates/relay/src/lists.rs
+++ b/crates/relay/src/lists.rs
@@ -32,24 +32,24 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use celerypond_relay::Lists;
+/// use celerypond_relay::PlacementSchedule;
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let mut lists = Lists::new(now);
+/// let mut lists = PlacementSchedule::new(now);
 /// lists.sent(70, now);
 /// lists.has_news = true;
 /// assert_eq!(lists.due(70), now + Duration::from_millis(70));
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Lists {
+pub struct PlacementSchedule {
     /// Whether something changed since the last list.
     pub has_news: bool,
     last: Instant,
     whole: Instant,
 }
 
-impl Lists {
+impl PlacementSchedule {
     /// Has told nothing; the first list is due at once.
     pub fn new(now: Instant) -> Self {
         Self {
--- a/crates/relay/src/news.rs
+++ b/crates/relay/src/news.rs
@@ -7,7 +7,7 @@
 
 /// What one instance tells another of the targets in the store.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct TargetUpdate {
     /// The store's revision up to which the targets are told.
     pub revision: u64,
     /// The time since that was last known to be the newest revision, in milliseconds; nothing if it never was.
@@ -32,10 +32,10 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_relay::{pack, unpack, News};
+/// use celerypond_relay::{pack, unpack, TargetUpdate};
 ///
-/// let news = News { revision: 7, ..News::default() };
-/// assert_eq!(unpack::<News>(&pack(&news)).unwrap(), news);
+/// let news = TargetUpdate { revision: 7, ..TargetUpdate::default() };
+/// assert_eq!(unpack::<TargetUpdate>(&pack(&news)).unwrap(), news);
 /// ```
 pub fn pack<T: Serialize>(told: &T) -> Vec<u8> {
     // The types have neither maps nor sequences of unknown length, so this does not fail.
--- a/crates/relay/src/notes.rs
+++ b/crates/relay/src/notes.rs
@@ -15,22 +15,22 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use celerypond_relay::Notes;
+/// use celerypond_relay::PromptLocationSchedule;
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let mut notes = Notes::new(now);
+/// let mut notes = PromptLocationSchedule::new(now);
 /// let later = now + Duration::from_millis(225);
 /// assert!(!notes.take(0, later));
 /// assert!(notes.take(225, later));
 /// assert!(!notes.take(225, later + Duration::from_millis(100)));
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Notes {
+pub struct PromptLocationSchedule {
     last: Instant,
 }
 
-impl Notes {
+impl PromptLocationSchedule {
     /// Has told nothing.
     pub fn new(now: Instant) -> Self {
         Self { last: now }
--- a/crates/relay/src/pace.rs
+++ b/crates/relay/src/pace.rs
@@ -21,18 +21,18 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_relay::Paces;
+/// use celerypond_relay::EventTimes;
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let mut paces = Paces::default();
+/// let mut paces = EventTimes::default();
 /// paces.add(1, 120.0, now);
 /// paces.add(1, 28.0, now);
 /// paces.add(1, 90.0, now);
 /// assert_eq!(paces.of(1), Some(28.0));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Paces {
+pub struct EventTimes {
     /// By the hash of the engine's address.
     known: HashMap<u64, Known>,
 }
@@ -45,7 +45,7 @@
     own: Option<Instant>,
 }
 
-impl Paces {
+impl EventTimes {
     /// Takes in how many milliseconds an engine took for each event.
     pub fn add(&mut self, spot: u64, event_ms: f32, now: Instant) {
         self.take(spot, event_ms, Some(now), now);
@@ -103,21 +103,21 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use celerypond_relay::Pace;
+/// use celerypond_relay::EventTimer;
 /// use tokio::time::Instant;
 ///
 /// let begin = Instant::now();
-/// let mut pace = Pace::new(begin);
+/// let mut pace = EventTimer::new(begin);
 /// assert_eq!(pace.add(4, begin + Duration::from_millis(100)), None);
 /// assert_eq!(pace.add(4, begin + Duration::from_millis(240)), Some(30.0));
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct EventTimer {
     since: Instant,
     events: u32,
 }
 
-impl Pace {
+impl EventTimer {
     /// Begins with an event.
     pub const fn new(now: Instant) -> Self {
         Self {
--- a/crates/relay/src/patience.rs
+++ b/crates/relay/src/patience.rs
@@ -9,7 +9,7 @@
 /// still on time; giving up an engine that is only slow reads its prompt twice. A new connection to
 /// an engine that lives takes a few milliseconds and disturbs nobody, so silence is first checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct SilenceLimits {
     /// The longest time until the first event, though the engine lives.
     pub first: Duration,
     /// The longest time between two events, though the engine lives.
@@ -37,7 +37,7 @@
 /// The time between two questions during the reading of a prompt.
 const ASK_FIRST: Duration = Duration::from_millis(350);
 
-impl Patience {
+impl SilenceLimits {
     /// Returns the patience with a stream at an engine that reads so many tokens, its own prompt
     /// included.
     ///
@@ -46,9 +46,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use celerypond_relay::Patience;
+    /// use celerypond_relay::SilenceLimits;
     ///
-    /// let patience = Patience::of_stream(5_000, Some(Duration::from_millis(700)));
+    /// let patience = SilenceLimits::of_stream(5_000, Some(Duration::from_millis(700)));
     /// assert_eq!(patience.first, Duration::from_millis(1_800));
     /// assert_eq!(patience.gap, Duration::from_millis(420));
     /// ```
@@ -89,7 +89,7 @@
 ///
 /// The load it answers: all engines of a service are lost at once and are back within seconds. A new
 /// stream can still be on time, and one that was begun would have to be begun anew by its caller.
-pub struct Return {
+pub struct EngineWait {
     /// The longest wait of a stream without an event so far.
     pub first: Duration,
     /// The longest wait of a stream that was begun.
@@ -107,7 +107,7 @@
 /// The time between two looks for an engine.
 const RETURN_LOOK: Duration = Duration::from_millis(200);
 
-impl Return {
+impl EngineWait {
     /// Returns the wait for a route whose first event is to come within `aim`.
     pub fn of_route(aim: Duration) -> Self {
         Self {
--- a/crates/relay/src/place.rs
+++ b/crates/relay/src/place.rs
@@ -5,7 +5,7 @@
 use celerypond_types::{DataCentre, ServiceName, TargetKey};
 use tokio::time::Instant;
 
-use crate::{Choice, Group, Taken, Target, Targets};
+use crate::{EngineUsage, Group, Target, Targets, VersionChoice};
 
 /// The part of an engine's slots or memory beyond which it takes streams only when all are so full:
 /// the copies of others' runs need room as well, and where memory runs out streams are preempted.
@@ -34,11 +34,11 @@
 
 /// What is wanted of a target.
 #[derive(Clone, Debug)]
-pub struct Want<'a> {
+pub struct TargetQuery<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// The versions of its software that will do.
-    pub choice: &'a Choice,
+    pub choice: &'a VersionChoice,
     /// The data centre of this instance, which goes first where all else is equal.
     pub near: &'a DataCentre,
     /// Targets that were tried already.
@@ -58,7 +58,7 @@
 
 /// The chosen target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pick {
+pub struct Selection {
     /// Its key.
     pub key: TargetKey,
     /// Whether only targets that failed a moment ago were left.
@@ -70,7 +70,7 @@
     ///
     /// With an affinity, all instances prefer the same targets for it in the same order, so a
     /// caller's retry finds its prompt where it was read. Without one, the least loaded is taken.
-    pub fn pick(&self, want: &Want<'_>, now: Instant) -> Option<Pick> {
+    pub fn pick(&self, want: &TargetQuery<'_>, now: Instant) -> Option<Selection> {
         let fits = |target: &&(TargetKey, &Target)| {
             self.is_usable(target.0)
                 && target.1.entry.service == *want.service
@@ -82,24 +82,24 @@
         let all: Vec<(TargetKey, &Target)> =
             all.filter(|(_, target)| !loads.is_behind(target)).collect();
         let sound = all.iter().copied();
-        let is_ordered = matches!(want.choice, Choice::Only(_));
+        let is_ordered = matches!(want.choice, VersionChoice::Only(_));
         let is_held = |target: &Target| !is_ordered && self.is_held(target, now);
         let sound = sound.filter(|(_, target)| !target.is_avoided(now) && !is_held(target));
         if let Some(key) = loads.best(sound) {
-            return Some(Pick {
+            return Some(Selection {
                 key,
                 is_doubtful: false,
             });
         }
         let soonest = all.iter().min_by_key(|(_, target)| target.avoid);
-        soonest.map(|(key, _)| Pick {
+        soonest.map(|(key, _)| Selection {
             key: *key,
             is_doubtful: true,
         })
     }
 
     /// Returns whether many targets of a target's data centre are avoided, though it may not be.
-    pub fn is_doubtful(&self, key: TargetKey, want: &Want<'_>, now: Instant) -> bool {
+    pub fn is_doubtful(&self, key: TargetKey, want: &TargetQuery<'_>, now: Instant) -> bool {
         let home = self.get(key).map(|target| &target.entry.data_centre);
         home.is_some_and(|home| sick(self, want, now).contains(&home))
     }
@@ -107,7 +107,12 @@
     /// Chooses the engine that holds a copy of the memory of a run at `main`.
     ///
     /// Nearly all engines of a data centre can go at once, so the copy goes to another one.
-    pub fn pick_backup(&self, main: TargetKey, want: &Want<'_>, now: Instant) -> Option<TargetKey> {
+    pub fn pick_backup(
+        &self,
+        main: TargetKey,
+        want: &TargetQuery<'_>,
+        now: Instant,
+    ) -> Option<TargetKey> {
         let home = &self.get(main)?.entry;
         let others = self.iter().filter(|(key, target)| {
             *key != main
@@ -125,9 +130,9 @@
 
 /// What is known of the targets' loads at one moment.
 pub(crate) struct Loads<'a> {
-    want: &'a Want<'a>,
+    want: &'a TargetQuery<'a>,
     /// What streams of other instances take; counted for streams only.
-    taken: Cow<'a, HashMap<u64, Taken>>,
+    taken: Cow<'a, HashMap<u64, EngineUsage>>,
     /// The hash of the target that has read the request's own prompt part.
     holder: Option<u64>,
     /// Targets that do much worse than their peers; for requests in one piece only.
@@ -139,7 +144,7 @@
 }
 
 impl<'a> Loads<'a> {
-    pub(crate) fn of(targets: &'a Targets, want: &'a Want<'a>, now: Instant) -> Self {
+    pub(crate) fn of(targets: &'a Targets, want: &'a TargetQuery<'a>, now: Instant) -> Self {
         let taken = match want.affinity {
             Some(_) => targets.taken(now),
             None => Cow::Owned(HashMap::new()),
@@ -205,9 +210,9 @@
     }
 
     /// Returns all that instances have at an engine.
-    pub(crate) fn work(&self, target: &Target) -> Taken {
+    pub(crate) fn work(&self, target: &Target) -> EngineUsage {
         let others = self.taken.get(&target.hash).copied().unwrap_or_default();
-        Taken {
+        EngineUsage {
             streams: target.open + others.streams,
             prompts: target.prompts + others.prompts,
             reading: target.reading + others.reading,
@@ -260,7 +265,7 @@
     }
 
     /// Returns the larger of the parts of an engine's slots and of its memory that are taken.
-    fn crowding(&self, target: &Target, others: &Taken) -> f64 {
+    fn crowding(&self, target: &Target, others: &EngineUsage) -> f64 {
         let tokens = target.tokens + others.tokens + self.want.tokens;
         let memory = self
             .want
@@ -288,7 +293,7 @@
     }
 }
 
-fn worse(targets: &Targets, want: &Want<'_>, now: Instant) -> Vec<u64> {
+fn worse(targets: &Targets, want: &TargetQuery<'_>, now: Instant) -> Vec<u64> {
     let of_service = targets
         .iter()
         .filter(|(key, target)| target.entry.service == *want.service && targets.is_usable(*key));
@@ -317,7 +322,7 @@
 /// look idle and would get all that is placed anew. Where two of six do not answer, or four of
 /// sixty, the others of the data centre are asked last. Where each data centre has so many, it
 /// changes nothing.
-fn sick<'a>(targets: &'a Targets, want: &Want<'_>, now: Instant) -> Vec<&'a DataCentre> {
+fn sick<'a>(targets: &'a Targets, want: &TargetQuery<'_>, now: Instant) -> Vec<&'a DataCentre> {
     let mut counts: Vec<Count<'a>> = Vec::new();
     for (key, target) in targets.iter() {
         if target.entry.service != *want.service || !targets.is_usable(key) {
--- a/crates/relay/src/queueing.rs
+++ b/crates/relay/src/queueing.rs
@@ -5,21 +5,21 @@
 use celerypond_types::TargetKey;
 use tokio::time::Instant;
 
-use crate::{Targets, Want};
+use crate::{TargetQuery, Targets};
 
 /// The shortest time after which a caller that was turned away may come back.
 const MIN_BACKOFF: Duration = Duration::from_millis(500);
 
 /// The time until the first event of a stream, by the prompts that are known to be read before its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Queueing {
+pub struct QueueEstimate {
     /// The time that the prompts before it take.
     pub wait: Duration,
     /// The time that its own prompt takes.
     pub read: Duration,
 }
 
-impl Queueing {
+impl QueueEstimate {
     /// Returns after which time its caller may come back if the first event would come later than `aim`; nothing where
     /// the stream is to be queued.
     ///
@@ -32,14 +32,14 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use celerypond_relay::Queueing;
+    /// use celerypond_relay::QueueEstimate;
     ///
     /// let secs = Duration::from_secs;
-    /// let queueing = Queueing { wait: secs(4), read: secs(1) };
+    /// let queueing = QueueEstimate { wait: secs(4), read: secs(1) };
     /// assert_eq!(queueing.backoff(secs(5)), None);
     /// assert_eq!(queueing.backoff(secs(4)), Some(secs(4)));
     /// // Nothing is read before it, so that waiting would not help.
-    /// assert_eq!(Queueing { wait: secs(0), read: secs(8) }.backoff(secs(4)), None);
+    /// assert_eq!(QueueEstimate { wait: secs(0), read: secs(8) }.backoff(secs(4)), None);
     /// ```
     pub fn backoff(&self, aim: Duration) -> Option<Duration> {
         let is_late = self.wait + self.read > aim && self.read <= aim;
@@ -55,10 +55,10 @@
     pub fn queueing(
         &self,
         key: TargetKey,
-        want: &Want<'_>,
+        want: &TargetQuery<'_>,
         prompt: u64,
         now: Instant,
-    ) -> Option<Queueing> {
+    ) -> Option<QueueEstimate> {
         let rate = self.history.queue_rate(want.service)?;
         let time = |tokens: f64| Duration::from_secs_f64(tokens / rate / 1_000.0);
         let target = self.get(key).map(|target| target.hash);
@@ -67,7 +67,7 @@
         // What is read counts with its answer at full length.
         let prompt_share = prompt as f64 / want.tokens.max(1) as f64;
         let before = self.reading(key, now) as f64 * prompt_share;
-        Some(Queueing {
+        Some(QueueEstimate {
             wait: time(before),
             read: time(if is_read { 0.0 } else { prompt as f64 }),
         })
--- a/crates/relay/src/relocate.rs
+++ b/crates/relay/src/relocate.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     place::{rank, Loads},
-    Patience, Target, Targets, Want,
+    SilenceLimits, Target, TargetQuery, Targets,
 };
 
 /// What a stream must gain by going on at another engine, in milliseconds. The move itself takes some
@@ -41,12 +41,12 @@
 
 /// What a running stream has ahead of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ahead {
+pub struct RemainingEvents {
     /// Events that are still to come, as far as is known.
     pub events: f64,
 }
 
-impl Default for Ahead {
+impl Default for RemainingEvents {
     fn default() -> Self {
         Self {
             events: EVENTS_LEFT,
@@ -56,7 +56,7 @@
 
 /// An engine at which a stream would be done sooner.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Better {
+pub struct BetterEngine {
     /// Its key.
     pub key: TargetKey,
     /// What the stream needs where it is, in milliseconds.
@@ -82,10 +82,10 @@
     pub fn better_engine(
         &self,
         at: TargetKey,
-        want: &Want<'_>,
-        ahead: Ahead,
+        want: &TargetQuery<'_>,
+        ahead: RemainingEvents,
         now: Instant,
-    ) -> Option<Better> {
+    ) -> Option<BetterEngine> {
         let home = self.get(at)?;
         let loads = Loads::of(self, want, now);
         let view = View::new(self, &loads, at, want, ahead);
@@ -112,7 +112,7 @@
         let (cost, key, _) = *nearly.min_by_key(|(_, _, target)| rank(affinity, target))?;
         let here_ms = view.cost_ms(home, true);
         let work = loads.work(home);
-        (cost + LEAST_GAIN_MS < here_ms).then_some(Better {
+        (cost + LEAST_GAIN_MS < here_ms).then_some(BetterEngine {
             key,
             here_ms,
             there_ms: cost,
@@ -128,7 +128,7 @@
     paces: HashMap<u64, f64>,
     /// The time for an event at an engine of which it is not known.
     usual_ms: f64,
-    ahead: Ahead,
+    ahead: RemainingEvents,
     near: &'a DataCentre,
     /// Whether fewer engines are free than read.
     is_scarce: bool,
@@ -139,8 +139,8 @@
         targets: &Targets,
         loads: &'a Loads<'a>,
         at: TargetKey,
-        want: &'a Want<'_>,
-        ahead: Ahead,
+        want: &'a TargetQuery<'_>,
+        ahead: RemainingEvents,
     ) -> Self {
         let of_service = targets.iter().filter(|(key, target)| {
             target.entry.service == *want.service && targets.is_usable(*key)
@@ -178,7 +178,7 @@
         let event_ms = self.paces.get(&engine.spot).copied();
         let event_ms = event_ms.unwrap_or(self.usual_ms);
         let run_ms = self.ahead.events * event_ms * (1.0 + BATCH_SLOWER * f64::from(running));
-        let wait = Patience::reading(work.reading).as_secs_f64() * 1_000.0;
+        let wait = SilenceLimits::reading(work.reading).as_secs_f64() * 1_000.0;
         let beside_ms = (wait * STILL_TO_READ).min(run_ms * (READING_SLOWER - 1.0));
         // The last engines without streams are left to prompts, which would hold up the streams elsewhere.
         let opened_ms = match running {
--- a/crates/relay/src/restart.rs
+++ b/crates/relay/src/restart.rs
@@ -5,7 +5,7 @@
 use celerypond_types::TargetName;
 use tokio::time::Instant;
 
-use crate::{targets::ADOPTION_TTL, Adoption};
+use crate::{targets::ADOPTION_TTL, RestartReport};
 
 /// An engine that restarted and answered under its new name, while the store did not list it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -27,8 +27,8 @@
     }
 
     /// Returns it as other instances receive it.
-    pub(crate) fn adoption(&self, now: Instant) -> Adoption {
-        Adoption {
+    pub(crate) fn adoption(&self, now: Instant) -> RestartReport {
+        RestartReport {
             before: self.before,
             name: self.name.clone(),
             age_ms: age_ms(self.seen, now),
--- a/crates/relay/src/rests.rs
+++ b/crates/relay/src/rests.rs
@@ -16,7 +16,7 @@
 
 /// How long connections to a service may rest, as one instance tells the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rest {
+pub struct IdleLimit {
     /// The hash of the service's name.
     pub service: u64,
     /// The longest rest, in milliseconds.
@@ -38,23 +38,23 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use celerypond_relay::Rests;
+/// use celerypond_relay::IdleLimits;
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let mut rests = Rests::default();
+/// let mut rests = IdleLimits::default();
 /// assert_eq!(rests.most(1, now), None);
 /// rests.lost(1, Duration::from_millis(400), now);
 /// assert_eq!(rests.most(1, now), Some(Duration::from_millis(200)));
 /// assert_eq!(rests.most(1, now + Duration::from_secs(60)), None);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Rests {
+pub struct IdleLimits {
     /// For each service the longest rest, and when it was learned.
     learned: HashMap<u64, (Duration, Instant)>,
 }
 
-impl Rests {
+impl IdleLimits {
     /// Takes in that what was sent on a connection was reset at once, after the connection had rested for
     /// so long; returns whether that is news.
     pub fn lost(&mut self, service: u64, rested: Duration, now: Instant) -> bool {
@@ -68,12 +68,12 @@
     }
 
     /// Returns what others are to know.
-    pub fn told(&self, now: Instant) -> Vec<Rest> {
+    pub fn told(&self, now: Instant) -> Vec<IdleLimit> {
         let fresh = self
             .learned
             .iter()
             .filter(|(_, (_, at))| is_fresh(*at, now));
-        let told = fresh.map(|(service, (most, at))| Rest {
+        let told = fresh.map(|(service, (most, at))| IdleLimit {
             service: *service,
             most_ms: millis(*most),
             age_ms: millis(now.saturating_duration_since(*at)),
@@ -82,7 +82,7 @@
     }
 
     /// Takes in what another instance learned.
-    pub fn hear(&mut self, told: &[Rest], now: Instant) {
+    pub fn hear(&mut self, told: &[IdleLimit], now: Instant) {
         for rest in told {
             let age = Duration::from_millis(u64::from(rest.age_ms));
             let Some(at) = now.checked_sub(age) else {
--- a/crates/relay/src/retries.rs
+++ b/crates/relay/src/retries.rs
@@ -24,7 +24,7 @@
 
 /// What an instance sent to a service within the window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sends {
+pub struct SendCounts {
     /// The hash of the service's name.
     pub service: u64,
     /// Requests of callers.
@@ -47,12 +47,12 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_relay::{Bounds, Retries};
+/// use celerypond_relay::{Bounds, RetryBudget};
 /// use celerypond_types::ServiceName;
 /// use tokio::time::Instant;
 ///
 /// let bounds = Bounds { retry_ratio: 0.5, retry_slack: 0.0, ..Bounds::default() };
-/// let mut retries = Retries::new(&bounds);
+/// let mut retries = RetryBudget::new(&bounds);
 /// let (service, now) = (ServiceName::new("writer"), Instant::now());
 /// assert!(!retries.take(&service, 7, now));
 /// (0..4).for_each(|_| retries.requested(&service, now));
@@ -60,7 +60,7 @@
 /// assert!(!retries.take(&service, 7, now));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Retries {
+pub struct RetryBudget {
     /// Repeats allowed for each request.
     ratio: f64,
     /// Repeats allowed beyond that, over all instances.
@@ -69,7 +69,7 @@
     services: HashMap<ServiceName, Counts>,
     /// What other instances told, by their run. It counts for a whole window, also when its instance is
     /// gone: what it sent was sent.
-    told: HashMap<u64, (Vec<Sends>, Instant)>,
+    told: HashMap<u64, (Vec<SendCounts>, Instant)>,
 }
 
 /// What was sent to a service, oldest first.
@@ -83,7 +83,7 @@
     repeats: u32,
 }
 
-impl Retries {
+impl RetryBudget {
     /// Has sent nothing yet.
     pub fn new(bounds: &Bounds) -> Self {
         Self {
@@ -101,7 +101,7 @@
     }
 
     /// Returns what this instance sent within the window, for the others.
-    pub fn sends(&mut self, now: Instant) -> Vec<Sends> {
+    pub fn sends(&mut self, now: Instant) -> Vec<SendCounts> {
         let services: Vec<ServiceName> = self.services.keys().cloned().collect();
         let sends = services.iter().map(|service| {
             self.slice(service, now);
@@ -111,7 +111,7 @@
     }
 
     /// Takes in what another instance sent within the window.
-    pub fn hear(&mut self, origin: u64, sends: Vec<Sends>, now: Instant) {
+    pub fn hear(&mut self, origin: u64, sends: Vec<SendCounts>, now: Instant) {
         let window = self.window;
         self.told.insert(origin, (sends, now));
         self.told
@@ -149,11 +149,11 @@
         left >= 1.0 && unknown + 1.0 <= part
     }
 
-    fn own(&self, service: &ServiceName) -> Sends {
+    fn own(&self, service: &ServiceName) -> SendCounts {
         let slices = self.services.get(service).into_iter().flatten();
-        let mut own = Sends {
+        let mut own = SendCounts {
             service: celerypond_route::hash(service.as_str().as_bytes()),
-            ..Sends::default()
+            ..SendCounts::default()
         };
         for slice in slices {
             own.requests += slice.requests;
@@ -163,7 +163,7 @@
     }
 
     /// Returns the requests and repeats of all instances that are known.
-    fn all(&self, own: Sends) -> (u32, u32) {
+    fn all(&self, own: SendCounts) -> (u32, u32) {
         let told = self.told.values().flat_map(|(sends, _)| sends);
         let told = told.filter(|sends| sends.service == own.service);
         told.fold((own.requests, own.repeats), |(requests, repeats), sends| {
--- a/crates/relay/src/revival.rs
+++ b/crates/relay/src/revival.rs
@@ -19,7 +19,7 @@
 
 /// An engine that was found dead.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Dead {
+pub struct DeadEngine {
     /// Its name.
     pub name: TargetName,
     /// The hash of its name.
@@ -33,7 +33,7 @@
 impl Targets {
     /// Returns engines that were found dead and may have started again. Each instance gets them at
     /// its own time, up to `stagger` after the others.
-    pub fn dead_engines(&self, now: Instant, stagger: Duration) -> Vec<Dead> {
+    pub fn dead_engines(&self, now: Instant, stagger: Duration) -> Vec<DeadEngine> {
         if !self.is_unverified(now) {
             return Vec::new();
         }
@@ -44,7 +44,7 @@
         };
         let dead = self.arena.iter();
         dead.filter(|(key, target)| is_due(target) && self.owns_address(*key))
-            .map(|(_, target)| Dead {
+            .map(|(_, target)| DeadEngine {
                 name: target.entry.name.clone(),
                 hash: target.hash,
                 service: target.entry.service.clone(),
--- a/crates/relay/src/rollout.rs
+++ b/crates/relay/src/rollout.rs
@@ -43,7 +43,7 @@
 
 /// What an instance knows beside the evidence when it decides about an order.
 #[derive(Clone, Copy, Debug)]
-pub struct Fleet {
+pub struct TargetCounts {
     /// Targets of the new version that take work.
     pub new: usize,
     /// Those of the other versions.
@@ -67,7 +67,7 @@
     }
 
     /// Decides how far the order has come now.
-    pub fn next(&self, bounds: &Bounds, fleet: Fleet, now: Instant) -> Phase {
+    pub fn next(&self, bounds: &Bounds, fleet: TargetCounts, now: Instant) -> Phase {
         if self.phase.is_ended() {
             return self.phase;
         }
@@ -91,7 +91,7 @@
     }
 
     /// Returns whether the version has shown itself and can take all requests.
-    fn is_proved(&self, fleet: Fleet) -> bool {
+    fn is_proved(&self, fleet: TargetCounts) -> bool {
         let seen = self.evidence.sum();
         let enough = LEAST.min((seen.old.all + seen.new.all) / 20).max(1);
         let has_room = fleet.new * 2 > fleet.old;
--- a/crates/relay/src/stop.rs
+++ b/crates/relay/src/stop.rs
@@ -15,14 +15,14 @@
 
 /// The other instances of a fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Others {
+pub struct PeerCounts {
     /// Those that take callers.
     pub live: usize,
     /// Those that are stopping.
     pub leaving: usize,
 }
 
-impl Others {
+impl PeerCounts {
     /// Returns whether those that take callers can take those of all that leave, this instance among them.
     pub const fn are_enough(self) -> bool {
         self.live * (LOAD_MOST - 1) > self.leaving
@@ -41,24 +41,24 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use celerypond_relay::{Others, Stop};
+/// use celerypond_relay::{PeerCounts, PlannedStop};
 /// use tokio::time::Instant;
 ///
 /// let begun = Instant::now();
-/// let stop = Stop::new(begun, Duration::from_secs(8));
+/// let stop = PlannedStop::new(begun, Duration::from_secs(8));
 /// let later = begun + Duration::from_secs(3);
-/// assert!(!stop.takes_callers(Others { live: 6, leaving: 0 }, later));
-/// assert!(stop.takes_callers(Others { live: 0, leaving: 6 }, later));
+/// assert!(!stop.takes_callers(PeerCounts { live: 6, leaving: 0 }, later));
+/// assert!(stop.takes_callers(PeerCounts { live: 0, leaving: 6 }, later));
 /// assert!(stop.admits(Duration::from_secs(1), later));
 /// assert!(!stop.admits(Duration::from_secs(25), later));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stop {
+pub struct PlannedStop {
     begun: Instant,
     grace: Duration,
 }
 
-impl Stop {
+impl PlannedStop {
     /// Begins to stop.
     pub const fn new(begun: Instant, grace: Duration) -> Self {
         Self { begun, grace }
@@ -71,7 +71,7 @@
 
     /// Returns when a caller that is not admitted may come back; nothing where others take callers now. An
     /// answer that begins within `aim` is on time, and half of that is left for it.
-    pub fn come_back(&self, others: Others, aim: Duration, now: Instant) -> Option<Duration> {
+    pub fn come_back(&self, others: PeerCounts, aim: Duration, now: Instant) -> Option<Duration> {
         let left = self.end().saturating_duration_since(now);
         (others.live == 0).then(|| left.min(aim / 2))
     }
@@ -82,7 +82,7 @@
     }
 
     /// Returns whether new callers are taken.
-    pub fn takes_callers(&self, others: Others, now: Instant) -> bool {
+    pub fn takes_callers(&self, others: PeerCounts, now: Instant) -> bool {
         self.takes_all(now) || (!others.are_enough() && now < self.end())
     }
 
--- a/crates/relay/src/table.rs
+++ b/crates/relay/src/table.rs
@@ -12,13 +12,13 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_relay::{Config, Denied, Table};
+/// use celerypond_relay::{Config, Denied, RoutingTable};
 ///
-/// let table = Table::new(Config::default());
+/// let table = RoutingTable::new(Config::default());
 /// assert_eq!(table.admit("a.example", "/x/1", None).unwrap_err(), Denied::NoRoute);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Table {
+pub struct RoutingTable {
     config: Config,
     /// Routes by host, the longest prefix first.
     hosts: HashMap<SmolStr, Vec<usize>>,
@@ -26,7 +26,7 @@
     services: HashMap<ServiceName, usize>,
 }
 
-impl Table {
+impl RoutingTable {
     /// Indexes a configuration.
     pub fn new(config: Config) -> Self {
         let mut hosts: HashMap<SmolStr, Vec<usize>> = HashMap::new();
--- a/crates/relay/src/target.rs
+++ b/crates/relay/src/target.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use crate::{Ended, Load, Presence, TargetEntry};
+use crate::{AttemptFailure, Load, Presence, TargetEntry};
 
 /// How long a target is avoided after a connection to it broke; it doubles with each further
 /// failure. Connections are reset for other reasons than a target's death as well.
@@ -104,12 +104,12 @@
     }
 
     /// Takes in how an attempt ended.
-    pub fn ended(&mut self, ended: Ended, now: Instant) {
+    pub fn ended(&mut self, ended: AttemptFailure, now: Instant) {
         if !ended.suspects() {
             return;
         }
         self.failures += 1;
-        self.is_dead |= matches!(ended, Ended::Unsent | Ended::Dead);
+        self.is_dead |= matches!(ended, AttemptFailure::Unsent | AttemptFailure::Dead);
         if self.is_dead {
             self.died.get_or_insert(now);
             self.found_dead = Some(now);
--- a/crates/relay/src/targets.rs
+++ b/crates/relay/src/targets.rs
@@ -18,8 +18,8 @@
     restart::{age_ms, Restart},
     streams::Streams,
     target::Unlisted,
-    Board, Group, History, News, Note, Paces, PlacementKey, Placements, Quality, Rests, Taken,
-    Target, TargetEntry,
+    EngineUsage, EventTimes, Group, History, IdleLimits, PeerStreams, PlacementKey, Placements,
+    PromptLocation, Quality, Target, TargetEntry, TargetUpdate,
 };
 
 /// How long after a restarted engine has answered that is passed on, and may be acted on.
@@ -65,11 +65,11 @@
     /// Streams of this instance.
     streams: Streams,
     /// Where prompts went that others were not told of yet.
-    notes: VecDeque<Note>,
-    board: Board,
+    notes: VecDeque<PromptLocation>,
+    board: PeerStreams,
     quality: Quality,
-    rests: Rests,
-    paces: Paces,
+    rests: IdleLimits,
+    paces: EventTimes,
     /// What engines told that they hold.
     pub(crate) held_parts: HashMap<u64, Held>,
     /// What streams were like lately.
@@ -187,7 +187,7 @@
     }
 
     /// Returns what changed after a revision up to another one, or all when that is not known. Ages are not filled in.
-    pub fn news(&self, since: u64, revision: u64) -> News {
+    pub fn news(&self, since: u64, revision: u64) -> TargetUpdate {
         let names = self.log.since(since);
         let is_whole = names.is_none();
         let names = names.unwrap_or_else(|| self.names.keys().collect());
@@ -197,7 +197,7 @@
         let target = |name: &&TargetName| self.arena.get(*self.names.get(*name)?);
         let there: Vec<&Target> = there.iter().filter_map(target).collect();
         let missing = self.arena.values().filter(|target| target.is_missing);
-        News {
+        TargetUpdate {
             revision,
             age_ms: None,
             is_whole,
@@ -337,7 +337,7 @@
         if self.notes.len() == NOTES_MOST {
             self.notes.pop_front();
         }
-        self.notes.push_back(Note {
+        self.notes.push_back(PromptLocation {
             part,
             target: target.hash,
         });
@@ -427,12 +427,12 @@
     }
 
     /// Takes the notes of where prompts went that others were not told of yet.
-    pub fn take_notes(&mut self) -> Vec<Note> {
+    pub fn take_notes(&mut self) -> Vec<PromptLocation> {
         self.notes.drain(..).collect()
     }
 
     /// Takes in where another instance sent prompts.
-    pub fn hear_notes(&mut self, notes: &[Note], now: Instant) {
+    pub fn hear_notes(&mut self, notes: &[PromptLocation], now: Instant) {
         for note in notes {
             self.board.note_part(note.part, note.target, now);
         }
@@ -501,7 +501,7 @@
         }
     }
 
-    pub(crate) const fn paces(&self) -> &Paces {
+    pub(crate) const fn paces(&self) -> &EventTimes {
         &self.paces
     }
 
@@ -514,7 +514,7 @@
         self.board.holder(part, now)
     }
 
-    pub(crate) fn taken(&self, now: Instant) -> Cow<'_, HashMap<u64, Taken>> {
+    pub(crate) fn taken(&self, now: Instant) -> Cow<'_, HashMap<u64, EngineUsage>> {
         self.board.taken(now)
     }
 
--- a/crates/relay/src/versions.rs
+++ b/crates/relay/src/versions.rs
@@ -6,14 +6,14 @@
 use celerypond_types::{ServiceName, VersionName};
 use tokio::time::Instant;
 
-use crate::{Evidence, Phase, Report, Stage};
+use crate::{Evidence, EvidenceReport, Phase, Stage};
 
 /// How long a share holds without a report of the instance that drives the order, which sends four a second.
 const STAGE_TTL: Duration = Duration::from_millis(1_500);
 
 /// The versions that may take a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Choice {
+pub enum VersionChoice {
     /// Any version.
     #[default]
     Any,
@@ -23,16 +23,16 @@
     Not(VersionName),
 }
 
-impl Choice {
+impl VersionChoice {
     /// Returns whether a version may take the request.
     ///
     /// # Examples
     ///
     /// ```
-    /// use celerypond_relay::Choice;
+    /// use celerypond_relay::VersionChoice;
     ///
-    /// assert!(Choice::Any.allows(&"v1".into()));
-    /// assert!(!Choice::Not("v2".into()).allows(&"v2".into()));
+    /// assert!(VersionChoice::Any.allows(&"v1".into()));
+    /// assert!(!VersionChoice::Not("v2".into()).allows(&"v2".into()));
     /// ```
     pub fn allows(&self, version: &VersionName) -> bool {
         match self {
@@ -58,18 +58,18 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use celerypond_relay::{Choice, Order, Phase, Stage, Versions};
+/// use celerypond_relay::{VersionChoice, Order, Phase, Stage, VersionRouting};
 /// use tokio::time::Instant;
 ///
 /// let order = Order { service: "shop".into(), version: "v2".into(), time: Duration::from_secs(12) };
-/// let mut versions = Versions::default();
+/// let mut versions = VersionRouting::default();
 /// let now = Instant::now();
 /// versions.hear(Stage { order, phase: Phase::TakenBack, age_ms: 0 }, now);
-/// assert_eq!(versions.choose(&"shop".into(), now), Choice::Not("v2".into()));
-/// assert_eq!(versions.choose(&"desk".into(), now), Choice::Any);
+/// assert_eq!(versions.choose(&"shop".into(), now), VersionChoice::Not("v2".into()));
+/// assert_eq!(versions.choose(&"desk".into(), now), VersionChoice::Any);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Versions {
+pub struct VersionRouting {
     services: HashMap<ServiceName, Acting>,
 }
 
@@ -81,7 +81,7 @@
     evidence: Evidence,
 }
 
-impl Versions {
+impl VersionRouting {
     /// Takes in how far an order had come at a moment; an order that has ended stays so.
     pub fn hear(&mut self, stage: Stage, at: Instant) {
         let service = stage.order.service.clone();
@@ -109,31 +109,31 @@
     ///
     /// The failure: the instance that drives an order dies while a bad version has a share. Without a
     /// word of it the old versions take all requests, until the next instance drives the order.
-    pub fn choose(&mut self, service: &ServiceName, now: Instant) -> Choice {
+    pub fn choose(&mut self, service: &ServiceName, now: Instant) -> VersionChoice {
         let Some(acting) = self.services.get_mut(service) else {
-            return Choice::Any;
+            return VersionChoice::Any;
         };
         let version = acting.stage.order.version.clone();
         let is_fresh = now.saturating_duration_since(acting.heard) < STAGE_TTL;
         match acting.stage.phase {
-            Phase::Completed => Choice::Only(version),
+            Phase::Completed => VersionChoice::Only(version),
             Phase::Running { share } if is_fresh && acting.splitter.take(share) => {
-                Choice::Only(version)
+                VersionChoice::Only(version)
             }
-            Phase::Running { .. } | Phase::TakenBack => Choice::Not(version),
+            Phase::Running { .. } | Phase::TakenBack => VersionChoice::Not(version),
         }
     }
 
     /// Chooses the versions that may take a request once more. One that failed at a version on trial
     /// goes back to the others.
-    pub fn choose_again(&self, service: &ServiceName) -> Choice {
+    pub fn choose_again(&self, service: &ServiceName) -> VersionChoice {
         let Some(acting) = self.services.get(service) else {
-            return Choice::Any;
+            return VersionChoice::Any;
         };
         let version = acting.stage.order.version.clone();
         match acting.stage.phase {
-            Phase::Completed => Choice::Only(version),
-            Phase::Running { .. } | Phase::TakenBack => Choice::Not(version),
+            Phase::Completed => VersionChoice::Only(version),
+            Phase::Running { .. } | Phase::TakenBack => VersionChoice::Not(version),
         }
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// Returns what this instance saw of orders that run.
-    pub fn reports(&self, origin: u64) -> Vec<(ServiceName, Report)> {
+    pub fn reports(&self, origin: u64) -> Vec<(ServiceName, EvidenceReport)> {
         let running = self.services.iter();
         let running = running.filter(|(_, acting)| !acting.stage.phase.is_ended());
         running
--- a/crates/relay/tests/fixture.rs
+++ b/crates/relay/tests/fixture.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use celerypond_relay::{Change, Choice, Presence, TargetEntry, Targets, Want};
+use celerypond_relay::{Change, Presence, TargetEntry, TargetQuery, Targets, VersionChoice};
 use celerypond_types::{DataCentre, ServiceName, TargetKey, TargetName, VersionName};
 use tokio::time::Instant;
 
@@ -77,8 +77,8 @@
     }
 
     /// Wants an engine for a stream with this prompt part.
-    pub(crate) fn stream(&self, part: u64) -> Want<'_> {
-        Want {
+    pub(crate) fn stream(&self, part: u64) -> TargetQuery<'_> {
+        TargetQuery {
             affinity: Some(part),
             tokens: TOKENS,
             capacity: Some(CAPACITY),
@@ -87,10 +87,10 @@
     }
 
     /// Wants a target for a request in one piece.
-    pub(crate) fn request<'a>(&'a self, tried: &'a [TargetKey]) -> Want<'a> {
-        Want {
+    pub(crate) fn request<'a>(&'a self, tried: &'a [TargetKey]) -> TargetQuery<'a> {
+        TargetQuery {
             service: &self.service,
-            choice: &Choice::Any,
+            choice: &VersionChoice::Any,
             near: &self.near,
             tried,
             affinity: None,
--- a/crates/relay/tests/overload.rs
+++ b/crates/relay/tests/overload.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_relay::{Ahead, PlacementKey, Targets};
+use celerypond_relay::{PlacementKey, RemainingEvents, Targets};
 use celerypond_types::TargetKey;
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use tokio::time::Instant;
@@ -276,7 +276,7 @@
             if stream.first_ms.is_none() || self.now_ms < stream.look_ms {
                 continue;
             }
-            let ahead = Ahead {
+            let ahead = RemainingEvents {
                 events: (STEPS - stream.steps) / EVENT_STEPS,
             };
             self.open[n].look_ms = self.now_ms + LOOK_MS;
--- a/crates/relay/tests/test_access.rs
+++ b/crates/relay/tests/test_access.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use celerypond_relay::{
-    Account, Backend, CallerLimits, Config, Denied, EngineLimits, Route, RouteKind, Service, Table,
+    Account, Backend, CallerLimits, Config, Denied, EngineLimits, Route, RouteKind, RoutingTable,
+    Service,
 };
 use celerypond_types::{AccountName, ServiceName};
 use rstest::rstest;
@@ -77,21 +78,21 @@
     #[case] key: Option<&str>,
     #[case] expected: Result<&str, Denied>,
 ) {
-    let table = Table::new(config());
+    let table = RoutingTable::new(config());
     let taken = table.admit(host, path, key);
     assert_eq!(taken.map(|(route, _)| route.name.as_str()), expected);
 }
 
 #[test]
 fn an_account_is_known_on_an_open_route_as_well() {
-    let table = Table::new(config());
+    let table = RoutingTable::new(config());
     let (_, account) = table.admit("b.example", "/", Some("k1")).unwrap();
     assert_eq!(account.unwrap().name.as_str(), "yard");
 }
 
 #[test]
 fn without_accounts_no_key_is_needed() {
-    let table = Table::new(Config {
+    let table = RoutingTable::new(Config {
         accounts: Vec::new(),
         ..config()
     });
@@ -103,8 +104,8 @@
 #[test]
 fn two_services_with_engines_leave_no_only_one() {
     let mut config = config();
-    let only = Table::new(config.clone());
+    let only = RoutingTable::new(config.clone());
     assert_eq!(only.only_engines().unwrap().name.as_str(), "writer");
     config.services.push(service("drafter", true));
-    assert!(Table::new(config).only_engines().is_none());
+    assert!(RoutingTable::new(config).only_engines().is_none());
 }
--- a/crates/relay/tests/test_admission.rs
+++ b/crates/relay/tests/test_admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_relay::{Asks, Part, Targets};
+use celerypond_relay::{PromptPart, StreamRequest, Targets};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use rstest::rstest;
 use tokio::time::Instant;
@@ -31,7 +31,7 @@
 }
 
 fn is_admitted(targets: &Targets, part: u64, last: u64, left: Duration) -> bool {
-    let asks = Asks {
+    let asks = StreamRequest {
         prompt: PROMPT,
         last,
         left,
@@ -104,14 +104,14 @@
     let mut targets = experienced();
     let now = Instant::now();
     let wanted = Wanted::new();
-    let part = Part {
+    let part = PromptPart {
         id: 7,
         tokens: 5_000,
     };
     assert!(!targets.find_part(part, now));
     let asked = targets.ask_for(&wanted.stream(part.id), now);
     assert_eq!(asked.len(), 6);
-    let holds = Part { tokens, ..part };
+    let holds = PromptPart { tokens, ..part };
     targets.hold_parts(asked[3], &[holds], now);
     assert_eq!(targets.find_part(part, now), is_found);
     let left = Duration::from_millis(2_200);
--- a/crates/relay/tests/test_attempts.rs
+++ b/crates/relay/tests/test_attempts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_relay::{Ended, Next, Patience, RouteKind, Situation};
+use celerypond_relay::{AttemptFailure, AttemptState, NextStep, RouteKind, SilenceLimits};
 use rstest::rstest;
 
 const SAFE: RouteKind = RouteKind::Safe;
@@ -10,8 +10,8 @@
 const FIXED: RouteKind = RouteKind::Stream { resumable: false };
 const RESUMABLE: RouteKind = RouteKind::Stream { resumable: true };
 
-fn situation(kind: RouteKind, runs: u32) -> Situation {
-    Situation {
+fn situation(kind: RouteKind, runs: u32) -> AttemptState {
+    AttemptState {
         kind,
         runs,
         attempts: 3,
@@ -27,57 +27,71 @@
 #[rstest]
 fn what_may_have_run_is_never_sent_again(
     #[values(
-        Ended::Broken,
-        Ended::Silent,
-        Ended::Dead,
-        Ended::Foreign,
-        Ended::Failed(503)
+        AttemptFailure::Broken,
+        AttemptFailure::Silent,
+        AttemptFailure::Dead,
+        AttemptFailure::Foreign,
+        AttemptFailure::Failed(503)
     )]
-    ended: Ended,
+    ended: AttemptFailure,
     #[values(UNSAFE, FIXED)] kind: RouteKind,
 ) {
     assert!(!ended.proves_not_run());
     let next = situation(kind, 1).next(ended, || panic!("no send is to be asked for"));
-    assert!(matches!(next, Next::Failed | Next::Expired), "{next:?}");
+    assert!(
+        matches!(next, NextStep::Failed | NextStep::Expired),
+        "{next:?}"
+    );
 }
 
 #[rstest]
 fn what_has_not_run_goes_elsewhere_whatever_its_kind(
-    #[values(Ended::Unsent, Ended::NotRun, Ended::Misdirected)] ended: Ended,
+    #[values(
+        AttemptFailure::Unsent,
+        AttemptFailure::NotRun,
+        AttemptFailure::Misdirected
+    )]
+    ended: AttemptFailure,
     #[values(SAFE, UNSAFE, FIXED, RESUMABLE)] kind: RouteKind,
 ) {
     assert!(ended.proves_not_run());
-    assert_eq!(situation(kind, 0).next(ended, || true), Next::Elsewhere);
+    assert_eq!(situation(kind, 0).next(ended, || true), NextStep::Elsewhere);
 }
 
 #[rstest]
-#[case::safe(SAFE, Ended::Broken)]
-#[case::stream(RESUMABLE, Ended::Silent)]
-fn what_may_be_repeated_goes_elsewhere(#[case] kind: RouteKind, #[case] ended: Ended) {
-    assert_eq!(situation(kind, 1).next(ended, || true), Next::Elsewhere);
+#[case::safe(SAFE, AttemptFailure::Broken)]
+#[case::stream(RESUMABLE, AttemptFailure::Silent)]
+fn what_may_be_repeated_goes_elsewhere(#[case] kind: RouteKind, #[case] ended: AttemptFailure) {
+    assert_eq!(situation(kind, 1).next(ended, || true), NextStep::Elsewhere);
 }
 
 /// A third of 180 engines falls silent. A stream tries several of them in a row, which have refused
 /// nothing, before it finds one that lives. Where nobody can be reached at all, it ends.
 #[test]
 fn targets_that_take_no_connection_are_not_full() {
-    let after = |unreached| Situation {
+    let after = |unreached| AttemptState {
         unreached,
         ..situation(RESUMABLE, 1)
     };
-    assert_eq!(after(12).next(Ended::Unsent, || true), Next::Elsewhere);
-    assert_eq!(after(20).next(Ended::Unsent, || true), Next::Failed);
+    assert_eq!(
+        after(12).next(AttemptFailure::Unsent, || true),
+        NextStep::Elsewhere
+    );
+    assert_eq!(
+        after(20).next(AttemptFailure::Unsent, || true),
+        NextStep::Failed
+    );
 }
 
 /// All targets fail at once, and each failed request would be sent again. The budget ends that, and
 /// the caller hears at once.
 #[rstest]
-#[case::not_run(0, Ended::NotRun, Next::NotRun)]
-#[case::run(1, Ended::Broken, Next::Failed)]
+#[case::not_run(0, AttemptFailure::NotRun, NextStep::NotRun)]
+#[case::run(1, AttemptFailure::Broken, NextStep::Failed)]
 fn without_budget_the_caller_hears_at_once(
     #[case] runs: u32,
-    #[case] ended: Ended,
-    #[case] expected: Next,
+    #[case] ended: AttemptFailure,
+    #[case] expected: NextStep,
 ) {
     assert_eq!(situation(SAFE, runs).next(ended, || false), expected);
 }
@@ -85,14 +99,14 @@
 /// Engines die, and for a moment the budget is used up. A stream waits for it; its caller would have to
 /// begin anew.
 #[rstest]
-#[case::begun(1, Next::Later)]
-#[case::not_run(0, Next::NotRun)]
-#[case::asked_too_often(3, Next::Failed)]
-fn a_stream_waits_for_budget(#[case] runs: u32, #[case] expected: Next) {
+#[case::begun(1, NextStep::Later)]
+#[case::not_run(0, NextStep::NotRun)]
+#[case::asked_too_often(3, NextStep::Failed)]
+fn a_stream_waits_for_budget(#[case] runs: u32, #[case] expected: NextStep) {
     let ended = if runs == 0 {
-        Ended::NotRun
+        AttemptFailure::NotRun
     } else {
-        Ended::Broken
+        AttemptFailure::Broken
     };
     assert_eq!(situation(RESUMABLE, runs).next(ended, || false), expected);
 }
@@ -101,36 +115,36 @@
 /// the next one needs no budget.
 #[test]
 fn a_send_that_reached_nobody_needs_no_budget() {
-    let next = situation(SAFE, 1).next(Ended::Unsent, || false);
-    assert_eq!(next, Next::Elsewhere);
+    let next = situation(SAFE, 1).next(AttemptFailure::Unsent, || false);
+    assert_eq!(next, NextStep::Elsewhere);
 }
 
 #[test]
 fn no_more_targets_are_asked_than_the_route_allows() {
-    let next = situation(SAFE, 3).next(Ended::Broken, || true);
-    assert_eq!(next, Next::Failed);
+    let next = situation(SAFE, 3).next(AttemptFailure::Broken, || true);
+    assert_eq!(next, NextStep::Failed);
 }
 
 /// A service is full: each of its targets refuses. The caller is told to come back instead of
 /// having every target refuse it in turn.
 #[test]
 fn a_full_service_is_not_asked_for_ever() {
-    let full = Situation {
+    let full = AttemptState {
         refusals: 6,
         ..situation(SAFE, 0)
     };
-    assert_eq!(full.next(Ended::NotRun, || true), Next::NotRun);
+    assert_eq!(full.next(AttemptFailure::NotRun, || true), NextStep::NotRun);
 }
 
 #[rstest]
-#[case::not_run(0, Next::NotRun)]
-#[case::may_have_run(1, Next::Expired)]
-fn when_the_time_is_over_nothing_is_sent(#[case] runs: u32, #[case] expected: Next) {
-    let over = Situation {
+#[case::not_run(0, NextStep::NotRun)]
+#[case::may_have_run(1, NextStep::Expired)]
+fn when_the_time_is_over_nothing_is_sent(#[case] runs: u32, #[case] expected: NextStep) {
+    let over = AttemptState {
         left: Duration::ZERO,
         ..situation(SAFE, runs)
     };
-    assert_eq!(over.next(Ended::Unsent, || true), expected);
+    assert_eq!(over.next(AttemptFailure::Unsent, || true), expected);
 }
 
 /// A request whose route allows one attempt was given up after half of its time, though nobody else
@@ -138,8 +152,8 @@
 #[test]
 fn the_last_attempt_gets_all_the_time_that_is_left() {
     let (aim, left) = (Duration::from_millis(100), Duration::from_millis(1_000));
-    assert_eq!(Patience::of_request(aim, left, false), left);
-    assert_eq!(Patience::of_request(aim, left, true), aim * 2);
+    assert_eq!(SilenceLimits::of_request(aim, left, false), left);
+    assert_eq!(SilenceLimits::of_request(aim, left, true), aim * 2);
 }
 
 /// Two prompts are read at one engine. The first event takes twice as long, and giving the engine
@@ -147,8 +161,8 @@
 #[test]
 fn patience_grows_with_what_the_engine_has_to_read() {
     let gap = Some(Duration::from_millis(700));
-    let one = Patience::of_stream(8_000, gap);
-    let two = Patience::of_stream(16_000, gap);
+    let one = SilenceLimits::of_stream(8_000, gap);
+    let two = SilenceLimits::of_stream(16_000, gap);
     assert_eq!(two.first - one.first, Duration::from_millis(1_600));
 }
 
@@ -157,7 +171,7 @@
 #[test]
 fn silence_is_questioned_between_usual_pauses_and_the_aim() {
     let aim = Duration::from_millis(700);
-    let patience = Patience::of_stream(8_000, Some(aim));
+    let patience = SilenceLimits::of_stream(8_000, Some(aim));
     assert!(patience.ask_gap > Duration::from_millis(130));
     assert!(patience.ask_gap < aim / 3);
     assert!(patience.gap > patience.ask_gap * 2);
--- a/crates/relay/tests/test_death.rs
+++ b/crates/relay/tests/test_death.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_relay::{Change, Ended, Placements, Presence, TargetEntry, Targets};
+use celerypond_relay::{AttemptFailure, Change, Placements, Presence, TargetEntry, Targets};
 use celerypond_types::TargetName;
 use rstest::rstest;
 use tokio::time::Instant;
@@ -22,7 +22,7 @@
     let first = here.pick(&wanted.stream(1), now).unwrap().key;
     let dead = name(&here, first);
     let at = key(&there, &dead);
-    there.get_mut(at).unwrap().ended(Ended::Dead, now);
+    there.get_mut(at).unwrap().ended(AttemptFailure::Dead, now);
     here.hear(there.placements(1, 1, None, now), now);
     assert_ne!(here.pick(&wanted.stream(1), now).unwrap().key, first);
     let later = now + Duration::from_secs(2);
@@ -37,7 +37,10 @@
     let mut targets = three_data_centres(6);
     for n in 0..2 {
         let at = key(&targets, &format!("west-{n}-1"));
-        targets.get_mut(at).unwrap().ended(Ended::Unsent, now);
+        targets
+            .get_mut(at)
+            .unwrap()
+            .ended(AttemptFailure::Unsent, now);
     }
     let main = key(&targets, "east-0-1");
     let wanted = Wanted::new();
@@ -64,7 +67,10 @@
     }
     for n in 0..4 {
         let at = key(&targets, &format!("west-{n}-1"));
-        targets.get_mut(at).unwrap().ended(Ended::Unsent, now);
+        targets
+            .get_mut(at)
+            .unwrap()
+            .ended(AttemptFailure::Unsent, now);
     }
     let wanted = Wanted::new();
     for part in 0..50 {
@@ -174,7 +180,7 @@
     let mut here = three_data_centres(1);
     let mut there = three_data_centres(1);
     let old = key(&here, "east-0-1");
-    here.get_mut(old).unwrap().ended(Ended::Dead, now);
+    here.get_mut(old).unwrap().ended(AttemptFailure::Dead, now);
     assert!(here.dead_engines(now, AT_ONCE).is_empty());
     let later = now + Duration::from_secs(1);
     let dead = here.dead_engines(later, AT_ONCE);
@@ -216,7 +222,10 @@
     let now = Instant::now();
     let mut targets = three_data_centres(1);
     let at = key(&targets, "east-0-1");
-    targets.get_mut(at).unwrap().ended(Ended::Dead, now);
+    targets
+        .get_mut(at)
+        .unwrap()
+        .ended(AttemptFailure::Dead, now);
     let hash = targets.get(at).unwrap().hash;
     assert!(targets.adopt(hash, &TargetName::new("east-0-1"), now));
     assert!(!targets.get(at).unwrap().is_avoided(now));
@@ -244,9 +253,9 @@
     let mut targets = three_data_centres(1);
     let at = key(&targets, "east-0-1");
     let target = targets.get_mut(at).unwrap();
-    target.ended(Ended::Broken, now);
+    target.ended(AttemptFailure::Broken, now);
     assert!(!target.is_avoided(now + Duration::from_millis(500)));
-    target.ended(Ended::Broken, now);
+    target.ended(AttemptFailure::Broken, now);
     assert!(target.is_avoided(now + Duration::from_millis(500)));
     target.answered(None, now);
     assert!(!target.is_avoided(now));
@@ -257,8 +266,14 @@
     let now = Instant::now();
     let mut targets = three_data_centres(1);
     let at = key(&targets, "east-0-1");
-    targets.get_mut(at).unwrap().ended(Ended::NotRun, now);
-    targets.get_mut(at).unwrap().ended(Ended::Failed(500), now);
+    targets
+        .get_mut(at)
+        .unwrap()
+        .ended(AttemptFailure::NotRun, now);
+    targets
+        .get_mut(at)
+        .unwrap()
+        .ended(AttemptFailure::Failed(500), now);
     assert!(!targets.get(at).unwrap().is_avoided(now));
 }
 
@@ -429,7 +444,10 @@
     let after = |ms| now + Duration::from_millis(ms);
     let mut targets = three_data_centres(1);
     let dead = key(&targets, "east-0-1");
-    targets.get_mut(dead).unwrap().ended(Ended::Dead, now);
+    targets
+        .get_mut(dead)
+        .unwrap()
+        .ended(AttemptFailure::Dead, now);
     targets.verify(after(500));
     assert!(targets.dead_engines(after(2_000), AT_ONCE).is_empty());
     assert_eq!(targets.dead_engines(after(2_500), AT_ONCE).len(), 1);
--- a/crates/relay/tests/test_events.rs
+++ b/crates/relay/tests/test_events.rs
@@ -1,6 +1,6 @@
 //! Events out of received bytes.
 
-use celerypond_relay::Events;
+use celerypond_relay::EventSplitter;
 use rstest::rstest;
 
 #[rstest]
@@ -10,7 +10,7 @@
 #[case::byte_by_byte(&["i", "d", ":", " ", "1", "\n", "data: a", "\n", "\n"])]
 #[case::long_ends(&["id: 1\r\ndata: a\r\n\r", "\n"])]
 fn an_event_is_found_however_its_bytes_are_cut(#[case] pieces: &[&str]) {
-    let mut events = Events::default();
+    let mut events = EventSplitter::default();
     let mut found = Vec::new();
     for piece in pieces {
         events.push(piece.as_bytes());
@@ -25,7 +25,7 @@
 /// the third, which another run sends again from its start.
 #[test]
 fn the_half_of_an_event_is_never_passed_on() {
-    let mut events = Events::default();
+    let mut events = EventSplitter::default();
     events.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
     let ids: Vec<_> = events.by_ref().map(|event| event.id).collect();
     assert_eq!(ids, [Some(1), Some(2)]);
--- a/crates/relay/tests/test_lists.rs
+++ b/crates/relay/tests/test_lists.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use celerypond_relay::{
-    pack, unpack, Board, Bounds, Change, Config, Ended, Lists, News, Notice, Placement, Placements,
-    Watchers,
+    pack, unpack, AttemptFailure, Bounds, Change, Config, Notice, PeerStreams, Placement,
+    PlacementSchedule, Placements, TargetUpdate, Watchers,
 };
 use rstest::rstest;
 use tokio::time::Instant;
@@ -37,7 +37,7 @@
 #[test]
 fn an_older_list_changes_nothing() {
     let now = Instant::now();
-    let mut board = Board::default();
+    let mut board = PeerStreams::default();
     board.hear(list(1, 2, &[7]), now);
     board.hear(list(1, 1, &[8]), now);
     assert_eq!(board.taken(now).keys().collect::<Vec<_>>(), [&7]);
@@ -47,7 +47,7 @@
 #[test]
 fn the_list_of_an_instance_that_fell_silent_is_dropped() {
     let now = Instant::now();
-    let mut board = Board::default();
+    let mut board = PeerStreams::default();
     board.hear(list(1, 1, &[7]), now);
     let later = now + Duration::from_secs(4);
     assert!(board.taken(later).is_empty());
@@ -58,7 +58,7 @@
 #[test]
 fn streams_of_several_instances_add_up() {
     let now = Instant::now();
-    let mut board = Board::default();
+    let mut board = PeerStreams::default();
     board.hear(list(1, 1, &[7, 8]), now);
     board.hear(list(2, 1, &[7]), now);
     let taken = board.taken(now)[&7];
@@ -68,7 +68,7 @@
 #[test]
 fn the_engine_of_a_part_is_forgotten_after_a_while() {
     let now = Instant::now();
-    let mut board = Board::default();
+    let mut board = PeerStreams::default();
     board.hear(list(1, 1, &[7]), now);
     assert_eq!(board.holder(107, now), Some(7));
     assert_eq!(board.holder(107, now + Duration::from_secs(30)), None);
@@ -149,8 +149,8 @@
 fn news_are_read_as_they_were_written() {
     let targets = three_data_centres(1);
     let news = targets.news(0, 9);
-    assert_eq!(unpack::<News>(&pack(&news)).unwrap(), news);
-    assert!(unpack::<News>(b"{").is_err());
+    assert_eq!(unpack::<TargetUpdate>(&pack(&news)).unwrap(), news);
+    assert!(unpack::<TargetUpdate>(b"{").is_err());
     let config = Config::default();
     assert_eq!(unpack::<Config>(&pack(&config)).unwrap(), config);
 }
@@ -162,7 +162,10 @@
     let now = Instant::now();
     let mut targets = three_data_centres(1);
     let at = key(&targets, "east-0-1");
-    targets.get_mut(at).unwrap().ended(Ended::Dead, now);
+    targets
+        .get_mut(at)
+        .unwrap()
+        .ended(AttemptFailure::Dead, now);
     targets.note_result(at, true, Duration::from_millis(50), now);
     let later = now + Duration::from_millis(1);
     assert_eq!(targets.placements(1, 1, Some(now), later).dead.len(), 1);
@@ -186,7 +189,7 @@
     #[case] whole: usize,
 ) {
     let start = Instant::now();
-    let mut lists = Lists::new(start);
+    let mut lists = PlacementSchedule::new(start);
     let (mut sent, mut wholes) = (0, 0);
     for step in 0..500 {
         let now = start + Duration::from_millis(2) * step;
@@ -210,7 +213,7 @@
 /// served on time, and long enough to hear where others were placed.
 #[test]
 fn streams_are_placed_anew_over_a_time_in_which_lists_arrive() {
-    let spread = Lists::spread;
+    let spread = PlacementSchedule::spread;
     assert!((15..30).contains(&spread(7).as_millis()));
     assert!((140..250).contains(&spread(71).as_millis()));
     assert!(spread(900) <= Duration::from_millis(250));
--- a/crates/relay/tests/test_placement.rs
+++ b/crates/relay/tests/test_placement.rs
@@ -2,7 +2,9 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use celerypond_relay::{Change, Choice, Load, Patience, PlacementKey, TargetEntry, Targets, Want};
+use celerypond_relay::{
+    Change, Load, PlacementKey, SilenceLimits, TargetEntry, TargetQuery, Targets, VersionChoice,
+};
 use celerypond_types::{TargetKey, TargetName};
 use tokio::time::Instant;
 
@@ -115,8 +117,8 @@
         targets.apply(&Change::Gone(TargetName::new(name)), now);
     }
     let wanted = Wanted::new();
-    let want = |part| Want {
-        backlog: Some(Patience::backlog(Duration::from_millis(4_500))),
+    let want = |part| TargetQuery {
+        backlog: Some(SilenceLimits::backlog(Duration::from_millis(4_500))),
         ..wanted.stream(part)
     };
     let mut placed = 0;
@@ -175,7 +177,7 @@
     let wanted = Wanted::new();
     let mut counts: HashMap<TargetKey, usize> = HashMap::new();
     for lot in 0..100 {
-        let want = Want {
+        let want = TargetQuery {
             lot,
             ..wanted.request(&[])
         };
@@ -216,8 +218,8 @@
     };
     assert!(!gets(&targets, now));
     assert!(gets(&targets, now + Duration::from_secs(4)));
-    let choice = Choice::Only("v2".into());
-    let ordered = Want {
+    let choice = VersionChoice::Only("v2".into());
+    let ordered = TargetQuery {
         choice: &choice,
         ..wanted.stream(1)
     };
@@ -233,7 +235,7 @@
     let keys: Vec<TargetKey> = targets.iter().map(|(key, _)| key).collect();
     for key in &keys {
         let target = targets.get_mut(*key).unwrap();
-        target.ended(celerypond_relay::Ended::Dead, now);
+        target.ended(celerypond_relay::AttemptFailure::Dead, now);
     }
     let pick = targets.pick(&Wanted::new().request(&[]), now).unwrap();
     assert!(pick.is_doubtful);
--- a/crates/relay/tests/test_quality.rs
+++ b/crates/relay/tests/test_quality.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_relay::{Clock, Quality};
+use celerypond_relay::{Quality, RequestDeadline};
 use tokio::time::Instant;
 
 use crate::fixture::{key, three_data_centres, Wanted};
@@ -92,10 +92,10 @@
 fn a_caller_is_answered_before_it_gives_up() {
     let now = Instant::now();
     let second = Duration::from_secs(1);
-    let clock = Clock::new(now, Some(second), Duration::from_secs(60));
+    let clock = RequestDeadline::new(now, Some(second), Duration::from_secs(60));
     assert_eq!(clock.left(now), Duration::from_millis(960));
-    let short = Clock::new(now, Some(second / 10), second);
+    let short = RequestDeadline::new(now, Some(second / 10), second);
     assert_eq!(short.left(now), Duration::from_millis(95));
-    let route = Clock::new(now, Some(second * 25), second);
+    let route = RequestDeadline::new(now, Some(second * 25), second);
     assert_eq!(route.left(now), second);
 }
--- a/crates/relay/tests/test_relocation.rs
+++ b/crates/relay/tests/test_relocation.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_relay::{Ahead, PlacementKey, Targets};
+use celerypond_relay::{PlacementKey, RemainingEvents, Targets};
 use celerypond_types::TargetKey;
 use rstest::rstest;
 use tokio::time::Instant;
@@ -128,7 +128,7 @@
 }
 
 fn relocate(targets: &mut Targets, wanted: &Wanted, stream: &mut Stream, now: Instant) {
-    let ahead = Ahead {
+    let ahead = RemainingEvents {
         events: stream.run_ms / 35.0,
     };
     let want = wanted.stream(stream.part);
@@ -182,10 +182,10 @@
     let (targets, at) = beside_a_prompt();
     let (wanted, now) = (Wanted::new(), Instant::now());
     let want = wanted.stream(1);
-    let better = targets.better_engine(at, &want, Ahead::default(), now);
+    let better = targets.better_engine(at, &want, RemainingEvents::default(), now);
     let to = better.unwrap().key;
     assert_ne!(to, at);
-    let next = targets.better_engine(to, &want, Ahead::default(), now);
+    let next = targets.better_engine(to, &want, RemainingEvents::default(), now);
     assert_eq!(next, None);
 }
 
@@ -193,7 +193,7 @@
 #[test]
 fn a_stream_that_is_nearly_done_stays() {
     let (targets, at) = beside_a_prompt();
-    let ahead = Ahead { events: 2.0 };
+    let ahead = RemainingEvents { events: 2.0 };
     let wanted = Wanted::new();
     let better = targets.better_engine(at, &wanted.stream(1), ahead, Instant::now());
     assert_eq!(better, None);
@@ -211,11 +211,11 @@
         let key = key(&targets, name);
         targets.note_pace(key, 100.0, now);
     }
-    let all_slow = targets.better_engine(at, &wanted.stream(1), Ahead::default(), now);
+    let all_slow = targets.better_engine(at, &wanted.stream(1), RemainingEvents::default(), now);
     assert_eq!(all_slow, None);
     let fast = key(&targets, "mid-0-1");
     targets.note_pace(fast, 30.0, now);
-    let better = targets.better_engine(at, &wanted.stream(1), Ahead::default(), now);
+    let better = targets.better_engine(at, &wanted.stream(1), RemainingEvents::default(), now);
     assert_eq!(better.map(|better| better.key), Some(fast));
 }
 
@@ -232,6 +232,6 @@
         }
     }
     let wanted = Wanted::new();
-    let better = targets.better_engine(at, &wanted.stream(1), Ahead::default(), now);
+    let better = targets.better_engine(at, &wanted.stream(1), RemainingEvents::default(), now);
     assert_eq!(better.map(|better| home(&targets, better.key)), None);
 }
--- a/crates/relay/tests/test_rests.rs
+++ b/crates/relay/tests/test_rests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_relay::{Placements, Rests};
+use celerypond_relay::{IdleLimits, Placements};
 use tokio::time::Instant;
 
 use crate::fixture::{key, three_data_centres};
@@ -19,7 +19,7 @@
 fn few_requests_are_lost_where_targets_forget_resting_connections() {
     const INSTANCES: usize = 70;
     let start = Instant::now();
-    let mut rests = vec![Rests::default(); INSTANCES];
+    let mut rests = vec![IdleLimits::default(); INSTANCES];
     let (mut lost, mut sent) = (0, 0);
     for tick in 0..600_u64 {
         let now = start + Duration::from_millis(tick * 50);
@@ -50,7 +50,7 @@
 #[test]
 fn a_connection_that_hardly_rested_teaches_nothing() {
     let now = Instant::now();
-    let mut rests = Rests::default();
+    let mut rests = IdleLimits::default();
     assert!(!rests.lost(SERVICE, Duration::from_millis(3), now));
     assert_eq!(rests.most(SERVICE, now), None);
 }
@@ -60,7 +60,7 @@
 #[test]
 fn the_shortest_rest_holds() {
     let now = Instant::now();
-    let mut rests = Rests::default();
+    let mut rests = IdleLimits::default();
     assert!(rests.lost(SERVICE, Duration::from_millis(1_000), now));
     assert!(rests.lost(SERVICE, Duration::from_millis(100), now));
     assert!(!rests.lost(SERVICE, Duration::from_millis(900), now));
@@ -71,7 +71,7 @@
 #[test]
 fn what_goes_round_is_forgotten_all_the_same() {
     let start = Instant::now();
-    let (mut one, mut other) = (Rests::default(), Rests::default());
+    let (mut one, mut other) = (IdleLimits::default(), IdleLimits::default());
     one.lost(SERVICE, Duration::from_millis(500), start);
     for second in 0..70 {
         let now = start + Duration::from_secs(second);
--- a/crates/relay/tests/test_retries.rs
+++ b/crates/relay/tests/test_retries.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_relay::{Bounds, Retries, Sends};
+use celerypond_relay::{Bounds, RetryBudget, SendCounts};
 use celerypond_types::ServiceName;
 use rstest::rstest;
 use tokio::time::Instant;
@@ -36,7 +36,7 @@
     #[case] tells: bool,
 ) {
     let (drafts, shop) = (ServiceName::new("writer"), ServiceName::new("shop"));
-    let mut fleet = vec![Retries::new(&bounds()); instances];
+    let mut fleet = vec![RetryBudget::new(&bounds()); instances];
     let start = Instant::now();
     let mut sent: Vec<(f64, f64)> = Vec::new();
     let mut due = 0.0;
@@ -79,7 +79,7 @@
 }
 
 /// Lets all instances hear what the others sent up to the last time.
-fn tell(fleet: &mut [Retries], told: &mut Vec<Vec<Sends>>, now: Instant) {
+fn tell(fleet: &mut [RetryBudget], told: &mut Vec<Vec<SendCounts>>, now: Instant) {
     for (origin, sends) in told.iter().enumerate() {
         let others = fleet.iter_mut().enumerate();
         let others = others.filter(|(other, _)| *other != origin);
@@ -94,7 +94,7 @@
 fn an_instance_with_many_lost_streams_has_the_others_part() {
     let service = ServiceName::new("writer");
     let start = Instant::now();
-    let mut fleet = vec![Retries::new(&bounds()); 71];
+    let mut fleet = vec![RetryBudget::new(&bounds()); 71];
     for retries in &mut fleet {
         (0..6).for_each(|_| retries.requested(&service, start));
     }
@@ -117,7 +117,7 @@
 #[test]
 fn the_streams_of_dead_engines_are_sent_again() {
     let service = ServiceName::new("writer");
-    let mut retries = Retries::new(&bounds());
+    let mut retries = RetryBudget::new(&bounds());
     let now = Instant::now();
     (0..7).for_each(|_| retries.requested(&service, now));
     let later = now + Duration::from_secs(5);
@@ -142,8 +142,8 @@
     let begin = Instant::now();
     let (mut moved, mut sent, mut lost) = (0, 0, 0);
     for _ in 0..INSTANCES {
-        let mut repeats = Retries::new(&bounds);
-        let mut moves = Retries::new(&bounds);
+        let mut repeats = RetryBudget::new(&bounds);
+        let mut moves = RetryBudget::new(&bounds);
         for step in 0..10 {
             let now = begin + Duration::from_millis(900) * step;
             repeats.requested(&service, now);
--- a/crates/relay/tests/test_rollouts.rs
+++ b/crates/relay/tests/test_rollouts.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use celerypond_relay::{
-    Bounds, Choice, Evidence, Fleet, Order, Phase, Report, Rollout, Stage, Versions,
+    Bounds, Evidence, EvidenceReport, Order, Phase, Rollout, Stage, TargetCounts, VersionChoice,
+    VersionRouting,
 };
 use celerypond_types::{ServiceName, VersionName};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
@@ -13,7 +14,7 @@
 /// The time between two decisions.
 const TURN: Duration = Duration::from_millis(250);
 const TIME: Duration = Duration::from_secs(12);
-const ENOUGH: Fleet = Fleet { new: 6, old: 6 };
+const ENOUGH: TargetCounts = TargetCounts { new: 6, old: 6 };
 
 /// What is wrong with a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -51,7 +52,7 @@
     }
 }
 
-fn report(evidence: &Evidence, origin: u64) -> Report {
+fn report(evidence: &Evidence, origin: u64) -> EvidenceReport {
     evidence.report(origin, &VersionName::new("v2"))
 }
 
@@ -69,7 +70,7 @@
     let start = Instant::now();
     let mut rollout = Rollout::new(order(), Duration::ZERO, start);
     let mut seen = Evidence::default();
-    let mut versions = Versions::default();
+    let mut versions = VersionRouting::default();
     let (mut all, mut new, mut due) = (0, 0, 0.0);
     for turn in 0..TIME.as_millis() / TURN.as_millis() {
         let now = start + TURN * turn as u32;
@@ -91,7 +92,7 @@
             due -= 1.0;
             all += 1;
             let route = [0, 0, 0, 1, 1, 2][rng.random_range(0..6)];
-            let is_new = versions.choose(&order().service, now) == Choice::Only("v2".into());
+            let is_new = versions.choose(&order().service, now) == VersionChoice::Only("v2".into());
             let at = now.duration_since(start).as_secs_f64() / TIME.as_secs_f64();
             let is_bad = match is_new {
                 true => fault.strikes(route, at, share, &mut rng),
@@ -158,9 +159,9 @@
 /// The version's targets never come, or too few of them. The old targets would stop at the word that it
 /// is done, so it is not said.
 #[rstest]
-#[case::none(Fleet { new: 0, old: 6 })]
-#[case::few(Fleet { new: 2, old: 6 })]
-fn a_version_without_targets_for_all_requests_is_not_completed(#[case] fleet: Fleet) {
+#[case::none(TargetCounts { new: 0, old: 6 })]
+#[case::few(TargetCounts { new: 2, old: 6 })]
+fn a_version_without_targets_for_all_requests_is_not_completed(#[case] fleet: TargetCounts) {
     let start = Instant::now();
     let mut rollout = Rollout::new(order(), Duration::ZERO, start);
     let mut seen = Evidence::default();
@@ -182,7 +183,7 @@
 fn without_a_word_of_the_driver_the_old_versions_serve() {
     let now = Instant::now();
     let service = ServiceName::new("shop");
-    let mut versions = Versions::default();
+    let mut versions = VersionRouting::default();
     let stage = |phase| Stage {
         order: order(),
         phase,
@@ -191,11 +192,20 @@
     versions.hear(stage(Phase::Running { share: 1_000_000 }), now);
     let soon = now + Duration::from_secs(1);
     let late = now + Duration::from_secs(2);
-    assert_eq!(versions.choose(&service, soon), Choice::Only("v2".into()));
-    assert_eq!(versions.choose(&service, late), Choice::Not("v2".into()));
+    assert_eq!(
+        versions.choose(&service, soon),
+        VersionChoice::Only("v2".into())
+    );
+    assert_eq!(
+        versions.choose(&service, late),
+        VersionChoice::Not("v2".into())
+    );
     versions.hear(stage(Phase::TakenBack), late);
     versions.hear(stage(Phase::Running { share: 1_000_000 }), late);
-    assert_eq!(versions.choose(&service, late), Choice::Not("v2".into()));
+    assert_eq!(
+        versions.choose(&service, late),
+        VersionChoice::Not("v2".into())
+    );
 }
 
 /// A request failed at the version on trial. It is sent again, and a second failure there would be the
@@ -204,7 +214,7 @@
 fn what_failed_at_a_version_on_trial_goes_back_to_the_others() {
     let now = Instant::now();
     let service = ServiceName::new("shop");
-    let mut versions = Versions::default();
+    let mut versions = VersionRouting::default();
     let phase = Phase::Running { share: 1_000_000 };
     versions.hear(
         Stage {
@@ -214,7 +224,10 @@
         },
         now,
     );
-    assert_eq!(versions.choose_again(&service), Choice::Not("v2".into()));
+    assert_eq!(
+        versions.choose_again(&service),
+        VersionChoice::Not("v2".into())
+    );
 }
 
 /// Reports are sums of one instance each. A later one replaces the one before, and those of several
@@ -237,7 +250,7 @@
 fn share_of_a_report_that_waited_unread_is_not_taken() {
     let now = Instant::now();
     let resumed = now + Duration::from_secs(4);
-    let mut versions = Versions::default();
+    let mut versions = VersionRouting::default();
     let stage = |share| Stage {
         order: order(),
         phase: Phase::Running { share },
@@ -246,17 +259,17 @@
     versions.hear(stage(1_000_000), now);
     assert_eq!(
         versions.choose(&order().service, resumed),
-        Choice::Not(order().version)
+        VersionChoice::Not(order().version)
     );
     versions.hear(stage(1_000_000), resumed);
     assert_eq!(
         versions.choose(&order().service, resumed),
-        Choice::Only(order().version)
+        VersionChoice::Only(order().version)
     );
     // One that arrives out of order does not make the later one older.
     versions.hear(stage(1_000_000), now);
     assert_eq!(
         versions.choose(&order().service, resumed),
-        Choice::Only(order().version)
+        VersionChoice::Only(order().version)
     );
 }
--- a/crates/relay/tests/test_stop.rs
+++ b/crates/relay/tests/test_stop.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_relay::{Others, Stop};
+use celerypond_relay::{PeerCounts, PlannedStop};
 use rstest::rstest;
 use tokio::time::Instant;
 
@@ -41,11 +41,11 @@
             }
             let others = || told.iter().enumerate().filter(|(n, _)| *n != at);
             let count = |is: &dyn Fn(Told) -> bool| others().filter(|(_, one)| is(**one)).count();
-            let others = Others {
+            let others = PeerCounts {
                 live: count(&|one| one.is_live(now)),
                 leaving: count(&|one| one.is_leaving(now)),
             };
-            let stop = Stop::new(one.0, GRACE);
+            let stop = PlannedStop::new(one.0, GRACE);
             let is_taken = match goes_on {
                 true => stop.takes_callers(others, now),
                 false => stop.takes_all(now),
@@ -87,8 +87,8 @@
     #[case] leaving: usize,
 ) {
     let begun = Instant::now();
-    let stop = Stop::new(begun, GRACE);
-    let others = Others { live, leaving };
+    let stop = PlannedStop::new(begun, GRACE);
+    let others = PeerCounts { live, leaving };
     assert!(stop.takes_callers(others, begun + Duration::from_millis(1_500)));
     assert!(!stop.takes_callers(others, begun + Duration::from_millis(1_700)));
 }
@@ -97,7 +97,7 @@
 #[test]
 fn nothing_is_begun_that_would_be_cut_off() {
     let begun = Instant::now();
-    let stop = Stop::new(begun, GRACE);
+    let stop = PlannedStop::new(begun, GRACE);
     for after_ms in (1_600..8_000).step_by(100) {
         let now = begun + Duration::from_millis(after_ms);
         for longest_ms in (0..9_000).step_by(100) {
@@ -112,9 +112,9 @@
 #[test]
 fn callers_come_back_when_an_instance_may_be_there() {
     let begun = Instant::now();
-    let stop = Stop::new(begun, GRACE);
+    let stop = PlannedStop::new(begun, GRACE);
     let aim = Duration::from_millis(4_500);
-    let alone = Others {
+    let alone = PeerCounts {
         live: 0,
         leaving: 6,
     };
@@ -123,6 +123,6 @@
     let late = stop.end() - Duration::from_millis(700);
     let back = stop.come_back(alone, aim, late);
     assert_eq!(back, Some(Duration::from_millis(700)));
-    let others = Others { live: 2, ..alone };
+    let others = PeerCounts { live: 2, ..alone };
     assert_eq!(stop.come_back(others, aim, early), None);
 }
--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use celerypond_adapter::headers;
-use celerypond_relay::{Ended, TargetAnswer, TargetHead};
+use celerypond_relay::{AttemptFailure, TargetRequestHead, TargetResponseHead};
 use http::{HeaderMap, Method, Request, Response, StatusCode, Uri};
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -36,7 +36,7 @@
 pub(super) struct Opened {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
-    pub(super) answer: TargetAnswer,
+    pub(super) answer: TargetResponseHead,
     pub(super) body: Incoming,
     sender: Sender,
 }
@@ -59,16 +59,16 @@
     site: &Arc<Site>,
     lease: &mut Lease,
     asked: &Asked,
-    head: &TargetHead<'_>,
+    head: &TargetRequestHead<'_>,
     limit: Duration,
-) -> Result<Opened, Ended> {
+) -> Result<Opened, AttemptFailure> {
     let until = Instant::now() + limit;
     let mut request = make_request(asked, head);
     loop {
         let Kept { mut sender, rested } = connection(site, lease).await?;
         // The target may have left since it was chosen.
         if !site.known.targets().is_usable(lease.key) {
-            return Err(Ended::Left);
+            return Err(AttemptFailure::Left);
         }
         let begun = Instant::now();
         let response = match tokio::time::timeout_at(until, sender.try_send_request(request)).await
@@ -84,31 +84,31 @@
                     if begun.elapsed() < RESET_AT_ONCE {
                         lease.connection_lost(rested);
                     }
-                    return Err(Ended::Broken);
+                    return Err(AttemptFailure::Broken);
                 }
             },
-            Err(_) => return Err(Ended::Silent),
+            Err(_) => return Err(AttemptFailure::Silent),
         };
         return check(asked, lease, response, sender);
     }
 }
 
 /// Returns a connection to the target, a kept one if there is one.
-async fn connection(site: &Site, lease: &Lease) -> Result<Kept, Ended> {
+async fn connection(site: &Site, lease: &Lease) -> Result<Kept, AttemptFailure> {
     let now = Instant::now();
     let most = site.known.targets().rest(lease.key, now);
     if let Some(kept) = site.connections.take(lease.address, most, now) {
         return Ok(kept);
     }
     let connected = site.connections.connect(lease.address).await;
-    let sender = connected.map_err(|_| Ended::Unsent)?;
+    let sender = connected.map_err(|_| AttemptFailure::Unsent)?;
     Ok(Kept {
         sender,
         rested: Duration::ZERO,
     })
 }
 
-fn make_request(asked: &Asked, head: &TargetHead<'_>) -> Request<Full<Bytes>> {
+fn make_request(asked: &Asked, head: &TargetRequestHead<'_>) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(asked.body.clone()));
     *request.method_mut() = asked.method.clone();
     *request.uri_mut() = asked.uri.clone();
@@ -125,22 +125,22 @@
     lease: &mut Lease,
     response: Response<Incoming>,
     sender: Sender,
-) -> Result<Opened, Ended> {
+) -> Result<Opened, AttemptFailure> {
     let (parts, body) = response.into_parts();
     let answer = headers::read_answer(&parts.headers);
     if answer.request.as_ref() != Some(&asked.id) {
-        return Err(Ended::Foreign);
+        return Err(AttemptFailure::Foreign);
     }
     if parts.status == StatusCode::MISDIRECTED_REQUEST {
-        return Err(Ended::Misdirected);
+        return Err(AttemptFailure::Misdirected);
     }
     lease.answered(answer.load);
     if answer.not_run {
-        return Err(Ended::NotRun);
+        return Err(AttemptFailure::NotRun);
     }
     let is_unsigned = parts.status.is_success() && !answer.signed;
     if is_unsigned || answer.encoded {
-        return Err(Ended::Foreign);
+        return Err(AttemptFailure::Foreign);
     }
     Ok(Opened {
         status: parts.status,
@@ -156,11 +156,14 @@
 /// # Errors
 ///
 /// `Broken` when it ended early, `Silent` when it did not end in time.
-pub(super) async fn read_whole(body: &mut Incoming, limit: Duration) -> Result<Bytes, Ended> {
+pub(super) async fn read_whole(
+    body: &mut Incoming,
+    limit: Duration,
+) -> Result<Bytes, AttemptFailure> {
     use http_body_util::BodyExt as _;
     match timeout(limit, body.collect()).await {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
-        Ok(Err(_)) => Err(Ended::Broken),
-        Err(_) => Err(Ended::Silent),
+        Ok(Err(_)) => Err(AttemptFailure::Broken),
+        Err(_) => Err(AttemptFailure::Silent),
     }
 }
--- a/daemon/src/relay/board.rs
+++ b/daemon/src/relay/board.rs
@@ -7,7 +7,10 @@
     time::Duration,
 };
 
-use celerypond_relay::{Lists, Note, Notes, Notice, Placements, Report, Stage, Watchers};
+use celerypond_relay::{
+    EvidenceReport, Notice, PlacementSchedule, Placements, PromptLocation, PromptLocationSchedule,
+    Stage, Watchers,
+};
 use celerypond_types::ServiceName;
 use serde::{Deserialize, Serialize};
 use tokio::{net::UdpSocket, time::Instant};
@@ -31,20 +34,20 @@
     /// Where streams run.
     Streams(Placements),
     /// Where prompts were sent.
-    Notes(Vec<Note>),
+    Notes(Vec<PromptLocation>),
     /// What is known of the store.
     Notice(Notice),
     /// How far an order to move a service has come.
     Stage(Stage),
     /// What was seen of such an order.
-    Report(ServiceName, Report),
+    Report(ServiceName, EvidenceReport),
 }
 
 /// Sends and hears lists until the instance ends.
 pub(super) async fn run(site: Arc<Site>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; DATAGRAM];
-    let mut lists = Lists::new(Instant::now());
-    let mut notes = Notes::new(Instant::now());
+    let mut lists = PlacementSchedule::new(Instant::now());
+    let mut notes = PromptLocationSchedule::new(Instant::now());
     let mut notice = tokio::time::interval(NOTICE_INTERVAL);
     let mut said = Instant::now();
     let mut has_news = false;
@@ -124,7 +127,7 @@
     follow::request_targets(site);
 }
 
-async fn tell(site: &Site, socket: &UdpSocket, lists: &mut Lists) {
+async fn tell(site: &Site, socket: &UdpSocket, lists: &mut PlacementSchedule) {
     let sequence = site.sequence.fetch_add(1, Relaxed) + 1;
     let fleet = site.fleet.load_full();
     let since = lists.sent(site.sharers(), Instant::now());
@@ -133,7 +136,7 @@
 }
 
 /// Tells those of other groups where prompts were sent.
-async fn note(site: &Site, socket: &UdpSocket, notes: &mut Notes) {
+async fn note(site: &Site, socket: &UdpSocket, notes: &mut PromptLocationSchedule) {
     let fleet = site.fleet.load_full();
     if !notes.take(fleet.strangers.len(), Instant::now()) {
         return;
--- a/daemon/src/relay/flow.rs
+++ b/daemon/src/relay/flow.rs
@@ -5,7 +5,8 @@
 use bytes::Bytes;
 use celerypond_adapter::headers;
 use celerypond_relay::{
-    CopyName, Ended, FirstWait, Lists, Next, Pace, Patience, Return, TargetHead,
+    AttemptFailure, CopyName, EngineWait, EventTimer, FirstEventWait, NextStep, PlacementSchedule,
+    SilenceLimits, TargetRequestHead,
 };
 use celerypond_telemetry::{Counter, Latency};
 use celerypond_types::{TargetKey, TargetName};
@@ -46,24 +47,24 @@
 pub(super) struct Position {
     pub(super) lease: Lease,
     pub(super) opened: Opened,
-    patience: Patience,
+    patience: SilenceLimits,
     /// The copy of the run's memory; nothing where engines make none.
     pub(super) copies: Option<Copies>,
     /// When it is next asked whether the stream runs well here.
     pub(super) look: Instant,
-    pace: Pace,
+    pace: EventTimer,
 }
 
 /// An attempt that ended, and what is left of it.
 struct Lost {
     lease: Lease,
-    ended: Ended,
+    ended: AttemptFailure,
 }
 
 /// No engine took the stream.
 struct Nobody {
     /// What follows.
-    next: Next,
+    next: NextStep,
     /// Whether an engine may take it later.
     is_lack: bool,
 }
@@ -81,13 +82,13 @@
     }
 
     /// Asks engines until one has sent a first event, or its failure is to be passed on.
-    pub(super) async fn begin(&mut self) -> Result<First, Next> {
+    pub(super) async fn begin(&mut self) -> Result<First, NextStep> {
         let begun = Instant::now();
         self.admit().await?;
         self.find(Vec::new(), true).await?;
         let latencies = &self.run.site.latencies;
         latencies.add(Latency::FirstEvent, begun.elapsed());
-        let at = self.at.as_ref().ok_or(Next::Failed)?;
+        let at = self.at.as_ref().ok_or(NextStep::Failed)?;
         Ok(First {
             status: at.opened.status,
             headers: at.opened.headers.clone(),
@@ -101,7 +102,7 @@
     /// # Errors
     ///
     /// `TooLate` or `Overloaded` where it cannot.
-    async fn admit(&self) -> Result<(), Next> {
+    async fn admit(&self) -> Result<(), NextStep> {
         let last = self.passage.last().unwrap_or_default();
         // Who has a part of the answer comes back after its instance was lost, or many were.
         if last > 0 || self.run.lacks_time(last).is_some() {
@@ -109,7 +110,7 @@
         }
         let Some(needs) = self.run.lacks_time(last) else {
             let backoff = (last == 0).then(|| self.run.backoff()).flatten();
-            return backoff.map_or(Ok(()), |back| Err(Next::Overloaded(back)));
+            return backoff.map_or(Ok(()), |back| Err(NextStep::Overloaded(back)));
         };
         log::info!(
             request = self.run.asked.id.as_str(),
@@ -119,7 +120,7 @@
             left_ms = self.run.left().as_millis() as u64;
             "too late to be served"
         );
-        Err(Next::TooLate)
+        Err(NextStep::TooLate)
     }
 
     /// Asks engines until one answers, and waits for one to return when none takes the stream, or for
@@ -128,9 +129,9 @@
         &mut self,
         mut copies: Vec<CopyAt>,
         may_ask: bool,
-    ) -> Result<(), Next> {
+    ) -> Result<(), NextStep> {
         let begun = Instant::now();
-        let mut lack = (!may_ask).then_some(Next::Failed);
+        let mut lack = (!may_ask).then_some(NextStep::Failed);
         loop {
             if let Some(next) = lack.take() {
                 self.wait_to_ask(begun, next).await?;
@@ -148,8 +149,8 @@
     /// # Errors
     ///
     /// What follows when the stream has waited for as long as it may.
-    async fn wait_to_ask(&mut self, begun: Instant, next: Next) -> Result<(), Next> {
-        let wait = Return::of_route(self.run.route.aim);
+    async fn wait_to_ask(&mut self, begun: Instant, next: NextStep) -> Result<(), NextStep> {
+        let wait = EngineWait::of_route(self.run.route.aim);
         let has_begun = self.passage.passed() > 0;
         loop {
             if !wait.waits_on(begun.elapsed(), has_begun) || self.run.left() < wait.look * 2 {
@@ -189,10 +190,10 @@
             self.passage.drop_rest();
             let is_lack = lost.ended.proves_not_run();
             match self.run.ended(&lost.lease, lost.ended) {
-                Next::Elsewhere => {}
-                Next::Later => {
+                NextStep::Elsewhere => {}
+                NextStep::Later => {
                     return Err(Nobody {
-                        next: Next::Failed,
+                        next: NextStep::Failed,
                         is_lack: true,
                     });
                 }
@@ -226,7 +227,7 @@
             Err(ended) => return lost(lease, ended),
         };
         if opened.status.is_server_error() && self.run.kind().may_repeat() {
-            return lost(lease, Ended::Failed(opened.status.as_u16()));
+            return lost(lease, AttemptFailure::Failed(opened.status.as_u16()));
         }
         let is_success = opened.status.is_success();
         let patience = self.patience(lease.key);
@@ -239,7 +240,7 @@
                 true => Instant::now() + relocation::REST,
                 false => Instant::now(),
             },
-            pace: Pace::new(Instant::now()),
+            pace: EventTimer::new(Instant::now()),
         };
         if is_success {
             if let Err(ended) = self.read(&mut at, true).await {
@@ -249,7 +250,7 @@
             if !by_copy {
                 self.run.note_reading(reading, begun.elapsed());
             }
-            at.pace = Pace::new(Instant::now());
+            at.pace = EventTimer::new(Instant::now());
             self.run.note(&at.lease, at.opened.status, begun.elapsed());
             at.copies = self.keep_copy(&at.lease, backup);
         }
@@ -273,7 +274,7 @@
         lease: &mut Lease,
         backup: Option<TargetKey>,
         from: Option<&CopyAt>,
-    ) -> Result<Opened, Ended> {
+    ) -> Result<Opened, AttemptFailure> {
         let address = |key| self.run.site.known.address_of(key);
         let resume_from = from.and_then(|copy| match &copy.ordered {
             Some(ordered) => Some(CopyName {
@@ -287,7 +288,7 @@
         });
         let target = lease.name.clone();
         let left = self.run.left();
-        let head = TargetHead {
+        let head = TargetRequestHead {
             account: self.run.account.as_ref(),
             left,
             target: &target,
@@ -308,14 +309,14 @@
         &self,
         key: TargetKey,
         heard: impl Future<Output = Heard<T>>,
-    ) -> Result<T, Ended> {
+    ) -> Result<T, AttemptFailure> {
         let mut heard = pin!(heard);
-        let mut wait = FirstWait::new(Instant::now());
+        let mut wait = FirstEventWait::new(Instant::now());
         loop {
             let now = Instant::now();
             let end = now + self.run.left();
             let look = wait.look(self.patience(key).first, now);
-            let look = look.filter(|_| now < end).ok_or(Ended::Silent)?;
+            let look = look.filter(|_| now < end).ok_or(AttemptFailure::Silent)?;
             if let Ok(heard) = timeout_at(look.min(end), heard.as_mut()).await {
                 return heard.said();
             }
@@ -328,14 +329,14 @@
     /// millisecond, before they hear of each other. Two prompts then meet at one engine, and both take
     /// seconds. The wait is short beside a prompt's reading.
     async fn spread_out(&self) {
-        let most = Lists::spread(self.run.site.sharers());
+        let most = PlacementSchedule::spread(self.run.site.sharers());
         let wait = rand::rng().random_range(Duration::ZERO..most);
         tokio::time::sleep(wait).await;
     }
 
-    fn patience(&self, key: TargetKey) -> Patience {
+    fn patience(&self, key: TargetKey) -> SilenceLimits {
         let reading = self.run.site.known.targets().reading(key, Instant::now());
-        Patience::of_stream(reading, self.run.route.gap_aim)
+        SilenceLimits::of_stream(reading, self.run.route.gap_aim)
     }
 
     fn backup(&self, main: TargetKey) -> Option<TargetKey> {
@@ -363,7 +364,7 @@
     }
 
     /// Reads until there is a whole event to pass on or the stream has ended.
-    async fn read(&mut self, at: &mut Position, is_first: bool) -> Result<(), Ended> {
+    async fn read(&mut self, at: &mut Position, is_first: bool) -> Result<(), AttemptFailure> {
         use http_body_util::BodyExt as _;
         let address = at.lease.address;
         let begun = Instant::now();
@@ -375,7 +376,7 @@
                 false => {
                     let until = begun + at.patience.gap.min(self.clock_left(begun));
                     let heard = timeout_at(until, heard).await;
-                    heard.map_err(|_| Ended::Silent)?.said()?
+                    heard.map_err(|_| AttemptFailure::Silent)?.said()?
                 }
             };
             match frame {
@@ -386,8 +387,8 @@
                         targets.note_pace(at.lease.key, event_ms, Instant::now());
                     }
                 }
-                Some(Err(_)) => return Err(Ended::Broken),
-                None if self.passage.has_rest() => return Err(Ended::Broken),
+                Some(Err(_)) => return Err(AttemptFailure::Broken),
+                None if self.passage.has_rest() => return Err(AttemptFailure::Broken),
                 None => self.is_complete = true,
             }
         }
@@ -429,7 +430,7 @@
     /// Goes on at another engine; returns whether one was found.
     ///
     /// The connection to the lost engine is closed first: two engines must not work on one request.
-    async fn go_on(&mut self, at: Position, ended: Ended) -> bool {
+    async fn go_on(&mut self, at: Position, ended: AttemptFailure) -> bool {
         let begun = Instant::now();
         let copies = at.copies.as_ref().and_then(Copies::at);
         let copies: Vec<CopyAt> = copies.into_iter().collect();
@@ -439,8 +440,8 @@
         let next = self.run.ended(&at.lease, ended);
         drop(at.lease);
         let found = match next {
-            Next::Elsewhere => self.find(copies, true).await,
-            Next::Later => self.find(copies, false).await,
+            NextStep::Elsewhere => self.find(copies, true).await,
+            NextStep::Later => self.find(copies, false).await,
             next => Err(next),
         };
         let is_well = self.is_well();
--- a/daemon/src/relay/knowledge.rs
+++ b/daemon/src/relay/knowledge.rs
@@ -10,7 +10,9 @@
 };
 
 use arc_swap::ArcSwap;
-use celerypond_relay::{Change, Config, Freshness, News, Observation, Table, TargetEntry, Targets};
+use celerypond_relay::{
+    Change, Config, Freshness, Observation, RoutingTable, TargetEntry, TargetUpdate, Targets,
+};
 use celerypond_types::{DataCentre, TargetKey, TargetName};
 use rand::Rng as _;
 use tokio::{
@@ -31,7 +33,7 @@
 
 /// What an instance knows of the store.
 pub(super) struct Knowledge {
-    table: ArcSwap<Table>,
+    table: ArcSwap<RoutingTable>,
     freshness: Mutex<Freshness>,
     /// How recent the list of targets is, by revisions of the store.
     targets_freshness: Mutex<Freshness>,
@@ -71,7 +73,7 @@
     }
 
     /// Returns the configuration in force.
-    pub(super) fn table(&self) -> arc_swap::Guard<Arc<Table>> {
+    pub(super) fn table(&self) -> arc_swap::Guard<Arc<RoutingTable>> {
         self.table.load()
     }
 
@@ -185,7 +187,7 @@
             return;
         }
         let version = config.version;
-        self.table.store(Arc::new(Table::new(config)));
+        self.table.store(Arc::new(RoutingTable::new(config)));
         self.freshness().hold(version);
         self.has_config.store(true, Relaxed);
         self.told.notify_one();
@@ -257,7 +259,7 @@
     }
 
     /// Takes in what another instance tells of the targets.
-    pub(super) fn take_news(&self, news: News, begun: Instant) {
+    pub(super) fn take_news(&self, news: TargetUpdate, begun: Instant) {
         let age = news.age_ms.map(|age| Duration::from_millis(age.into()));
         let revision = news.revision;
         if news.is_whole {
@@ -286,7 +288,7 @@
     }
 
     /// Returns what another instance that knows the targets up to a revision has to be told.
-    pub(super) fn news(&self, since: u64) -> Option<News> {
+    pub(super) fn news(&self, since: u64) -> Option<TargetUpdate> {
         if !self.has_targets() {
             return None;
         }
@@ -295,7 +297,7 @@
         let age = self.targets_freshness().age(now);
         let age_ms = age.and_then(|age| u32::try_from(age.as_millis()).ok());
         let targets = self.targets();
-        Some(News {
+        Some(TargetUpdate {
             age_ms,
             observed: targets.observed(now),
             ..targets.news(since, *known)
@@ -303,7 +305,7 @@
     }
 
     /// Returns the configuration in force if it has at least this version.
-    pub(super) fn config_since(&self, version: u64) -> Option<Arc<Table>> {
+    pub(super) fn config_since(&self, version: u64) -> Option<Arc<RoutingTable>> {
         let table = self.has_config().then(|| self.table.load_full());
         table.filter(|table| table.config().version >= version)
     }
--- a/daemon/src/relay/lease.rs
+++ b/daemon/src/relay/lease.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use celerypond_relay::{Ended, Load, PlacementKey, Targets};
+use celerypond_relay::{AttemptFailure, Load, PlacementKey, Targets};
 use celerypond_telemetry::Counter;
 use celerypond_types::{TargetKey, TargetName, VersionName};
 use tokio::time::Instant;
@@ -90,14 +90,14 @@
     }
 
     /// Takes in how the attempt ended.
-    pub(super) fn ended(&self, ended: Ended) {
+    pub(super) fn ended(&self, ended: AttemptFailure) {
         note(&self.site, self.key, ended);
         if ended.suspects() {
             self.site.connections.drop_idle(self.address);
             self.site.placed.notify_one();
         }
         // A stream that breaks may be the sign of a dead engine, which others should know of.
-        if ended == Ended::Broken && self.stream.is_some() {
+        if ended == AttemptFailure::Broken && self.stream.is_some() {
             let check = check(Arc::clone(&self.site), self.key, self.address);
             self.site.tasks.spawn(check);
         }
@@ -105,7 +105,7 @@
 }
 
 /// Takes in how an attempt at a target ended, or that it was found dead.
-fn note(site: &Site, key: TargetKey, ended: Ended) {
+fn note(site: &Site, key: TargetKey, ended: AttemptFailure) {
     let mut targets = site.known.targets();
     let Some(target) = targets.get_mut(key) else {
         return;
@@ -121,7 +121,7 @@
     if site.connections.is_alive(address).await {
         return;
     }
-    note(&site, key, Ended::Dead);
+    note(&site, key, AttemptFailure::Dead);
     log::info!(address:% = address, reason = "no connection"; "target dead");
     site.placed.notify_one();
 }
--- a/daemon/src/relay/listen.rs
+++ b/daemon/src/relay/listen.rs
@@ -2,7 +2,7 @@
 
 use std::{future::Future, net::SocketAddr, pin::pin, sync::Arc, time::Duration};
 
-use celerypond_relay::{Ended, Patience};
+use celerypond_relay::{AttemptFailure, SilenceLimits};
 use celerypond_types::DataCentre;
 use tokio::{sync::watch, time::sleep};
 
@@ -21,11 +21,11 @@
     ///
     /// # Errors
     ///
-    /// `Dead` when it did not come.
-    pub(super) fn said(self) -> Result<T, Ended> {
+    /// `DeadEngine` when it did not come.
+    pub(super) fn said(self) -> Result<T, AttemptFailure> {
         match self {
             Self::Said(said) => Ok(said),
-            Self::Dead => Err(Ended::Dead),
+            Self::Dead => Err(AttemptFailure::Dead),
         }
     }
 }
@@ -40,7 +40,12 @@
 }
 
 impl Listening {
-    pub(super) fn new(site: &Arc<Site>, lease: &Lease, patience: Patience, is_first: bool) -> Self {
+    pub(super) fn new(
+        site: &Arc<Site>,
+        lease: &Lease,
+        patience: SilenceLimits,
+        is_first: bool,
+    ) -> Self {
         Self {
             site: Arc::clone(site),
             data_centre: site.known.data_centre_of(lease.key),
--- a/daemon/src/relay/members.rs
+++ b/daemon/src/relay/members.rs
@@ -7,7 +7,7 @@
 };
 
 use celerypond_fleet::{Event, Gossip, Identity, Incarnation, MemberState, Outgoing};
-use celerypond_relay::{Others, Settings};
+use celerypond_relay::{PeerCounts, Settings};
 use celerypond_types::Revision;
 use rand::{rngs::SmallRng, SeedableRng as _};
 use smol_str::format_smolstr;
@@ -68,10 +68,10 @@
 }
 
 /// Returns what is known of the other instances.
-pub(super) fn others(site: &Site) -> Others {
+pub(super) fn others(site: &Site) -> PeerCounts {
     let gossip = site.gossip();
     let count = |state| gossip.roster().of_state(state).count();
-    Others {
+    PeerCounts {
         live: count(MemberState::Live),
         leaving: count(MemberState::Leaving),
     }
--- a/daemon/src/relay/passage.rs
+++ b/daemon/src/relay/passage.rs
@@ -3,12 +3,12 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use celerypond_relay::{Ended, Event, Events};
+use celerypond_relay::{AttemptFailure, Event, EventSplitter};
 use hyper::body::Frame;
 
 /// The events of a stream between its engines and its caller: whole ones only, each once, in order.
 pub(super) struct Passage {
-    events: Events,
+    events: EventSplitter,
     /// Whole events that the caller has not had yet.
     ready: VecDeque<Bytes>,
     /// The id of the last event that was taken in.
@@ -21,7 +21,7 @@
     /// Begins after the last event that the caller has.
     pub(super) fn after(last: Option<u64>) -> Self {
         Self {
-            events: Events::default(),
+            events: EventSplitter::default(),
             ready: VecDeque::new(),
             last,
             passed: 0,
@@ -58,7 +58,7 @@
     /// # Errors
     ///
     /// `Foreign` when an event is left out.
-    pub(super) fn take_in(&mut self, frame: &Frame<Bytes>) -> Result<u32, Ended> {
+    pub(super) fn take_in(&mut self, frame: &Frame<Bytes>) -> Result<u32, AttemptFailure> {
         let Some(bytes) = frame.data_ref() else {
             return Ok(0);
         };
@@ -70,7 +70,7 @@
                     continue;
                 }
                 if id > last + 1 {
-                    return Err(Ended::Foreign);
+                    return Err(AttemptFailure::Foreign);
                 }
             }
             self.last = id.or(self.last);
--- a/daemon/src/relay/plain.rs
+++ b/daemon/src/relay/plain.rs
@@ -1,6 +1,6 @@
 //! Requests whose response is one piece.
 
-use celerypond_relay::{Ended, Next, Patience, TargetHead};
+use celerypond_relay::{AttemptFailure, NextStep, SilenceLimits, TargetRequestHead};
 use tokio::time::Instant;
 
 use super::{
@@ -34,19 +34,19 @@
             Ok(reply) => {
                 let status = reply.status().as_u16();
                 failed = Some(reply);
-                Ended::Failed(status)
+                AttemptFailure::Failed(status)
             }
             Err(ended) => ended,
         };
         let next = run.ended(&lease, ended);
-        if next != Next::Elsewhere {
+        if next != NextStep::Elsewhere {
             return failed.unwrap_or_else(|| reply::after(next, &run));
         }
     }
 }
 
 /// Takes in how well the target did. What it refused says nothing of that.
-fn note(lease: &Lease, result: &Result<Reply, Ended>, begun: Instant) {
+fn note(lease: &Lease, result: &Result<Reply, AttemptFailure>, begun: Instant) {
     let is_good = match result {
         Ok(reply) => !reply.status().is_server_error(),
         Err(ended) if ended.proves_not_run() => return,
@@ -60,9 +60,9 @@
     !(run.kind().may_repeat() && reply.status().is_server_error())
 }
 
-async fn attempt(run: &Run, lease: &mut Lease) -> Result<Reply, Ended> {
+async fn attempt(run: &Run, lease: &mut Lease) -> Result<Reply, AttemptFailure> {
     let left = run.left();
-    let head = TargetHead {
+    let head = TargetRequestHead {
         account: run.account.as_ref(),
         left,
         target: &lease.name.clone(),
@@ -70,13 +70,13 @@
         backup: None,
         resume_from: None,
     };
-    let limit = Patience::of_request(run.route.aim, left, run.may_ask_another());
+    let limit = SilenceLimits::of_request(run.route.aim, left, run.may_ask_another());
     let mut opened = send(&run.site, lease, &run.asked, &head, limit).await?;
     let body = read_whole(&mut opened.body, run.left()).await?;
     let (status, headers) = (opened.status, opened.headers.clone());
     opened.keep(&run.site, lease);
     if is_promise(status) {
-        return Err(Ended::Failed(status.as_u16()));
+        return Err(AttemptFailure::Failed(status.as_u16()));
     }
     Ok(reply::relayed(
         status,
--- a/daemon/src/relay/relocation.rs
+++ b/daemon/src/relay/relocation.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use celerypond_adapter::engine;
-use celerypond_relay::Better;
+use celerypond_relay::BetterEngine;
 use celerypond_telemetry::Counter;
 use celerypond_types::TargetKey;
 use http::{
@@ -85,7 +85,7 @@
     }
 
     /// Returns the engine that the stream should move to.
-    fn better_engine(&self, from: TargetKey) -> Option<Better> {
+    fn better_engine(&self, from: TargetKey) -> Option<BetterEngine> {
         let table = self.run.site.known.table();
         let engine = table.service(&self.run.wish.service)?.engine.as_ref()?;
         if !engine.copies || !self.run.kind().may_repeat() {
@@ -97,7 +97,7 @@
         targets.better_engine(from, &want, ahead, Instant::now())
     }
 
-    async fn order(&self, from: TargetKey, better: &Better) -> Moved {
+    async fn order(&self, from: TargetKey, better: &BetterEngine) -> Moved {
         let known = &self.run.site.known;
         let (Some(source), Some(target)) = (known.address_of(from), known.address_of(better.key))
         else {
--- a/daemon/src/relay/reply.rs
+++ b/daemon/src/relay/reply.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use celerypond_adapter::headers;
-use celerypond_relay::{Denied, Next};
+use celerypond_relay::{Denied, NextStep};
 use celerypond_types::TargetName;
 use http::{
     header::{HeaderValue, CONNECTION, CONTENT_TYPE, RETRY_AFTER},
@@ -93,16 +93,18 @@
 }
 
 /// Makes the final answer that follows the end of the last attempt.
-pub(super) fn after(next: Next, run: &Run) -> Reply {
+pub(super) fn after(next: NextStep, run: &Run) -> Reply {
     let id = run.asked.id.as_str();
     match next {
-        Next::NotRun | Next::Elsewhere => {
+        NextStep::NotRun | NextStep::Elsewhere => {
             not_run(id, run.left(), run.come_back(), Reason::NoTarget)
         }
-        Next::Overloaded(back) => not_run(id, run.left(), Some(back), Reason::Overloaded),
-        Next::TooLate => own(StatusCode::SERVICE_UNAVAILABLE, Some(id), Reason::TooLate),
-        Next::Failed | Next::Later => own(StatusCode::BAD_GATEWAY, Some(id), Reason::Failed),
-        Next::Expired => own(StatusCode::GATEWAY_TIMEOUT, Some(id), Reason::TimeOver),
+        NextStep::Overloaded(back) => not_run(id, run.left(), Some(back), Reason::Overloaded),
+        NextStep::TooLate => own(StatusCode::SERVICE_UNAVAILABLE, Some(id), Reason::TooLate),
+        NextStep::Failed | NextStep::Later => {
+            own(StatusCode::BAD_GATEWAY, Some(id), Reason::Failed)
+        }
+        NextStep::Expired => own(StatusCode::GATEWAY_TIMEOUT, Some(id), Reason::TimeOver),
     }
 }
 
--- a/daemon/src/relay/request.rs
+++ b/daemon/src/relay/request.rs
@@ -7,7 +7,9 @@
 };
 
 use celerypond_adapter::headers;
-use celerypond_relay::{CallerHead, Clock, Denied, Route, RouteKind, StaleWait, Table};
+use celerypond_relay::{
+    CallerHead, Denied, RequestDeadline, Route, RouteKind, RoutingTable, StaleWait,
+};
 use celerypond_telemetry::{Counter, Latency};
 use celerypond_types::{AccountName, ServiceName};
 use http::{
@@ -153,7 +155,7 @@
         Ok(taken) => taken,
         Err(denied) => return deny(denied, &id),
     };
-    let clock = Clock::new(start, head.deadline, route.timeout);
+    let clock = RequestDeadline::new(start, head.deadline, route.timeout);
     let limit = site.known.table().config().limits.body_bytes;
     let asked = match read(request, id.clone(), limit).await {
         Ok(asked) => asked,
@@ -180,14 +182,14 @@
     }
 }
 
-type Taken = Result<(Route, Option<AccountName>), Denied>;
+type EngineUsage = Result<(Route, Option<AccountName>), Denied>;
 
 /// Finds the route and the account; nothing while no configuration is known.
-fn admit(site: &Site, host: &str, path: &str, head: &CallerHead) -> Option<Taken> {
+fn admit(site: &Site, host: &str, path: &str, head: &CallerHead) -> Option<EngineUsage> {
     if !site.known.has_config() {
         return None;
     }
-    let table: arc_swap::Guard<Arc<Table>> = site.known.table();
+    let table: arc_swap::Guard<Arc<RoutingTable>> = site.known.table();
     let taken = table.admit(host, path, head.key.as_deref());
     Some(taken.map(|(route, account)| {
         let account = account.map(|account| account.name.clone());
--- a/daemon/src/relay/revive.rs
+++ b/daemon/src/relay/revive.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use celerypond_adapter::{engine, headers};
-use celerypond_relay::Dead;
+use celerypond_relay::DeadEngine;
 use celerypond_telemetry::Counter;
 use celerypond_types::TargetName;
 use futures::future::join_all;
@@ -40,7 +40,7 @@
     }
 }
 
-async fn look(site: &Site, dead: Dead) {
+async fn look(site: &Site, dead: DeadEngine) {
     let Some((path, tokens)) = may_adopt(site, &dead) else {
         return;
     };
@@ -57,7 +57,7 @@
 
 /// Returns the path of the health check and the memory of the service's engines, if an engine at
 /// the address can only be of this service.
-fn may_adopt(site: &Site, dead: &Dead) -> Option<(Uri, u64)> {
+fn may_adopt(site: &Site, dead: &DeadEngine) -> Option<(Uri, u64)> {
     let table = site.known.table();
     let service = table.only_engines()?;
     if service.name != dead.service {
--- a/daemon/src/relay/rollouts.rs
+++ b/daemon/src/relay/rollouts.rs
@@ -8,7 +8,9 @@
 };
 
 use celerypond_platform::Version;
-use celerypond_relay::{Fleet, Order, Phase, Report, Rollout, Stage, Versions};
+use celerypond_relay::{
+    EvidenceReport, Order, Phase, Rollout, Stage, TargetCounts, VersionRouting,
+};
 use celerypond_telemetry::Counter;
 use celerypond_types::ServiceName;
 use smol_str::SmolStr;
@@ -33,7 +35,7 @@
 /// This instance's side in rollouts.
 #[derive(Default)]
 pub(super) struct Rollouts {
-    versions: Mutex<Versions>,
+    versions: Mutex<VersionRouting>,
     /// The orders that this instance drives; empty while it drives none.
     driven: Mutex<HashMap<ServiceName, Driven>>,
 }
@@ -60,7 +62,7 @@
 
 impl Rollouts {
     /// Returns which versions take requests.
-    pub(super) fn versions(&self) -> MutexGuard<'_, Versions> {
+    pub(super) fn versions(&self) -> MutexGuard<'_, VersionRouting> {
         lock(&self.versions)
     }
 
@@ -70,7 +72,7 @@
     }
 
     /// Takes in what another instance saw, if this one drives the order.
-    pub(super) fn hear_report(&self, service: &ServiceName, report: Report) {
+    pub(super) fn hear_report(&self, service: &ServiceName, report: EvidenceReport) {
         let mut driven = lock(&self.driven);
         let rollout = driven.get_mut(service).map(|driven| &mut driven.rollout);
         if let Some(rollout) = rollout.filter(|rollout| rollout.order.version == report.version) {
@@ -217,14 +219,14 @@
     has_completed
 }
 
-fn fleet(site: &Site, order: &Order) -> Fleet {
+fn fleet(site: &Site, order: &Order) -> TargetCounts {
     let targets = site.known.targets();
     let usable = targets
         .iter()
         .filter(|(key, target)| target.entry.service == order.service && targets.is_usable(*key));
     let (new, old): (Vec<_>, Vec<_>) =
         usable.partition(|(_, target)| target.entry.version == order.version);
-    Fleet {
+    TargetCounts {
         new: new.len(),
         old: old.len(),
     }
--- a/daemon/src/relay/run.rs
+++ b/daemon/src/relay/run.rs
@@ -3,8 +3,9 @@
 use std::{sync::Arc, time::Duration};
 
 use celerypond_relay::{
-    Ahead, Asks, Choice, Clock, Ended, Needs, Next, Part, Patience, Pick, Prompt, Route, RouteKind,
-    Situation, StaleWait, Want,
+    AttemptFailure, AttemptState, NextStep, Prompt, PromptPart, RemainingEvents, RequestDeadline,
+    Route, RouteKind, Selection, SilenceLimits, StaleWait, StreamRequest, TargetQuery, TimeNeeded,
+    VersionChoice,
 };
 use celerypond_telemetry::Counter;
 use celerypond_types::{AccountName, DataCentre, ServiceName, TargetKey};
@@ -23,21 +24,21 @@
     /// Tokens of its prompt.
     prompt: u64,
     /// The prompt part that belongs to the request alone.
-    part: Option<Part>,
+    part: Option<PromptPart>,
     /// The memory of one engine, in tokens.
     capacity: Option<u64>,
     /// The most tokens of other prompts that an engine may have to read first.
     backlog: Option<u64>,
     /// The versions that may run it.
-    choice: Choice,
+    choice: VersionChoice,
     near: DataCentre,
     lot: u64,
 }
 
 impl Wish {
     /// Returns what is wanted of a target besides those that were tried.
-    pub(super) fn want<'a>(&'a self, tried: &'a [TargetKey]) -> Want<'a> {
-        Want {
+    pub(super) fn want<'a>(&'a self, tried: &'a [TargetKey]) -> TargetQuery<'a> {
+        TargetQuery {
             service: &self.service,
             choice: &self.choice,
             near: &self.near,
@@ -57,7 +58,7 @@
     pub(super) asked: Asked,
     pub(super) route: Route,
     pub(super) account: Option<AccountName>,
-    pub(super) clock: Clock,
+    pub(super) clock: RequestDeadline,
     pub(super) wish: Wish,
     tried: Vec<TargetKey>,
     /// Engines that the run has left, the last one at the end. They have read its prompt.
@@ -76,7 +77,7 @@
         route: &Route,
         service: ServiceName,
         account: Option<AccountName>,
-        clock: Clock,
+        clock: RequestDeadline,
     ) -> Self {
         site.retries().requested(&service, Instant::now());
         site.moves().requested(&service, Instant::now());
@@ -122,7 +123,7 @@
         self.wish.prompt = prompt.tokens_in;
         self.wish.tokens = prompt.tokens_in + prompt.tokens_out;
         self.wish.capacity = Some(engine.tokens);
-        self.wish.backlog = Some(Patience::backlog(self.route.aim));
+        self.wish.backlog = Some(SilenceLimits::backlog(self.route.aim));
     }
 
     pub(super) fn left(&self) -> Duration {
@@ -192,7 +193,7 @@
 
     /// Chooses a target of the versions that may run the request, or of others where those have none
     /// left and it is allowed.
-    fn pick(&mut self, now: Instant) -> Option<Pick> {
+    fn pick(&mut self, now: Instant) -> Option<Selection> {
         let targets = self.site.known.targets();
         let pick = targets.pick(&self.wish.want(&self.tried), now);
         if pick.is_some() {
@@ -274,8 +275,8 @@
     }
 
     /// Returns the least time that the stream needs after the event `last`, if that is more than is left.
-    pub(super) fn lacks_time(&self, last: u64) -> Option<Needs> {
-        let asks = Asks {
+    pub(super) fn lacks_time(&self, last: u64) -> Option<TimeNeeded> {
+        let asks = StreamRequest {
             prompt: self.wish.prompt,
             last,
             left: self.left(),
@@ -305,10 +306,12 @@
     }
 
     /// Returns what the stream has ahead of it after its event `last`.
-    pub(super) fn ahead(&self, last: u64) -> Ahead {
+    pub(super) fn ahead(&self, last: u64) -> RemainingEvents {
         let targets = self.site.known.targets();
         let left = targets.history.events_left(&self.wish.service, last);
-        left.map_or_else(Ahead::default, |events| Ahead { events })
+        left.map_or_else(RemainingEvents::default, |events| RemainingEvents {
+            events,
+        })
     }
 
     /// Takes in that the run leaves a target for another one, at which it is the same run.
@@ -367,10 +370,10 @@
     }
 
     /// Returns what follows when no target is left.
-    pub(super) const fn nowhere(&self) -> Next {
+    pub(super) const fn nowhere(&self) -> NextStep {
         match self.runs {
-            0 => Next::NotRun,
-            _ => Next::Failed,
+            0 => NextStep::NotRun,
+            _ => NextStep::Failed,
         }
     }
 
@@ -395,7 +398,7 @@
     }
 
     /// Takes in how an attempt ended and decides what follows.
-    pub(super) fn ended(&mut self, lease: &Lease, ended: Ended) -> Next {
+    pub(super) fn ended(&mut self, lease: &Lease, ended: AttemptFailure) -> NextStep {
         lease.ended(ended);
         if ended.blames_version() {
             self.note_version(lease, true, Duration::ZERO);
@@ -413,7 +416,7 @@
             _ if ended.proves_unsent() => self.unreached += 1,
             _ => self.refusals += u32::from(ended.proves_not_run()),
         }
-        let situation = Situation {
+        let situation = AttemptState {
             kind: self.route.kind,
             runs: self.runs,
             attempts: self.route.attempts,
--- a/daemon/src/relay/site.rs
+++ b/daemon/src/relay/site.rs
@@ -8,7 +8,7 @@
 use arc_swap::{ArcSwap, ArcSwapOption};
 use celerypond_fleet::Gossip;
 use celerypond_platform::{Client, Rates};
-use celerypond_relay::{Retries, Settings, Stale, StaleWait, Stop};
+use celerypond_relay::{PlannedStop, RetryBudget, Settings, Stale, StaleWait};
 use celerypond_telemetry::{Gauge, Histograms, Metrics};
 use celerypond_types::DataCentre;
 use tokio::{
@@ -49,11 +49,11 @@
     pub(super) duty: WatchDuty,
     pub(super) connections: Connections,
     pub(super) store: Client,
-    retries: Mutex<Retries>,
+    retries: Mutex<RetryBudget>,
     /// Bounds the moves of running streams as repeats are, but apart. A move is no repeat, as the run goes on. Were
     /// it taken from the same bound, streams that lose their engines would break for those that others only
     /// gained by. Each instance has its equal part, as none tells of its moves.
-    moves: Mutex<Retries>,
+    moves: Mutex<RetryBudget>,
     pub(super) peers: Peers,
     pub(super) rollouts: Rollouts,
     pub(super) metrics: Metrics,
@@ -69,7 +69,7 @@
     /// No more callers are wanted.
     pub(super) stopping: CancellationToken,
     /// The planned stop, if one is under way.
-    pub(super) stop: ArcSwapOption<Stop>,
+    pub(super) stop: ArcSwapOption<PlannedStop>,
     /// No new connections are taken.
     pub(super) closed: CancellationToken,
     /// Connections of callers are cut off.
@@ -107,8 +107,8 @@
             duty: WatchDuty::new(settings.bounds.watch_wait()),
             connections: Connections::default(),
             store: Client::speaking(&store, celerypond_adapter::store::DIALECT),
-            retries: Mutex::new(Retries::new(&settings.bounds)),
-            moves: Mutex::new(Retries::new(&settings.bounds)),
+            retries: Mutex::new(RetryBudget::new(&settings.bounds)),
+            moves: Mutex::new(RetryBudget::new(&settings.bounds)),
             peers: Peers::default(),
             rollouts: Rollouts::default(),
             metrics: Metrics::local(),
@@ -222,12 +222,12 @@
         newest.max(self.known.version())
     }
 
-    pub(super) fn retries(&self) -> MutexGuard<'_, Retries> {
+    pub(super) fn retries(&self) -> MutexGuard<'_, RetryBudget> {
         self.retries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns what bounds the moves of running streams.
-    pub(super) fn moves(&self) -> MutexGuard<'_, Retries> {
+    pub(super) fn moves(&self) -> MutexGuard<'_, RetryBudget> {
         self.moves.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/daemon/src/relay/stop.rs
+++ b/daemon/src/relay/stop.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use celerypond_relay::Stop;
+use celerypond_relay::PlannedStop;
 use tokio::time::{sleep, timeout_at, Instant};
 
 use super::{members, site::Site};
@@ -13,7 +13,7 @@
 /// Stops the instance: it takes no new callers as soon as others do, and what runs ends within the grace.
 pub(super) async fn run(site: &Arc<Site>) {
     let grace = site.settings.load().bounds.grace;
-    let stop = Stop::new(Instant::now(), grace);
+    let stop = PlannedStop::new(Instant::now(), grace);
     log::info!(grace_ms = grace.as_millis() as u64, open = site.served.len(); "stopping");
     site.stop.store(Some(Arc::new(stop)));
     site.stopping.cancel();
@@ -29,7 +29,7 @@
 
 /// Waits until no more callers are taken: at first all are, and then as long as others are too few and
 /// something is still served. An instance that has nothing left to do starts anew the sooner.
-async fn take_callers(site: &Site, stop: &Stop) {
+async fn take_callers(site: &Site, stop: &PlannedStop) {
     let mut is_alone = false;
     loop {
         let now = Instant::now();
--- a/daemon/src/relay/stream.rs
+++ b/daemon/src/relay/stream.rs
@@ -1,6 +1,6 @@
 //! Requests whose response is a stream of events.
 
-use celerypond_relay::Next;
+use celerypond_relay::NextStep;
 use futures::stream;
 use http_body_util::{BodyExt, StreamBody};
 
@@ -27,7 +27,7 @@
 async fn pass_failure(mut flow: Flow, first: &First) -> Reply {
     let left = flow.run.left();
     let Some(mut opened) = flow.take_opened() else {
-        return reply::after(Next::Failed, &flow.run);
+        return reply::after(NextStep::Failed, &flow.run);
     };
     match read_whole(&mut opened.body, left).await {
         Ok(body) => reply::relayed(
@@ -36,7 +36,7 @@
             reply::whole(body),
             &first.target,
         ),
-        Err(_) => reply::after(Next::Failed, &flow.run),
+        Err(_) => reply::after(NextStep::Failed, &flow.run),
     }
 }
 
