--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -11,11 +11,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamRequest {
     /// Tokens of its prompt.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// The last event that its caller has; zero where it has none.
-    pub last: u64,
+    pub last_event: u64,
     /// The time left.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// The least time that a stream needs, as far as is known.
@@ -38,23 +38,23 @@
     /// use celerypond_relay::TimeNeeded;
     ///
     /// let needs = TimeNeeded { read: Duration::from_millis(1_200), run: Duration::from_millis(2_500) };
-    /// assert!(needs.fit(Duration::from_secs(4)));
-    /// assert!(!needs.fit(Duration::from_secs(3)));
+    /// assert!(needs.fits_within(Duration::from_secs(4)));
+    /// assert!(!needs.fits_within(Duration::from_secs(3)));
     /// ```
-    pub fn fit(&self, left: Duration) -> bool {
+    pub fn fits_within(&self, left: Duration) -> bool {
         self.read + self.run <= left
     }
 }
 
 /// What an engine reported to hold of a prompt part.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Held {
+pub(crate) struct HeldPart {
     target: u64,
     tokens: u64,
     at: Instant,
 }
 
-impl Held {
+impl HeldPart {
     fn is_fresh(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.at) < HELD_TTL
     }
@@ -81,14 +81,14 @@
     /// The load it answers: all instances lose their power at once, and with it what they knew of where
     /// prompts were read. The engines still hold them. Callers come back when there is no time to read
     /// them again, though enough to go on.
-    pub fn ask_for(&mut self, want: &TargetQuery<'_>, now: Instant) -> Vec<TargetKey> {
+    pub fn engines_to_query(&mut self, want: &TargetQuery<'_>, now: Instant) -> Vec<TargetKey> {
         let affinity = want.affinity.unwrap_or_default();
         let engines = self.iter().filter(|(key, target)| {
             let is_asked = |at: Instant| now.saturating_duration_since(at) < LISTED;
             target.entry.service == *want.service
                 && self.is_usable(*key)
                 && !target.is_avoided(now)
-                && !target.listed.is_some_and(is_asked)
+                && !target.last_queried.is_some_and(is_asked)
         });
         let ranked = engines.map(|(key, target)| (rank(affinity, target), key));
         let mut ranked: Vec<(u64, TargetKey)> = ranked.collect();
@@ -97,19 +97,19 @@
         let keys: Vec<TargetKey> = ranked.into_iter().map(|(_, key)| key).collect();
         for key in &keys {
             if let Some(target) = self.get_mut(*key) {
-                target.listed = Some(now);
+                target.last_queried = Some(now);
             }
         }
         keys
     }
 
     /// Takes in which prompt parts an engine holds.
-    pub fn hold_parts(&mut self, key: TargetKey, parts: &[PromptPart], now: Instant) {
-        let Some(target) = self.get(key).map(|target| target.hash) else {
+    pub fn record_held_parts(&mut self, key: TargetKey, parts: &[PromptPart], now: Instant) {
+        let Some(target) = self.get(key).map(|target| target.name_hash) else {
             return;
         };
         for part in parts {
-            let held = Held {
+            let held = HeldPart {
                 target,
                 tokens: part.tokens,
                 at: now,
@@ -123,7 +123,7 @@
 
     /// Takes the engine that holds nearly all of a prompt part, if one reported so, for the one that has read
     /// it; returns whether there is one. Engines drop parts piece by piece.
-    pub fn find_part(&mut self, part: PromptPart, now: Instant) -> bool {
+    pub fn locate_part(&mut self, part: PromptPart, now: Instant) -> bool {
         if self.holder(part.id, now).is_some() {
             return true;
         }
@@ -135,11 +135,11 @@
             part: part.id,
             target: held.target,
         };
-        self.hear_notes(&[note], now);
+        self.merge_prompt_locations(&[note], now);
         true
     }
 
-    pub(crate) fn sweep_held(&mut self, now: Instant) {
+    pub(crate) fn sweep_held_parts(&mut self, now: Instant) {
         self.held_parts.retain(|_, held| held.is_fresh(now));
     }
 
@@ -150,24 +150,26 @@
     /// at the deadline, and all streams beside them are held up. Each figure here errs to the side of the
     /// caller: the fastest engine, a short answer, no other prompt before this one, and no reading at all
     /// where an engine has read the prompt.
-    pub fn needs(
+    pub fn time_needed(
         &self,
         want: &TargetQuery<'_>,
         asks: &StreamRequest,
         now: Instant,
     ) -> Option<TimeNeeded> {
-        let events = self.history.events_least(want.service, asks.last)?;
+        let events = self
+            .history
+            .min_events_left(want.service, asks.last_event)?;
         let of_service = self
             .iter()
             .filter(|(_, target)| target.entry.service == *want.service);
-        let pace = |(_, target): (_, &Target)| self.paces().of(target.spot);
+        let pace = |(_, target): (_, &Target)| self.event_times().get(target.address_hash);
         let fastest = of_service.filter_map(pace).min_by(f32::total_cmp)?;
         let is_read = want
             .affinity
             .is_some_and(|part| self.holder(part, now).is_some());
         let read_ms = match is_read {
             true => 0.0,
-            false => asks.prompt as f64 / self.history.read_rate(want.service)?,
+            false => asks.prompt_tokens as f64 / self.history.read_rate(want.service)?,
         };
         let run_ms = events * f64::from(fastest);
         Some(TimeNeeded {
--- a/crates/relay/src/board.rs
+++ b/crates/relay/src/board.rs
@@ -102,9 +102,9 @@
     /// Streams that run or are read.
     pub streams: u32,
     /// Streams whose prompts are being read.
-    pub prompts: u32,
+    pub reading_prompts: u32,
     /// Tokens of prompts that are being read.
-    pub reading: u64,
+    pub reading_tokens: u64,
     /// Tokens in memory, at most.
     pub tokens: u64,
 }
@@ -122,12 +122,12 @@
 /// use celerypond_relay::{PeerStreams, Placement, Placements};
 /// use tokio::time::Instant;
 ///
-/// let mut board = PeerStreams::default();
+/// let mut streams = PeerStreams::default();
 /// let stream = Placement { target: 7, part: 1, tokens: 9_000, is_reading: true };
 /// let list = Placements { origin: 1, sequence: 1, streams: vec![stream], ..Placements::default() };
 /// let now = Instant::now();
-/// board.hear(list, now);
-/// assert_eq!(board.taken(now)[&7].reading, 9_000);
+/// streams.merge(list, now);
+/// assert_eq!(streams.usage(now)[&7].reading_tokens, 9_000);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct PeerStreams {
@@ -148,13 +148,13 @@
 
 impl PeerStreams {
     /// Takes in the list of another instance; an older one than known is dropped.
-    pub fn hear(&mut self, list: Placements, now: Instant) {
+    pub fn merge(&mut self, list: Placements, now: Instant) {
         let known = self.lists.get(&list.origin);
         if known.is_some_and(|known| known.sequence >= list.sequence) {
             return;
         }
         for stream in &list.streams {
-            self.note_part(stream.part, stream.target, now);
+            self.record_prompt_location(stream.part, stream.target, now);
             self.sums.entry(stream.target).or_default().add(stream);
         }
         let heard = Heard {
@@ -163,11 +163,11 @@
             streams: list.streams,
         };
         if let Some(before) = self.lists.insert(list.origin, heard) {
-            self.take_out(&before.streams);
+            self.subtract(&before.streams);
         }
     }
 
-    fn take_out(&mut self, streams: &[Placement]) {
+    fn subtract(&mut self, streams: &[Placement]) {
         for stream in streams {
             if let Some(taken) = self.sums.get_mut(&stream.target) {
                 taken.remove(stream);
@@ -179,7 +179,7 @@
     }
 
     /// Notes that a prompt part is at an engine.
-    pub fn note_part(&mut self, part: u64, target: u64, now: Instant) {
+    pub fn record_prompt_location(&mut self, part: u64, target: u64, now: Instant) {
         self.parts.insert(part, (target, now));
     }
 
@@ -187,7 +187,7 @@
     ///
     /// The failure: an engine refuses several streams, and each of them, asked to wait and placed again,
     /// prefers the engine that seems to have read its prompt.
-    pub fn drop_part(&mut self, part: u64, target: u64) {
+    pub fn forget_prompt_location(&mut self, part: u64, target: u64) {
         if self.parts.get(&part).is_some_and(|(at, _)| *at == target) {
             self.parts.remove(&part);
         }
@@ -210,12 +210,12 @@
         self.parts.retain(|_, (_, at)| is_kept(*at));
         let stale = self.lists.extract_if(|_, heard| !is_fresh(heard, now));
         for (_, heard) in stale.collect::<Vec<_>>() {
-            self.take_out(&heard.streams);
+            self.subtract(&heard.streams);
         }
     }
 
     /// Returns what the streams of other instances take of each engine.
-    pub fn taken(&self, now: Instant) -> Cow<'_, HashMap<u64, EngineUsage>> {
+    pub fn usage(&self, now: Instant) -> Cow<'_, HashMap<u64, EngineUsage>> {
         if self.lists.values().all(|heard| is_fresh(heard, now)) {
             return Cow::Borrowed(&self.sums);
         }
@@ -234,8 +234,8 @@
         self.streams += 1;
         self.tokens += tokens;
         if stream.is_reading {
-            self.prompts += 1;
-            self.reading += tokens;
+            self.reading_prompts += 1;
+            self.reading_tokens += tokens;
         }
     }
 
@@ -245,8 +245,8 @@
         self.streams -= 1;
         self.tokens -= tokens;
         if stream.is_reading {
-            self.prompts -= 1;
-            self.reading -= tokens;
+            self.reading_prompts -= 1;
+            self.reading_tokens -= tokens;
         }
     }
 }
--- a/crates/relay/src/ended.rs
+++ b/crates/relay/src/ended.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns whether the target itself is likely to be down.
-    pub const fn suspects(self) -> bool {
+    pub const fn suggests_target_down(self) -> bool {
         matches!(
             self,
             Self::Unsent | Self::Misdirected | Self::Broken | Self::Silent | Self::Dead
@@ -67,7 +67,7 @@
     /// Targets that took no connection for it so far.
     pub unreached: u32,
     /// The time left.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// What follows the end of an attempt.
@@ -118,15 +118,15 @@
     ///     attempts: 1,
     ///     refusals: 0,
     ///     unreached: 0,
-    ///     left: Duration::from_secs(1),
+    ///     time_left: Duration::from_secs(1),
     /// };
-    /// assert_eq!(reservation.next(AttemptFailure::Broken, || true), NextStep::Failed);
+    /// assert_eq!(reservation.next_step(AttemptFailure::Broken, || true), NextStep::Failed);
     /// let unsent = AttemptState { runs: 0, ..reservation };
-    /// assert_eq!(unsent.next(AttemptFailure::Unsent, || true), NextStep::Elsewhere);
+    /// assert_eq!(unsent.next_step(AttemptFailure::Unsent, || true), NextStep::Elsewhere);
     /// ```
-    pub fn next(&self, ended: AttemptFailure, budget: impl FnOnce() -> bool) -> NextStep {
+    pub fn next_step(&self, ended: AttemptFailure, budget: impl FnOnce() -> bool) -> NextStep {
         let may_have_run = self.runs > 0;
-        if self.left < LEAST_LEFT {
+        if self.time_left < LEAST_LEFT {
             return if may_have_run {
                 NextStep::Expired
             } else {
--- a/crates/relay/src/entries.rs
+++ b/crates/relay/src/entries.rs
@@ -14,17 +14,21 @@
 /// ```
 /// use std::net::SocketAddr;
 ///
-/// use celerypond_relay::entries;
+/// use celerypond_relay::directory_addresses;
 ///
 /// let all: Vec<SocketAddr> = (1..=100).map(|n| format!("10.0.0.{n}:80").parse().unwrap()).collect();
 /// let caller = "10.9.0.1".parse().unwrap();
-/// assert_eq!(entries(caller, all.clone(), 100), all);
-/// let told = entries(caller, all.clone(), 64);
+/// assert_eq!(directory_addresses(caller, all.clone(), 100), all);
+/// let told = directory_addresses(caller, all.clone(), 64);
 /// assert_eq!(told.len(), 64);
 /// let reversed = all.into_iter().rev().collect();
-/// assert_eq!(entries(caller, reversed, 64), told);
+/// assert_eq!(directory_addresses(caller, reversed, 64), told);
 /// ```
-pub fn entries(caller: IpAddr, mut all: Vec<SocketAddr>, most: usize) -> Vec<SocketAddr> {
+pub fn directory_addresses(
+    caller: IpAddr,
+    mut all: Vec<SocketAddr>,
+    most: usize,
+) -> Vec<SocketAddr> {
     if all.len() <= most {
         return all;
     }
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -27,7 +27,7 @@
 /// let first = events.next().unwrap();
 /// assert_eq!((first.id, &first.bytes[..]), (Some(1), &b"id: 1\ndata: a\n\n"[..]));
 /// assert!(events.next().is_none());
-/// assert!(events.has_rest());
+/// assert!(events.has_partial());
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
@@ -43,7 +43,7 @@
     }
 
     /// Returns whether a part of an event is left.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Returns the bytes held for an event that is not whole yet.
-    pub fn held(&self) -> usize {
+    pub fn buffered_len(&self) -> usize {
         self.buffer.remaining()
     }
 
--- a/crates/relay/src/evidence.rs
+++ b/crates/relay/src/evidence.rs
@@ -29,7 +29,7 @@
 
 /// Answers of one version on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ResponseCounts {
+pub struct Answers {
     /// All answers.
     pub all: u32,
     /// Those that failed.
@@ -38,7 +38,7 @@
     pub slow: u32,
 }
 
-impl ResponseCounts {
+impl Answers {
     const fn failed(self) -> Seen {
         Seen {
             hits: self.bad as u64,
@@ -64,9 +64,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionCounts {
     /// Of the versions before.
-    pub old: ResponseCounts,
+    pub old: Answers,
     /// Of the version that the order names.
-    pub new: ResponseCounts,
+    pub new: Answers,
 }
 
 impl VersionCounts {
@@ -105,7 +105,7 @@
 
 impl Evidence {
     /// Adds an answer on a route.
-    pub fn add(&mut self, route: u64, is_new: bool, is_bad: bool, time: Duration) {
+    pub fn record(&mut self, route: u64, is_new: bool, is_bad: bool, time: Duration) {
         let took = time.as_secs_f64();
         let (usual, count) = self.usual.entry(route).or_insert((took, 0));
         let is_slow = *count >= USUAL_LEAST && took > *usual * SLOW;
@@ -115,7 +115,7 @@
         }
         let pair = self.own.entry(route).or_default();
         let answers = if is_new { &mut pair.new } else { &mut pair.old };
-        answers.add(ResponseCounts {
+        answers.add(Answers {
             all: 1,
             bad: u32::from(is_bad),
             slow: u32::from(is_slow),
@@ -136,14 +136,14 @@
     }
 
     /// Takes in what another instance saw; it replaces what that instance told before.
-    pub fn hear(&mut self, report: EvidenceReport, now: Instant) {
+    pub fn merge(&mut self, report: EvidenceReport, now: Instant) {
         self.told.insert(report.origin, (report, now));
         self.told
             .retain(|_, (_, at)| now.saturating_duration_since(*at) < REPORT_TTL);
     }
 
     /// Returns all answers, over all routes.
-    pub fn sum(&self) -> VersionCounts {
+    pub fn total(&self) -> VersionCounts {
         let mut sum = VersionCounts::default();
         self.routes().values().for_each(|pair| sum.add(*pair));
         sum
@@ -162,7 +162,7 @@
     fn odds(&self) -> f64 {
         let routes = self.routes();
         let odds = routes.values().map(VersionCounts::odds);
-        odds.fold(self.sum().odds(), f64::max)
+        odds.fold(self.total().odds(), f64::max)
     }
 
     fn routes(&self) -> BTreeMap<u64, VersionCounts> {
--- a/crates/relay/src/first_wait.rs
+++ b/crates/relay/src/first_wait.rs
@@ -25,9 +25,9 @@
 /// let begun = Instant::now();
 /// let mut wait = FirstEventWait::new(begun);
 /// let (short, long) = (Duration::from_secs(3), Duration::from_secs(5));
-/// assert!(wait.look(long, begun).is_some());
-/// assert!(wait.look(short, begun + Duration::from_secs(4)).is_some());
-/// assert!(wait.look(short, begun + long).is_none());
+/// assert!(wait.update(long, begun).is_some());
+/// assert!(wait.update(short, begun + Duration::from_secs(4)).is_some());
+/// assert!(wait.update(short, begun + long).is_none());
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct FirstEventWait {
@@ -46,7 +46,7 @@
 
     /// Takes in how long the engine may need for all that it reads now; returns when to look again, or
     /// nothing when it has had the time that it needed.
-    pub fn look(&mut self, most: Duration, now: Instant) -> Option<Instant> {
+    pub fn update(&mut self, most: Duration, now: Instant) -> Option<Instant> {
         self.until = self.until.max(self.begun + most);
         (now < self.until).then(|| self.until.min(now + LOOK))
     }
--- a/crates/relay/src/freshness.rs
+++ b/crates/relay/src/freshness.rs
@@ -10,11 +10,11 @@
 const VERSIONS: usize = 16;
 
 /// How long a transfer counts as under way after it was last reported.
-const NEWER_TTL: Duration = Duration::from_secs(1);
+const TRANSFER_TTL: Duration = Duration::from_secs(1);
 
 /// That the store has a version above one, whose number is not yet known.
 #[derive(Clone, Copy, Debug)]
-struct Newer {
+struct Transfer {
     above: u64,
     at: Instant,
 }
@@ -42,24 +42,24 @@
 /// let seen = |version, at| Observation { version, revision: 40, at };
 /// let mut freshness = Freshness::new(start);
 /// freshness.observe(seen(2, start));
-/// freshness.hold(2);
+/// freshness.set_current(2);
 /// let later = start + Duration::from_secs(3);
 /// assert_eq!(freshness.stale(limit, later), None);
 /// freshness.observe(seen(3, later));
 /// assert_eq!(freshness.stale(limit, later), Some(Stale::Superseded));
-/// freshness.hold(3);
+/// freshness.set_current(3);
 /// assert_eq!(freshness.stale(limit, later), None);
 /// ```
 #[derive(Clone, Debug)]
 pub struct Freshness {
     /// The version in force.
-    held: u64,
+    current: u64,
     /// The latest observations of the newest versions, in order of version.
-    seen: Vec<Observation>,
+    observations: Vec<Observation>,
     /// Versions above the one in force that other instances have, and when that was last reported.
     reports: Vec<(u64, Instant)>,
     /// A version that is being transferred, here or elsewhere.
-    newer: Option<Newer>,
+    transfer: Option<Transfer>,
     contact: Contact,
     /// Whether there are other instances that could serve.
     has_peers: bool,
@@ -69,10 +69,10 @@
     /// Returns the state of an instance with nothing in force and no peers.
     pub const fn new(now: Instant) -> Self {
         Self {
-            held: 0,
-            seen: Vec::new(),
+            current: 0,
+            observations: Vec::new(),
             reports: Vec::new(),
-            newer: None,
+            transfer: None,
             contact: Contact::new(now),
             has_peers: false,
         }
@@ -83,21 +83,21 @@
     /// A version is not the newest one any more once a higher one was seen, whatever a late report says.
     pub fn observe(&mut self, seen: Observation) {
         self.report(seen.version, seen.at);
-        let newest = self.seen.last().map_or(0, |newest| newest.version);
+        let newest = self.observations.last().map_or(0, |newest| newest.version);
         let place = self
-            .seen
+            .observations
             .binary_search_by_key(&seen.version, |one| one.version);
         match place {
             Ok(_) if seen.version < newest => {}
             Ok(at) => {
-                let known = &mut self.seen[at];
+                let known = &mut self.observations[at];
                 known.revision = known.revision.max(seen.revision);
                 known.at = known.at.max(seen.at);
             }
-            Err(at) => self.seen.insert(at, seen),
+            Err(at) => self.observations.insert(at, seen),
         }
-        if self.seen.len() > VERSIONS {
-            self.seen.remove(0);
+        if self.observations.len() > VERSIONS {
+            self.observations.remove(0);
         }
     }
 
@@ -105,7 +105,7 @@
     ///
     /// An observation that waited unread may be too old to verify a version; that there is a newer one it still tells.
     pub fn report(&mut self, version: u64, at: Instant) {
-        if version <= self.held {
+        if version <= self.current {
             return;
         }
         match self.reports.iter_mut().find(|known| known.0 == version) {
@@ -118,29 +118,29 @@
     }
 
     /// Records that a version above this one is being transferred, whose number is not yet known.
-    pub fn observe_newer(&mut self, above: u64, at: Instant) {
-        let is_news = |known: Newer| (above, at) > (known.above, known.at);
-        if self.newer.is_none_or(is_news) {
-            self.newer = Some(Newer { above, at });
+    pub fn record_transfer(&mut self, above: u64, at: Instant) {
+        let is_news = |known: Transfer| (above, at) > (known.above, known.at);
+        if self.transfer.is_none_or(is_news) {
+            self.transfer = Some(Transfer { above, at });
         }
     }
 
     /// Records that a read of the store that began at this moment is complete. Transfers reported before have brought
     /// their version by then, or none.
     pub fn confirm_read(&mut self, begun: Instant) {
-        self.newer = self.newer.filter(|newer| newer.at > begun);
+        self.transfer = self.transfer.filter(|newer| newer.at > begun);
     }
 
     /// Returns whether a version is being transferred that is not in force.
     fn is_newer_begun(&self, now: Instant) -> bool {
-        let is_recent = |at| now.saturating_duration_since(at) <= NEWER_TTL;
-        let newer = self.newer.filter(|newer| newer.above >= self.held);
+        let is_recent = |at| now.saturating_duration_since(at) <= TRANSFER_TTL;
+        let newer = self.transfer.filter(|newer| newer.above >= self.current);
         newer.is_some_and(|newer| is_recent(newer.at))
     }
 
     /// Records which version is in force.
-    pub fn hold(&mut self, version: u64) {
-        self.held = version;
+    pub fn set_current(&mut self, version: u64) {
+        self.current = version;
         self.reports.retain(|known| known.0 > version);
     }
 
@@ -156,9 +156,9 @@
 
     /// Returns the newest version that is known of, which has at least this number.
     pub fn newest(&self, now: Instant) -> u64 {
-        let observed = self.seen.last().map_or(0, |newest| newest.version);
+        let observed = self.observations.last().map_or(0, |newest| newest.version);
         let reported = self.reports.iter().map(|known| known.0).max();
-        let begun = self.held + u64::from(self.is_newer_begun(now));
+        let begun = self.current + u64::from(self.is_newer_begun(now));
         observed.max(begun).max(reported.unwrap_or_default())
     }
 
@@ -172,7 +172,10 @@
     /// Returns when the version in force was last known to be the newest one; nothing if it never was.
     pub fn verified_at(&self) -> Option<Instant> {
         // Where an older version was the newest one, no newer one than that in force can have been acknowledged.
-        let known = self.seen.iter().filter(|seen| seen.version <= self.held);
+        let known = self
+            .observations
+            .iter()
+            .filter(|seen| seen.version <= self.current);
         known.map(|seen| seen.at).max()
     }
 
@@ -212,6 +215,8 @@
 
     /// Returns the latest observation of the version in force.
     fn verified(&self) -> Option<&Observation> {
-        self.seen.iter().find(|seen| seen.version == self.held)
+        self.observations
+            .iter()
+            .find(|seen| seen.version == self.current)
     }
 }
--- a/crates/relay/src/group.rs
+++ b/crates/relay/src/group.rs
@@ -12,14 +12,14 @@
 /// ```
 /// use celerypond_relay::Group;
 ///
-/// let groups = [Group { own: 0, count: 2 }, Group { own: 1, count: 2 }];
+/// let groups = [Group { index: 0, count: 2 }, Group { index: 1, count: 2 }];
 /// let spot = 0x9e37_79b9_7f4a_7c15;
-/// assert_eq!(groups.iter().filter(|group| group.has(spot)).count(), 1);
+/// assert_eq!(groups.iter().filter(|group| group.contains(spot)).count(), 1);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Group {
     /// The ordinal of the group.
-    pub own: usize,
+    pub index: usize,
     /// How many groups there are.
     pub count: usize,
 }
@@ -27,15 +27,15 @@
 impl Group {
     /// Returns whether the group uses the engine whose address has this hash. An engine that starts again
     /// keeps its address, and so its group.
-    pub const fn has(&self, spot: u64) -> bool {
+    pub const fn contains(&self, spot: u64) -> bool {
         // The upper bits of the product divide the hashes into equal ranges.
-        ((spot as u128 * self.count as u128) >> u64::BITS) as usize == self.own
+        ((spot as u128 * self.count as u128) >> u64::BITS) as usize == self.index
     }
 }
 
 impl Default for Group {
     /// All instances together.
     fn default() -> Self {
-        Self { own: 0, count: 1 }
+        Self { index: 0, count: 1 }
     }
 }
--- a/crates/relay/src/head.rs
+++ b/crates/relay/src/head.rs
@@ -24,9 +24,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
     /// Tokens to be read.
-    pub tokens_in: u64,
+    pub prompt_tokens: u64,
     /// The most tokens to be generated.
-    pub tokens_out: u64,
+    pub max_output_tokens: u64,
     /// The parts in order; the last one belongs to the request or its session.
     pub parts: Vec<PromptPart>,
 }
@@ -46,7 +46,7 @@
     /// The account of the caller.
     pub account: Option<&'a AccountName>,
     /// How long the response is waited for.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The target that is meant; another one at its address must not run the request.
     pub target: &'a TargetName,
     /// The last event that the caller has.
--- a/crates/relay/src/held.rs
+++ b/crates/relay/src/held.rs
@@ -15,7 +15,7 @@
     ///
     /// The failure: operators start targets of a bad version and order it a moment later. Until the order
     /// is known it would get as many requests as the old one.
-    pub(crate) fn hold(&mut self, entry: &TargetEntry, now: Instant) {
+    pub(crate) fn hold_back(&mut self, entry: &TargetEntry, now: Instant) {
         let of_service = self.arena.values().map(|target| &target.entry);
         let mut of_service = of_service.filter(|known| known.service == entry.service);
         let is_first = of_service.clone().next().is_none();
@@ -23,15 +23,17 @@
             return;
         }
         let key = (entry.service.clone(), entry.version.clone());
-        self.held.insert(key, now + HOLD);
+        self.held_versions.insert(key, now + HOLD);
     }
 
     /// Returns whether a target's version gets no request without an order.
     pub(crate) fn is_held(&self, target: &Target, now: Instant) -> bool {
-        if self.held.is_empty() {
+        if self.held_versions.is_empty() {
             return false;
         }
         let key = (target.entry.service.clone(), target.entry.version.clone());
-        self.held.get(&key).is_some_and(|until| *until > now)
+        self.held_versions
+            .get(&key)
+            .is_some_and(|until| *until > now)
     }
 }
--- a/crates/relay/src/history.rs
+++ b/crates/relay/src/history.rs
@@ -31,10 +31,10 @@
 ///
 /// let writer = ServiceName::new("writer");
 /// let mut history = History::default();
-/// (100..120).for_each(|events| history.add_answer(&writer, events));
-/// assert_eq!(history.events_left(&writer, 50), Some(60.0));
-/// assert_eq!(history.events_least(&writer, 50), Some(52.0));
-/// assert_eq!(history.events_least(&writer, 200), Some(0.0));
+/// (100..120).for_each(|events| history.record_event_count(&writer, events));
+/// assert_eq!(history.typical_events_left(&writer, 50), Some(60.0));
+/// assert_eq!(history.min_events_left(&writer, 50), Some(52.0));
+/// assert_eq!(history.min_events_left(&writer, 200), Some(0.0));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct History {
@@ -53,19 +53,19 @@
 
 impl History {
     /// Takes in that an answer is complete.
-    pub fn add_answer(&mut self, service: &ServiceName, events: u64) {
+    pub fn record_event_count(&mut self, service: &ServiceName, events: u64) {
         self.past(service).lengths.add(events as f64);
     }
 
     /// Takes in that a prompt was read at an engine that read nothing else.
-    pub fn add_reading(&mut self, service: &ServiceName, tokens: u64, took_ms: f64) {
+    pub fn record_reading(&mut self, service: &ServiceName, tokens: u64, took_ms: f64) {
         if took_ms > 0.0 {
             self.past(service).rates.add(tokens as f64 / took_ms);
         }
     }
 
     /// Takes in that a prompt was read after others, with the tokens of all.
-    pub fn add_queued_reading(&mut self, service: &ServiceName, tokens: u64, took_ms: f64) {
+    pub fn record_queued_reading(&mut self, service: &ServiceName, tokens: u64, took_ms: f64) {
         if took_ms > 0.0 {
             self.past(service).queued.add(tokens as f64 / took_ms);
         }
@@ -73,12 +73,12 @@
 
     /// Returns how many events an answer usually has after its event `last`; nothing where too few
     /// answers are known.
-    pub fn events_left(&self, service: &ServiceName, last: u64) -> Option<f64> {
+    pub fn typical_events_left(&self, service: &ServiceName, last: u64) -> Option<f64> {
         self.left(service, last, 0.5)
     }
 
     /// Returns how many events a short answer has after its event `last`.
-    pub fn events_least(&self, service: &ServiceName, last: u64) -> Option<f64> {
+    pub fn min_events_left(&self, service: &ServiceName, last: u64) -> Option<f64> {
         self.left(service, last, SHORT)
     }
 
--- a/crates/relay/src/left.rs
+++ b/crates/relay/src/left.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns the time left.
-    pub fn left(&self, now: Instant) -> Duration {
+    pub fn remaining(&self, now: Instant) -> Duration {
         self.end.saturating_duration_since(now)
     }
 }
--- a/crates/relay/src/lists.rs
+++ b/crates/relay/src/lists.rs
@@ -36,32 +36,32 @@
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let mut lists = PlacementSchedule::new(now);
-/// lists.sent(70, now);
-/// lists.has_news = true;
-/// assert_eq!(lists.due(70), now + Duration::from_millis(70));
+/// let mut schedule = PlacementSchedule::new(now);
+/// schedule.record_sent(70, now);
+/// schedule.has_changes = true;
+/// assert_eq!(schedule.due(70), now + Duration::from_millis(70));
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementSchedule {
     /// Whether something changed since the last list.
-    pub has_news: bool,
-    last: Instant,
-    whole: Instant,
+    pub has_changes: bool,
+    last_sent: Instant,
+    last_whole: Instant,
 }
 
 impl PlacementSchedule {
     /// Has told nothing; the first list is due at once.
     pub fn new(now: Instant) -> Self {
         Self {
-            has_news: true,
-            last: now,
-            whole: now,
+            has_changes: true,
+            last_sent: now,
+            last_whole: now,
         }
     }
 
     /// Returns the time over which streams are placed again that lost their engines at the same moment:
     /// about three times as long as lists take to tell of each.
-    pub fn spread(instances: usize) -> Duration {
+    pub fn retry_spread(instances: usize) -> Duration {
         times(GAP, instances)
             .mul_f64(SPREAD)
             .clamp(SPREAD_LEAST, GAP_MOST)
@@ -69,23 +69,23 @@
 
     /// Returns when the next list is due, where so many instances live.
     pub fn due(&self, instances: usize) -> Instant {
-        let repeat = self.whole + REPEAT;
-        match self.has_news {
-            true => repeat.min(self.last + times(GAP, instances).min(GAP_MOST)),
+        let repeat = self.last_whole + REPEAT;
+        match self.has_changes {
+            true => repeat.min(self.last_sent + times(GAP, instances).min(GAP_MOST)),
             false => repeat,
         }
     }
 
     /// Takes in that a list is sent now; returns since when changes are to be told, or nothing when all
     /// is to be told.
-    pub fn sent(&mut self, instances: usize, now: Instant) -> Option<Instant> {
-        let since = self.last;
+    pub fn record_sent(&mut self, instances: usize, now: Instant) -> Option<Instant> {
+        let since = self.last_sent;
         let gap = times(WHOLE_GAP, instances).min(REPEAT);
-        let is_whole = now.saturating_duration_since(self.whole) >= gap;
-        self.has_news = false;
-        self.last = now;
+        let is_whole = now.saturating_duration_since(self.last_whole) >= gap;
+        self.has_changes = false;
+        self.last_sent = now;
         if is_whole {
-            self.whole = now;
+            self.last_whole = now;
         }
         (!is_whole).then_some(since)
     }
--- a/crates/relay/src/news.rs
+++ b/crates/relay/src/news.rs
@@ -32,12 +32,12 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_relay::{pack, unpack, TargetUpdate};
+/// use celerypond_relay::{encode, decode, TargetUpdate};
 ///
 /// let news = TargetUpdate { revision: 7, ..TargetUpdate::default() };
-/// assert_eq!(unpack::<TargetUpdate>(&pack(&news)).unwrap(), news);
+/// assert_eq!(decode::<TargetUpdate>(&encode(&news)).unwrap(), news);
 /// ```
-pub fn pack<T: Serialize>(told: &T) -> Vec<u8> {
+pub fn encode<T: Serialize>(told: &T) -> Vec<u8> {
     // The types have neither maps nor sequences of unknown length, so this does not fail.
     bincode::serialize(told).unwrap_or_default()
 }
@@ -47,6 +47,6 @@
 /// # Errors
 ///
 /// When the bytes do not have their form.
-pub fn unpack<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, bincode::Error> {
+pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, bincode::Error> {
     bincode::deserialize(bytes)
 }
--- a/crates/relay/src/notes.rs
+++ b/crates/relay/src/notes.rs
@@ -19,29 +19,29 @@
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let mut notes = PromptLocationSchedule::new(now);
+/// let mut schedule = PromptLocationSchedule::new(now);
 /// let later = now + Duration::from_millis(225);
-/// assert!(!notes.take(0, later));
-/// assert!(notes.take(225, later));
-/// assert!(!notes.take(225, later + Duration::from_millis(100)));
+/// assert!(!schedule.take_due(0, later));
+/// assert!(schedule.take_due(225, later));
+/// assert!(!schedule.take_due(225, later + Duration::from_millis(100)));
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct PromptLocationSchedule {
-    last: Instant,
+    last_sent: Instant,
 }
 
 impl PromptLocationSchedule {
     /// Has told nothing.
     pub fn new(now: Instant) -> Self {
-        Self { last: now }
+        Self { last_sent: now }
     }
 
     /// Returns whether what was gathered is told now to so many others, and takes that in.
-    pub fn take(&mut self, others: usize, now: Instant) -> bool {
+    pub fn take_due(&mut self, others: usize, now: Instant) -> bool {
         let gap = times(GAP, others).min(REPEAT);
-        let is_due = others > 0 && now.saturating_duration_since(self.last) >= gap;
+        let is_due = others > 0 && now.saturating_duration_since(self.last_sent) >= gap;
         if is_due {
-            self.last = now;
+            self.last_sent = now;
         }
         is_due
     }
--- a/crates/relay/src/pace.rs
+++ b/crates/relay/src/pace.rs
@@ -25,11 +25,11 @@
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let mut paces = EventTimes::default();
-/// paces.add(1, 120.0, now);
-/// paces.add(1, 28.0, now);
-/// paces.add(1, 90.0, now);
-/// assert_eq!(paces.of(1), Some(28.0));
+/// let mut times = EventTimes::default();
+/// times.record(1, 120.0, now);
+/// times.record(1, 28.0, now);
+/// times.record(1, 90.0, now);
+/// assert_eq!(times.get(1), Some(28.0));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct EventTimes {
@@ -47,17 +47,17 @@
 
 impl EventTimes {
     /// Takes in how many milliseconds an engine took for each event.
-    pub fn add(&mut self, spot: u64, event_ms: f32, now: Instant) {
-        self.take(spot, event_ms, Some(now), now);
+    pub fn record(&mut self, spot: u64, event_ms: f32, now: Instant) {
+        self.insert(spot, event_ms, Some(now), now);
     }
 
     /// Returns how many milliseconds an engine takes for each event; nothing where that is not known.
-    pub fn of(&self, spot: u64) -> Option<f32> {
+    pub fn get(&self, spot: u64) -> Option<f32> {
         self.known.get(&spot).map(|known| known.event_ms)
     }
 
     /// Returns what this instance saw lately, for the others.
-    pub fn told(&self, now: Instant) -> Vec<(u64, f32)> {
+    pub fn own_times(&self, now: Instant) -> Vec<(u64, f32)> {
         let is_own = |known: &Known| {
             let own = known.own;
             own.is_some_and(|at| now.saturating_duration_since(at) < FRESH)
@@ -67,9 +67,9 @@
     }
 
     /// Takes in what another instance saw.
-    pub fn hear(&mut self, told: &[(u64, f32)], now: Instant) {
+    pub fn merge(&mut self, told: &[(u64, f32)], now: Instant) {
         for (spot, event_ms) in told {
-            self.take(*spot, *event_ms, None, now);
+            self.insert(*spot, *event_ms, None, now);
         }
     }
 
@@ -79,7 +79,7 @@
             .retain(|_, known| now.saturating_duration_since(known.at) < KEPT);
     }
 
-    fn take(&mut self, spot: u64, event_ms: f32, own: Option<Instant>, now: Instant) {
+    fn insert(&mut self, spot: u64, event_ms: f32, own: Option<Instant>, now: Instant) {
         if !event_ms.is_finite() || event_ms <= 0.0 {
             return;
         }
@@ -107,9 +107,9 @@
 /// use tokio::time::Instant;
 ///
 /// let begin = Instant::now();
-/// let mut pace = EventTimer::new(begin);
-/// assert_eq!(pace.add(4, begin + Duration::from_millis(100)), None);
-/// assert_eq!(pace.add(4, begin + Duration::from_millis(240)), Some(30.0));
+/// let mut timer = EventTimer::new(begin);
+/// assert_eq!(timer.record(4, begin + Duration::from_millis(100)), None);
+/// assert_eq!(timer.record(4, begin + Duration::from_millis(240)), Some(30.0));
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct EventTimer {
@@ -127,7 +127,7 @@
     }
 
     /// Takes in events; returns the milliseconds for each of the last ones when there are enough.
-    pub fn add(&mut self, events: u32, now: Instant) -> Option<f32> {
+    pub fn record(&mut self, events: u32, now: Instant) -> Option<f32> {
         self.events += events;
         if self.events < EVENTS {
             return None;
--- a/crates/relay/src/patience.rs
+++ b/crates/relay/src/patience.rs
@@ -15,9 +15,9 @@
     /// The longest time between two events, though the engine lives.
     pub gap: Duration,
     /// The silence before the first event after which the engine is asked for a sign of life.
-    pub ask_first: Duration,
+    pub probe_first: Duration,
     /// The silence between two events after which the engine is asked for a sign of life.
-    pub ask_gap: Duration,
+    pub probe_gap: Duration,
 }
 
 /// The part of the longest pause on time that an engine may be silent though it lives. The rest is
@@ -48,36 +48,36 @@
     ///
     /// use celerypond_relay::SilenceLimits;
     ///
-    /// let patience = SilenceLimits::of_stream(5_000, Some(Duration::from_millis(700)));
-    /// assert_eq!(patience.first, Duration::from_millis(1_800));
-    /// assert_eq!(patience.gap, Duration::from_millis(420));
+    /// let limits = SilenceLimits::for_stream(5_000, Some(Duration::from_millis(700)));
+    /// assert_eq!(limits.first, Duration::from_millis(1_800));
+    /// assert_eq!(limits.gap, Duration::from_millis(420));
     /// ```
-    pub fn of_stream(reading: u64, gap_aim: Option<Duration>) -> Self {
-        let reading = Self::reading(reading);
+    pub fn for_stream(reading: u64, gap_aim: Option<Duration>) -> Self {
+        let reading = Self::reading_time(reading);
         let gap_aim = gap_aim.unwrap_or(GAP_DEFAULT);
         Self {
             first: reading + FIRST_SLACK,
             gap: gap_aim.mul_f64(GAP_SHARE),
-            ask_first: ASK_FIRST,
-            ask_gap: gap_aim.mul_f64(ASK_SHARE),
+            probe_first: ASK_FIRST,
+            probe_gap: gap_aim.mul_f64(ASK_SHARE),
         }
     }
 
     /// Returns how long an engine takes to read so many tokens.
-    pub fn reading(tokens: u64) -> Duration {
+    pub fn reading_time(tokens: u64) -> Duration {
         Duration::from_secs_f64(tokens as f64 / READ_TOKENS / 1_000.0)
     }
 
     /// Returns the most tokens of other prompts that an engine may have to read before a stream whose
     /// first event is to come within `aim`. Behind more it would be late by twice its aim, and its
     /// prompt would be read for nothing.
-    pub fn backlog(aim: Duration) -> u64 {
+    pub fn max_backlog(aim: Duration) -> u64 {
         (aim.as_secs_f64() * BACKLOG_AIMS * READ_TOKENS * 1_000.0) as u64
     }
 
     /// Returns the patience with an idempotent request whose response is one piece: the time in
     /// which another target can still answer, or all that is left when no other may be asked.
-    pub fn of_request(aim: Duration, left: Duration, may_ask_another: bool) -> Duration {
+    pub fn for_request(aim: Duration, left: Duration, may_ask_another: bool) -> Duration {
         match may_ask_another {
             true => (aim * 2).min(left / 2),
             false => left,
@@ -91,11 +91,11 @@
 /// stream can still be on time, and one that was begun would have to be begun anew by its caller.
 pub struct EngineWait {
     /// The longest wait of a stream without an event so far.
-    pub first: Duration,
+    pub before_first_event: Duration,
     /// The longest wait of a stream that was begun.
-    pub begun: Duration,
+    pub after_first_event: Duration,
     /// The time between two looks.
-    pub look: Duration,
+    pub poll_interval: Duration,
 }
 
 /// The part of the aim for the first event that may be spent on waiting for an engine; the rest is for
@@ -109,17 +109,21 @@
 
 impl EngineWait {
     /// Returns the wait for a route whose first event is to come within `aim`.
-    pub fn of_route(aim: Duration) -> Self {
+    pub fn for_route(aim: Duration) -> Self {
         Self {
-            first: aim.mul_f64(RETURN_SHARE),
-            begun: RETURN_BEGUN,
-            look: RETURN_LOOK,
+            before_first_event: aim.mul_f64(RETURN_SHARE),
+            after_first_event: RETURN_BEGUN,
+            poll_interval: RETURN_LOOK,
         }
     }
 
     /// Returns whether a stream that has waited so long waits on.
-    pub fn waits_on(&self, waited: Duration, has_begun: bool) -> bool {
-        let most = if has_begun { self.begun } else { self.first };
-        waited + self.look <= most
+    pub fn may_continue(&self, waited: Duration, has_begun: bool) -> bool {
+        let most = if has_begun {
+            self.after_first_event
+        } else {
+            self.before_first_event
+        };
+        waited + self.poll_interval <= most
     }
 }
--- a/crates/relay/src/place.rs
+++ b/crates/relay/src/place.rs
@@ -40,20 +40,20 @@
     /// The versions of its software that will do.
     pub choice: &'a VersionChoice,
     /// The data centre of this instance, which goes first where all else is equal.
-    pub near: &'a DataCentre,
+    pub local_data_centre: &'a DataCentre,
     /// Targets that were tried already.
     pub tried: &'a [TargetKey],
     /// The hash of the prompt part that belongs to the request alone.
     pub affinity: Option<u64>,
     /// A number of this request's own, by which one of several equal targets is taken.
-    pub lot: u64,
+    pub tie_breaker: u64,
     /// Tokens that the request takes at most.
     pub tokens: u64,
     /// The memory of one engine in tokens; nothing for plain services.
     pub capacity: Option<u64>,
     /// The most tokens of other prompts that an engine may have to read first; nothing for plain
     /// services.
-    pub backlog: Option<u64>,
+    pub max_backlog: Option<u64>,
 }
 
 /// The chosen target.
@@ -70,7 +70,7 @@
     ///
     /// With an affinity, all instances prefer the same targets for it in the same order, so a
     /// caller's retry finds its prompt where it was read. Without one, the least loaded is taken.
-    pub fn pick(&self, want: &TargetQuery<'_>, now: Instant) -> Option<Selection> {
+    pub fn select(&self, want: &TargetQuery<'_>, now: Instant) -> Option<Selection> {
         let fits = |target: &&(TargetKey, &Target)| {
             self.is_usable(target.0)
                 && target.1.entry.service == *want.service
@@ -91,7 +91,7 @@
                 is_doubtful: false,
             });
         }
-        let soonest = all.iter().min_by_key(|(_, target)| target.avoid);
+        let soonest = all.iter().min_by_key(|(_, target)| target.avoided_until);
         soonest.map(|(key, _)| Selection {
             key: *key,
             is_doubtful: true,
@@ -107,7 +107,7 @@
     /// Chooses the engine that holds a copy of the memory of a run at `main`.
     ///
     /// Nearly all engines of a data centre can go at once, so the copy goes to another one.
-    pub fn pick_backup(
+    pub fn select_backup(
         &self,
         main: TargetKey,
         want: &TargetQuery<'_>,
@@ -132,7 +132,7 @@
 pub(crate) struct Loads<'a> {
     want: &'a TargetQuery<'a>,
     /// What streams of other instances take; counted for streams only.
-    taken: Cow<'a, HashMap<u64, EngineUsage>>,
+    peer_usage: Cow<'a, HashMap<u64, EngineUsage>>,
     /// The hash of the target that has read the request's own prompt part.
     holder: Option<u64>,
     /// Targets that do much worse than their peers; for requests in one piece only.
@@ -146,7 +146,7 @@
 impl<'a> Loads<'a> {
     pub(crate) fn of(targets: &'a Targets, want: &'a TargetQuery<'a>, now: Instant) -> Self {
         let taken = match want.affinity {
-            Some(_) => targets.taken(now),
+            Some(_) => targets.peer_usage(now),
             None => Cow::Owned(HashMap::new()),
         };
         let worse = match want.affinity {
@@ -155,7 +155,7 @@
         };
         Self {
             want,
-            taken,
+            peer_usage: taken,
             worse,
             holder: want.affinity.and_then(|part| targets.holder(part, now)),
             sick: sick(targets, want, now),
@@ -198,25 +198,33 @@
     /// that has read the prompt, then those of the own group; within a class by the rank that all instances
     /// share.
     fn order(&self, affinity: u64, target: &Target) -> ((bool, bool, bool, bool), u64) {
-        let others = self.taken.get(&target.hash).copied().unwrap_or_default();
+        let others = self
+            .peer_usage
+            .get(&target.name_hash)
+            .copied()
+            .unwrap_or_default();
         let is_full = self.crowding(target, &others) > CROWDED;
         let class = (
             is_full,
             self.is_sick(target),
-            self.holder != Some(target.hash),
-            !self.group.has(target.spot),
+            self.holder != Some(target.name_hash),
+            !self.group.contains(target.address_hash),
         );
         (class, rank(affinity, target))
     }
 
     /// Returns all that instances have at an engine.
     pub(crate) fn work(&self, target: &Target) -> EngineUsage {
-        let others = self.taken.get(&target.hash).copied().unwrap_or_default();
+        let others = self
+            .peer_usage
+            .get(&target.name_hash)
+            .copied()
+            .unwrap_or_default();
         EngineUsage {
-            streams: target.open + others.streams,
-            prompts: target.prompts + others.prompts,
-            reading: target.reading + others.reading,
-            tokens: target.tokens + others.tokens,
+            streams: target.open_requests + others.streams,
+            reading_prompts: target.reading_prompts + others.reading_prompts,
+            reading_tokens: target.reading_tokens + others.reading_tokens,
+            tokens: target.stream_tokens + others.tokens,
         }
     }
 
@@ -225,14 +233,18 @@
     /// stream up.
     fn load(&self, target: &Target) -> u64 {
         let work = self.work(target);
-        let running = u64::from(work.streams.saturating_sub(work.prompts));
+        let running = u64::from(work.streams.saturating_sub(work.reading_prompts));
         let step = (self.want.tokens / 2).max(1);
-        (work.reading + running * self.want.tokens * RUNNING_WEIGHT) / step
+        (work.reading_tokens + running * self.want.tokens * RUNNING_WEIGHT) / step
     }
 
     /// Returns whether an engine has room for one more stream beside the copies of others' runs.
     pub(crate) fn has_room(&self, target: &Target) -> bool {
-        let others = self.taken.get(&target.hash).copied().unwrap_or_default();
+        let others = self
+            .peer_usage
+            .get(&target.name_hash)
+            .copied()
+            .unwrap_or_default();
         self.crowding(target, &others) <= PACKED
     }
 
@@ -240,13 +252,17 @@
     /// by the order that all instances share. Copies are not told of, so by the least load all that begin at a moment
     /// would be at the one engine that is empty, and resume there together.
     fn order_for_copy(&self, target: &Target) -> (bool, bool, bool, u64) {
-        let others = self.taken.get(&target.hash).copied().unwrap_or_default();
+        let others = self
+            .peer_usage
+            .get(&target.name_hash)
+            .copied()
+            .unwrap_or_default();
         let is_full = self.crowding(target, &others) > CROWDED;
         let affinity = self.want.affinity.unwrap_or_default();
         (
             is_full,
             self.is_sick(target),
-            !self.group.has(target.spot),
+            !self.group.contains(target.address_hash),
             rank(affinity, target),
         )
     }
@@ -257,21 +273,22 @@
     /// goes there. It reads for a minute, and the others are idle.
     fn is_behind(&self, target: &Target) -> bool {
         let others = self
-            .taken
-            .get(&target.hash)
-            .map_or(0, |taken| taken.reading);
-        let reading = target.reading + others;
-        self.want.backlog.is_some_and(|most| reading > most)
+            .peer_usage
+            .get(&target.name_hash)
+            .map_or(0, |taken| taken.reading_tokens);
+        let reading = target.reading_tokens + others;
+        self.want.max_backlog.is_some_and(|most| reading > most)
     }
 
     /// Returns the larger of the parts of an engine's slots and of its memory that are taken.
     fn crowding(&self, target: &Target, others: &EngineUsage) -> f64 {
-        let tokens = target.tokens + others.tokens + self.want.tokens;
+        let tokens = target.stream_tokens + others.tokens + self.want.tokens;
         let memory = self
             .want
             .capacity
             .map_or(0.0, |capacity| tokens as f64 / capacity.max(1) as f64);
-        let slots = f64::from(target.open + others.streams) / f64::from(target.entry.slots.max(1));
+        let slots =
+            f64::from(target.open_requests + others.streams) / f64::from(target.entry.slots.max(1));
         memory.max(slots)
     }
 
@@ -281,10 +298,11 @@
 
     fn compare_load(&self, a: &Target, b: &Target) -> Ordering {
         let (left, right) = (a.fullness(self.now), b.fullness(self.now));
-        let is_far = |target: &Target| target.entry.data_centre != *self.want.near;
-        let lot =
-            |target: &Target| celerypond_route::hash(&(self.want.lot ^ target.hash).to_le_bytes());
-        let is_worse = |target: &Target| self.worse.contains(&target.hash);
+        let is_far = |target: &Target| target.entry.data_centre != *self.want.local_data_centre;
+        let lot = |target: &Target| {
+            celerypond_route::hash(&(self.want.tie_breaker ^ target.name_hash).to_le_bytes())
+        };
+        let is_worse = |target: &Target| self.worse.contains(&target.name_hash);
         is_worse(a)
             .cmp(&is_worse(b))
             .then(left.total_cmp(&right))
@@ -297,8 +315,8 @@
     let of_service = targets
         .iter()
         .filter(|(key, target)| target.entry.service == *want.service && targets.is_usable(*key));
-    let hashes: Vec<u64> = of_service.map(|(_, target)| target.hash).collect();
-    targets.quality().sick(&hashes, now)
+    let hashes: Vec<u64> = of_service.map(|(_, target)| target.name_hash).collect();
+    targets.quality().outliers(&hashes, now)
 }
 
 /// The targets of a service in one data centre.
@@ -347,6 +365,6 @@
 
 /// An engine that starts again keeps its address, and with it the prompts that go to it first.
 pub(crate) fn rank(affinity: u64, target: &Target) -> u64 {
-    let bytes = [affinity.to_le_bytes(), target.spot.to_le_bytes()];
+    let bytes = [affinity.to_le_bytes(), target.address_hash.to_le_bytes()];
     celerypond_route::hash(bytes.as_flattened())
 }
--- a/crates/relay/src/quality.rs
+++ b/crates/relay/src/quality.rs
@@ -76,10 +76,10 @@
 /// let now = Instant::now();
 /// let mut quality = Quality::default();
 /// for n in 0..40 {
-///     quality.add(1, n % 2 == 0, Duration::from_millis(50), now);
-///     quality.add(2, true, Duration::from_millis(50), now);
+///     quality.record(1, n % 2 == 0, Duration::from_millis(50), now);
+///     quality.record(2, true, Duration::from_millis(50), now);
 /// }
-/// assert_eq!(quality.sick(&[1, 2], now), [1]);
+/// assert_eq!(quality.outliers(&[1, 2], now), [1]);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Quality {
@@ -90,7 +90,7 @@
 
 impl Quality {
     /// Adds the result of a request at a target.
-    pub fn add(&mut self, target: u64, is_good: bool, time: Duration, now: Instant) {
+    pub fn record(&mut self, target: u64, is_good: bool, time: Duration, now: Instant) {
         let (tally, at) = self.own.entry(target).or_insert((Tally::default(), now));
         *tally = tally.scaled(decay(*at, now));
         *at = now;
@@ -109,7 +109,7 @@
     }
 
     /// Takes in what another instance saw.
-    pub fn hear(&mut self, origin: u64, tallies: Vec<(u64, Tally)>, now: Instant) {
+    pub fn merge(&mut self, origin: u64, tallies: Vec<(u64, Tally)>, now: Instant) {
         self.told.insert(origin, (tallies, now));
     }
 
@@ -123,7 +123,7 @@
     /// Returns those of a service's targets that do much worse than their peers.
     ///
     /// Never all of them: the rest must be able to stand in.
-    pub fn sick(&self, targets: &[u64], now: Instant) -> Vec<u64> {
+    pub fn outliers(&self, targets: &[u64], now: Instant) -> Vec<u64> {
         let tallies = self.sums(targets, now);
         let is_sick = |(target, tally): &(u64, Tally)| {
             let mut peers = Tally::default();
--- a/crates/relay/src/queueing.rs
+++ b/crates/relay/src/queueing.rs
@@ -52,7 +52,7 @@
     /// where it is not known how fast engines read.
     ///
     /// Each prompt before it counts whole until it was read.
-    pub fn queueing(
+    pub fn estimate_queue(
         &self,
         key: TargetKey,
         want: &TargetQuery<'_>,
@@ -61,7 +61,7 @@
     ) -> Option<QueueEstimate> {
         let rate = self.history.queue_rate(want.service)?;
         let time = |tokens: f64| Duration::from_secs_f64(tokens / rate / 1_000.0);
-        let target = self.get(key).map(|target| target.hash);
+        let target = self.get(key).map(|target| target.name_hash);
         let holder = want.affinity.and_then(|part| self.holder(part, now));
         let is_read = holder.is_some() && holder == target;
         // What is read counts with its answer at full length.
--- a/crates/relay/src/relocate.rs
+++ b/crates/relay/src/relocate.rs
@@ -64,9 +64,9 @@
     /// What it needs there, in milliseconds.
     pub there_ms: f64,
     /// Tokens that are read where it is.
-    pub reading: u64,
+    pub reading_tokens: u64,
     /// Streams that run where it is, itself left out.
-    pub beside: u32,
+    pub other_streams: u32,
 }
 
 impl Targets {
@@ -116,8 +116,8 @@
             key,
             here_ms,
             there_ms: cost,
-            reading: work.reading,
-            beside: work.streams.saturating_sub(1),
+            reading_tokens: work.reading_tokens,
+            other_streams: work.streams.saturating_sub(1),
         })
     }
 }
@@ -151,9 +151,9 @@
             let work = loads.work(target);
             let own = u32::from(key == at);
             free += u32::from(work.streams <= own);
-            reading += u32::from(work.prompts > 0);
-            if let Some(pace) = targets.paces().of(target.spot) {
-                paces.insert(target.spot, f64::from(pace));
+            reading += u32::from(work.reading_prompts > 0);
+            if let Some(pace) = targets.event_times().get(target.address_hash) {
+                paces.insert(target.address_hash, f64::from(pace));
             }
         }
         let mut known: Vec<f64> = paces.values().copied().collect();
@@ -164,7 +164,7 @@
             paces,
             usual_ms,
             ahead,
-            near: want.near,
+            near: want.local_data_centre,
             is_scarce: free <= reading * FREE_EACH,
         }
     }
@@ -174,11 +174,11 @@
         let work = self.loads.work(engine);
         let running = work
             .streams
-            .saturating_sub(work.prompts + u32::from(is_here));
-        let event_ms = self.paces.get(&engine.spot).copied();
+            .saturating_sub(work.reading_prompts + u32::from(is_here));
+        let event_ms = self.paces.get(&engine.address_hash).copied();
         let event_ms = event_ms.unwrap_or(self.usual_ms);
         let run_ms = self.ahead.events * event_ms * (1.0 + BATCH_SLOWER * f64::from(running));
-        let wait = SilenceLimits::reading(work.reading).as_secs_f64() * 1_000.0;
+        let wait = SilenceLimits::reading_time(work.reading_tokens).as_secs_f64() * 1_000.0;
         let beside_ms = (wait * STILL_TO_READ).min(run_ms * (READING_SLOWER - 1.0));
         // The last engines without streams are left to prompts, which would hold up the streams elsewhere.
         let opened_ms = match running {
--- a/crates/relay/src/rests.rs
+++ b/crates/relay/src/rests.rs
@@ -42,11 +42,11 @@
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let mut rests = IdleLimits::default();
-/// assert_eq!(rests.most(1, now), None);
-/// rests.lost(1, Duration::from_millis(400), now);
-/// assert_eq!(rests.most(1, now), Some(Duration::from_millis(200)));
-/// assert_eq!(rests.most(1, now + Duration::from_secs(60)), None);
+/// let mut limits = IdleLimits::default();
+/// assert_eq!(limits.limit(1, now), None);
+/// limits.record_reset(1, Duration::from_millis(400), now);
+/// assert_eq!(limits.limit(1, now), Some(Duration::from_millis(200)));
+/// assert_eq!(limits.limit(1, now + Duration::from_secs(60)), None);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct IdleLimits {
@@ -57,18 +57,18 @@
 impl IdleLimits {
     /// Takes in that what was sent on a connection was reset at once, after the connection had rested for
     /// so long; returns whether that is news.
-    pub fn lost(&mut self, service: u64, rested: Duration, now: Instant) -> bool {
+    pub fn record_reset(&mut self, service: u64, rested: Duration, now: Instant) -> bool {
         rested >= LEAST && self.learn(service, rested.mul_f64(SHARE), now)
     }
 
     /// Returns the longest rest of connections to a service; nothing where none was lost by resting.
-    pub fn most(&self, service: u64, now: Instant) -> Option<Duration> {
+    pub fn limit(&self, service: u64, now: Instant) -> Option<Duration> {
         let (most, at) = self.learned.get(&service)?;
         is_fresh(*at, now).then_some(*most)
     }
 
     /// Returns what others are to know.
-    pub fn told(&self, now: Instant) -> Vec<IdleLimit> {
+    pub fn report(&self, now: Instant) -> Vec<IdleLimit> {
         let fresh = self
             .learned
             .iter()
@@ -82,7 +82,7 @@
     }
 
     /// Takes in what another instance learned.
-    pub fn hear(&mut self, told: &[IdleLimit], now: Instant) {
+    pub fn merge(&mut self, told: &[IdleLimit], now: Instant) {
         for rest in told {
             let age = Duration::from_millis(u64::from(rest.age_ms));
             let Some(at) = now.checked_sub(age) else {
--- a/crates/relay/src/retries.rs
+++ b/crates/relay/src/retries.rs
@@ -52,12 +52,12 @@
 /// use tokio::time::Instant;
 ///
 /// let bounds = Bounds { retry_ratio: 0.5, retry_slack: 0.0, ..Bounds::default() };
-/// let mut retries = RetryBudget::new(&bounds);
+/// let mut budget = RetryBudget::new(&bounds);
 /// let (service, now) = (ServiceName::new("writer"), Instant::now());
-/// assert!(!retries.take(&service, 7, now));
-/// (0..4).for_each(|_| retries.requested(&service, now));
-/// assert!(retries.take(&service, 7, now));
-/// assert!(!retries.take(&service, 7, now));
+/// assert!(!budget.try_spend(&service, 7, now));
+/// (0..4).for_each(|_| budget.record_request(&service, now));
+/// assert!(budget.try_spend(&service, 7, now));
+/// assert!(!budget.try_spend(&service, 7, now));
 /// ```
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
@@ -96,7 +96,7 @@
     }
 
     /// Counts a request of a caller for a service.
-    pub fn requested(&mut self, service: &ServiceName, now: Instant) {
+    pub fn record_request(&mut self, service: &ServiceName, now: Instant) {
         self.slice(service, now).requests += 1;
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Takes in what another instance sent within the window.
-    pub fn hear(&mut self, origin: u64, sends: Vec<SendCounts>, now: Instant) {
+    pub fn merge(&mut self, origin: u64, sends: Vec<SendCounts>, now: Instant) {
         let window = self.window;
         self.told.insert(origin, (sends, now));
         self.told
@@ -120,7 +120,7 @@
 
     /// Takes one more send, unless too many were taken within the window; `instances` is how many
     /// share the slack.
-    pub fn take(&mut self, service: &ServiceName, instances: usize, now: Instant) -> bool {
+    pub fn try_spend(&mut self, service: &ServiceName, instances: usize, now: Instant) -> bool {
         let is_allowed = self.allows(service, instances, now);
         if is_allowed {
             self.slice(service, now).repeats += 1;
--- a/crates/relay/src/revival.rs
+++ b/crates/relay/src/revival.rs
@@ -23,7 +23,7 @@
     /// Its name.
     pub name: TargetName,
     /// The hash of its name.
-    pub hash: u64,
+    pub name_hash: u64,
     /// The service that it belonged to.
     pub service: ServiceName,
     /// Where it listened.
@@ -37,16 +37,18 @@
         if !self.is_unverified(now) {
             return Vec::new();
         }
-        let late = stagger.mul_f64(self.lateness);
+        let late = stagger.mul_f64(self.stagger_share);
         let is_due = |target: &Target| {
-            let died = target.died.map(|died| now.saturating_duration_since(died));
+            let died = target
+                .dead_since
+                .map(|died| now.saturating_duration_since(died));
             died.is_some_and(|since| (REVIVE_FROM + late..REVIVE_UNTIL).contains(&since))
         };
         let dead = self.arena.iter();
         dead.filter(|(key, target)| is_due(target) && self.owns_address(*key))
             .map(|(_, target)| DeadEngine {
                 name: target.entry.name.clone(),
-                hash: target.hash,
+                name_hash: target.name_hash,
                 service: target.entry.service.clone(),
                 address: target.entry.address,
             })
@@ -60,15 +62,15 @@
 
     /// Takes in that the engine that had a name, of this hash, answers now under another or the same name; returns
     /// whether that is used and was not known.
-    pub fn adopt(&mut self, before: u64, name: &TargetName, now: Instant) -> bool {
-        self.adopt_seen(before, name, now, now)
+    pub fn add_restarted_engine(&mut self, before: u64, name: &TargetName, now: Instant) -> bool {
+        self.add_restarted_engine_seen(before, name, now, now)
     }
 
     /// Takes in that it answered so at a moment.
     ///
     /// The store's list goes before an answer: an engine that is not on a list of the time may have been removed from
     /// it, and serves on for a while.
-    pub(crate) fn adopt_seen(
+    pub(crate) fn add_restarted_engine_seen(
         &mut self,
         before: u64,
         name: &TargetName,
@@ -79,13 +81,16 @@
         if !is_recent || !self.is_unverified(seen) {
             return false;
         }
-        let old = self.arena.iter().find(|(_, target)| target.hash == before);
+        let old = self
+            .arena
+            .iter()
+            .find(|(_, target)| target.name_hash == before);
         let Some((key, old)) = old else {
             return false;
         };
         if old.entry.name == *name {
             if let Some(target) = self.arena.get_mut(key) {
-                target.answered(None, now);
+                target.record_response(None, now);
             }
             return true;
         }
@@ -102,7 +107,7 @@
         let mut found = Target::new(entry);
         found.unlisted = Some(Unlisted { seen, absent: None });
         self.insert(found);
-        self.adopted.push(Restart {
+        self.restarts.push(Restart {
             before,
             name: name.clone(),
             seen,
@@ -119,7 +124,7 @@
     ) -> impl Iterator<Item = u64> {
         let dead = self.arena.values();
         let dead = dead.filter(move |target| target.is_dead && target.is_avoided(now));
-        dead.filter(move |target| !target.found_dead.is_some_and(&is_told))
-            .map(|target| target.hash)
+        dead.filter(move |target| !target.found_dead_at.is_some_and(&is_told))
+            .map(|target| target.name_hash)
     }
 }
--- a/crates/relay/src/rollout.rs
+++ b/crates/relay/src/rollout.rs
@@ -43,7 +43,7 @@
 
 /// What an instance knows beside the evidence when it decides about an order.
 #[derive(Clone, Copy, Debug)]
-pub struct TargetCounts {
+pub struct Fleet {
     /// Targets of the new version that take work.
     pub new: usize,
     /// Those of the other versions.
@@ -67,7 +67,7 @@
     }
 
     /// Decides how far the order has come now.
-    pub fn next(&self, bounds: &Bounds, fleet: TargetCounts, now: Instant) -> Phase {
+    pub fn next_phase(&self, bounds: &Bounds, fleet: Fleet, now: Instant) -> Phase {
         if self.phase.is_ended() {
             return self.phase;
         }
@@ -91,8 +91,8 @@
     }
 
     /// Returns whether the version has shown itself and can take all requests.
-    fn is_proved(&self, fleet: TargetCounts) -> bool {
-        let seen = self.evidence.sum();
+    fn is_proved(&self, fleet: Fleet) -> bool {
+        let seen = self.evidence.total();
         let enough = LEAST.min((seen.old.all + seen.new.all) / 20).max(1);
         let has_room = fleet.new * 2 > fleet.old;
         seen.new.all >= enough && has_room && !self.evidence.is_doubtful()
@@ -102,7 +102,7 @@
     fn share(&self, bounds: &Bounds, age: Duration) -> f64 {
         let time = self.order.time.as_secs_f64();
         let age = age.as_secs_f64();
-        let seen = self.evidence.sum();
+        let seen = self.evidence.total();
         let (new, all) = (
             f64::from(seen.new.all),
             f64::from(seen.new.all + seen.old.all),
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -53,9 +53,9 @@
     /// Its address.
     pub address: SocketAddr,
     /// Reads a second.
-    pub reads: f64,
+    pub reads_per_second: f64,
     /// Writes a second.
-    pub writes: f64,
+    pub writes_per_second: f64,
 }
 
 /// The bounds that operators have set.
@@ -153,7 +153,7 @@
     }
 
     /// Returns how long entries of targets may be missing after the store's return.
-    pub fn entries_back(&self) -> Duration {
+    pub fn missing_entry_grace(&self) -> Duration {
         self.drain.mul_f64(BACK_SHARE).min(BACK_MOST)
     }
 }
--- a/crates/relay/src/stop.rs
+++ b/crates/relay/src/stop.rs
@@ -24,7 +24,7 @@
 
 impl PeerCounts {
     /// Returns whether those that take callers can take those of all that leave, this instance among them.
-    pub const fn are_enough(self) -> bool {
+    pub const fn can_absorb_callers(self) -> bool {
         self.live * (LOAD_MOST - 1) > self.leaving
     }
 }
@@ -47,8 +47,8 @@
 /// let begun = Instant::now();
 /// let stop = PlannedStop::new(begun, Duration::from_secs(8));
 /// let later = begun + Duration::from_secs(3);
-/// assert!(!stop.takes_callers(PeerCounts { live: 6, leaving: 0 }, later));
-/// assert!(stop.takes_callers(PeerCounts { live: 0, leaving: 6 }, later));
+/// assert!(!stop.accepts_callers(PeerCounts { live: 6, leaving: 0 }, later));
+/// assert!(stop.accepts_callers(PeerCounts { live: 0, leaving: 6 }, later));
 /// assert!(stop.admits(Duration::from_secs(1), later));
 /// assert!(!stop.admits(Duration::from_secs(25), later));
 /// ```
@@ -65,29 +65,29 @@
     }
 
     /// Returns when callers that are still served are cut off.
-    pub fn end(&self) -> Instant {
+    pub fn cutoff(&self) -> Instant {
         self.begun + self.grace.saturating_sub(BEFORE_KILL)
     }
 
     /// Returns when a caller that is not admitted may come back; nothing where others take callers now. An
     /// answer that begins within `aim` is on time, and half of that is left for it.
-    pub fn come_back(&self, others: PeerCounts, aim: Duration, now: Instant) -> Option<Duration> {
-        let left = self.end().saturating_duration_since(now);
+    pub fn retry_after(&self, others: PeerCounts, aim: Duration, now: Instant) -> Option<Duration> {
+        let left = self.cutoff().saturating_duration_since(now);
         (others.live == 0).then(|| left.min(aim / 2))
     }
 
     /// Returns whether all new callers are taken, whoever else is there.
-    pub fn takes_all(&self, now: Instant) -> bool {
+    pub fn accepts_all(&self, now: Instant) -> bool {
         now < self.begun + self.grace / ACCEPT_SHARE
     }
 
     /// Returns whether new callers are taken.
-    pub fn takes_callers(&self, others: PeerCounts, now: Instant) -> bool {
-        self.takes_all(now) || (!others.are_enough() && now < self.end())
+    pub fn accepts_callers(&self, others: PeerCounts, now: Instant) -> bool {
+        self.accepts_all(now) || (!others.can_absorb_callers() && now < self.cutoff())
     }
 
     /// Returns whether a request that takes `longest` at most is served. What would be cut off is not begun.
     pub fn admits(&self, longest: Duration, now: Instant) -> bool {
-        self.takes_all(now) || now + longest <= self.end()
+        self.accepts_all(now) || now + longest <= self.cutoff()
     }
 }
--- a/crates/relay/src/table.rs
+++ b/crates/relay/src/table.rs
@@ -15,7 +15,7 @@
 /// use celerypond_relay::{Config, Denied, RoutingTable};
 ///
 /// let table = RoutingTable::new(Config::default());
-/// assert_eq!(table.admit("a.example", "/x/1", None).unwrap_err(), Denied::NoRoute);
+/// assert_eq!(table.resolve("a.example", "/x/1", None).unwrap_err(), Denied::NoRoute);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct RoutingTable {
@@ -64,7 +64,7 @@
     }
 
     /// Returns the service with engines, if there is only one.
-    pub fn only_engines(&self) -> Option<&Service> {
+    pub fn only_engine_service(&self) -> Option<&Service> {
         let services = self.config.services.iter();
         let mut engines = services.filter(|service| service.engine.is_some());
         let only = engines.next()?;
@@ -76,7 +76,7 @@
     /// # Errors
     ///
     /// Why the request is not allowed.
-    pub fn admit(
+    pub fn resolve(
         &self,
         host: &str,
         path: &str,
--- a/crates/relay/src/target.rs
+++ b/crates/relay/src/target.rs
@@ -32,27 +32,27 @@
     /// What it says of itself.
     pub entry: TargetEntry,
     /// Requests of this instance that are open at it.
-    pub open: u32,
+    pub open_requests: u32,
     /// The hash of its name, by which instances name it to each other.
-    pub hash: u64,
+    pub name_hash: u64,
     /// The hash of its address, by which instances order engines for a prompt.
-    pub spot: u64,
+    pub address_hash: u64,
     /// Prompts of this instance that it is reading.
-    pub prompts: u32,
+    pub reading_prompts: u32,
     /// Tokens of these prompts.
-    pub reading: u64,
+    pub reading_tokens: u64,
     /// Tokens of this instance's streams in its memory, at most.
-    pub tokens: u64,
+    pub stream_tokens: u64,
     /// Failures in a row.
     pub failures: u32,
     /// Until when it is avoided.
-    pub avoid: Option<Instant>,
+    pub avoided_until: Option<Instant>,
     /// Whether it took no connection when it was last tried.
     pub is_dead: bool,
     /// When it was found dead, here or by another instance.
-    pub died: Option<Instant>,
+    pub dead_since: Option<Instant>,
     /// When it last took no connection of this instance.
-    pub found_dead: Option<Instant>,
+    pub found_dead_at: Option<Instant>,
     /// Set while the store does not list it and it is used since it answered under its name.
     pub(crate) unlisted: Option<Unlisted>,
     /// Whether no later target has taken its address over.
@@ -60,7 +60,7 @@
     /// Whether its entry is missing after the store's return.
     pub is_missing: bool,
     /// When it was last asked which prompt parts it holds.
-    pub(crate) listed: Option<Instant>,
+    pub(crate) last_queried: Option<Instant>,
     load: Option<(Load, Instant)>,
 }
 
@@ -68,22 +68,22 @@
     /// Makes a target of which nothing else is known.
     pub fn new(entry: TargetEntry) -> Self {
         Self {
-            hash: celerypond_route::hash(entry.name.as_str().as_bytes()),
-            spot: celerypond_route::hash(entry.address.to_string().as_bytes()),
+            name_hash: celerypond_route::hash(entry.name.as_str().as_bytes()),
+            address_hash: celerypond_route::hash(entry.address.to_string().as_bytes()),
             entry,
-            open: 0,
-            prompts: 0,
-            reading: 0,
-            tokens: 0,
+            open_requests: 0,
+            reading_prompts: 0,
+            reading_tokens: 0,
+            stream_tokens: 0,
             failures: 0,
-            avoid: None,
+            avoided_until: None,
             is_dead: false,
-            died: None,
-            found_dead: None,
+            dead_since: None,
+            found_dead_at: None,
             unlisted: None,
             owns_address: false,
             is_missing: false,
-            listed: None,
+            last_queried: None,
             load: None,
         }
     }
@@ -100,19 +100,19 @@
 
     /// Returns whether it is avoided after failures.
     pub fn is_avoided(&self, now: Instant) -> bool {
-        self.avoid.is_some_and(|until| until > now)
+        self.avoided_until.is_some_and(|until| until > now)
     }
 
     /// Takes in how an attempt ended.
-    pub fn ended(&mut self, ended: AttemptFailure, now: Instant) {
-        if !ended.suspects() {
+    pub fn record_failure(&mut self, ended: AttemptFailure, now: Instant) {
+        if !ended.suggests_target_down() {
             return;
         }
         self.failures += 1;
         self.is_dead |= matches!(ended, AttemptFailure::Unsent | AttemptFailure::Dead);
         if self.is_dead {
-            self.died.get_or_insert(now);
-            self.found_dead = Some(now);
+            self.dead_since.get_or_insert(now);
+            self.found_dead_at = Some(now);
         }
         let base = if self.is_dead { AVOID_DEAD } else { AVOID };
         let times = 1 << self.failures.min(4).saturating_sub(1);
@@ -123,21 +123,21 @@
     ///
     /// The failure: an engine dies, and each instance finds out by a stream that it sends there, or
     /// by a copy that is not there when it is needed.
-    pub fn told_dead(&mut self, now: Instant) {
-        self.died.get_or_insert(now);
+    pub fn record_peer_failure(&mut self, now: Instant) {
+        self.dead_since.get_or_insert(now);
         self.avoid_until(now + AVOID_DEAD);
     }
 
     fn avoid_until(&mut self, until: Instant) {
-        self.avoid = self.avoid.max(Some(until));
+        self.avoided_until = self.avoided_until.max(Some(until));
     }
 
     /// Takes in a sign of life.
-    pub fn answered(&mut self, load: Option<Load>, now: Instant) {
+    pub fn record_response(&mut self, load: Option<Load>, now: Instant) {
         self.failures = 0;
-        self.avoid = None;
+        self.avoided_until = None;
         self.is_dead = false;
-        self.died = None;
+        self.dead_since = None;
         if let Some(load) = load {
             self.load = Some((load, now));
         }
@@ -151,6 +151,6 @@
             .filter(|(_, at)| now.saturating_duration_since(*at) < LOAD_FRESH)
             .map_or(0, |(load, _)| load.running + load.waiting);
         let slots = self.entry.slots.max(1);
-        f64::from(reported.max(self.open)) / f64::from(slots)
+        f64::from(reported.max(self.open_requests)) / f64::from(slots)
     }
 }
--- a/crates/relay/src/targets.rs
+++ b/crates/relay/src/targets.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     address_book::AddressBook,
-    admission::Held,
+    admission::HeldPart,
     change_log::ChangeLog,
     restart::{age_ms, Restart},
     streams::Streams,
@@ -65,31 +65,31 @@
     /// Streams of this instance.
     streams: Streams,
     /// Where prompts went that others were not told of yet.
-    notes: VecDeque<PromptLocation>,
-    board: PeerStreams,
+    prompt_locations: VecDeque<PromptLocation>,
+    peer_streams: PeerStreams,
     quality: Quality,
-    rests: IdleLimits,
-    paces: EventTimes,
+    idle_limits: IdleLimits,
+    event_times: EventTimes,
     /// What engines told that they hold.
-    pub(crate) held_parts: HashMap<u64, Held>,
+    pub(crate) held_parts: HashMap<u64, HeldPart>,
     /// What streams were like lately.
     pub history: History,
     /// Until when versions that came to a service beside others get no request without an order.
-    pub(crate) held: HashMap<(ServiceName, VersionName), Instant>,
+    pub(crate) held_versions: HashMap<(ServiceName, VersionName), Instant>,
     /// Restarted engines that the store does not list, to be passed on.
-    pub(crate) adopted: Vec<Restart>,
+    pub(crate) restarts: Vec<Restart>,
     /// When the list was last known to be the store's newest one.
     pub(crate) verified: Option<Instant>,
     /// Targets that the store no longer lists, and since when.
     pub(crate) departed: HashMap<TargetName, Instant>,
     /// Until when entries that are missing may come back.
-    grace: Option<Instant>,
+    missing_until: Option<Instant>,
     /// The changes since a revision of the store, in order.
     log: ChangeLog,
     /// The engines that this instance uses first.
     pub group: Group,
     /// The part of a stagger by which this instance is later than others.
-    pub lateness: f64,
+    pub stagger_share: f64,
 }
 
 impl Targets {
@@ -122,7 +122,7 @@
             .collect();
         if is_first {
             // Which of several versions is the new one cannot be told from the first list.
-            self.held.clear();
+            self.held_versions.clear();
         }
         changes
     }
@@ -131,11 +131,11 @@
     pub fn apply(&mut self, change: &Change, now: Instant) -> bool {
         match change {
             Change::Is(entry) => {
-                self.hold(entry, now);
+                self.hold_back(entry, now);
                 self.put(entry)
             }
-            Change::Gone(name) if self.grace.is_some_and(|until| now < until) => {
-                self.miss(name);
+            Change::Gone(name) if self.missing_until.is_some_and(|until| now < until) => {
+                self.mark_missing(name);
                 false
             }
             Change::Gone(name) => self.remove(name, now),
@@ -177,17 +177,17 @@
     }
 
     /// Notes that a target changed at a revision of the store.
-    pub fn note_change(&mut self, revision: u64, name: &TargetName) {
+    pub fn record_change(&mut self, revision: u64, name: &TargetName) {
         self.log.push(revision, name);
     }
 
     /// Notes that the whole list of a revision was taken in.
-    pub fn note_list(&mut self, revision: u64) {
+    pub fn record_full_list(&mut self, revision: u64) {
         self.log.restart(revision);
     }
 
     /// Returns what changed after a revision up to another one, or all when that is not known. Ages are not filled in.
-    pub fn news(&self, since: u64, revision: u64) -> TargetUpdate {
+    pub fn update_since(&self, since: u64, revision: u64) -> TargetUpdate {
         let names = self.log.since(since);
         let is_whole = names.is_none();
         let names = names.unwrap_or_else(|| self.names.keys().collect());
@@ -209,7 +209,7 @@
     }
 
     /// Returns the targets that the store does not list, and the time since each one answered, in milliseconds.
-    pub fn observed(&self, now: Instant) -> Vec<(TargetName, u32)> {
+    pub fn unlisted_targets(&self, now: Instant) -> Vec<(TargetName, u32)> {
         let unlisted = self.arena.values();
         let unlisted = unlisted.filter_map(|target| Some((target, target.unlisted?)));
         unlisted
@@ -218,14 +218,14 @@
     }
 
     /// Takes in which targets another instance misses after an outage.
-    pub fn miss_all(&mut self, names: &[TargetName], time: Duration, now: Instant) {
+    pub fn mark_all_missing(&mut self, names: &[TargetName], time: Duration, now: Instant) {
         if names.is_empty() {
             return;
         }
-        if self.grace.is_none() {
+        if self.missing_until.is_none() {
             self.await_entries(time, now);
         }
-        names.iter().for_each(|name| self.miss(name));
+        names.iter().for_each(|name| self.mark_missing(name));
     }
 
     /// Takes in that the store is back after a time in which entries may have lapsed.
@@ -236,15 +236,15 @@
     /// is gone. The time begins with the return and not with a removal: a target may also leave by
     /// removing its entry, and must get nothing new two seconds later.
     pub fn await_entries(&mut self, time: Duration, now: Instant) {
-        self.grace = Some(now + time);
+        self.missing_until = Some(now + time);
     }
 
     /// Removes targets whose entries did not come back in time; returns their names.
     pub fn drop_missing(&mut self, now: Instant) -> Vec<TargetName> {
-        if self.grace.is_none_or(|until| now < until) {
+        if self.missing_until.is_none_or(|until| now < until) {
             return Vec::new();
         }
-        self.grace = None;
+        self.missing_until = None;
         let missing = self.arena.values().filter(|target| target.is_missing);
         let names: Vec<TargetName> = missing.map(|target| target.entry.name.clone()).collect();
         for name in &names {
@@ -253,7 +253,7 @@
         names
     }
 
-    fn miss(&mut self, name: &TargetName) {
+    fn mark_missing(&mut self, name: &TargetName) {
         let key = self.names.get(name).copied();
         if let Some(target) = key.and_then(|key| self.arena.get_mut(key)) {
             target.is_missing = true;
@@ -262,7 +262,7 @@
 
     fn remove(&mut self, name: &TargetName, now: Instant) -> bool {
         self.departed.insert(name.clone(), now);
-        self.adopted.retain(|restart| restart.name != *name);
+        self.restarts.retain(|restart| restart.name != *name);
         let Some(key) = self.names.remove(name) else {
             return false;
         };
@@ -333,42 +333,44 @@
         now: Instant,
     ) -> Option<PlacementKey> {
         let target = self.arena.get_mut(key)?;
-        self.board.note_part(part, target.hash, now);
-        if self.notes.len() == NOTES_MOST {
-            self.notes.pop_front();
+        self.peer_streams
+            .record_prompt_location(part, target.name_hash, now);
+        if self.prompt_locations.len() == NOTES_MOST {
+            self.prompt_locations.pop_front();
         }
-        self.notes.push_back(PromptLocation {
+        self.prompt_locations.push_back(PromptLocation {
             part,
-            target: target.hash,
+            target: target.name_hash,
         });
-        target.prompts += 1;
-        target.reading += tokens;
-        target.tokens += tokens;
-        Some(self.streams.add(target.hash, part, tokens))
+        target.reading_prompts += 1;
+        target.reading_tokens += tokens;
+        target.stream_tokens += tokens;
+        Some(self.streams.add(target.name_hash, part, tokens))
     }
 
     /// Takes in that a target has not read a prompt part that was sent there.
-    pub fn part_refused(&mut self, key: TargetKey, part: u64) {
+    pub fn forget_prompt_location(&mut self, key: TargetKey, part: u64) {
         if let Some(target) = self.arena.get(key) {
-            self.board.drop_part(part, target.hash);
+            self.peer_streams
+                .forget_prompt_location(part, target.name_hash);
         }
     }
 
     /// Takes in that the prompt of a stream was read.
-    pub fn stream_read(&mut self, key: TargetKey, stream: PlacementKey) {
+    pub fn record_prompt_read(&mut self, key: TargetKey, stream: PlacementKey) {
         let read = self.streams.has_read(stream);
         if let (Some(tokens), Some(target)) = (read, self.arena.get_mut(key)) {
-            target.prompts = target.prompts.saturating_sub(1);
-            target.reading = target.reading.saturating_sub(tokens);
+            target.reading_prompts = target.reading_prompts.saturating_sub(1);
+            target.reading_tokens = target.reading_tokens.saturating_sub(tokens);
         }
     }
 
     /// Removes a stream of this instance.
     pub fn remove_stream(&mut self, key: TargetKey, stream: PlacementKey) {
-        self.stream_read(key, stream);
+        self.record_prompt_read(key, stream);
         let removed = self.streams.remove(stream);
         if let (Some(tokens), Some(target)) = (removed, self.arena.get_mut(key)) {
-            target.tokens = target.tokens.saturating_sub(tokens);
+            target.stream_tokens = target.stream_tokens.saturating_sub(tokens);
         }
     }
 
@@ -382,7 +384,7 @@
         now: Instant,
     ) -> Placements {
         let is_told = |at: Instant| since.is_some_and(|since| at < since);
-        let adopted = self.adopted.iter().rev().take(MAX_ADOPTIONS);
+        let adopted = self.restarts.iter().rev().take(MAX_ADOPTIONS);
         let adopted = adopted.filter(|restart| !is_told(restart.heard));
         Placements {
             origin,
@@ -396,45 +398,46 @@
             },
             rests: match since {
                 Some(_) => Vec::new(),
-                None => self.rests.told(now),
+                None => self.idle_limits.report(now),
             },
             sends: Vec::new(),
             paces: match since {
                 Some(_) => Vec::new(),
-                None => self.paces.told(now),
+                None => self.event_times.own_times(now),
             },
         }
     }
 
     /// Takes in the list of another instance.
-    pub fn hear(&mut self, mut list: Placements, now: Instant) {
+    pub fn merge_placements(&mut self, mut list: Placements, now: Instant) {
         let tallies = std::mem::take(&mut list.tallies);
         if !tallies.is_empty() {
-            self.quality.hear(list.origin, tallies, now);
+            self.quality.merge(list.origin, tallies, now);
         }
-        self.rests.hear(&list.rests, now);
-        self.paces.hear(&list.paces, now);
-        let is_told = |target: &Target| list.dead.contains(&target.hash);
+        self.idle_limits.merge(&list.rests, now);
+        self.event_times.merge(&list.paces, now);
+        let is_told = |target: &Target| list.dead.contains(&target.name_hash);
         let told = self.arena.values_mut().filter(|target| is_told(target));
-        told.for_each(|target| target.told_dead(now));
+        told.for_each(|target| target.record_peer_failure(now));
         for adoption in &list.adopted {
             let age = Duration::from_millis(adoption.age_ms.into());
             if let Some(seen) = now.checked_sub(age) {
-                self.adopt_seen(adoption.before, &adoption.name, seen, now);
+                self.add_restarted_engine_seen(adoption.before, &adoption.name, seen, now);
             }
         }
-        self.board.hear(list, now);
+        self.peer_streams.merge(list, now);
     }
 
     /// Takes the notes of where prompts went that others were not told of yet.
-    pub fn take_notes(&mut self) -> Vec<PromptLocation> {
-        self.notes.drain(..).collect()
+    pub fn take_prompt_locations(&mut self) -> Vec<PromptLocation> {
+        self.prompt_locations.drain(..).collect()
     }
 
     /// Takes in where another instance sent prompts.
-    pub fn hear_notes(&mut self, notes: &[PromptLocation], now: Instant) {
+    pub fn merge_prompt_locations(&mut self, notes: &[PromptLocation], now: Instant) {
         for note in notes {
-            self.board.note_part(note.part, note.target, now);
+            self.peer_streams
+                .record_prompt_location(note.part, note.target, now);
         }
     }
 
@@ -463,46 +466,46 @@
 
     /// Drops the lists of instances that have been silent for long.
     pub fn sweep(&mut self, now: Instant) {
-        self.board.sweep(now);
+        self.peer_streams.sweep(now);
         self.quality.sweep(now);
-        self.paces.sweep(now);
-        self.sweep_held(now);
-        self.held.retain(|_, until| *until > now);
-        self.adopted.retain(|restart| restart.is_recent(now));
+        self.event_times.sweep(now);
+        self.sweep_held_parts(now);
+        self.held_versions.retain(|_, until| *until > now);
+        self.restarts.retain(|restart| restart.is_recent(now));
         let is_kept = |at: Instant| now.saturating_duration_since(at) < DEPARTED_TTL;
         self.departed.retain(|_, at| is_kept(*at));
     }
 
     /// Takes in the result of a request in one piece at a target.
-    pub fn note_result(&mut self, key: TargetKey, is_good: bool, time: Duration, now: Instant) {
+    pub fn record_result(&mut self, key: TargetKey, is_good: bool, time: Duration, now: Instant) {
         if let Some(target) = self.arena.get(key) {
-            self.quality.add(target.hash, is_good, time, now);
+            self.quality.record(target.name_hash, is_good, time, now);
         }
     }
 
     /// Takes in that what was sent to a target was reset at once, on a connection that had rested for so
     /// long; returns whether that is news.
-    pub fn connection_lost(&mut self, key: TargetKey, rested: Duration, now: Instant) -> bool {
+    pub fn record_idle_reset(&mut self, key: TargetKey, rested: Duration, now: Instant) -> bool {
         let service = self.arena.get(key).map(Target::service_hash);
-        service.is_some_and(|service| self.rests.lost(service, rested, now))
+        service.is_some_and(|service| self.idle_limits.record_reset(service, rested, now))
     }
 
     /// Returns how long a connection to a target may rest before something is sent on it; nothing where
     /// none was lost by resting.
-    pub fn rest(&self, key: TargetKey, now: Instant) -> Option<Duration> {
+    pub fn idle_limit(&self, key: TargetKey, now: Instant) -> Option<Duration> {
         let target = self.arena.get(key)?;
-        self.rests.most(target.service_hash(), now)
+        self.idle_limits.limit(target.service_hash(), now)
     }
 
     /// Takes in how long an engine took for each event of a stream lately, in milliseconds.
-    pub fn note_pace(&mut self, key: TargetKey, event_ms: f32, now: Instant) {
+    pub fn record_event_time(&mut self, key: TargetKey, event_ms: f32, now: Instant) {
         if let Some(target) = self.arena.get(key) {
-            self.paces.add(target.spot, event_ms, now);
+            self.event_times.record(target.address_hash, event_ms, now);
         }
     }
 
-    pub(crate) const fn paces(&self) -> &EventTimes {
-        &self.paces
+    pub(crate) const fn event_times(&self) -> &EventTimes {
+        &self.event_times
     }
 
     pub(crate) const fn quality(&self) -> &Quality {
@@ -511,11 +514,11 @@
 
     /// Returns the hash of the engine that has read a prompt part a while ago.
     pub fn holder(&self, part: u64, now: Instant) -> Option<u64> {
-        self.board.holder(part, now)
+        self.peer_streams.holder(part, now)
     }
 
-    pub(crate) fn taken(&self, now: Instant) -> Cow<'_, HashMap<u64, EngineUsage>> {
-        self.board.taken(now)
+    pub(crate) fn peer_usage(&self, now: Instant) -> Cow<'_, HashMap<u64, EngineUsage>> {
+        self.peer_streams.usage(now)
     }
 
     /// Returns the tokens of all prompts that a target is reading, as far as is known.
@@ -523,18 +526,20 @@
         let Some(target) = self.arena.get(key) else {
             return 0;
         };
-        let taken = self.taken(now);
-        let others = taken.get(&target.hash).map_or(0, |taken| taken.reading);
-        target.reading + others
+        let taken = self.peer_usage(now);
+        let others = taken
+            .get(&target.name_hash)
+            .map_or(0, |taken| taken.reading_tokens);
+        target.reading_tokens + others
     }
 
     /// Returns how long it takes until a target of a service is no longer avoided; nothing while one is
     /// not, or while there is none.
-    pub fn back_in(&self, service: &ServiceName, now: Instant) -> Option<Duration> {
+    pub fn time_until_usable(&self, service: &ServiceName, now: Instant) -> Option<Duration> {
         let of_service = self.arena.iter();
         let of_service = of_service.filter(|(_, target)| target.entry.service == *service);
         let usable = of_service.filter(|(key, _)| self.is_usable(*key));
-        let soonest = usable.map(|(_, target)| target.avoid).min()?;
+        let soonest = usable.map(|(_, target)| target.avoided_until).min()?;
         let left = soonest?.saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
     }
--- a/crates/relay/src/versions.rs
+++ b/crates/relay/src/versions.rs
@@ -64,7 +64,7 @@
 /// let order = Order { service: "shop".into(), version: "v2".into(), time: Duration::from_secs(12) };
 /// let mut versions = VersionRouting::default();
 /// let now = Instant::now();
-/// versions.hear(Stage { order, phase: Phase::TakenBack, age_ms: 0 }, now);
+/// versions.update(Stage { order, phase: Phase::TakenBack, age_ms: 0 }, now);
 /// assert_eq!(versions.choose(&"shop".into(), now), VersionChoice::Not("v2".into()));
 /// assert_eq!(versions.choose(&"desk".into(), now), VersionChoice::Any);
 /// ```
@@ -83,7 +83,7 @@
 
 impl VersionRouting {
     /// Takes in how far an order had come at a moment; an order that has ended stays so.
-    pub fn hear(&mut self, stage: Stage, at: Instant) {
+    pub fn update(&mut self, stage: Stage, at: Instant) {
         let service = stage.order.service.clone();
         let known = self.services.get_mut(&service);
         match known.filter(|known| known.stage.order.version == stage.order.version) {
@@ -126,7 +126,7 @@
 
     /// Chooses the versions that may take a request once more. One that failed at a version on trial
     /// goes back to the others.
-    pub fn choose_again(&self, service: &ServiceName) -> VersionChoice {
+    pub fn choose_for_retry(&self, service: &ServiceName) -> VersionChoice {
         let Some(acting) = self.services.get(service) else {
             return VersionChoice::Any;
         };
@@ -138,7 +138,7 @@
     }
 
     /// Adds an answer of a version on a route, while an order runs.
-    pub fn add(
+    pub fn record_response(
         &mut self,
         service: &ServiceName,
         version: &VersionName,
@@ -148,7 +148,7 @@
     ) {
         if let Some(acting) = self.services.get_mut(service) {
             let is_new = *version == acting.stage.order.version;
-            acting.evidence.add(route, is_new, is_bad, time);
+            acting.evidence.record(route, is_new, is_bad, time);
         }
     }
 
--- a/crates/relay/tests/fixture.rs
+++ b/crates/relay/tests/fixture.rs
@@ -91,13 +91,13 @@
         TargetQuery {
             service: &self.service,
             choice: &VersionChoice::Any,
-            near: &self.near,
+            local_data_centre: &self.near,
             tried,
             affinity: None,
-            lot: 0,
+            tie_breaker: 0,
             tokens: 0,
             capacity: None,
-            backlog: None,
+            max_backlog: None,
         }
     }
 }
--- a/crates/relay/tests/overload.rs
+++ b/crates/relay/tests/overload.rs
@@ -136,7 +136,7 @@
             let took_ms = PROMPT / CHUNK * CHUNK_MS;
             targets
                 .history
-                .add_reading(&service, PROMPT as u64, took_ms);
+                .record_reading(&service, PROMPT as u64, took_ms);
         }
         Self {
             targets,
@@ -190,8 +190,8 @@
     fn arrive(&mut self, caller: Caller) {
         let now = self.now();
         let want = self.wanted.stream(caller.part);
-        let key = self.targets.pick(&want, now).unwrap().key;
-        let queueing = self.targets.queueing(key, &want, PROMPT as u64, now);
+        let key = self.targets.select(&want, now).unwrap().key;
+        let queueing = self.targets.estimate_queue(key, &want, PROMPT as u64, now);
         let backoff = queueing.unwrap().backoff(AIM);
         let backoff = backoff.filter(|_| self.turns_away);
         match backoff {
@@ -227,12 +227,12 @@
 
     fn enter(&mut self, at: TargetKey, part: u64) -> PlacementKey {
         let now = self.now();
-        self.targets.get_mut(at).unwrap().open += 1;
+        self.targets.get_mut(at).unwrap().open_requests += 1;
         self.targets.add_stream(at, part, TOKENS, now).unwrap()
     }
 
     fn leave(&mut self, at: TargetKey, place: PlacementKey) {
-        self.targets.get_mut(at).unwrap().open -= 1;
+        self.targets.get_mut(at).unwrap().open_requests -= 1;
         self.targets.remove_stream(at, place);
     }
 
@@ -258,7 +258,7 @@
                 reader.read += steps * CHUNK;
                 if reader.read >= PROMPT {
                     reader.first_ms = Some(self.now_ms + TICK_MS);
-                    self.targets.stream_read(key, reader.place);
+                    self.targets.record_prompt_read(key, reader.place);
                 }
                 steps
             }
@@ -286,7 +286,7 @@
             };
             self.leave(at, place);
             let place = self.enter(better.key, part);
-            self.targets.stream_read(better.key, place);
+            self.targets.record_prompt_read(better.key, place);
             (self.open[n].at, self.open[n].place) = (better.key, place);
         }
     }
--- a/crates/relay/tests/test_access.rs
+++ b/crates/relay/tests/test_access.rs
@@ -79,14 +79,14 @@
     #[case] expected: Result<&str, Denied>,
 ) {
     let table = RoutingTable::new(config());
-    let taken = table.admit(host, path, key);
+    let taken = table.resolve(host, path, key);
     assert_eq!(taken.map(|(route, _)| route.name.as_str()), expected);
 }
 
 #[test]
 fn an_account_is_known_on_an_open_route_as_well() {
     let table = RoutingTable::new(config());
-    let (_, account) = table.admit("b.example", "/", Some("k1")).unwrap();
+    let (_, account) = table.resolve("b.example", "/", Some("k1")).unwrap();
     assert_eq!(account.unwrap().name.as_str(), "yard");
 }
 
@@ -96,7 +96,7 @@
         accounts: Vec::new(),
         ..config()
     });
-    assert!(table.admit("a.example", "/", None).is_ok());
+    assert!(table.resolve("a.example", "/", None).is_ok());
 }
 
 /// An engine that starts again while the store is away is taken back by its own word, which is
@@ -105,7 +105,7 @@
 fn two_services_with_engines_leave_no_only_one() {
     let mut config = config();
     let only = RoutingTable::new(config.clone());
-    assert_eq!(only.only_engines().unwrap().name.as_str(), "writer");
+    assert_eq!(only.only_engine_service().unwrap().name.as_str(), "writer");
     config.services.push(service("drafter", true));
-    assert!(RoutingTable::new(config).only_engines().is_none());
+    assert!(RoutingTable::new(config).only_engine_service().is_none());
 }
--- a/crates/relay/tests/test_admission.rs
+++ b/crates/relay/tests/test_admission.rs
@@ -20,25 +20,25 @@
     let service = celerypond_types::ServiceName::new("writer");
     let now = Instant::now();
     for events in (85..=190).step_by(3) {
-        targets.history.add_answer(&service, events);
+        targets.history.record_event_count(&service, events);
         targets
             .history
-            .add_reading(&service, PROMPT, PROMPT as f64 / RATE);
+            .record_reading(&service, PROMPT, PROMPT as f64 / RATE);
     }
     let at = key(&targets, "east-0-1");
-    targets.note_pace(at, EVENT_MS as f32, now);
+    targets.record_event_time(at, EVENT_MS as f32, now);
     targets
 }
 
 fn is_admitted(targets: &Targets, part: u64, last: u64, left: Duration) -> bool {
     let asks = StreamRequest {
-        prompt: PROMPT,
-        last,
-        left,
+        prompt_tokens: PROMPT,
+        last_event: last,
+        time_left: left,
     };
     let wanted = Wanted::new();
-    let needs = targets.needs(&wanted.stream(part), &asks, Instant::now());
-    needs.is_none_or(|needs| needs.fit(left))
+    let needs = targets.time_needed(&wanted.stream(part), &asks, Instant::now());
+    needs.is_none_or(|needs| needs.fits_within(left))
 }
 
 /// All instances lose their power. Callers notice after most of their time and ask again, with a part of the
@@ -88,9 +88,9 @@
 fn an_instance_without_experience_lets_all_in(#[case] answers: u64) {
     let mut targets = three_data_centres(2);
     let service = celerypond_types::ServiceName::new("writer");
-    (0..answers).for_each(|_| targets.history.add_answer(&service, 150));
+    (0..answers).for_each(|_| targets.history.record_event_count(&service, 150));
     let at = key(&targets, "east-0-1");
-    targets.note_pace(at, EVENT_MS as f32, Instant::now());
+    targets.record_event_time(at, EVENT_MS as f32, Instant::now());
     assert!(is_admitted(&targets, 1, 0, Duration::from_millis(10)));
 }
 
@@ -108,19 +108,19 @@
         id: 7,
         tokens: 5_000,
     };
-    assert!(!targets.find_part(part, now));
-    let asked = targets.ask_for(&wanted.stream(part.id), now);
+    assert!(!targets.locate_part(part, now));
+    let asked = targets.engines_to_query(&wanted.stream(part.id), now);
     assert_eq!(asked.len(), 6);
     let holds = PromptPart { tokens, ..part };
-    targets.hold_parts(asked[3], &[holds], now);
-    assert_eq!(targets.find_part(part, now), is_found);
+    targets.record_held_parts(asked[3], &[holds], now);
+    assert_eq!(targets.locate_part(part, now), is_found);
     let left = Duration::from_millis(2_200);
     assert!(is_admitted(&targets, part.id, 80, left));
     assert_eq!(
         is_admitted(&targets, part.id, 80, Duration::from_millis(900)),
         is_found
     );
-    let picked = targets.pick(&wanted.stream(part.id), now).unwrap().key;
+    let picked = targets.select(&wanted.stream(part.id), now).unwrap().key;
     assert_eq!(picked == asked[3], is_found);
 }
 
@@ -131,9 +131,9 @@
     let now = Instant::now();
     let wanted = Wanted::new();
     let asked: usize = (0..30)
-        .map(|part| targets.ask_for(&wanted.stream(part), now).len())
+        .map(|part| targets.engines_to_query(&wanted.stream(part), now).len())
         .sum();
     assert_eq!(asked, 6);
     let later = now + Duration::from_secs(2);
-    assert_eq!(targets.ask_for(&wanted.stream(1), later).len(), 6);
+    assert_eq!(targets.engines_to_query(&wanted.stream(1), later).len(), 6);
 }
--- a/crates/relay/tests/test_attempts.rs
+++ b/crates/relay/tests/test_attempts.rs
@@ -17,7 +17,7 @@
         attempts: 3,
         refusals: 0,
         unreached: 0,
-        left: Duration::from_secs(1),
+        time_left: Duration::from_secs(1),
     }
 }
 
@@ -37,7 +37,7 @@
     #[values(UNSAFE, FIXED)] kind: RouteKind,
 ) {
     assert!(!ended.proves_not_run());
-    let next = situation(kind, 1).next(ended, || panic!("no send is to be asked for"));
+    let next = situation(kind, 1).next_step(ended, || panic!("no send is to be asked for"));
     assert!(
         matches!(next, NextStep::Failed | NextStep::Expired),
         "{next:?}"
@@ -55,14 +55,20 @@
     #[values(SAFE, UNSAFE, FIXED, RESUMABLE)] kind: RouteKind,
 ) {
     assert!(ended.proves_not_run());
-    assert_eq!(situation(kind, 0).next(ended, || true), NextStep::Elsewhere);
+    assert_eq!(
+        situation(kind, 0).next_step(ended, || true),
+        NextStep::Elsewhere
+    );
 }
 
 #[rstest]
 #[case::safe(SAFE, AttemptFailure::Broken)]
 #[case::stream(RESUMABLE, AttemptFailure::Silent)]
 fn what_may_be_repeated_goes_elsewhere(#[case] kind: RouteKind, #[case] ended: AttemptFailure) {
-    assert_eq!(situation(kind, 1).next(ended, || true), NextStep::Elsewhere);
+    assert_eq!(
+        situation(kind, 1).next_step(ended, || true),
+        NextStep::Elsewhere
+    );
 }
 
 /// A third of 180 engines falls silent. A stream tries several of them in a row, which have refused
@@ -74,11 +80,11 @@
         ..situation(RESUMABLE, 1)
     };
     assert_eq!(
-        after(12).next(AttemptFailure::Unsent, || true),
+        after(12).next_step(AttemptFailure::Unsent, || true),
         NextStep::Elsewhere
     );
     assert_eq!(
-        after(20).next(AttemptFailure::Unsent, || true),
+        after(20).next_step(AttemptFailure::Unsent, || true),
         NextStep::Failed
     );
 }
@@ -93,7 +99,7 @@
     #[case] ended: AttemptFailure,
     #[case] expected: NextStep,
 ) {
-    assert_eq!(situation(SAFE, runs).next(ended, || false), expected);
+    assert_eq!(situation(SAFE, runs).next_step(ended, || false), expected);
 }
 
 /// Engines die, and for a moment the budget is used up. A stream waits for it; its caller would have to
@@ -108,20 +114,23 @@
     } else {
         AttemptFailure::Broken
     };
-    assert_eq!(situation(RESUMABLE, runs).next(ended, || false), expected);
+    assert_eq!(
+        situation(RESUMABLE, runs).next_step(ended, || false),
+        expected
+    );
 }
 
 /// Many targets take no connection at once. A send that reached none costs the targets nothing, so
 /// the next one needs no budget.
 #[test]
 fn a_send_that_reached_nobody_needs_no_budget() {
-    let next = situation(SAFE, 1).next(AttemptFailure::Unsent, || false);
+    let next = situation(SAFE, 1).next_step(AttemptFailure::Unsent, || false);
     assert_eq!(next, NextStep::Elsewhere);
 }
 
 #[test]
 fn no_more_targets_are_asked_than_the_route_allows() {
-    let next = situation(SAFE, 3).next(AttemptFailure::Broken, || true);
+    let next = situation(SAFE, 3).next_step(AttemptFailure::Broken, || true);
     assert_eq!(next, NextStep::Failed);
 }
 
@@ -133,7 +142,10 @@
         refusals: 6,
         ..situation(SAFE, 0)
     };
-    assert_eq!(full.next(AttemptFailure::NotRun, || true), NextStep::NotRun);
+    assert_eq!(
+        full.next_step(AttemptFailure::NotRun, || true),
+        NextStep::NotRun
+    );
 }
 
 #[rstest]
@@ -141,10 +153,10 @@
 #[case::may_have_run(1, NextStep::Expired)]
 fn when_the_time_is_over_nothing_is_sent(#[case] runs: u32, #[case] expected: NextStep) {
     let over = AttemptState {
-        left: Duration::ZERO,
+        time_left: Duration::ZERO,
         ..situation(SAFE, runs)
     };
-    assert_eq!(over.next(AttemptFailure::Unsent, || true), expected);
+    assert_eq!(over.next_step(AttemptFailure::Unsent, || true), expected);
 }
 
 /// A request whose route allows one attempt was given up after half of its time, though nobody else
@@ -152,8 +164,8 @@
 #[test]
 fn the_last_attempt_gets_all_the_time_that_is_left() {
     let (aim, left) = (Duration::from_millis(100), Duration::from_millis(1_000));
-    assert_eq!(SilenceLimits::of_request(aim, left, false), left);
-    assert_eq!(SilenceLimits::of_request(aim, left, true), aim * 2);
+    assert_eq!(SilenceLimits::for_request(aim, left, false), left);
+    assert_eq!(SilenceLimits::for_request(aim, left, true), aim * 2);
 }
 
 /// Two prompts are read at one engine. The first event takes twice as long, and giving the engine
@@ -161,8 +173,8 @@
 #[test]
 fn patience_grows_with_what_the_engine_has_to_read() {
     let gap = Some(Duration::from_millis(700));
-    let one = SilenceLimits::of_stream(8_000, gap);
-    let two = SilenceLimits::of_stream(16_000, gap);
+    let one = SilenceLimits::for_stream(8_000, gap);
+    let two = SilenceLimits::for_stream(16_000, gap);
     assert_eq!(two.first - one.first, Duration::from_millis(1_600));
 }
 
@@ -171,9 +183,9 @@
 #[test]
 fn silence_is_questioned_between_usual_pauses_and_the_aim() {
     let aim = Duration::from_millis(700);
-    let patience = SilenceLimits::of_stream(8_000, Some(aim));
-    assert!(patience.ask_gap > Duration::from_millis(130));
-    assert!(patience.ask_gap < aim / 3);
-    assert!(patience.gap > patience.ask_gap * 2);
+    let patience = SilenceLimits::for_stream(8_000, Some(aim));
+    assert!(patience.probe_gap > Duration::from_millis(130));
+    assert!(patience.probe_gap < aim / 3);
+    assert!(patience.gap > patience.probe_gap * 2);
     assert!(patience.gap + Duration::from_millis(200) < aim);
 }
--- a/crates/relay/tests/test_death.rs
+++ b/crates/relay/tests/test_death.rs
@@ -19,14 +19,17 @@
     let mut here = three_data_centres(2);
     let mut there = three_data_centres(2);
     let wanted = Wanted::new();
-    let first = here.pick(&wanted.stream(1), now).unwrap().key;
+    let first = here.select(&wanted.stream(1), now).unwrap().key;
     let dead = name(&here, first);
     let at = key(&there, &dead);
-    there.get_mut(at).unwrap().ended(AttemptFailure::Dead, now);
-    here.hear(there.placements(1, 1, None, now), now);
-    assert_ne!(here.pick(&wanted.stream(1), now).unwrap().key, first);
+    there
+        .get_mut(at)
+        .unwrap()
+        .record_failure(AttemptFailure::Dead, now);
+    here.merge_placements(there.placements(1, 1, None, now), now);
+    assert_ne!(here.select(&wanted.stream(1), now).unwrap().key, first);
     let later = now + Duration::from_secs(2);
-    assert_eq!(here.pick(&wanted.stream(1), later).unwrap().key, first);
+    assert_eq!(here.select(&wanted.stream(1), later).unwrap().key, first);
 }
 
 /// Nearly all engines of a data centre die at once. Two of them were found out; a copy made at a
@@ -40,13 +43,13 @@
         targets
             .get_mut(at)
             .unwrap()
-            .ended(AttemptFailure::Unsent, now);
+            .record_failure(AttemptFailure::Unsent, now);
     }
     let main = key(&targets, "east-0-1");
     let wanted = Wanted::new();
     for part in 0..50 {
         let copy = targets
-            .pick_backup(main, &wanted.stream(part), now)
+            .select_backup(main, &wanted.stream(part), now)
             .unwrap();
         assert_eq!(home(&targets, copy), "mid");
     }
@@ -62,7 +65,7 @@
         for data_centre in ["east", "mid"] {
             let at = key(&targets, &format!("{data_centre}-{n}-1"));
             let stream = targets.add_stream(at, 1_000 + n, TOKENS, now);
-            targets.stream_read(at, stream.unwrap());
+            targets.record_prompt_read(at, stream.unwrap());
         }
     }
     for n in 0..4 {
@@ -70,11 +73,11 @@
         targets
             .get_mut(at)
             .unwrap()
-            .ended(AttemptFailure::Unsent, now);
+            .record_failure(AttemptFailure::Unsent, now);
     }
     let wanted = Wanted::new();
     for part in 0..50 {
-        let pick = targets.pick(&wanted.stream(part), now).unwrap();
+        let pick = targets.select(&wanted.stream(part), now).unwrap();
         assert_ne!(home(&targets, pick.key), "west");
     }
 }
@@ -90,14 +93,14 @@
             if (data_centre, n) != ("mid", 0) {
                 let at = key(&targets, &format!("{data_centre}-{n}-1"));
                 let stream = targets.add_stream(at, 1_000 + n, TOKENS, now);
-                targets.stream_read(at, stream.unwrap());
+                targets.record_prompt_read(at, stream.unwrap());
             }
         }
     }
     let main = key(&targets, "east-0-1");
     let empty = key(&targets, "mid-0-1");
     let wanted = Wanted::new();
-    let copies = (0..60).map(|part| targets.pick_backup(main, &wanted.stream(part), now));
+    let copies = (0..60).map(|part| targets.select_backup(main, &wanted.stream(part), now));
     let at_empty = copies.filter(|copy| *copy == Some(empty)).count();
     assert!((1..15).contains(&at_empty), "{at_empty}");
 }
@@ -108,13 +111,13 @@
     let now = Instant::now();
     let mut targets = three_data_centres(2);
     let wanted = Wanted::new();
-    let first = targets.pick(&wanted.stream(1), now).unwrap().key;
+    let first = targets.select(&wanted.stream(1), now).unwrap().key;
     let stream = targets.add_stream(first, 1, TOKENS, now).unwrap();
     targets.remove_stream(first, stream);
     let busy = targets.add_stream(first, 2, TOKENS, now).unwrap();
-    assert_eq!(targets.pick(&wanted.stream(1), now).unwrap().key, first);
-    targets.part_refused(first, 1);
-    assert_ne!(targets.pick(&wanted.stream(1), now).unwrap().key, first);
+    assert_eq!(targets.select(&wanted.stream(1), now).unwrap().key, first);
+    targets.forget_prompt_location(first, 1);
+    assert_ne!(targets.select(&wanted.stream(1), now).unwrap().key, first);
     targets.remove_stream(first, busy);
 }
 
@@ -125,9 +128,9 @@
     let targets = three_data_centres(6);
     let wanted = Wanted::new();
     for part in 0..50 {
-        let main = targets.pick(&wanted.stream(part), now).unwrap().key;
+        let main = targets.select(&wanted.stream(part), now).unwrap().key;
         let copy = targets
-            .pick_backup(main, &wanted.stream(part), now)
+            .select_backup(main, &wanted.stream(part), now)
             .unwrap();
         assert_ne!(home(&targets, copy), home(&targets, main));
     }
@@ -180,26 +183,28 @@
     let mut here = three_data_centres(1);
     let mut there = three_data_centres(1);
     let old = key(&here, "east-0-1");
-    here.get_mut(old).unwrap().ended(AttemptFailure::Dead, now);
+    here.get_mut(old)
+        .unwrap()
+        .record_failure(AttemptFailure::Dead, now);
     assert!(here.dead_engines(now, AT_ONCE).is_empty());
     let later = now + Duration::from_secs(1);
     let dead = here.dead_engines(later, AT_ONCE);
     assert_eq!(dead.len(), 1);
-    assert!(here.adopt(dead[0].hash, &TargetName::new("anew"), later));
+    assert!(here.add_restarted_engine(dead[0].name_hash, &TargetName::new("anew"), later));
     assert!(here.is_usable(key(&here, "anew")));
     assert!(!here.is_usable(old));
     assert!(here.dead_engines(later, AT_ONCE).is_empty());
-    there.hear(here.placements(1, 1, None, later), later);
+    there.merge_placements(here.placements(1, 1, None, later), later);
     assert!(there.is_usable(key(&there, "anew")));
     // The store's own entry, which alone tells the start, does not end what runs there.
     let new = key(&here, "anew");
-    here.get_mut(new).unwrap().open = 1;
+    here.get_mut(new).unwrap().open_requests = 1;
     let entry = TargetEntry {
         name: TargetName::new("anew"),
         ..engine("east", 0, 9)
     };
     here.apply(&Change::Is(entry), Instant::now());
-    assert_eq!(here.get(new).unwrap().open, 1);
+    assert_eq!(here.get(new).unwrap().open_requests, 1);
     assert!(here.is_usable(new));
 }
 
@@ -210,8 +215,8 @@
     let now = Instant::now();
     let mut targets = three_data_centres(1);
     let old = key(&targets, "east-0-1");
-    let hash = targets.get(old).unwrap().hash;
-    assert!(targets.adopt(hash, &TargetName::new("anew"), now));
+    let hash = targets.get(old).unwrap().name_hash;
+    assert!(targets.add_restarted_engine(hash, &TargetName::new("anew"), now));
     targets.apply(&Change::Is(engine("east", 0, 5_000)), now);
     assert!(targets.is_usable(key(&targets, "east-0-5000")));
     assert!(!targets.is_usable(key(&targets, "anew")));
@@ -225,9 +230,9 @@
     targets
         .get_mut(at)
         .unwrap()
-        .ended(AttemptFailure::Dead, now);
-    let hash = targets.get(at).unwrap().hash;
-    assert!(targets.adopt(hash, &TargetName::new("east-0-1"), now));
+        .record_failure(AttemptFailure::Dead, now);
+    let hash = targets.get(at).unwrap().name_hash;
+    assert!(targets.add_restarted_engine(hash, &TargetName::new("east-0-1"), now));
     assert!(!targets.get(at).unwrap().is_avoided(now));
 }
 
@@ -237,13 +242,13 @@
 fn a_start_under_the_same_name_counts_anew() {
     let mut targets = three_data_centres(1);
     let at = key(&targets, "east-0-1");
-    targets.get_mut(at).unwrap().open = 5;
+    targets.get_mut(at).unwrap().open_requests = 5;
     let again = TargetEntry {
         born: Some(7),
         ..engine("east", 0, 1)
     };
     targets.apply(&Change::Is(again), Instant::now());
-    assert_eq!(targets.get(at).unwrap().open, 0);
+    assert_eq!(targets.get(at).unwrap().open_requests, 0);
 }
 
 /// Each further failure doubles the time for which a target is avoided; one answer ends it.
@@ -253,11 +258,11 @@
     let mut targets = three_data_centres(1);
     let at = key(&targets, "east-0-1");
     let target = targets.get_mut(at).unwrap();
-    target.ended(AttemptFailure::Broken, now);
+    target.record_failure(AttemptFailure::Broken, now);
     assert!(!target.is_avoided(now + Duration::from_millis(500)));
-    target.ended(AttemptFailure::Broken, now);
+    target.record_failure(AttemptFailure::Broken, now);
     assert!(target.is_avoided(now + Duration::from_millis(500)));
-    target.answered(None, now);
+    target.record_response(None, now);
     assert!(!target.is_avoided(now));
 }
 
@@ -269,11 +274,11 @@
     targets
         .get_mut(at)
         .unwrap()
-        .ended(AttemptFailure::NotRun, now);
+        .record_failure(AttemptFailure::NotRun, now);
     targets
         .get_mut(at)
         .unwrap()
-        .ended(AttemptFailure::Failed(500), now);
+        .record_failure(AttemptFailure::Failed(500), now);
     assert!(!targets.get(at).unwrap().is_avoided(now));
 }
 
@@ -281,7 +286,7 @@
 fn an_empty_list_tells_nothing() {
     let now = Instant::now();
     let mut targets = three_data_centres(1);
-    targets.hear(Placements::default(), now);
+    targets.merge_placements(Placements::default(), now);
     assert!(targets.iter().all(|(_, target)| !target.is_avoided(now)));
 }
 
@@ -290,21 +295,21 @@
 fn engine_that_left_is_not_found_again() {
     let now = Instant::now();
     let (mut here, mut cut_off) = (three_data_centres(2), three_data_centres(2));
-    let before = cut_off.get(key(&cut_off, "west-0-1")).unwrap().hash;
+    let before = cut_off.get(key(&cut_off, "west-0-1")).unwrap().name_hash;
     let found = TargetName::new("west-0-2");
-    assert!(cut_off.adopt(before, &found, now));
+    assert!(cut_off.add_restarted_engine(before, &found, now));
     here.apply(&Change::Is(engine("west", 0, 2)), now);
     here.apply(&Change::Gone(found.clone()), now);
-    here.hear(cut_off.placements(1, 1, None, now), now);
+    here.merge_placements(cut_off.placements(1, 1, None, now), now);
     here.sweep(now + Duration::from_secs(4));
-    here.hear(
+    here.merge_placements(
         cut_off.placements(1, 2, None, now),
         now + Duration::from_secs(4),
     );
     assert!(here.iter().all(|(_, target)| target.entry.name != found));
     // The store lists it anew, under the name that it had.
     assert!(here.apply(&Change::Is(engine("west", 0, 2)), now));
-    here.hear(cut_off.placements(1, 3, None, now), now);
+    here.merge_placements(cut_off.placements(1, 3, None, now), now);
     assert!(here.is_usable(key(&here, "west-0-2")));
 }
 
@@ -315,12 +320,12 @@
     let now = Instant::now();
     let after = |ms| now + Duration::from_millis(ms);
     let mut cut_off = three_data_centres(2);
-    let before = cut_off.get(key(&cut_off, "west-0-1")).unwrap().hash;
+    let before = cut_off.get(key(&cut_off, "west-0-1")).unwrap().name_hash;
     let restarted = TargetName::new("west-0-2");
-    assert!(cut_off.adopt(before, &restarted, now));
+    assert!(cut_off.add_restarted_engine(before, &restarted, now));
     let mut here = Targets::default();
     here.replace(vec![engine("west", 0, 1), engine("west", 1, 1)], after(100));
-    here.hear(cut_off.placements(1, 1, None, after(200)), after(200));
+    here.merge_placements(cut_off.placements(1, 1, None, after(200)), after(200));
     assert!(here
         .iter()
         .all(|(_, target)| target.entry.name != restarted));
@@ -338,9 +343,9 @@
     let mut cut_off = Vec::new();
     for peer in 0..peers {
         let mut targets = three_data_centres(2);
-        let before = targets.get(key(&targets, "west-0-1")).unwrap().hash;
-        assert!(targets.adopt(before, &restarted, now));
-        here.hear(targets.placements(peer, 1, None, now), now);
+        let before = targets.get(key(&targets, "west-0-1")).unwrap().name_hash;
+        assert!(targets.add_restarted_engine(before, &restarted, now));
+        here.merge_placements(targets.placements(peer, 1, None, now), now);
         cut_off.push(targets);
     }
     assert!(here.is_usable(key(&here, "west-0-2")));
@@ -349,7 +354,7 @@
         here.sweep(after(second));
         for (peer, targets) in (0..).zip(&cut_off) {
             let list = targets.placements(peer, second, None, after(second));
-            here.hear(list, after(second));
+            here.merge_placements(list, after(second));
             assert!(here
                 .iter()
                 .all(|(_, target)| target.entry.name != restarted));
@@ -362,9 +367,9 @@
 /// An instance without the store that uses a restarted engine by the engine's own answer.
 fn without_store(seen: Instant) -> (Targets, TargetName) {
     let mut targets = three_data_centres(2);
-    let before = targets.get(key(&targets, "west-0-1")).unwrap().hash;
+    let before = targets.get(key(&targets, "west-0-1")).unwrap().name_hash;
     let restarted = TargetName::new("west-0-2");
-    assert!(targets.adopt(before, &restarted, seen));
+    assert!(targets.add_restarted_engine(before, &restarted, seen));
     (targets, restarted)
 }
 
@@ -387,7 +392,7 @@
     let peer_list = without_store(after(4_900))
         .0
         .placements(1, 1, None, after(5_000));
-    targets.hear(peer_list, after(5_000));
+    targets.merge_placements(peer_list, after(5_000));
     assert!(targets
         .iter()
         .all(|(_, target)| target.entry.name != restarted));
@@ -411,10 +416,10 @@
     let now = Instant::now();
     let after = |ms| now + Duration::from_millis(ms);
     let (peer, restarted) = without_store(now);
-    let observed = peer.observed(after(700));
+    let observed = peer.unlisted_targets(after(700));
     assert_eq!(observed, [(restarted.clone(), 700)]);
     let mut started = Targets::default();
-    started.replace_unverified(peer.news(0, 1).targets, after(700));
+    started.replace_unverified(peer.update_since(0, 1).targets, after(700));
     started.set_unlisted(&[(restarted.clone(), now)]);
     assert!(started.is_usable(key(&started, "west-0-2")));
     started.verify(after(1_000));
@@ -431,7 +436,7 @@
     list.add_age(Duration::from_secs(4));
     let mut here = three_data_centres(2);
     here.verify(after(2));
-    here.hear(list, after(7));
+    here.merge_placements(list, after(7));
     assert!(here
         .iter()
         .all(|(_, target)| target.entry.name != restarted));
@@ -447,7 +452,7 @@
     targets
         .get_mut(dead)
         .unwrap()
-        .ended(AttemptFailure::Dead, now);
+        .record_failure(AttemptFailure::Dead, now);
     targets.verify(after(500));
     assert!(targets.dead_engines(after(2_000), AT_ONCE).is_empty());
     assert_eq!(targets.dead_engines(after(2_500), AT_ONCE).len(), 1);
--- a/crates/relay/tests/test_entries.rs
+++ b/crates/relay/tests/test_entries.rs
@@ -5,7 +5,7 @@
     net::{IpAddr, SocketAddr},
 };
 
-use celerypond_relay::entries;
+use celerypond_relay::directory_addresses;
 
 const MOST: usize = 64;
 
@@ -29,7 +29,7 @@
     let all = instances(300);
     let mut told: HashMap<SocketAddr, usize> = HashMap::new();
     for caller in callers(600) {
-        for address in entries(caller, all.clone(), MOST) {
+        for address in directory_addresses(caller, all.clone(), MOST) {
             *told.entry(address).or_default() += 1;
         }
     }
@@ -49,8 +49,12 @@
     let gone = before[17];
     let after: Vec<SocketAddr> = before.iter().copied().filter(|one| *one != gone).collect();
     for caller in callers(50) {
-        let first: HashSet<_> = entries(caller, before.clone(), MOST).into_iter().collect();
-        let second: HashSet<_> = entries(caller, after.clone(), MOST).into_iter().collect();
+        let first: HashSet<_> = directory_addresses(caller, before.clone(), MOST)
+            .into_iter()
+            .collect();
+        let second: HashSet<_> = directory_addresses(caller, after.clone(), MOST)
+            .into_iter()
+            .collect();
         assert!(first.difference(&second).all(|one| *one == gone));
     }
 }
--- a/crates/relay/tests/test_events.rs
+++ b/crates/relay/tests/test_events.rs
@@ -18,7 +18,7 @@
     }
     assert_eq!(found.len(), 1);
     assert_eq!(found[0].id, Some(1));
-    assert!(!events.has_rest());
+    assert!(!events.has_partial());
 }
 
 /// An engine dies in the middle of its third event. The caller must get two events, and nothing of
--- a/crates/relay/tests/test_freshness.rs
+++ b/crates/relay/tests/test_freshness.rs
@@ -23,7 +23,7 @@
     let now = Instant::now();
     let mut freshness = Freshness::new(now);
     freshness.observe(seen(2, 40, now));
-    freshness.hold(2);
+    freshness.set_current(2);
     for step in 1..20 {
         freshness.observe(seen(2, 40 + step, now + Duration::from_secs(step)));
     }
@@ -36,11 +36,11 @@
     let now = Instant::now();
     let mut freshness = Freshness::new(now);
     freshness.observe(seen(2, 40, now));
-    freshness.hold(2);
+    freshness.set_current(2);
     freshness.observe(seen(3, 52, now));
     freshness.observe(seen(3, 60, now));
     assert_eq!((freshness.newest(now), freshness.revision()), (3, Some(40)));
-    freshness.hold(3);
+    freshness.set_current(3);
     assert_eq!(freshness.revision(), Some(60));
 }
 
@@ -50,7 +50,7 @@
     let now = Instant::now();
     let mut freshness = Freshness::new(now);
     freshness.observe(seen(3, 52, now));
-    freshness.hold(3);
+    freshness.set_current(3);
     freshness.observe(seen(2, 40, now));
     freshness.observe(seen(3, 50, now));
     assert_eq!((freshness.newest(now), freshness.revision()), (3, Some(52)));
@@ -61,7 +61,7 @@
 fn version_from_a_peer_has_no_revision() {
     let now = Instant::now();
     let mut freshness = Freshness::new(now);
-    freshness.hold(4);
+    freshness.set_current(4);
     assert_eq!((freshness.newest(now), freshness.revision()), (4, None));
     freshness.observe(seen(4, 0, now));
     assert_eq!(freshness.revision(), None);
@@ -73,7 +73,7 @@
 fn current(now: Instant) -> Freshness {
     let mut freshness = Freshness::new(now);
     freshness.observe(seen(2, 40, now));
-    freshness.hold(2);
+    freshness.set_current(2);
     freshness.set_has_peers(true);
     freshness
 }
@@ -104,7 +104,7 @@
     assert!(stale[21..]
         .iter()
         .all(|stale| *stale == Some(Stale::Superseded)));
-    freshness.hold(3);
+    freshness.set_current(3);
     assert_eq!(freshness.stale(LIMIT, now + Duration::from_secs(3)), None);
 }
 
@@ -117,7 +117,7 @@
         let at = now + Duration::from_millis(300) * step as u32;
         freshness.record_contact(at);
         // The version before is in force by now, and was the newest one until a moment ago.
-        freshness.hold(1 + step);
+        freshness.set_current(1 + step);
         freshness.observe(seen(1 + step, 39 + step, at));
         freshness.observe(seen(2 + step, 40 + step, at));
         assert_eq!(freshness.stale(LIMIT, at), None);
@@ -133,7 +133,7 @@
 fn version_that_was_never_seen_as_the_newest_is_not_served_by_once_a_newer_one_is_known() {
     let now = Instant::now();
     let mut freshness = Freshness::new(now);
-    freshness.hold(2);
+    freshness.set_current(2);
     assert_eq!(freshness.stale(LIMIT, now), None);
     freshness.observe(seen(3, 52, now));
     assert_eq!(freshness.stale(LIMIT, now), Some(Stale::Superseded));
@@ -177,7 +177,7 @@
     freshness.observe(seen(3, 52, now));
     freshness.report(3, resumed);
     assert_eq!(freshness.stale(LIMIT, resumed), Some(Stale::Superseded));
-    freshness.hold(3);
+    freshness.set_current(3);
     assert_eq!(freshness.stale(LIMIT, resumed), Some(Stale::Resuming));
     freshness.observe(seen(3, 60, resumed));
     assert_eq!(freshness.stale(LIMIT, resumed), None);
@@ -206,7 +206,7 @@
         let is_refused = freshness.stale(LIMIT, at) == Some(Stale::Superseded);
         assert_eq!(is_refused, at > now + LIMIT);
     }
-    freshness.hold(3);
+    freshness.set_current(3);
     assert_eq!(freshness.stale(LIMIT, now + Duration::from_secs(10)), None);
 }
 
@@ -230,7 +230,7 @@
 fn newer_version_than_the_one_seen_last_is_as_recent() {
     let now = Instant::now();
     let mut freshness = current(now);
-    freshness.hold(3);
+    freshness.set_current(3);
     assert_eq!(freshness.age(now), Some(Duration::ZERO));
 }
 
@@ -252,11 +252,11 @@
     let mut freshness = current(now);
     let later = now + Duration::from_secs(3);
     freshness.record_contact(later);
-    freshness.observe_newer(2, later);
+    freshness.record_transfer(2, later);
     assert_eq!(freshness.newest(later), 3);
     assert_eq!(freshness.stale(LIMIT, later), Some(Stale::Pending));
     freshness.observe(seen(9, 52, later));
-    freshness.hold(9);
+    freshness.set_current(9);
     assert_eq!(
         (freshness.newest(later), freshness.stale(LIMIT, later)),
         (9, None)
@@ -268,12 +268,12 @@
 fn transfer_that_brought_nothing_new_is_forgotten() {
     let now = Instant::now();
     let mut freshness = current(now);
-    freshness.observe_newer(2, now);
+    freshness.record_transfer(2, now);
     freshness.confirm_read(now - Duration::from_millis(1));
     assert_eq!(freshness.newest(now), 3);
     freshness.confirm_read(now);
     assert_eq!(freshness.newest(now), 2);
-    freshness.observe_newer(2, now);
+    freshness.record_transfer(2, now);
     assert_eq!(freshness.newest(now + Duration::from_secs(2)), 2);
 }
 
--- a/crates/relay/tests/test_groups.rs
+++ b/crates/relay/tests/test_groups.rs
@@ -16,13 +16,16 @@
     let mut readings = std::collections::HashMap::new();
     for own in 0..GROUPS {
         let mut targets = three_data_centres(60);
-        targets.group = Group { own, count: GROUPS };
+        targets.group = Group {
+            index: own,
+            count: GROUPS,
+        };
         for part in 0..20_u64 {
             let pick = targets
-                .pick(&wanted.stream(part * 4 + own as u64), now)
+                .select(&wanted.stream(part * 4 + own as u64), now)
                 .unwrap();
             targets.add_stream(pick.key, part, TOKENS, now);
-            let spot = targets.get(pick.key).unwrap().spot;
+            let spot = targets.get(pick.key).unwrap().address_hash;
             *readings.entry(spot).or_insert(0) += 1;
         }
     }
@@ -35,13 +38,13 @@
     let now = Instant::now();
     let mut targets = three_data_centres(12);
     let group = Group {
-        own: 2,
+        index: 2,
         count: GROUPS,
     };
     targets.group = group;
     let own: Vec<_> = targets
         .iter()
-        .filter(|(_, target)| group.has(target.spot))
+        .filter(|(_, target)| group.contains(target.address_hash))
         .collect();
     let left: Vec<_> = own.iter().map(|(_, target)| target.entry.clone()).collect();
     assert!(!left.is_empty());
@@ -56,8 +59,8 @@
         );
     }
     let wanted = Wanted::new();
-    let pick = targets.pick(&wanted.stream(1), now).unwrap();
-    assert!(!group.has(targets.get(pick.key).unwrap().spot));
+    let pick = targets.select(&wanted.stream(1), now).unwrap();
+    assert!(!group.contains(targets.get(pick.key).unwrap().address_hash));
     assert!(!pick.is_doubtful);
 }
 
@@ -67,9 +70,12 @@
 fn an_engine_that_starts_again_stays_in_its_group() {
     let now = Instant::now();
     let mut targets = three_data_centres(12);
-    let before: Vec<u64> = targets.iter().map(|(_, target)| target.spot).collect();
+    let before: Vec<u64> = targets
+        .iter()
+        .map(|(_, target)| target.address_hash)
+        .collect();
     targets.apply(&Change::Is(engine("east", 3, 2)), now);
-    let after = targets.iter().map(|(_, target)| target.spot);
+    let after = targets.iter().map(|(_, target)| target.address_hash);
     assert!(after.into_iter().all(|spot| before.contains(&spot)));
 }
 
@@ -81,19 +87,22 @@
     let wanted = Wanted::new();
     let mut all: Vec<_> = (0..GROUPS).map(|_| three_data_centres(20)).collect();
     for (own, targets) in all.iter_mut().enumerate() {
-        targets.group = Group { own, count: GROUPS };
+        targets.group = Group {
+            index: own,
+            count: GROUPS,
+        };
     }
     let want = wanted.stream(77);
-    let first = all[0].pick(&want, now).unwrap().key;
+    let first = all[0].select(&want, now).unwrap().key;
     all[0].add_stream(first, 77, TOKENS, now).unwrap();
-    let notes = all[0].take_notes();
-    let hash = all[0].get(first).unwrap().hash;
+    let notes = all[0].take_prompt_locations();
+    let hash = all[0].get(first).unwrap().name_hash;
     for other in &mut all[1..] {
-        other.hear_notes(&notes, now);
-        let pick = other.pick(&want, now).unwrap();
-        assert_eq!(other.get(pick.key).unwrap().hash, hash);
+        other.merge_prompt_locations(&notes, now);
+        let pick = other.select(&want, now).unwrap();
+        assert_eq!(other.get(pick.key).unwrap().name_hash, hash);
     }
-    assert!(all[0].take_notes().is_empty());
+    assert!(all[0].take_prompt_locations().is_empty());
 }
 
 /// The store is away, and a thousand engines die and start again; one instance finds them all by their own word.
@@ -102,11 +111,11 @@
 fn a_list_stays_short_where_a_thousand_engines_were_found_again() {
     let now = Instant::now();
     let mut targets = three_data_centres(250);
-    let dead: Vec<u64> = targets.iter().map(|(_, target)| target.hash).collect();
+    let dead: Vec<u64> = targets.iter().map(|(_, target)| target.name_hash).collect();
     for (n, hash) in dead.into_iter().enumerate() {
         let name = format!("i-found-{n}").as_str().into();
-        assert!(targets.adopt(hash, &name, now));
+        assert!(targets.add_restarted_engine(hash, &name, now));
     }
     let list = targets.placements(1, 1, None, now);
-    assert!(celerypond_relay::pack(&list).len() < 8 << 10);
+    assert!(celerypond_relay::encode(&list).len() < 8 << 10);
 }
--- a/crates/relay/tests/test_lists.rs
+++ b/crates/relay/tests/test_lists.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use celerypond_relay::{
-    pack, unpack, AttemptFailure, Bounds, Change, Config, Notice, PeerStreams, Placement,
+    decode, encode, AttemptFailure, Bounds, Change, Config, Notice, PeerStreams, Placement,
     PlacementSchedule, Placements, TargetUpdate, Watchers,
 };
 use rstest::rstest;
@@ -38,9 +38,9 @@
 fn an_older_list_changes_nothing() {
     let now = Instant::now();
     let mut board = PeerStreams::default();
-    board.hear(list(1, 2, &[7]), now);
-    board.hear(list(1, 1, &[8]), now);
-    assert_eq!(board.taken(now).keys().collect::<Vec<_>>(), [&7]);
+    board.merge(list(1, 2, &[7]), now);
+    board.merge(list(1, 1, &[8]), now);
+    assert_eq!(board.usage(now).keys().collect::<Vec<_>>(), [&7]);
 }
 
 /// An instance dies with streams open. Its engines must not look taken for ever.
@@ -48,28 +48,28 @@
 fn the_list_of_an_instance_that_fell_silent_is_dropped() {
     let now = Instant::now();
     let mut board = PeerStreams::default();
-    board.hear(list(1, 1, &[7]), now);
+    board.merge(list(1, 1, &[7]), now);
     let later = now + Duration::from_secs(4);
-    assert!(board.taken(later).is_empty());
+    assert!(board.usage(later).is_empty());
     board.sweep(later);
-    assert!(board.taken(now).is_empty());
+    assert!(board.usage(now).is_empty());
 }
 
 #[test]
 fn streams_of_several_instances_add_up() {
     let now = Instant::now();
     let mut board = PeerStreams::default();
-    board.hear(list(1, 1, &[7, 8]), now);
-    board.hear(list(2, 1, &[7]), now);
-    let taken = board.taken(now)[&7];
-    assert_eq!((taken.streams, taken.reading), (2, 2_000));
+    board.merge(list(1, 1, &[7, 8]), now);
+    board.merge(list(2, 1, &[7]), now);
+    let taken = board.usage(now)[&7];
+    assert_eq!((taken.streams, taken.reading_tokens), (2, 2_000));
 }
 
 #[test]
 fn the_engine_of_a_part_is_forgotten_after_a_while() {
     let now = Instant::now();
     let mut board = PeerStreams::default();
-    board.hear(list(1, 1, &[7]), now);
+    board.merge(list(1, 1, &[7]), now);
     assert_eq!(board.holder(107, now), Some(7));
     assert_eq!(board.holder(107, now + Duration::from_secs(30)), None);
 }
@@ -97,12 +97,12 @@
     let at = key(&targets, "east-0-1");
     let stream = targets.add_stream(at, 5, TOKENS, now).unwrap();
     assert_eq!(targets.reading(at, now), TOKENS);
-    targets.stream_read(at, stream);
+    targets.record_prompt_read(at, stream);
     assert_eq!(targets.reading(at, now), 0);
-    assert_eq!(targets.get(at).unwrap().tokens, TOKENS);
+    assert_eq!(targets.get(at).unwrap().stream_tokens, TOKENS);
     targets.remove_stream(at, stream);
     targets.remove_stream(at, stream);
-    assert_eq!(targets.get(at).unwrap().tokens, 0);
+    assert_eq!(targets.get(at).unwrap().stream_tokens, 0);
     assert!(targets.placements(1, 1, None, now).streams.is_empty());
 }
 
@@ -112,20 +112,20 @@
 fn news_are_what_changed_since() {
     let now = Instant::now();
     let mut targets = three_data_centres(1);
-    assert!(targets.news(0, 3).is_whole);
-    targets.note_list(3);
+    assert!(targets.update_since(0, 3).is_whole);
+    targets.record_full_list(3);
     let gone = engine("west", 0, 1).name;
-    targets.note_change(4, &gone);
+    targets.record_change(4, &gone);
     targets.apply(&Change::Gone(gone.clone()), now);
     let new = engine("mid", 7, 1);
-    targets.note_change(6, &new.name);
+    targets.record_change(6, &new.name);
     targets.apply(&Change::Is(new.clone()), now);
-    let news = targets.news(3, 6);
+    let news = targets.update_since(3, 6);
     assert!(!news.is_whole);
     assert_eq!((news.targets, news.gone), (vec![new], vec![gone]));
-    let later = targets.news(4, 6);
+    let later = targets.update_since(4, 6);
     assert!(later.gone.is_empty());
-    assert!(targets.news(2, 6).is_whole);
+    assert!(targets.update_since(2, 6).is_whole);
 }
 
 /// The engines of a data centre die and start again within two seconds, and all 71 instances follow a
@@ -148,11 +148,11 @@
 #[test]
 fn news_are_read_as_they_were_written() {
     let targets = three_data_centres(1);
-    let news = targets.news(0, 9);
-    assert_eq!(unpack::<TargetUpdate>(&pack(&news)).unwrap(), news);
-    assert!(unpack::<TargetUpdate>(b"{").is_err());
+    let news = targets.update_since(0, 9);
+    assert_eq!(decode::<TargetUpdate>(&encode(&news)).unwrap(), news);
+    assert!(decode::<TargetUpdate>(b"{").is_err());
     let config = Config::default();
-    assert_eq!(unpack::<Config>(&pack(&config)).unwrap(), config);
+    assert_eq!(decode::<Config>(&encode(&config)).unwrap(), config);
 }
 
 /// A target's engine dies, and lists follow each other quickly. Each dead engine is told once at once,
@@ -165,8 +165,8 @@
     targets
         .get_mut(at)
         .unwrap()
-        .ended(AttemptFailure::Dead, now);
-    targets.note_result(at, true, Duration::from_millis(50), now);
+        .record_failure(AttemptFailure::Dead, now);
+    targets.record_result(at, true, Duration::from_millis(50), now);
     let later = now + Duration::from_millis(1);
     assert_eq!(targets.placements(1, 1, Some(now), later).dead.len(), 1);
     let next = targets.placements(1, 2, Some(later), later);
@@ -193,10 +193,10 @@
     let (mut sent, mut wholes) = (0, 0);
     for step in 0..500 {
         let now = start + Duration::from_millis(2) * step;
-        lists.has_news = true;
+        lists.has_changes = true;
         if lists.due(instances) <= now {
             sent += 1;
-            wholes += usize::from(lists.sent(instances, now).is_none());
+            wholes += usize::from(lists.record_sent(instances, now).is_none());
         }
     }
     assert!((least..=most).contains(&sent), "{sent}");
@@ -205,7 +205,7 @@
         "{wholes}"
     );
     let quiet = start + Duration::from_secs(2);
-    lists.has_news = true;
+    lists.has_changes = true;
     assert!(lists.due(instances) <= quiet);
 }
 
@@ -213,7 +213,7 @@
 /// served on time, and long enough to hear where others were placed.
 #[test]
 fn streams_are_placed_anew_over_a_time_in_which_lists_arrive() {
-    let spread = PlacementSchedule::spread;
+    let spread = PlacementSchedule::retry_spread;
     assert!((15..30).contains(&spread(7).as_millis()));
     assert!((140..250).contains(&spread(71).as_millis()));
     assert!(spread(900) <= Duration::from_millis(250));
@@ -341,13 +341,13 @@
         ..Bounds::default()
     };
     assert_eq!(strict.watch_wait(), Duration::from_millis(200));
-    assert!(strict.entries_back() < strict.drain);
-    assert_eq!(Bounds::default().entries_back(), BACK);
+    assert!(strict.missing_entry_grace() < strict.drain);
+    assert_eq!(Bounds::default().missing_entry_grace(), BACK);
     let loose = Bounds {
         drain: Duration::from_secs(60),
         config_apply: Duration::from_secs(17),
         ..Bounds::default()
     };
     assert_eq!(loose.watch_wait(), Duration::from_secs(2));
-    assert_eq!(loose.entries_back(), Duration::from_secs(2));
+    assert_eq!(loose.missing_entry_grace(), Duration::from_secs(2));
 }
--- a/crates/relay/tests/test_placement.rs
+++ b/crates/relay/tests/test_placement.rs
@@ -32,7 +32,7 @@
             tell(&mut all, u64::from(n) + 1, now);
         }
         let part = u64::from(n) * 7_919;
-        let key = all[at].pick(&wanted.stream(part), now).unwrap().key;
+        let key = all[at].select(&wanted.stream(part), now).unwrap().key;
         let stream = all[at].add_stream(key, part, TOKENS, now).unwrap();
         open.push((now + reading, at, key, stream));
         let mut counts: HashMap<TargetKey, usize> = HashMap::new();
@@ -52,7 +52,7 @@
         .collect();
     for (origin, targets) in all.iter_mut().enumerate() {
         let others = lists.iter().filter(|list| list.origin != origin as u64);
-        others.for_each(|list| targets.hear(list.clone(), now));
+        others.for_each(|list| targets.merge_placements(list.clone(), now));
     }
 }
 
@@ -85,10 +85,10 @@
         let read_at = key(&first, &format!("mid-{}-1", part % 4));
         first.add_stream(read_at, part, 100, now).unwrap();
     }
-    second.hear(first.placements(1, 1, None, now), now);
+    second.merge_placements(first.placements(1, 1, None, now), now);
     let later = now + Duration::from_secs(5);
     for part in 0..40 {
-        let at = second.pick(&wanted.stream(part), later).unwrap().key;
+        let at = second.select(&wanted.stream(part), later).unwrap().key;
         assert_eq!(at, key(&second, &format!("mid-{}-1", part % 4)));
     }
 }
@@ -101,8 +101,8 @@
     let (first, second) = (three_data_centres(4), three_data_centres(4));
     let wanted = Wanted::new();
     for part in 0..40 {
-        let one = first.pick(&wanted.stream(part), now).unwrap().key;
-        let two = second.pick(&wanted.stream(part), now).unwrap().key;
+        let one = first.select(&wanted.stream(part), now).unwrap().key;
+        let two = second.select(&wanted.stream(part), now).unwrap().key;
         assert_eq!(one, two);
     }
 }
@@ -118,12 +118,12 @@
     }
     let wanted = Wanted::new();
     let want = |part| TargetQuery {
-        backlog: Some(SilenceLimits::backlog(Duration::from_millis(4_500))),
+        max_backlog: Some(SilenceLimits::max_backlog(Duration::from_millis(4_500))),
         ..wanted.stream(part)
     };
     let mut placed = 0;
     for part in 0..50 {
-        if let Some(pick) = targets.pick(&want(part), now) {
+        if let Some(pick) = targets.select(&want(part), now) {
             targets.add_stream(pick.key, part, TOKENS, now).unwrap();
             placed += 1;
         }
@@ -140,12 +140,12 @@
         let at = key(&targets, name);
         for part in 0..6 {
             let stream = targets.add_stream(at, part, TOKENS, now).unwrap();
-            targets.stream_read(at, stream);
+            targets.record_prompt_read(at, stream);
         }
     }
     let wanted = Wanted::new();
     for part in 100..140 {
-        let at = targets.pick(&wanted.stream(part), now).unwrap().key;
+        let at = targets.select(&wanted.stream(part), now).unwrap().key;
         assert_eq!(at, key(&targets, "west-0-1"));
     }
 }
@@ -156,14 +156,17 @@
     let mut targets = three_data_centres(1);
     let wanted = Wanted::new();
     let east = key(&targets, "east-0-1");
-    let pick = |targets: &Targets| targets.pick(&wanted.request(&[]), now).unwrap().key;
+    let pick = |targets: &Targets| targets.select(&wanted.request(&[]), now).unwrap().key;
     assert_eq!(pick(&targets), east);
     let busy = Load {
         running: 40,
         waiting: 0,
         slots: 64,
     };
-    targets.get_mut(east).unwrap().answered(Some(busy), now);
+    targets
+        .get_mut(east)
+        .unwrap()
+        .record_response(Some(busy), now);
     assert_ne!(pick(&targets), east);
 }
 
@@ -178,10 +181,10 @@
     let mut counts: HashMap<TargetKey, usize> = HashMap::new();
     for lot in 0..100 {
         let want = TargetQuery {
-            lot,
+            tie_breaker: lot,
             ..wanted.request(&[])
         };
-        let key = targets.pick(&want, now).unwrap().key;
+        let key = targets.select(&want, now).unwrap().key;
         *counts.entry(key).or_default() += 1;
     }
     assert_eq!(counts.len(), 2);
@@ -194,8 +197,8 @@
     let targets = three_data_centres(1);
     let all: Vec<TargetKey> = targets.iter().map(|(key, _)| key).collect();
     let wanted = Wanted::new();
-    assert!(targets.pick(&wanted.request(&all[..2]), now).is_some());
-    assert!(targets.pick(&wanted.request(&all), now).is_none());
+    assert!(targets.select(&wanted.request(&all[..2]), now).is_some());
+    assert!(targets.select(&wanted.request(&all), now).is_none());
 }
 
 /// Operators start targets of another version, and order it a moment later. Until the order is known it
@@ -213,7 +216,7 @@
     let new = key(&targets, "east-9-2");
     let wanted = Wanted::new();
     let gets = |targets: &Targets, at| {
-        let mut picks = (0..60).map(|part| targets.pick(&wanted.stream(part), at).unwrap().key);
+        let mut picks = (0..60).map(|part| targets.select(&wanted.stream(part), at).unwrap().key);
         picks.any(|key| key == new)
     };
     assert!(!gets(&targets, now));
@@ -223,7 +226,7 @@
         choice: &choice,
         ..wanted.stream(1)
     };
-    assert_eq!(targets.pick(&ordered, now).unwrap().key, new);
+    assert_eq!(targets.select(&ordered, now).unwrap().key, new);
 }
 
 /// All targets failed a moment ago. Refusing everything would be worse than asking the one whose
@@ -235,9 +238,9 @@
     let keys: Vec<TargetKey> = targets.iter().map(|(key, _)| key).collect();
     for key in &keys {
         let target = targets.get_mut(*key).unwrap();
-        target.ended(celerypond_relay::AttemptFailure::Dead, now);
+        target.record_failure(celerypond_relay::AttemptFailure::Dead, now);
     }
-    let pick = targets.pick(&Wanted::new().request(&[]), now).unwrap();
+    let pick = targets.select(&Wanted::new().request(&[]), now).unwrap();
     assert!(pick.is_doubtful);
 }
 
@@ -255,12 +258,12 @@
         for (n, key) in all.iter().enumerate().skip(1) {
             for part in 0..=(n as u64 % 2) {
                 let stream = targets.add_stream(*key, part, TOKENS, now).unwrap();
-                targets.stream_read(*key, stream);
-                targets.get_mut(*key).unwrap().open += 1;
+                targets.record_prompt_read(*key, stream);
+                targets.get_mut(*key).unwrap().open_requests += 1;
             }
         }
         let part = 1_000_003 * (instance + 1);
-        let pick = targets.pick(&wanted.stream(part), now).unwrap();
+        let pick = targets.select(&wanted.stream(part), now).unwrap();
         *met.entry(pick.key).or_default() += 1;
     }
     let most = met.values().max().unwrap();
--- a/crates/relay/tests/test_quality.rs
+++ b/crates/relay/tests/test_quality.rs
@@ -20,11 +20,11 @@
         for name in ["east-0-1", "mid-0-1", "west-0-1"] {
             let at = key(&targets, name);
             let is_good = name != "east-0-1" || n % 2 == 0;
-            targets.note_result(at, is_good, TIME, now);
+            targets.record_result(at, is_good, TIME, now);
         }
     }
     let wanted = Wanted::new();
-    let pick = |now| targets.pick(&wanted.request(&[]), now).unwrap().key;
+    let pick = |now| targets.select(&wanted.request(&[]), now).unwrap().key;
     assert_ne!(pick(now), east);
     // With nothing new known it is tried again; it is the nearest.
     assert_eq!(pick(now + Duration::from_secs(10)), east);
@@ -38,14 +38,14 @@
     for origin in 0..7 {
         let mut one = Quality::default();
         for n in 0..4 {
-            one.add(1, n != 0, TIME, now);
-            one.add(2, true, TIME, now);
-            one.add(3, true, TIME, now);
+            one.record(1, n != 0, TIME, now);
+            one.record(2, true, TIME, now);
+            one.record(3, true, TIME, now);
         }
-        assert!(one.sick(&[1, 2, 3], now).is_empty());
-        all.hear(origin, one.tallies(now), now);
+        assert!(one.outliers(&[1, 2, 3], now).is_empty());
+        all.merge(origin, one.tallies(now), now);
     }
-    assert_eq!(all.sick(&[1, 2, 3], now), [1]);
+    assert_eq!(all.outliers(&[1, 2, 3], now), [1]);
 }
 
 /// A seventh of all requests fails, wherever it runs. No target is to blame.
@@ -55,10 +55,10 @@
     let mut quality = Quality::default();
     for n in 0..140 {
         for target in [1, 2, 3] {
-            quality.add(target, (n + target) % 7 != 0, TIME, now);
+            quality.record(target, (n + target) % 7 != 0, TIME, now);
         }
     }
-    assert!(quality.sick(&[1, 2, 3], now).is_empty());
+    assert!(quality.outliers(&[1, 2, 3], now).is_empty());
 }
 
 /// Most targets fail. Sending all to the one that is left would end it as well.
@@ -67,11 +67,11 @@
     let now = Instant::now();
     let mut quality = Quality::default();
     for n in 0..40 {
-        quality.add(1, n % 2 == 0, TIME, now);
-        quality.add(2, n % 2 == 0, TIME, now);
-        quality.add(3, true, TIME, now);
+        quality.record(1, n % 2 == 0, TIME, now);
+        quality.record(2, n % 2 == 0, TIME, now);
+        quality.record(3, true, TIME, now);
     }
-    assert!(quality.sick(&[1, 2, 3], now).is_empty());
+    assert!(quality.outliers(&[1, 2, 3], now).is_empty());
 }
 
 #[test]
@@ -79,11 +79,11 @@
     let now = Instant::now();
     let mut quality = Quality::default();
     for _ in 0..10 {
-        quality.add(1, true, TIME * 5, now);
-        quality.add(2, true, TIME, now);
-        quality.add(3, true, TIME, now);
+        quality.record(1, true, TIME * 5, now);
+        quality.record(2, true, TIME, now);
+        quality.record(3, true, TIME, now);
     }
-    assert_eq!(quality.sick(&[1, 2, 3], now), [1]);
+    assert_eq!(quality.outliers(&[1, 2, 3], now), [1]);
 }
 
 /// A target takes a reservation and never answers. The caller gives up after a second and must have
@@ -93,9 +93,9 @@
     let now = Instant::now();
     let second = Duration::from_secs(1);
     let clock = RequestDeadline::new(now, Some(second), Duration::from_secs(60));
-    assert_eq!(clock.left(now), Duration::from_millis(960));
+    assert_eq!(clock.remaining(now), Duration::from_millis(960));
     let short = RequestDeadline::new(now, Some(second / 10), second);
-    assert_eq!(short.left(now), Duration::from_millis(95));
+    assert_eq!(short.remaining(now), Duration::from_millis(95));
     let route = RequestDeadline::new(now, Some(second * 25), second);
-    assert_eq!(route.left(now), second);
+    assert_eq!(route.remaining(now), second);
 }
--- a/crates/relay/tests/test_relocation.rs
+++ b/crates/relay/tests/test_relocation.rs
@@ -20,7 +20,7 @@
 
 /// Adds a stream as a request does that has its place there.
 fn add(targets: &mut Targets, at: TargetKey, part: u64) -> PlacementKey {
-    targets.get_mut(at).unwrap().open += 1;
+    targets.get_mut(at).unwrap().open_requests += 1;
     targets
         .add_stream(at, part, TOKENS, Instant::now())
         .unwrap()
@@ -29,12 +29,12 @@
 /// Adds a stream whose prompt was read.
 fn add_running(targets: &mut Targets, at: TargetKey, part: u64) -> PlacementKey {
     let place = add(targets, at, part);
-    targets.stream_read(at, place);
+    targets.record_prompt_read(at, place);
     place
 }
 
 fn remove(targets: &mut Targets, at: TargetKey, place: PlacementKey) {
-    targets.get_mut(at).unwrap().open -= 1;
+    targets.get_mut(at).unwrap().open_requests -= 1;
     targets.remove_stream(at, place);
 }
 
@@ -71,7 +71,7 @@
         let now = begin + STEP * u32::try_from(step).unwrap();
         if step % every == 0 {
             let part = (step as u64 + 1) * 7_919;
-            let at = targets.pick(&wanted.stream(part), now).unwrap().key;
+            let at = targets.select(&wanted.stream(part), now).unwrap().key;
             let place = add(&mut targets, at, part);
             open.push(Stream {
                 at,
@@ -115,7 +115,7 @@
         reading.push(stream.at);
         stream.read_ms -= step_ms;
         if stream.read_ms <= 0.0 {
-            targets.stream_read(stream.at, stream.place);
+            targets.record_prompt_read(stream.at, stream.place);
         }
     }
     for stream in open.iter_mut() {
@@ -209,12 +209,12 @@
     add_running(&mut targets, at, 1);
     for name in ["east-0-1", "mid-0-1", "west-0-1"] {
         let key = key(&targets, name);
-        targets.note_pace(key, 100.0, now);
+        targets.record_event_time(key, 100.0, now);
     }
     let all_slow = targets.better_engine(at, &wanted.stream(1), RemainingEvents::default(), now);
     assert_eq!(all_slow, None);
     let fast = key(&targets, "mid-0-1");
-    targets.note_pace(fast, 30.0, now);
+    targets.record_event_time(fast, 30.0, now);
     let better = targets.better_engine(at, &wanted.stream(1), RemainingEvents::default(), now);
     assert_eq!(better.map(|better| better.key), Some(fast));
 }
--- a/crates/relay/tests/test_rests.rs
+++ b/crates/relay/tests/test_rests.rs
@@ -26,8 +26,8 @@
         // An instance tells all others once a second.
         let teller = (tick * 70 / 20) as usize % INSTANCES;
         for teller in teller..(teller + 4).min(INSTANCES) {
-            let told = rests[teller].told(now);
-            rests.iter_mut().for_each(|rests| rests.hear(&told, now));
+            let told = rests[teller].report(now);
+            rests.iter_mut().for_each(|rests| rests.merge(&told, now));
         }
         // Each instance sends three requests a second over all targets; a connection rests for two.
         for (n, own) in rests.iter_mut().enumerate() {
@@ -36,10 +36,10 @@
             }
             sent += 1;
             let rested = Duration::from_millis(1_500 + (n as u64 * 37 + tick * 11) % 1_000);
-            let is_kept = own.most(SERVICE, now).is_none_or(|most| rested < most);
+            let is_kept = own.limit(SERVICE, now).is_none_or(|most| rested < most);
             if is_kept && rested > FORGOTTEN {
                 lost += 1;
-                own.lost(SERVICE, rested, now);
+                own.record_reset(SERVICE, rested, now);
             }
         }
     }
@@ -51,8 +51,8 @@
 fn a_connection_that_hardly_rested_teaches_nothing() {
     let now = Instant::now();
     let mut rests = IdleLimits::default();
-    assert!(!rests.lost(SERVICE, Duration::from_millis(3), now));
-    assert_eq!(rests.most(SERVICE, now), None);
+    assert!(!rests.record_reset(SERVICE, Duration::from_millis(3), now));
+    assert_eq!(rests.limit(SERVICE, now), None);
 }
 
 /// A target forgets connections after a second, then after a tenth. The shorter rest holds, and one that
@@ -61,10 +61,10 @@
 fn the_shortest_rest_holds() {
     let now = Instant::now();
     let mut rests = IdleLimits::default();
-    assert!(rests.lost(SERVICE, Duration::from_millis(1_000), now));
-    assert!(rests.lost(SERVICE, Duration::from_millis(100), now));
-    assert!(!rests.lost(SERVICE, Duration::from_millis(900), now));
-    assert_eq!(rests.most(SERVICE, now), Some(Duration::from_millis(50)));
+    assert!(rests.record_reset(SERVICE, Duration::from_millis(1_000), now));
+    assert!(rests.record_reset(SERVICE, Duration::from_millis(100), now));
+    assert!(!rests.record_reset(SERVICE, Duration::from_millis(900), now));
+    assert_eq!(rests.limit(SERVICE, now), Some(Duration::from_millis(50)));
 }
 
 /// What is told of others is told on, with its age; it must not hold for ever by going round.
@@ -72,15 +72,15 @@
 fn what_goes_round_is_forgotten_all_the_same() {
     let start = Instant::now();
     let (mut one, mut other) = (IdleLimits::default(), IdleLimits::default());
-    one.lost(SERVICE, Duration::from_millis(500), start);
+    one.record_reset(SERVICE, Duration::from_millis(500), start);
     for second in 0..70 {
         let now = start + Duration::from_secs(second);
-        other.hear(&one.told(now), now);
-        one.hear(&other.told(now), now);
+        other.merge(&one.report(now), now);
+        one.merge(&other.report(now), now);
     }
     let now = start + Duration::from_secs(70);
-    assert_eq!(one.most(SERVICE, now), None);
-    assert_eq!(other.most(SERVICE, now), None);
+    assert_eq!(one.limit(SERVICE, now), None);
+    assert_eq!(other.limit(SERVICE, now), None);
 }
 
 #[test]
@@ -88,10 +88,13 @@
     let now = Instant::now();
     let mut targets = three_data_centres(2);
     let engine = key(&targets, "east-0-1");
-    assert!(targets.connection_lost(engine, Duration::from_millis(400), now));
+    assert!(targets.record_idle_reset(engine, Duration::from_millis(400), now));
     let list = targets.placements(1, 1, None, now);
     let mut others = three_data_centres(2);
-    others.hear(Placements { origin: 2, ..list }, now);
+    others.merge_placements(Placements { origin: 2, ..list }, now);
     let west = key(&others, "west-1-1");
-    assert_eq!(others.rest(west, now), Some(Duration::from_millis(200)));
+    assert_eq!(
+        others.idle_limit(west, now),
+        Some(Duration::from_millis(200))
+    );
 }
--- a/crates/relay/tests/test_retries.rs
+++ b/crates/relay/tests/test_retries.rs
@@ -52,8 +52,8 @@
         let mut requests = 0.0;
         while due >= 1.0 {
             let at = (step as usize * 7 + requests as usize) % instances;
-            fleet[at].requested(&drafts, now);
-            (0..5).for_each(|_| fleet[at].requested(&shop, now));
+            fleet[at].record_request(&drafts, now);
+            (0..5).for_each(|_| fleet[at].record_request(&shop, now));
             due -= 1.0;
             requests += 1.0;
         }
@@ -62,7 +62,7 @@
         }
         let mut repeats = 0.0;
         for retries in &mut fleet {
-            while retries.take(&drafts, instances, now) {
+            while retries.try_spend(&drafts, instances, now) {
                 repeats += 1.0;
             }
         }
@@ -83,7 +83,7 @@
     for (origin, sends) in told.iter().enumerate() {
         let others = fleet.iter_mut().enumerate();
         let others = others.filter(|(other, _)| *other != origin);
-        others.for_each(|(_, retries)| retries.hear(origin as u64, sends.clone(), now));
+        others.for_each(|(_, retries)| retries.merge(origin as u64, sends.clone(), now));
     }
     *told = fleet.iter_mut().map(|retries| retries.sends(now)).collect();
 }
@@ -96,7 +96,7 @@
     let start = Instant::now();
     let mut fleet = vec![RetryBudget::new(&bounds()); 71];
     for retries in &mut fleet {
-        (0..6).for_each(|_| retries.requested(&service, start));
+        (0..6).for_each(|_| retries.record_request(&service, start));
     }
     let mut told = Vec::new();
     for step in 0..3 {
@@ -106,7 +106,7 @@
     let mut sent = 0;
     for second in 0..4 {
         let now = now + Duration::from_secs(second);
-        while fleet[0].take(&service, 71, now) {
+        while fleet[0].try_spend(&service, 71, now) {
             sent += 1;
         }
     }
@@ -119,12 +119,12 @@
     let service = ServiceName::new("writer");
     let mut retries = RetryBudget::new(&bounds());
     let now = Instant::now();
-    (0..7).for_each(|_| retries.requested(&service, now));
+    (0..7).for_each(|_| retries.record_request(&service, now));
     let later = now + Duration::from_secs(5);
-    assert!(retries.take(&service, 71, later) && retries.take(&service, 71, later));
+    assert!(retries.try_spend(&service, 71, later) && retries.try_spend(&service, 71, later));
     let past = now + WINDOW * 2;
-    assert!(retries.take(&service, 71, past));
-    assert!(!retries.take(&service, 900, past + WINDOW * 2));
+    assert!(retries.try_spend(&service, 71, past));
+    assert!(!retries.try_spend(&service, 900, past + WINDOW * 2));
 }
 
 /// Streams move whenever that pays, at all of seven instances, and then a third of the engines dies. The moves of
@@ -146,10 +146,13 @@
         let mut moves = RetryBudget::new(&bounds);
         for step in 0..10 {
             let now = begin + Duration::from_millis(900) * step;
-            repeats.requested(&service, now);
-            moves.requested(&service, now);
+            repeats.record_request(&service, now);
+            moves.record_request(&service, now);
             for _ in 0..10 {
-                assert_eq!(moves.allows(&service, 7, now), moves.take(&service, 7, now));
+                assert_eq!(
+                    moves.allows(&service, 7, now),
+                    moves.try_spend(&service, 7, now)
+                );
             }
         }
         let now = begin + Duration::from_millis(9_000);
@@ -159,7 +162,9 @@
             .map(|sends| sends.repeats)
             .sum::<u32>();
         lost += 2;
-        sent += (0..2).filter(|_| repeats.take(&service, 7, now)).count();
+        sent += (0..2)
+            .filter(|_| repeats.try_spend(&service, 7, now))
+            .count();
     }
     let allowed = f64::from(10 * INSTANCES) * 0.8 + 150.0;
     assert!(moved > 10 * INSTANCES, "{moved}");
--- a/crates/relay/tests/test_rollouts.rs
+++ b/crates/relay/tests/test_rollouts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use celerypond_relay::{
-    Bounds, Evidence, EvidenceReport, Order, Phase, Rollout, Stage, TargetCounts, VersionChoice,
+    Bounds, Evidence, EvidenceReport, Fleet, Order, Phase, Rollout, Stage, VersionChoice,
     VersionRouting,
 };
 use celerypond_types::{ServiceName, VersionName};
@@ -14,7 +14,7 @@
 /// The time between two decisions.
 const TURN: Duration = Duration::from_millis(250);
 const TIME: Duration = Duration::from_secs(12);
-const ENOUGH: TargetCounts = TargetCounts { new: 6, old: 6 };
+const ENOUGH: Fleet = Fleet { new: 6, old: 6 };
 
 /// What is wrong with a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -74,14 +74,14 @@
     let (mut all, mut new, mut due) = (0, 0, 0.0);
     for turn in 0..TIME.as_millis() / TURN.as_millis() {
         let now = start + TURN * turn as u32;
-        rollout.evidence.hear(report(&seen, 1), now);
-        rollout.phase = rollout.next(&Bounds::default(), ENOUGH, now);
+        rollout.evidence.merge(report(&seen, 1), now);
+        rollout.phase = rollout.next_phase(&Bounds::default(), ENOUGH, now);
         let stage = Stage {
             order: order(),
             phase: rollout.phase,
             age_ms: rollout.age(now).as_millis() as u32,
         };
-        versions.hear(stage, now);
+        versions.update(stage, now);
         let share = match rollout.phase {
             Phase::Running { share } => f64::from(share) / 1e6,
             Phase::Completed => 1.0,
@@ -104,7 +104,7 @@
             } else {
                 1.0
             };
-            seen.add(
+            seen.record(
                 route,
                 is_new,
                 is_bad,
@@ -159,21 +159,21 @@
 /// The version's targets never come, or too few of them. The old targets would stop at the word that it
 /// is done, so it is not said.
 #[rstest]
-#[case::none(TargetCounts { new: 0, old: 6 })]
-#[case::few(TargetCounts { new: 2, old: 6 })]
-fn a_version_without_targets_for_all_requests_is_not_completed(#[case] fleet: TargetCounts) {
+#[case::none(Fleet { new: 0, old: 6 })]
+#[case::few(Fleet { new: 2, old: 6 })]
+fn a_version_without_targets_for_all_requests_is_not_completed(#[case] fleet: Fleet) {
     let start = Instant::now();
     let mut rollout = Rollout::new(order(), Duration::ZERO, start);
     let mut seen = Evidence::default();
     for _ in 0..200 {
-        seen.add(0, true, false, Duration::from_millis(50));
-        seen.add(0, false, false, Duration::from_millis(50));
+        seen.record(0, true, false, Duration::from_millis(50));
+        seen.record(0, false, false, Duration::from_millis(50));
     }
-    rollout.evidence.hear(report(&seen, 1), start);
+    rollout.evidence.merge(report(&seen, 1), start);
     let late = start + TIME.mul_f64(0.9);
-    let phase = rollout.next(&Bounds::default(), fleet, late);
+    let phase = rollout.next_phase(&Bounds::default(), fleet, late);
     assert!(matches!(phase, Phase::Running { .. }), "{phase:?}");
-    let over = rollout.next(&Bounds::default(), fleet, start + TIME);
+    let over = rollout.next_phase(&Bounds::default(), fleet, start + TIME);
     assert_eq!(over, Phase::TakenBack);
 }
 
@@ -189,7 +189,7 @@
         phase,
         age_ms: 100,
     };
-    versions.hear(stage(Phase::Running { share: 1_000_000 }), now);
+    versions.update(stage(Phase::Running { share: 1_000_000 }), now);
     let soon = now + Duration::from_secs(1);
     let late = now + Duration::from_secs(2);
     assert_eq!(
@@ -200,8 +200,8 @@
         versions.choose(&service, late),
         VersionChoice::Not("v2".into())
     );
-    versions.hear(stage(Phase::TakenBack), late);
-    versions.hear(stage(Phase::Running { share: 1_000_000 }), late);
+    versions.update(stage(Phase::TakenBack), late);
+    versions.update(stage(Phase::Running { share: 1_000_000 }), late);
     assert_eq!(
         versions.choose(&service, late),
         VersionChoice::Not("v2".into())
@@ -216,7 +216,7 @@
     let service = ServiceName::new("shop");
     let mut versions = VersionRouting::default();
     let phase = Phase::Running { share: 1_000_000 };
-    versions.hear(
+    versions.update(
         Stage {
             order: order(),
             phase,
@@ -225,7 +225,7 @@
         now,
     );
     assert_eq!(
-        versions.choose_again(&service),
+        versions.choose_for_retry(&service),
         VersionChoice::Not("v2".into())
     );
 }
@@ -238,11 +238,11 @@
     let mut own = Evidence::default();
     let mut all = Evidence::default();
     for _ in 0..3 {
-        own.add(0, true, true, Duration::ZERO);
-        all.hear(report(&own, 1), now);
-        all.hear(report(&own, 2), now);
+        own.record(0, true, true, Duration::ZERO);
+        all.merge(report(&own, 1), now);
+        all.merge(report(&own, 2), now);
     }
-    assert_eq!((all.sum().new.all, all.sum().new.bad), (6, 6));
+    assert_eq!((all.total().new.all, all.total().new.bad), (6, 6));
 }
 
 // Guards against a paused process that gives a version its share by a report of before the pause.
@@ -256,18 +256,18 @@
         phase: Phase::Running { share },
         age_ms: 0,
     };
-    versions.hear(stage(1_000_000), now);
+    versions.update(stage(1_000_000), now);
     assert_eq!(
         versions.choose(&order().service, resumed),
         VersionChoice::Not(order().version)
     );
-    versions.hear(stage(1_000_000), resumed);
+    versions.update(stage(1_000_000), resumed);
     assert_eq!(
         versions.choose(&order().service, resumed),
         VersionChoice::Only(order().version)
     );
     // One that arrives out of order does not make the later one older.
-    versions.hear(stage(1_000_000), now);
+    versions.update(stage(1_000_000), now);
     assert_eq!(
         versions.choose(&order().service, resumed),
         VersionChoice::Only(order().version)
--- a/crates/relay/tests/test_stop.rs
+++ b/crates/relay/tests/test_stop.rs
@@ -47,8 +47,8 @@
             };
             let stop = PlannedStop::new(one.0, GRACE);
             let is_taken = match goes_on {
-                true => stop.takes_callers(others, now),
-                false => stop.takes_all(now),
+                true => stop.accepts_callers(others, now),
+                false => stop.accepts_all(now),
             };
             one.is_leaving(now) && is_taken
         };
@@ -89,8 +89,8 @@
     let begun = Instant::now();
     let stop = PlannedStop::new(begun, GRACE);
     let others = PeerCounts { live, leaving };
-    assert!(stop.takes_callers(others, begun + Duration::from_millis(1_500)));
-    assert!(!stop.takes_callers(others, begun + Duration::from_millis(1_700)));
+    assert!(stop.accepts_callers(others, begun + Duration::from_millis(1_500)));
+    assert!(!stop.accepts_callers(others, begun + Duration::from_millis(1_700)));
 }
 
 /// Whatever is admitted after the first part of the grace ends before callers are cut off.
@@ -102,7 +102,7 @@
         let now = begun + Duration::from_millis(after_ms);
         for longest_ms in (0..9_000).step_by(100) {
             let longest = Duration::from_millis(longest_ms);
-            assert_eq!(stop.admits(longest, now), now + longest <= stop.end());
+            assert_eq!(stop.admits(longest, now), now + longest <= stop.cutoff());
         }
     }
 }
@@ -119,10 +119,10 @@
         leaving: 6,
     };
     let early = begun + Duration::from_secs(2);
-    assert_eq!(stop.come_back(alone, aim, early), Some(aim / 2));
-    let late = stop.end() - Duration::from_millis(700);
-    let back = stop.come_back(alone, aim, late);
+    assert_eq!(stop.retry_after(alone, aim, early), Some(aim / 2));
+    let late = stop.cutoff() - Duration::from_millis(700);
+    let back = stop.retry_after(alone, aim, late);
     assert_eq!(back, Some(Duration::from_millis(700)));
     let others = PeerCounts { live: 2, ..alone };
-    assert_eq!(stop.come_back(others, aim, early), None);
+    assert_eq!(stop.retry_after(others, aim, early), None);
 }
--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -96,7 +96,7 @@
 /// Returns a connection to the target, a kept one if there is one.
 async fn connection(site: &Site, lease: &Lease) -> Result<Kept, AttemptFailure> {
     let now = Instant::now();
-    let most = site.known.targets().rest(lease.key, now);
+    let most = site.known.targets().idle_limit(lease.key, now);
     if let Some(kept) = site.connections.take(lease.address, most, now) {
         return Ok(kept);
     }
--- a/daemon/src/relay/board.rs
+++ b/daemon/src/relay/board.rs
@@ -58,7 +58,7 @@
         tokio::select! {
             () = site.ending.cancelled() => return,
             _ = socket.readable() => {}
-            () = site.placed.notified(), if !lists.has_news => lists.has_news = true,
+            () = site.placed.notified(), if !lists.has_changes => lists.has_changes = true,
             () = tokio::time::sleep_until(lists.due(site.sharers())) => {
                 tokio::time::sleep(GATHER).await;
                 tell(&site, &socket, &mut lists).await;
@@ -95,10 +95,13 @@
             let sends = std::mem::take(&mut list.sends);
             let now = Instant::now();
             list.add_age(now.saturating_duration_since(since));
-            site.retries().hear(list.origin, sends, now);
-            site.known.targets().hear(list, now);
+            site.retries().merge(list.origin, sends, now);
+            site.known.targets().merge_placements(list, now);
         }
-        Ok(Datagram::Notes(notes)) => site.known.targets().hear_notes(&notes, Instant::now()),
+        Ok(Datagram::Notes(notes)) => site
+            .known
+            .targets()
+            .merge_prompt_locations(&notes, Instant::now()),
         Ok(Datagram::Notice(notice)) => receive_notice(site, notice, since),
         Ok(Datagram::Stage(stage)) => site.rollouts.hear_stage(stage, since),
         Ok(Datagram::Report(service, report)) => site.rollouts.hear_report(&service, report),
@@ -119,7 +122,7 @@
     known.report_config(notice.config, now);
     known.targets_freshness().report(notice.revision, now);
     if notice.is_superseded {
-        known.freshness().observe_newer(notice.config, now);
+        known.freshness().record_transfer(notice.config, now);
     }
     if site.newest_config() > site.known.version() {
         site.newer_config.notify_one();
@@ -130,7 +133,7 @@
 async fn tell(site: &Site, socket: &UdpSocket, lists: &mut PlacementSchedule) {
     let sequence = site.sequence.fetch_add(1, Relaxed) + 1;
     let fleet = site.fleet.load_full();
-    let since = lists.sent(site.sharers(), Instant::now());
+    let since = lists.record_sent(site.sharers(), Instant::now());
     let list = list(site, fleet.origin, sequence, since);
     send(socket, &fleet.group, &Datagram::Streams(list)).await;
 }
@@ -138,10 +141,10 @@
 /// Tells those of other groups where prompts were sent.
 async fn note(site: &Site, socket: &UdpSocket, notes: &mut PromptLocationSchedule) {
     let fleet = site.fleet.load_full();
-    if !notes.take(fleet.strangers.len(), Instant::now()) {
+    if !notes.take_due(fleet.strangers.len(), Instant::now()) {
         return;
     }
-    let taken = site.known.targets().take_notes();
+    let taken = site.known.targets().take_prompt_locations();
     if !taken.is_empty() {
         send(socket, &fleet.strangers, &Datagram::Notes(taken)).await;
     }
--- a/daemon/src/relay/config_sync.rs
+++ b/daemon/src/relay/config_sync.rs
@@ -12,7 +12,7 @@
 
 use celerypond_adapter::{config, store};
 use celerypond_platform::{Changes, Client, Listing, Object, PlatformError, Received, Version};
-use celerypond_relay::{unpack, Config, Observation, StoreBackoff};
+use celerypond_relay::{decode, Config, Observation, StoreBackoff};
 use celerypond_telemetry::{Counter, Latency};
 use celerypond_types::Revision;
 use tokio::time::{sleep, timeout, Instant};
@@ -185,14 +185,14 @@
             self.observe(Version(since), sent);
         }
         let version = known.version();
-        known.freshness().observe_newer(version, now);
+        known.freshness().record_transfer(version, now);
         known.is_receiving.store(true, Relaxed);
         known.told.notify_one();
         loop {
             // The store answers all the while, so that the others need not watch for themselves.
             self.site.duty.set_config_answer(Some(Instant::now()));
             sleep(TRANSFER_POLL).await;
-            known.freshness().observe_newer(version, Instant::now());
+            known.freshness().record_transfer(version, Instant::now());
         }
     }
 
@@ -375,7 +375,7 @@
     let Some(bytes) = sent else {
         return false;
     };
-    match unpack::<Config>(&bytes) {
+    match decode::<Config>(&bytes) {
         Ok(config) => {
             site.known.record_contact(begun);
             site.known.apply(config, Source::Peer);
--- a/daemon/src/relay/copies.rs
+++ b/daemon/src/relay/copies.rs
@@ -168,7 +168,7 @@
         let (is_lost, is_doubtful) = {
             let targets = self.site.known.targets();
             let holder = targets.get(copy.holder);
-            let is_dead = holder.is_none_or(|holder| holder.died.is_some());
+            let is_dead = holder.is_none_or(|holder| holder.dead_since.is_some());
             let want = self.source.wish.want(&[]);
             let is_doubtful = targets.is_doubtful(copy.holder, &want, Instant::now());
             (is_dead || !targets.is_usable(copy.holder), is_doubtful)
@@ -185,7 +185,7 @@
     fn choose(&self) -> Option<TargetKey> {
         let want = self.source.wish.want(&[]);
         let targets = self.site.known.targets();
-        targets.pick_backup(self.source.engine, &want, Instant::now())
+        targets.select_backup(self.source.engine, &want, Instant::now())
     }
 
     async fn order(&self, holder: TargetKey) -> Option<CopyAt> {
--- a/daemon/src/relay/fleet.rs
+++ b/daemon/src/relay/fleet.rs
@@ -69,7 +69,7 @@
 }
 
 fn regroup(site: &Site, own: usize, count: usize) {
-    let group = Group { own, count };
+    let group = Group { index: own, count };
     let mut targets = site.known.targets();
     let before = std::mem::replace(&mut targets.group, group);
     drop(targets);
--- a/daemon/src/relay/flow.rs
+++ b/daemon/src/relay/flow.rs
@@ -150,13 +150,15 @@
     ///
     /// What follows when the stream has waited for as long as it may.
     async fn wait_to_ask(&mut self, begun: Instant, next: NextStep) -> Result<(), NextStep> {
-        let wait = EngineWait::of_route(self.run.route.aim);
+        let wait = EngineWait::for_route(self.run.route.aim);
         let has_begun = self.passage.passed() > 0;
         loop {
-            if !wait.waits_on(begun.elapsed(), has_begun) || self.run.left() < wait.look * 2 {
+            if !wait.may_continue(begun.elapsed(), has_begun)
+                || self.run.left() < wait.poll_interval * 2
+            {
                 return Err(next);
             }
-            tokio::time::sleep(wait.look).await;
+            tokio::time::sleep(wait.poll_interval).await;
             if self.run.begin_again() {
                 return Ok(());
             }
@@ -290,7 +292,7 @@
         let left = self.run.left();
         let head = TargetRequestHead {
             account: self.run.account.as_ref(),
-            left,
+            time_left: left,
             target: &target,
             last_event: self.passage.last(),
             backup: backup.and_then(address),
@@ -315,7 +317,7 @@
         loop {
             let now = Instant::now();
             let end = now + self.run.left();
-            let look = wait.look(self.patience(key).first, now);
+            let look = wait.update(self.patience(key).first, now);
             let look = look.filter(|_| now < end).ok_or(AttemptFailure::Silent)?;
             if let Ok(heard) = timeout_at(look.min(end), heard.as_mut()).await {
                 return heard.said();
@@ -329,14 +331,14 @@
     /// millisecond, before they hear of each other. Two prompts then meet at one engine, and both take
     /// seconds. The wait is short beside a prompt's reading.
     async fn spread_out(&self) {
-        let most = PlacementSchedule::spread(self.run.site.sharers());
+        let most = PlacementSchedule::retry_spread(self.run.site.sharers());
         let wait = rand::rng().random_range(Duration::ZERO..most);
         tokio::time::sleep(wait).await;
     }
 
     fn patience(&self, key: TargetKey) -> SilenceLimits {
         let reading = self.run.site.known.targets().reading(key, Instant::now());
-        SilenceLimits::of_stream(reading, self.run.route.gap_aim)
+        SilenceLimits::for_stream(reading, self.run.route.gap_aim)
     }
 
     fn backup(&self, main: TargetKey) -> Option<TargetKey> {
@@ -382,9 +384,9 @@
             match frame {
                 Some(Ok(frame)) => {
                     let events = self.passage.take_in(&frame)?;
-                    if let Some(event_ms) = at.pace.add(events, Instant::now()) {
+                    if let Some(event_ms) = at.pace.record(events, Instant::now()) {
                         let mut targets = self.run.site.known.targets();
-                        targets.note_pace(at.lease.key, event_ms, Instant::now());
+                        targets.record_event_time(at.lease.key, event_ms, Instant::now());
                     }
                 }
                 Some(Err(_)) => return Err(AttemptFailure::Broken),
@@ -396,7 +398,7 @@
     }
 
     fn clock_left(&self, since: Instant) -> Duration {
-        self.run.clock.left(since)
+        self.run.clock.remaining(since)
     }
 
     /// Returns the next bytes for the caller; nothing at the end.
--- a/daemon/src/relay/follow.rs
+++ b/daemon/src/relay/follow.rs
@@ -7,7 +7,7 @@
 };
 
 use celerypond_fleet::Origin;
-use celerypond_relay::{unpack, TargetUpdate};
+use celerypond_relay::{decode, TargetUpdate};
 use rand::seq::SliceRandom as _;
 use tokio::time::{timeout, Instant};
 
@@ -96,7 +96,7 @@
         log::info!(peer:% = peer, since; "a peer sent no targets");
         return false;
     };
-    match unpack::<TargetUpdate>(&bytes) {
+    match decode::<TargetUpdate>(&bytes) {
         Ok(news) => site.known.take_news(news, begun),
         Err(error) => {
             log::warn!(peer:% = peer, error:% = error; "a peer's targets cannot be read");
--- a/daemon/src/relay/knowledge.rs
+++ b/daemon/src/relay/knowledge.rs
@@ -56,7 +56,7 @@
     /// Knows nothing; entries may be missing for so long after the store's return.
     pub(super) fn new(entries_back: Duration) -> Self {
         let mut targets = Targets::default();
-        targets.lateness = rand::rng().random();
+        targets.stagger_share = rand::rng().random();
         Self {
             table: ArcSwap::default(),
             freshness: Mutex::new(Freshness::new(Instant::now())),
@@ -188,7 +188,7 @@
         }
         let version = config.version;
         self.table.store(Arc::new(RoutingTable::new(config)));
-        self.freshness().hold(version);
+        self.freshness().set_current(version);
         self.has_config.store(true, Relaxed);
         self.told.notify_one();
         log::info!(version, before = known, source:? = source; "configuration in force");
@@ -211,7 +211,7 @@
             return false;
         }
         *known = revision;
-        self.targets_freshness().hold(revision);
+        self.targets_freshness().set_current(revision);
         let now = Instant::now();
         let mut targets = self.targets();
         if source == Source::StoreRegained {
@@ -219,7 +219,7 @@
         }
         // When the store had the list is observed apart.
         let changes = targets.replace_unverified(entries, now);
-        targets.note_list(revision);
+        targets.record_full_list(revision);
         drop(targets);
         drop(known);
         let is_first = !self.has_targets.swap(true, Relaxed);
@@ -240,14 +240,14 @@
             return;
         }
         *known = revision;
-        self.targets_freshness().hold(revision);
+        self.targets_freshness().set_current(revision);
         let now = Instant::now();
         let mut targets = self.targets();
         if source == Source::StoreRegained {
             targets.await_entries(self.entries_back, now);
         }
         for (at, change) in changes {
-            targets.note_change(*at, change.name());
+            targets.record_change(*at, change.name());
             if targets.apply(change, now) {
                 log::info!(revision = *at, source:? = source, change:? = change; "target changed");
             }
@@ -276,7 +276,7 @@
             self.change_targets(&changes, news.revision, Source::Peer);
         }
         let mut targets = self.targets();
-        targets.miss_all(&news.missing, self.entries_back, Instant::now());
+        targets.mark_all_missing(&news.missing, self.entries_back, Instant::now());
         drop(targets);
         if let Some(at) = age.and_then(|age| begun.checked_sub(age)) {
             self.observe_targets(Observation {
@@ -299,8 +299,8 @@
         let targets = self.targets();
         Some(TargetUpdate {
             age_ms,
-            observed: targets.observed(now),
-            ..targets.news(since, *known)
+            observed: targets.unlisted_targets(now),
+            ..targets.update_since(since, *known)
         })
     }
 
--- a/daemon/src/relay/lease.rs
+++ b/daemon/src/relay/lease.rs
@@ -42,7 +42,7 @@
 
     fn open(site: &Arc<Site>, targets: &mut Targets, key: TargetKey) -> Option<Self> {
         let target = targets.get_mut(key)?;
-        target.open += 1;
+        target.open_requests += 1;
         Some(Self {
             site: Arc::clone(site),
             key,
@@ -56,23 +56,23 @@
     /// Takes in a sign of life.
     pub(super) fn answered(&mut self, load: Option<Load>) {
         if let Some(target) = self.site.known.targets().get_mut(self.key) {
-            target.answered(load, Instant::now());
+            target.record_response(load, Instant::now());
         }
     }
 
     /// Takes in the result of a request in one piece.
     pub(super) fn note_result(&self, is_good: bool, time: Duration) {
         let mut targets = self.site.known.targets();
-        targets.note_result(self.key, is_good, time, Instant::now());
+        targets.record_result(self.key, is_good, time, Instant::now());
     }
 
     /// Takes in that what was sent was reset at once, on a connection that had rested for so long.
     pub(super) fn connection_lost(&self, rested: Duration) {
         let mut targets = self.site.known.targets();
-        if !targets.connection_lost(self.key, rested, Instant::now()) {
+        if !targets.record_idle_reset(self.key, rested, Instant::now()) {
             return;
         }
-        let most = targets.rest(self.key, Instant::now());
+        let most = targets.idle_limit(self.key, Instant::now());
         log::info!(
             target = self.name.as_str(),
             rested_ms = rested.as_millis() as u64,
@@ -84,7 +84,10 @@
     /// Takes in that the prompt was read.
     pub(super) fn has_read(&mut self) {
         if let Some(stream) = self.stream {
-            self.site.known.targets().stream_read(self.key, stream);
+            self.site
+                .known
+                .targets()
+                .record_prompt_read(self.key, stream);
             self.site.placed.notify_one();
         }
     }
@@ -92,7 +95,7 @@
     /// Takes in how the attempt ended.
     pub(super) fn ended(&self, ended: AttemptFailure) {
         note(&self.site, self.key, ended);
-        if ended.suspects() {
+        if ended.suggests_target_down() {
             self.site.connections.drop_idle(self.address);
             self.site.placed.notify_one();
         }
@@ -111,7 +114,7 @@
         return;
     };
     let was_dead = target.is_dead;
-    target.ended(ended, Instant::now());
+    target.record_failure(ended, Instant::now());
     if target.is_dead && !was_dead {
         site.metrics.add(Counter::TargetsDead, 1);
     }
@@ -130,7 +133,7 @@
     fn drop(&mut self) {
         let mut targets = self.site.known.targets();
         if let Some(target) = targets.get_mut(self.key) {
-            target.open = target.open.saturating_sub(1);
+            target.open_requests = target.open_requests.saturating_sub(1);
         }
         if let Some(stream) = self.stream {
             targets.remove_stream(self.key, stream);
--- a/daemon/src/relay/listen.rs
+++ b/daemon/src/relay/listen.rs
@@ -51,8 +51,8 @@
             data_centre: site.known.data_centre_of(lease.key),
             alarm: site.alarm.subscribe(),
             ask_after: match is_first {
-                true => patience.ask_first,
-                false => patience.ask_gap,
+                true => patience.probe_first,
+                false => patience.probe_gap,
             },
         }
     }
--- a/daemon/src/relay/passage.rs
+++ b/daemon/src/relay/passage.rs
@@ -45,7 +45,7 @@
 
     /// Returns whether a part of an event is left.
     pub(super) fn has_rest(&self) -> bool {
-        self.events.has_rest()
+        self.events.has_partial()
     }
 
     /// Drops the part of an event of a run that broke off; another run sends it from its start.
--- a/daemon/src/relay/peer_service.rs
+++ b/daemon/src/relay/peer_service.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use celerypond_fleet::{accept, Message, Peer};
-use celerypond_relay::pack;
+use celerypond_relay::encode;
 use celerypond_types::{Attempt, RequestKey, Revision};
 use serde::Serialize;
 use tarpc::context::Context;
@@ -50,7 +50,7 @@
     /// Packs a large answer, unless as many as the link carries are under way.
     fn transfer<T: Serialize>(&self, told: &T) -> Option<Vec<u8>> {
         let turn = Arc::clone(&self.transfers).try_acquire_owned().ok()?;
-        let bytes = pack(told);
+        let bytes = encode(told);
         let time = LINK_BYTE.saturating_mul(u32::try_from(bytes.len()).unwrap_or(u32::MAX));
         self.site.tasks.spawn(async move {
             tokio::time::sleep(time).await;
@@ -88,7 +88,7 @@
         let news = self.site.known.news(since)?;
         match news.is_whole {
             true => self.transfer(&news),
-            false => Some(pack(&news)),
+            false => Some(encode(&news)),
         }
     }
 
--- a/daemon/src/relay/plain.rs
+++ b/daemon/src/relay/plain.rs
@@ -64,13 +64,13 @@
     let left = run.left();
     let head = TargetRequestHead {
         account: run.account.as_ref(),
-        left,
+        time_left: left,
         target: &lease.name.clone(),
         last_event: None,
         backup: None,
         resume_from: None,
     };
-    let limit = SilenceLimits::of_request(run.route.aim, left, run.may_ask_another());
+    let limit = SilenceLimits::for_request(run.route.aim, left, run.may_ask_another());
     let mut opened = send(&run.site, lease, &run.asked, &head, limit).await?;
     let body = read_whole(&mut opened.body, run.left()).await?;
     let (status, headers) = (opened.status, opened.headers.clone());
--- a/daemon/src/relay/prompts.rs
+++ b/daemon/src/relay/prompts.rs
@@ -25,7 +25,7 @@
     match engine::decode_held(&answer.body) {
         Ok(parts) => {
             let mut targets = site.known.targets();
-            targets.hold_parts(key, &parts, Instant::now());
+            targets.record_held_parts(key, &parts, Instant::now());
         }
         Err(error) => {
             log::warn!(address:% = address, error:% = error; "what an engine holds cannot be read");
--- a/daemon/src/relay/questions.rs
+++ b/daemon/src/relay/questions.rs
@@ -3,7 +3,7 @@
 use std::{convert::Infallible, net::IpAddr, sync::Arc, time::Duration};
 
 use celerypond_adapter::directory;
-use celerypond_relay::entries;
+use celerypond_relay::directory_addresses;
 use http::{header::CONTENT_TYPE, HeaderValue, Request, Response, StatusCode};
 use hyper::{body::Incoming, server::conn::http1, service::service_fn};
 use hyper_util::rt::{TokioIo, TokioTimer};
@@ -69,7 +69,7 @@
     if found.is_empty() {
         return plain(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let found = entries(caller, found, directory::ADDRESSES_MOST);
+    let found = directory_addresses(caller, found, directory::ADDRESSES_MOST);
     let ttl = DIRECTORY_TTL.min(site.settings.load().bounds.directory_ttl);
     let mut reply = Response::new(whole(directory::encode(&found, ttl)));
     let json = HeaderValue::from_static("application/json");
--- a/daemon/src/relay/relocation.rs
+++ b/daemon/src/relay/relocation.rs
@@ -119,8 +119,8 @@
             last = self.passage.last(),
             here_ms = better.here_ms as u64,
             there_ms = better.there_ms as u64,
-            reading = better.reading,
-            beside = better.beside,
+            reading = better.reading_tokens,
+            beside = better.other_streams,
             how;
             "stream ordered to move"
         );
--- a/daemon/src/relay/request.rs
+++ b/daemon/src/relay/request.rs
@@ -163,12 +163,12 @@
     };
     let now = Instant::now();
     let stop = site.stop.load_full();
-    if let Some(stop) = stop.filter(|stop| !stop.admits(clock.left(now), now)) {
-        let back = stop.come_back(members::others(site), route.aim, now);
-        return reply::not_run(&id, clock.left(now), back, Reason::Stopping);
+    if let Some(stop) = stop.filter(|stop| !stop.admits(clock.remaining(now), now)) {
+        let back = stop.retry_after(members::others(site), route.aim, now);
+        return reply::not_run(&id, clock.remaining(now), back, Reason::Stopping);
     }
     let Some(service) = choose_service(&route) else {
-        return reply::not_run(&id, clock.left(Instant::now()), None, Reason::NoTarget);
+        return reply::not_run(&id, clock.remaining(Instant::now()), None, Reason::NoTarget);
     };
     let mut run = Run::new(site, asked, &route, service, account, clock);
     run.take_prompt(head.prompt.as_ref());
@@ -190,7 +190,7 @@
         return None;
     }
     let table: arc_swap::Guard<Arc<RoutingTable>> = site.known.table();
-    let taken = table.admit(host, path, head.key.as_deref());
+    let taken = table.resolve(host, path, head.key.as_deref());
     Some(taken.map(|(route, account)| {
         let account = account.map(|account| account.name.clone());
         (route.clone(), account)
--- a/daemon/src/relay/revive.rs
+++ b/daemon/src/relay/revive.rs
@@ -47,7 +47,10 @@
     let Some(name) = ask(site, dead.address, path, tokens).await else {
         return;
     };
-    let is_new = site.known.targets().adopt(dead.hash, &name, Instant::now());
+    let is_new = site
+        .known
+        .targets()
+        .add_restarted_engine(dead.name_hash, &name, Instant::now());
     if is_new {
         site.metrics.add(Counter::TargetsFound, 1);
         log::info!(target = name.as_str(), before = dead.name.as_str(), source = "engine"; "engine found again");
@@ -59,7 +62,7 @@
 /// the address can only be of this service.
 fn may_adopt(site: &Site, dead: &DeadEngine) -> Option<(Uri, u64)> {
     let table = site.known.table();
-    let service = table.only_engines()?;
+    let service = table.only_engine_service()?;
     if service.name != dead.service {
         return None;
     }
--- a/daemon/src/relay/rollouts.rs
+++ b/daemon/src/relay/rollouts.rs
@@ -8,9 +8,7 @@
 };
 
 use celerypond_platform::Version;
-use celerypond_relay::{
-    EvidenceReport, Order, Phase, Rollout, Stage, TargetCounts, VersionRouting,
-};
+use celerypond_relay::{EvidenceReport, Fleet, Order, Phase, Rollout, Stage, VersionRouting};
 use celerypond_telemetry::Counter;
 use celerypond_types::ServiceName;
 use smol_str::SmolStr;
@@ -68,7 +66,7 @@
 
     /// Takes in how far an order had come at a moment, from the instance that drives it.
     pub(super) fn hear_stage(&self, stage: Stage, at: Instant) {
-        self.versions().hear(stage, at);
+        self.versions().update(stage, at);
     }
 
     /// Takes in what another instance saw, if this one drives the order.
@@ -76,7 +74,7 @@
         let mut driven = lock(&self.driven);
         let rollout = driven.get_mut(service).map(|driven| &mut driven.rollout);
         if let Some(rollout) = rollout.filter(|rollout| rollout.order.version == report.version) {
-            rollout.evidence.hear(report, Instant::now());
+            rollout.evidence.merge(report, Instant::now());
         }
     }
 
@@ -196,10 +194,10 @@
     for driven in lock(&site.rollouts.driven).values_mut() {
         let rollout = &mut driven.rollout;
         let fleet = fleet(site, &rollout.order);
-        let next = rollout.next(&bounds, fleet, Instant::now());
+        let next = rollout.next_phase(&bounds, fleet, Instant::now());
         let before = std::mem::replace(&mut rollout.phase, next);
         if next.is_ended() && next != before {
-            let seen = rollout.evidence.sum();
+            let seen = rollout.evidence.total();
             log::info!(
                 service = rollout.order.service.as_str(),
                 version = rollout.order.version.as_str(),
@@ -219,14 +217,14 @@
     has_completed
 }
 
-fn fleet(site: &Site, order: &Order) -> TargetCounts {
+fn fleet(site: &Site, order: &Order) -> Fleet {
     let targets = site.known.targets();
     let usable = targets
         .iter()
         .filter(|(key, target)| target.entry.service == order.service && targets.is_usable(*key));
     let (new, old): (Vec<_>, Vec<_>) =
         usable.partition(|(_, target)| target.entry.version == order.version);
-    TargetCounts {
+    Fleet {
         new: new.len(),
         old: old.len(),
     }
