--- a/daemon/src/relay/run.rs
+++ b/daemon/src/relay/run.rs
@@ -41,13 +41,13 @@
         TargetQuery {
             service: &self.service,
             choice: &self.choice,
-            near: &self.near,
+            local_data_centre: &self.near,
             tried,
             affinity: self.affinity,
-            lot: self.lot,
+            tie_breaker: self.lot,
             tokens: self.tokens,
             capacity: self.capacity,
-            backlog: self.backlog,
+            max_backlog: self.backlog,
         }
     }
 }
@@ -79,8 +79,8 @@
         account: Option<AccountName>,
         clock: RequestDeadline,
     ) -> Self {
-        site.retries().requested(&service, Instant::now());
-        site.moves().requested(&service, Instant::now());
+        site.retries().record_request(&service, Instant::now());
+        site.moves().record_request(&service, Instant::now());
         let choice = site.rollouts.versions().choose(&service, Instant::now());
         let wish = Wish {
             service,
@@ -120,14 +120,14 @@
         };
         self.wish.part = prompt.parts.last().copied();
         self.wish.affinity = self.wish.part.map(|part| part.id);
-        self.wish.prompt = prompt.tokens_in;
-        self.wish.tokens = prompt.tokens_in + prompt.tokens_out;
+        self.wish.prompt = prompt.prompt_tokens;
+        self.wish.tokens = prompt.prompt_tokens + prompt.max_output_tokens;
         self.wish.capacity = Some(engine.tokens);
-        self.wish.backlog = Some(SilenceLimits::backlog(self.route.aim));
+        self.wish.backlog = Some(SilenceLimits::max_backlog(self.route.aim));
     }
 
     pub(super) fn left(&self) -> Duration {
-        self.clock.left(Instant::now())
+        self.clock.remaining(Instant::now())
     }
 
     /// Returns whether another target may be asked if the one that is asked now does not answer.
@@ -153,7 +153,7 @@
         }
         if !self.tried.is_empty() {
             let versions = self.site.rollouts.versions();
-            self.wish.choice = versions.choose_again(&self.wish.service);
+            self.wish.choice = versions.choose_for_retry(&self.wish.service);
         }
         let pick = self.pick(now)?;
         if self.wish.affinity.is_some() {
@@ -195,12 +195,12 @@
     /// left and it is allowed.
     fn pick(&mut self, now: Instant) -> Option<Selection> {
         let targets = self.site.known.targets();
-        let pick = targets.pick(&self.wish.want(&self.tried), now);
+        let pick = targets.select(&self.wish.want(&self.tried), now);
         if pick.is_some() {
             return pick;
         }
         self.wish.choice = self.wish.choice.fallback()?;
-        targets.pick(&self.wish.want(&self.tried), now)
+        targets.select(&self.wish.want(&self.tried), now)
     }
 
     /// Takes in that a target gave the answer that its caller gets.
@@ -211,7 +211,7 @@
     fn note_version(&self, lease: &Lease, is_bad: bool, took: Duration) {
         let mut versions = self.site.rollouts.versions();
         let route = celerypond_route::hash(self.route.name.as_bytes());
-        versions.add(&self.wish.service, &lease.version, route, is_bad, took);
+        versions.record_response(&self.wish.service, &lease.version, route, is_bad, took);
     }
 
     /// Takes a place at the engine that holds a copy, unless it takes no new work any more.
@@ -226,7 +226,9 @@
     /// Takes in that the answer is complete.
     pub(super) fn note_length(&self, events: u64) {
         let mut targets = self.site.known.targets();
-        targets.history.add_answer(&self.wish.service, events);
+        targets
+            .history
+            .record_event_count(&self.wish.service, events);
     }
 
     /// Takes in how long the prompt took at an engine that had so many tokens to read, this stream's among them.
@@ -235,20 +237,20 @@
         let history = &mut targets.history;
         let (service, took_ms) = (&self.wish.service, took.as_secs_f64() * 1_000.0);
         if reading <= self.wish.tokens {
-            history.add_reading(service, self.wish.prompt, took_ms);
+            history.record_reading(service, self.wish.prompt, took_ms);
             return;
         }
         // What is read counts with its answer at full length.
         let prompt_share = self.wish.prompt as f64 / self.wish.tokens.max(1) as f64;
         let tokens = (reading as f64 * prompt_share) as u64;
-        history.add_queued_reading(service, tokens, took_ms);
+        history.record_queued_reading(service, tokens, took_ms);
     }
 
     /// Returns whether an engine is known that holds the prompt.
     fn find_prompt(&self) -> bool {
         let mut targets = self.site.known.targets();
         let part = self.wish.part;
-        part.is_some_and(|part| targets.find_part(part, Instant::now()))
+        part.is_some_and(|part| targets.locate_part(part, Instant::now()))
     }
 
     /// Asks engines whether they hold the prompt; instances that started a while ago do not know it.
@@ -258,7 +260,7 @@
         }
         let now = Instant::now();
         let want = self.wish.want(&[]);
-        let keys = self.site.known.targets().ask_for(&want, now);
+        let keys = self.site.known.targets().engines_to_query(&want, now);
         let asked = keys.len();
         let asking = keys
             .into_iter()
@@ -277,13 +279,13 @@
     /// Returns the least time that the stream needs after the event `last`, if that is more than is left.
     pub(super) fn lacks_time(&self, last: u64) -> Option<TimeNeeded> {
         let asks = StreamRequest {
-            prompt: self.wish.prompt,
-            last,
-            left: self.left(),
+            prompt_tokens: self.wish.prompt,
+            last_event: last,
+            time_left: self.left(),
         };
         let targets = self.site.known.targets();
-        let needs = targets.needs(&self.wish.want(&[]), &asks, Instant::now())?;
-        (!needs.fit(asks.left)).then_some(needs)
+        let needs = targets.time_needed(&self.wish.want(&[]), &asks, Instant::now())?;
+        (!needs.fits_within(asks.time_left)).then_some(needs)
     }
 
     /// Returns when the caller of a stream that has not begun may come back if engines have too much to read for it to be on
@@ -292,8 +294,8 @@
         let now = Instant::now();
         let want = self.wish.want(&[]);
         let targets = self.site.known.targets();
-        let pick = targets.pick(&want, now)?;
-        let queueing = targets.queueing(pick.key, &want, self.wish.prompt, now)?;
+        let pick = targets.select(&want, now)?;
+        let queueing = targets.estimate_queue(pick.key, &want, self.wish.prompt, now)?;
         let backoff = queueing.backoff(self.route.aim)?;
         log::info!(
             request = self.asked.id.as_str(),
@@ -308,7 +310,9 @@
     /// Returns what the stream has ahead of it after its event `last`.
     pub(super) fn ahead(&self, last: u64) -> RemainingEvents {
         let targets = self.site.known.targets();
-        let left = targets.history.events_left(&self.wish.service, last);
+        let left = targets
+            .history
+            .typical_events_left(&self.wish.service, last);
         left.map_or_else(RemainingEvents::default, |events| RemainingEvents {
             events,
         })
@@ -347,14 +351,14 @@
         self.site
             .known
             .targets()
-            .pick_backup(main, &self.wish.want(&self.tried), Instant::now())
+            .select_backup(main, &self.wish.want(&self.tried), Instant::now())
     }
 
     /// Returns when a caller whose request has not run may come back: when a target that failed a
     /// moment ago is asked again.
     pub(super) fn come_back(&self) -> Option<Duration> {
         let targets = self.site.known.targets();
-        targets.back_in(&self.wish.service, Instant::now())
+        targets.time_until_usable(&self.wish.service, Instant::now())
     }
 
     /// Allows targets to be asked once more, after a wait; returns whether the budget has it. What has
@@ -388,13 +392,13 @@
     pub(super) fn take_move(&self) -> bool {
         let instances = self.site.instances();
         let mut moves = self.site.moves();
-        moves.take(&self.wish.service, instances, Instant::now())
+        moves.try_spend(&self.wish.service, instances, Instant::now())
     }
 
     fn may_send_again(&self) -> bool {
         let instances = self.site.instances();
         let mut retries = self.site.retries();
-        retries.take(&self.wish.service, instances, Instant::now())
+        retries.try_spend(&self.wish.service, instances, Instant::now())
     }
 
     /// Takes in how an attempt ended and decides what follows.
@@ -408,7 +412,7 @@
             self.runs -= 1;
             if let Some(part) = self.wish.affinity {
                 let mut targets = self.site.known.targets();
-                targets.part_refused(lease.key, part);
+                targets.forget_prompt_location(lease.key, part);
             }
         }
         self.has_arrived |= !ended.proves_unsent();
@@ -422,9 +426,9 @@
             attempts: self.route.attempts,
             refusals: self.refusals,
             unreached: self.unreached,
-            left: self.left(),
+            time_left: self.left(),
         };
-        let next = situation.next(ended, || self.may_send_again());
+        let next = situation.next_step(ended, || self.may_send_again());
         log::info!(
             request = self.asked.id.as_str(),
             target = lease.name.as_str(),
--- a/daemon/src/relay/site.rs
+++ b/daemon/src/relay/site.rs
@@ -97,13 +97,13 @@
             connect: STORE_CONNECT,
             timeout: STORE_TIMEOUT,
             rates: Rates {
-                reads: settings.store.reads * STORE_SHARE,
-                writes: settings.store.writes * STORE_SHARE,
+                reads: settings.store.reads_per_second * STORE_SHARE,
+                writes: settings.store.writes_per_second * STORE_SHARE,
                 burst: Duration::from_secs(1),
             },
         };
         Self {
-            known: Knowledge::new(settings.bounds.entries_back()),
+            known: Knowledge::new(settings.bounds.missing_entry_grace()),
             duty: WatchDuty::new(settings.bounds.watch_wait()),
             connections: Connections::default(),
             store: Client::speaking(&store, celerypond_adapter::store::DIALECT),
--- a/daemon/src/relay/stop.rs
+++ b/daemon/src/relay/stop.rs
@@ -21,7 +21,7 @@
     take_callers(site, &stop).await;
     site.closed.cancel();
     site.served.close();
-    let is_done = timeout_at(stop.end(), site.served.wait()).await.is_ok();
+    let is_done = timeout_at(stop.cutoff(), site.served.wait()).await.is_ok();
     log::info!(is_done, open = site.served.len(); "stopped");
     site.killed.cancel();
     site.ending.cancel();
@@ -35,8 +35,8 @@
         let now = Instant::now();
         let others = members::others(site);
         let has_work = !site.served.is_empty();
-        let is_needed = has_work && stop.takes_callers(others, now);
-        let is_over = !stop.takes_all(now);
+        let is_needed = has_work && stop.accepts_callers(others, now);
+        let is_over = !stop.accepts_all(now);
         if is_over && !is_needed {
             log::info!(live = others.live, leaving = others.leaving, has_work; "no more callers");
             return;
