--- a/crates/relay/src/board.rs
+++ b/crates/relay/src/board.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::{Rest, Sends, Tally};
+use crate::{IdleLimit, SendCounts, Tally};
 
 /// How long an instance's list holds without a new one. Lists are sent again each second, so three
 /// of them were lost, or the instance is gone and its streams with it.
@@ -42,20 +42,20 @@
     /// what the one before named.
     pub dead: Vec<u64>,
     /// Engines that were observed under another name than before.
-    pub adopted: Vec<Adoption>,
+    pub adopted: Vec<RestartReport>,
     /// What came of requests at targets lately; empty if nothing changed.
     pub tallies: Vec<(u64, Tally)>,
     /// How long connections may rest; empty if nothing changed.
-    pub rests: Vec<Rest>,
+    pub rests: Vec<IdleLimit>,
     /// What the instance sent to each service lately.
-    pub sends: Vec<Sends>,
+    pub sends: Vec<SendCounts>,
     /// How fast engines make events; empty if nothing changed.
     pub paces: Vec<(u64, f32)>,
 }
 
 /// A prompt part and the engine that it was sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Note {
+pub struct PromptLocation {
     /// The prompt part that belongs to a request alone.
     pub part: u64,
     /// The hash of the engine's name.
@@ -64,7 +64,7 @@
 
 /// An engine that was observed under another name than before, as it restarted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Adoption {
+pub struct RestartReport {
     /// The hash of the name before.
     pub before: u64,
     /// The name.
@@ -81,9 +81,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use celerypond_relay::{Adoption, Placements};
+    /// use celerypond_relay::{RestartReport, Placements};
     ///
-    /// let adopted = vec![Adoption { before: 7, name: "e-1".into(), age_ms: 100 }];
+    /// let adopted = vec![RestartReport { before: 7, name: "e-1".into(), age_ms: 100 }];
     /// let mut list = Placements { adopted, ..Placements::default() };
     /// list.add_age(Duration::from_millis(250));
     /// assert_eq!(list.adopted[0].age_ms, 350);
@@ -98,13 +98,13 @@
 
 /// What streams of other instances take of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Taken {
+pub struct EngineUsage {
     /// Streams that run or are read.
     pub streams: u32,
     /// Streams whose prompts are being read.
-    pub prompts: u32,
+    pub reading_prompts: u32,
     /// Tokens of prompts that are being read.
-    pub reading: u64,
+    pub reading_tokens: u64,
     /// Tokens in memory, at most.
     pub tokens: u64,
 }
@@ -119,22 +119,22 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_relay::{Board, Placement, Placements};
+/// use celerypond_relay::{PeerStreams, Placement, Placements};
 /// use tokio::time::Instant;
 ///
-/// let mut board = Board::default();
+/// let mut streams = PeerStreams::default();
 /// let stream = Placement { target: 7, part: 1, tokens: 9_000, is_reading: true };
 /// let list = Placements { origin: 1, sequence: 1, streams: vec![stream], ..Placements::default() };
 /// let now = Instant::now();
-/// board.hear(list, now);
-/// assert_eq!(board.taken(now)[&7].reading, 9_000);
+/// streams.merge(list, now);
+/// assert_eq!(streams.usage(now)[&7].reading_tokens, 9_000);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct PeerStreams {
     lists: HashMap<u64, Heard>,
     /// What the streams of all lists take. Kept beside them, as each placement asks for it three times
     /// and a sum of all lists takes most of a placement's time.
-    sums: HashMap<u64, Taken>,
+    sums: HashMap<u64, EngineUsage>,
     /// Where prompt parts were read last, and when that was heard.
     parts: HashMap<u64, (u64, Instant)>,
 }
@@ -146,15 +146,15 @@
     streams: Vec<Placement>,
 }
 
-impl Board {
+impl PeerStreams {
     /// Takes in the list of another instance; an older one than known is dropped.
-    pub fn hear(&mut self, list: Placements, now: Instant) {
+    pub fn merge(&mut self, list: Placements, now: Instant) {
         let known = self.lists.get(&list.origin);
         if known.is_some_and(|known| known.sequence >= list.sequence) {
             return;
         }
         for stream in &list.streams {
-            self.note_part(stream.part, stream.target, now);
+            self.record_prompt_location(stream.part, stream.target, now);
             self.sums.entry(stream.target).or_default().add(stream);
         }
         let heard = Heard {
@@ -163,11 +163,11 @@
             streams: list.streams,
         };
         if let Some(before) = self.lists.insert(list.origin, heard) {
-            self.take_out(&before.streams);
+            self.subtract(&before.streams);
         }
     }
 
-    fn take_out(&mut self, streams: &[Placement]) {
+    fn subtract(&mut self, streams: &[Placement]) {
         for stream in streams {
             if let Some(taken) = self.sums.get_mut(&stream.target) {
                 taken.remove(stream);
@@ -179,7 +179,7 @@
     }
 
     /// Notes that a prompt part is at an engine.
-    pub fn note_part(&mut self, part: u64, target: u64, now: Instant) {
+    pub fn record_prompt_location(&mut self, part: u64, target: u64, now: Instant) {
         self.parts.insert(part, (target, now));
     }
 
@@ -187,7 +187,7 @@
     ///
     /// The failure: an engine refuses several streams, and each of them, asked to wait and placed again,
     /// prefers the engine that seems to have read its prompt.
-    pub fn drop_part(&mut self, part: u64, target: u64) {
+    pub fn forget_prompt_location(&mut self, part: u64, target: u64) {
         if self.parts.get(&part).is_some_and(|(at, _)| *at == target) {
             self.parts.remove(&part);
         }
@@ -210,16 +210,16 @@
         self.parts.retain(|_, (_, at)| is_kept(*at));
         let stale = self.lists.extract_if(|_, heard| !is_fresh(heard, now));
         for (_, heard) in stale.collect::<Vec<_>>() {
-            self.take_out(&heard.streams);
+            self.subtract(&heard.streams);
         }
     }
 
     /// Returns what the streams of other instances take of each engine.
-    pub fn taken(&self, now: Instant) -> Cow<'_, HashMap<u64, Taken>> {
+    pub fn usage(&self, now: Instant) -> Cow<'_, HashMap<u64, EngineUsage>> {
         if self.lists.values().all(|heard| is_fresh(heard, now)) {
             return Cow::Borrowed(&self.sums);
         }
-        let mut all: HashMap<u64, Taken> = HashMap::new();
+        let mut all: HashMap<u64, EngineUsage> = HashMap::new();
         let lists = self.lists.values().filter(|heard| is_fresh(heard, now));
         for stream in lists.flat_map(|heard| &heard.streams) {
             all.entry(stream.target).or_default().add(stream);
@@ -228,14 +228,14 @@
     }
 }
 
-impl Taken {
+impl EngineUsage {
     fn add(&mut self, stream: &Placement) {
         let tokens = u64::from(stream.tokens);
         self.streams += 1;
         self.tokens += tokens;
         if stream.is_reading {
-            self.prompts += 1;
-            self.reading += tokens;
+            self.reading_prompts += 1;
+            self.reading_tokens += tokens;
         }
     }
 
@@ -245,8 +245,8 @@
         self.streams -= 1;
         self.tokens -= tokens;
         if stream.is_reading {
-            self.prompts -= 1;
-            self.reading -= tokens;
+            self.reading_prompts -= 1;
+            self.reading_tokens -= tokens;
         }
     }
 }
--- a/crates/relay/src/first_wait.rs
+++ b/crates/relay/src/first_wait.rs
@@ -19,23 +19,23 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use celerypond_relay::FirstWait;
+/// use celerypond_relay::FirstEventWait;
 /// use tokio::time::Instant;
 ///
 /// let begun = Instant::now();
-/// let mut wait = FirstWait::new(begun);
+/// let mut wait = FirstEventWait::new(begun);
 /// let (short, long) = (Duration::from_secs(3), Duration::from_secs(5));
-/// assert!(wait.look(long, begun).is_some());
-/// assert!(wait.look(short, begun + Duration::from_secs(4)).is_some());
-/// assert!(wait.look(short, begun + long).is_none());
+/// assert!(wait.update(long, begun).is_some());
+/// assert!(wait.update(short, begun + Duration::from_secs(4)).is_some());
+/// assert!(wait.update(short, begun + long).is_none());
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct FirstWait {
+pub struct FirstEventWait {
     begun: Instant,
     until: Instant,
 }
 
-impl FirstWait {
+impl FirstEventWait {
     /// Begins to wait.
     pub const fn new(begun: Instant) -> Self {
         Self {
@@ -46,7 +46,7 @@
 
     /// Takes in how long the engine may need for all that it reads now; returns when to look again, or
     /// nothing when it has had the time that it needed.
-    pub fn look(&mut self, most: Duration, now: Instant) -> Option<Instant> {
+    pub fn update(&mut self, most: Duration, now: Instant) -> Option<Instant> {
         self.until = self.until.max(self.begun + most);
         (now < self.until).then(|| self.until.min(now + LOOK))
     }
--- a/crates/relay/src/relocate.rs
+++ b/crates/relay/src/relocate.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     place::{rank, Loads},
-    Patience, Target, Targets, Want,
+    SilenceLimits, Target, TargetQuery, Targets,
 };
 
 /// What a stream must gain by going on at another engine, in milliseconds. The move itself takes some
@@ -41,12 +41,12 @@
 
 /// What a running stream has ahead of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ahead {
+pub struct RemainingEvents {
     /// Events that are still to come, as far as is known.
     pub events: f64,
 }
 
-impl Default for Ahead {
+impl Default for RemainingEvents {
     fn default() -> Self {
         Self {
             events: EVENTS_LEFT,
@@ -56,7 +56,7 @@
 
 /// An engine at which a stream would be done sooner.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Better {
+pub struct BetterEngine {
     /// Its key.
     pub key: TargetKey,
     /// What the stream needs where it is, in milliseconds.
@@ -64,9 +64,9 @@
     /// What it needs there, in milliseconds.
     pub there_ms: f64,
     /// Tokens that are read where it is.
-    pub reading: u64,
+    pub reading_tokens: u64,
     /// Streams that run where it is, itself left out.
-    pub beside: u32,
+    pub other_streams: u32,
 }
 
 impl Targets {
@@ -82,10 +82,10 @@
     pub fn better_engine(
         &self,
         at: TargetKey,
-        want: &Want<'_>,
-        ahead: Ahead,
+        want: &TargetQuery<'_>,
+        ahead: RemainingEvents,
         now: Instant,
-    ) -> Option<Better> {
+    ) -> Option<BetterEngine> {
         let home = self.get(at)?;
         let loads = Loads::of(self, want, now);
         let view = View::new(self, &loads, at, want, ahead);
@@ -112,12 +112,12 @@
         let (cost, key, _) = *nearly.min_by_key(|(_, _, target)| rank(affinity, target))?;
         let here_ms = view.cost_ms(home, true);
         let work = loads.work(home);
-        (cost + LEAST_GAIN_MS < here_ms).then_some(Better {
+        (cost + LEAST_GAIN_MS < here_ms).then_some(BetterEngine {
             key,
             here_ms,
             there_ms: cost,
-            reading: work.reading,
-            beside: work.streams.saturating_sub(1),
+            reading_tokens: work.reading_tokens,
+            other_streams: work.streams.saturating_sub(1),
         })
     }
 }
@@ -128,7 +128,7 @@
     paces: HashMap<u64, f64>,
     /// The time for an event at an engine of which it is not known.
     usual_ms: f64,
-    ahead: Ahead,
+    ahead: RemainingEvents,
     near: &'a DataCentre,
     /// Whether fewer engines are free than read.
     is_scarce: bool,
@@ -139,8 +139,8 @@
         targets: &Targets,
         loads: &'a Loads<'a>,
         at: TargetKey,
-        want: &'a Want<'_>,
-        ahead: Ahead,
+        want: &'a TargetQuery<'_>,
+        ahead: RemainingEvents,
     ) -> Self {
         let of_service = targets.iter().filter(|(key, target)| {
             target.entry.service == *want.service && targets.is_usable(*key)
@@ -151,9 +151,9 @@
             let work = loads.work(target);
             let own = u32::from(key == at);
             free += u32::from(work.streams <= own);
-            reading += u32::from(work.prompts > 0);
-            if let Some(pace) = targets.paces().of(target.spot) {
-                paces.insert(target.spot, f64::from(pace));
+            reading += u32::from(work.reading_prompts > 0);
+            if let Some(pace) = targets.event_times().get(target.address_hash) {
+                paces.insert(target.address_hash, f64::from(pace));
             }
         }
         let mut known: Vec<f64> = paces.values().copied().collect();
@@ -164,7 +164,7 @@
             paces,
             usual_ms,
             ahead,
-            near: want.near,
+            near: want.local_data_centre,
             is_scarce: free <= reading * FREE_EACH,
         }
     }
@@ -174,11 +174,11 @@
         let work = self.loads.work(engine);
         let running = work
             .streams
-            .saturating_sub(work.prompts + u32::from(is_here));
-        let event_ms = self.paces.get(&engine.spot).copied();
+            .saturating_sub(work.reading_prompts + u32::from(is_here));
+        let event_ms = self.paces.get(&engine.address_hash).copied();
         let event_ms = event_ms.unwrap_or(self.usual_ms);
         let run_ms = self.ahead.events * event_ms * (1.0 + BATCH_SLOWER * f64::from(running));
-        let wait = Patience::reading(work.reading).as_secs_f64() * 1_000.0;
+        let wait = SilenceLimits::reading_time(work.reading_tokens).as_secs_f64() * 1_000.0;
         let beside_ms = (wait * STILL_TO_READ).min(run_ms * (READING_SLOWER - 1.0));
         // The last engines without streams are left to prompts, which would hold up the streams elsewhere.
         let opened_ms = match running {
--- a/crates/relay/src/rollout.rs
+++ b/crates/relay/src/rollout.rs
@@ -67,7 +67,7 @@
     }
 
     /// Decides how far the order has come now.
-    pub fn next(&self, bounds: &Bounds, fleet: Fleet, now: Instant) -> Phase {
+    pub fn next_phase(&self, bounds: &Bounds, fleet: Fleet, now: Instant) -> Phase {
         if self.phase.is_ended() {
             return self.phase;
         }
@@ -92,7 +92,7 @@
 
     /// Returns whether the version has shown itself and can take all requests.
     fn is_proved(&self, fleet: Fleet) -> bool {
-        let seen = self.evidence.sum();
+        let seen = self.evidence.total();
         let enough = LEAST.min((seen.old.all + seen.new.all) / 20).max(1);
         let has_room = fleet.new * 2 > fleet.old;
         seen.new.all >= enough && has_room && !self.evidence.is_doubtful()
@@ -102,7 +102,7 @@
     fn share(&self, bounds: &Bounds, age: Duration) -> f64 {
         let time = self.order.time.as_secs_f64();
         let age = age.as_secs_f64();
-        let seen = self.evidence.sum();
+        let seen = self.evidence.total();
         let (new, all) = (
             f64::from(seen.new.all),
             f64::from(seen.new.all + seen.old.all),
--- a/crates/relay/src/table.rs
+++ b/crates/relay/src/table.rs
@@ -12,13 +12,13 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_relay::{Config, Denied, Table};
+/// use celerypond_relay::{Config, Denied, RoutingTable};
 ///
-/// let table = Table::new(Config::default());
-/// assert_eq!(table.admit("a.example", "/x/1", None).unwrap_err(), Denied::NoRoute);
+/// let table = RoutingTable::new(Config::default());
+/// assert_eq!(table.resolve("a.example", "/x/1", None).unwrap_err(), Denied::NoRoute);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Table {
+pub struct RoutingTable {
     config: Config,
     /// Routes by host, the longest prefix first.
     hosts: HashMap<SmolStr, Vec<usize>>,
@@ -26,7 +26,7 @@
     services: HashMap<ServiceName, usize>,
 }
 
-impl Table {
+impl RoutingTable {
     /// Indexes a configuration.
     pub fn new(config: Config) -> Self {
         let mut hosts: HashMap<SmolStr, Vec<usize>> = HashMap::new();
@@ -64,7 +64,7 @@
     }
 
     /// Returns the service with engines, if there is only one.
-    pub fn only_engines(&self) -> Option<&Service> {
+    pub fn only_engine_service(&self) -> Option<&Service> {
         let services = self.config.services.iter();
         let mut engines = services.filter(|service| service.engine.is_some());
         let only = engines.next()?;
@@ -76,7 +76,7 @@
     /// # Errors
     ///
     /// Why the request is not allowed.
-    pub fn admit(
+    pub fn resolve(
         &self,
         host: &str,
         path: &str,
--- a/crates/relay/tests/test_rollouts.rs
+++ b/crates/relay/tests/test_rollouts.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use celerypond_relay::{
-    Bounds, Choice, Evidence, Fleet, Order, Phase, Report, Rollout, Stage, Versions,
+    Bounds, Evidence, EvidenceReport, Fleet, Order, Phase, Rollout, Stage, VersionChoice,
+    VersionRouting,
 };
 use celerypond_types::{ServiceName, VersionName};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
@@ -51,7 +52,7 @@
     }
 }
 
-fn report(evidence: &Evidence, origin: u64) -> Report {
+fn report(evidence: &Evidence, origin: u64) -> EvidenceReport {
     evidence.report(origin, &VersionName::new("v2"))
 }
 
@@ -69,18 +70,18 @@
     let start = Instant::now();
     let mut rollout = Rollout::new(order(), Duration::ZERO, start);
     let mut seen = Evidence::default();
-    let mut versions = Versions::default();
+    let mut versions = VersionRouting::default();
     let (mut all, mut new, mut due) = (0, 0, 0.0);
     for turn in 0..TIME.as_millis() / TURN.as_millis() {
         let now = start + TURN * turn as u32;
-        rollout.evidence.hear(report(&seen, 1), now);
-        rollout.phase = rollout.next(&Bounds::default(), ENOUGH, now);
+        rollout.evidence.merge(report(&seen, 1), now);
+        rollout.phase = rollout.next_phase(&Bounds::default(), ENOUGH, now);
         let stage = Stage {
             order: order(),
             phase: rollout.phase,
             age_ms: rollout.age(now).as_millis() as u32,
         };
-        versions.hear(stage, now);
+        versions.update(stage, now);
         let share = match rollout.phase {
             Phase::Running { share } => f64::from(share) / 1e6,
             Phase::Completed => 1.0,
@@ -91,7 +92,7 @@
             due -= 1.0;
             all += 1;
             let route = [0, 0, 0, 1, 1, 2][rng.random_range(0..6)];
-            let is_new = versions.choose(&order().service, now) == Choice::Only("v2".into());
+            let is_new = versions.choose(&order().service, now) == VersionChoice::Only("v2".into());
             let at = now.duration_since(start).as_secs_f64() / TIME.as_secs_f64();
             let is_bad = match is_new {
                 true => fault.strikes(route, at, share, &mut rng),
@@ -103,7 +104,7 @@
             } else {
                 1.0
             };
-            seen.add(
+            seen.record(
                 route,
                 is_new,
                 is_bad,
@@ -165,14 +166,14 @@
     let mut rollout = Rollout::new(order(), Duration::ZERO, start);
     let mut seen = Evidence::default();
     for _ in 0..200 {
-        seen.add(0, true, false, Duration::from_millis(50));
-        seen.add(0, false, false, Duration::from_millis(50));
+        seen.record(0, true, false, Duration::from_millis(50));
+        seen.record(0, false, false, Duration::from_millis(50));
     }
-    rollout.evidence.hear(report(&seen, 1), start);
+    rollout.evidence.merge(report(&seen, 1), start);
     let late = start + TIME.mul_f64(0.9);
-    let phase = rollout.next(&Bounds::default(), fleet, late);
+    let phase = rollout.next_phase(&Bounds::default(), fleet, late);
     assert!(matches!(phase, Phase::Running { .. }), "{phase:?}");
-    let over = rollout.next(&Bounds::default(), fleet, start + TIME);
+    let over = rollout.next_phase(&Bounds::default(), fleet, start + TIME);
     assert_eq!(over, Phase::TakenBack);
 }
 
@@ -182,20 +183,29 @@
 fn without_a_word_of_the_driver_the_old_versions_serve() {
     let now = Instant::now();
     let service = ServiceName::new("shop");
-    let mut versions = Versions::default();
+    let mut versions = VersionRouting::default();
     let stage = |phase| Stage {
         order: order(),
         phase,
         age_ms: 100,
     };
-    versions.hear(stage(Phase::Running { share: 1_000_000 }), now);
+    versions.update(stage(Phase::Running { share: 1_000_000 }), now);
     let soon = now + Duration::from_secs(1);
     let late = now + Duration::from_secs(2);
-    assert_eq!(versions.choose(&service, soon), Choice::Only("v2".into()));
-    assert_eq!(versions.choose(&service, late), Choice::Not("v2".into()));
-    versions.hear(stage(Phase::TakenBack), late);
-    versions.hear(stage(Phase::Running { share: 1_000_000 }), late);
-    assert_eq!(versions.choose(&service, late), Choice::Not("v2".into()));
+    assert_eq!(
+        versions.choose(&service, soon),
+        VersionChoice::Only("v2".into())
+    );
+    assert_eq!(
+        versions.choose(&service, late),
+        VersionChoice::Not("v2".into())
+    );
+    versions.update(stage(Phase::TakenBack), late);
+    versions.update(stage(Phase::Running { share: 1_000_000 }), late);
+    assert_eq!(
+        versions.choose(&service, late),
+        VersionChoice::Not("v2".into())
+    );
 }
 
 /// A request failed at the version on trial. It is sent again, and a second failure there would be the
@@ -204,9 +214,9 @@
 fn what_failed_at_a_version_on_trial_goes_back_to_the_others() {
     let now = Instant::now();
     let service = ServiceName::new("shop");
-    let mut versions = Versions::default();
+    let mut versions = VersionRouting::default();
     let phase = Phase::Running { share: 1_000_000 };
-    versions.hear(
+    versions.update(
         Stage {
             order: order(),
             phase,
@@ -214,7 +224,10 @@
         },
         now,
     );
-    assert_eq!(versions.choose_again(&service), Choice::Not("v2".into()));
+    assert_eq!(
+        versions.choose_for_retry(&service),
+        VersionChoice::Not("v2".into())
+    );
 }
 
 /// Reports are sums of one instance each. A later one replaces the one before, and those of several
@@ -225,11 +238,11 @@
     let mut own = Evidence::default();
     let mut all = Evidence::default();
     for _ in 0..3 {
-        own.add(0, true, true, Duration::ZERO);
-        all.hear(report(&own, 1), now);
-        all.hear(report(&own, 2), now);
+        own.record(0, true, true, Duration::ZERO);
+        all.merge(report(&own, 1), now);
+        all.merge(report(&own, 2), now);
     }
-    assert_eq!((all.sum().new.all, all.sum().new.bad), (6, 6));
+    assert_eq!((all.total().new.all, all.total().new.bad), (6, 6));
 }
 
 // Guards against a paused process that gives a version its share by a report of before the pause.
@@ -237,26 +250,26 @@
 fn share_of_a_report_that_waited_unread_is_not_taken() {
     let now = Instant::now();
     let resumed = now + Duration::from_secs(4);
-    let mut versions = Versions::default();
+    let mut versions = VersionRouting::default();
     let stage = |share| Stage {
         order: order(),
         phase: Phase::Running { share },
         age_ms: 0,
     };
-    versions.hear(stage(1_000_000), now);
+    versions.update(stage(1_000_000), now);
     assert_eq!(
         versions.choose(&order().service, resumed),
-        Choice::Not(order().version)
+        VersionChoice::Not(order().version)
     );
-    versions.hear(stage(1_000_000), resumed);
+    versions.update(stage(1_000_000), resumed);
     assert_eq!(
         versions.choose(&order().service, resumed),
-        Choice::Only(order().version)
+        VersionChoice::Only(order().version)
     );
     // One that arrives out of order does not make the later one older.
-    versions.hear(stage(1_000_000), now);
+    versions.update(stage(1_000_000), now);
     assert_eq!(
         versions.choose(&order().service, resumed),
-        Choice::Only(order().version)
+        VersionChoice::Only(order().version)
     );
 }
--- a/daemon/src/relay/knowledge.rs
+++ b/daemon/src/relay/knowledge.rs
@@ -10,7 +10,9 @@
 };
 
 use arc_swap::ArcSwap;
-use celerypond_relay::{Change, Config, Freshness, News, Observation, Table, TargetEntry, Targets};
+use celerypond_relay::{
+    Change, Config, Freshness, Observation, RoutingTable, TargetEntry, TargetUpdate, Targets,
+};
 use celerypond_types::{DataCentre, TargetKey, TargetName};
 use rand::Rng as _;
 use tokio::{
@@ -31,7 +33,7 @@
 
 /// What an instance knows of the store.
 pub(super) struct Knowledge {
-    table: ArcSwap<Table>,
+    table: ArcSwap<RoutingTable>,
     freshness: Mutex<Freshness>,
     /// How recent the list of targets is, by revisions of the store.
     targets_freshness: Mutex<Freshness>,
@@ -54,7 +56,7 @@
     /// Knows nothing; entries may be missing for so long after the store's return.
     pub(super) fn new(entries_back: Duration) -> Self {
         let mut targets = Targets::default();
-        targets.lateness = rand::rng().random();
+        targets.stagger_share = rand::rng().random();
         Self {
             table: ArcSwap::default(),
             freshness: Mutex::new(Freshness::new(Instant::now())),
@@ -71,7 +73,7 @@
     }
 
     /// Returns the configuration in force.
-    pub(super) fn table(&self) -> arc_swap::Guard<Arc<Table>> {
+    pub(super) fn table(&self) -> arc_swap::Guard<Arc<RoutingTable>> {
         self.table.load()
     }
 
@@ -185,8 +187,8 @@
             return;
         }
         let version = config.version;
-        self.table.store(Arc::new(Table::new(config)));
-        self.freshness().hold(version);
+        self.table.store(Arc::new(RoutingTable::new(config)));
+        self.freshness().set_current(version);
         self.has_config.store(true, Relaxed);
         self.told.notify_one();
         log::info!(version, before = known, source:? = source; "configuration in force");
@@ -209,7 +211,7 @@
             return false;
         }
         *known = revision;
-        self.targets_freshness().hold(revision);
+        self.targets_freshness().set_current(revision);
         let now = Instant::now();
         let mut targets = self.targets();
         if source == Source::StoreRegained {
@@ -217,7 +219,7 @@
         }
         // When the store had the list is observed apart.
         let changes = targets.replace_unverified(entries, now);
-        targets.note_list(revision);
+        targets.record_full_list(revision);
         drop(targets);
         drop(known);
         let is_first = !self.has_targets.swap(true, Relaxed);
@@ -238,14 +240,14 @@
             return;
         }
         *known = revision;
-        self.targets_freshness().hold(revision);
+        self.targets_freshness().set_current(revision);
         let now = Instant::now();
         let mut targets = self.targets();
         if source == Source::StoreRegained {
             targets.await_entries(self.entries_back, now);
         }
         for (at, change) in changes {
-            targets.note_change(*at, change.name());
+            targets.record_change(*at, change.name());
             if targets.apply(change, now) {
                 log::info!(revision = *at, source:? = source, change:? = change; "target changed");
             }
@@ -257,7 +259,7 @@
     }
 
     /// Takes in what another instance tells of the targets.
-    pub(super) fn take_news(&self, news: News, begun: Instant) {
+    pub(super) fn take_news(&self, news: TargetUpdate, begun: Instant) {
         let age = news.age_ms.map(|age| Duration::from_millis(age.into()));
         let revision = news.revision;
         if news.is_whole {
@@ -274,7 +276,7 @@
             self.change_targets(&changes, news.revision, Source::Peer);
         }
         let mut targets = self.targets();
-        targets.miss_all(&news.missing, self.entries_back, Instant::now());
+        targets.mark_all_missing(&news.missing, self.entries_back, Instant::now());
         drop(targets);
         if let Some(at) = age.and_then(|age| begun.checked_sub(age)) {
             self.observe_targets(Observation {
@@ -286,7 +288,7 @@
     }
 
     /// Returns what another instance that knows the targets up to a revision has to be told.
-    pub(super) fn news(&self, since: u64) -> Option<News> {
+    pub(super) fn news(&self, since: u64) -> Option<TargetUpdate> {
         if !self.has_targets() {
             return None;
         }
@@ -295,15 +297,15 @@
         let age = self.targets_freshness().age(now);
         let age_ms = age.and_then(|age| u32::try_from(age.as_millis()).ok());
         let targets = self.targets();
-        Some(News {
+        Some(TargetUpdate {
             age_ms,
-            observed: targets.observed(now),
-            ..targets.news(since, *known)
+            observed: targets.unlisted_targets(now),
+            ..targets.update_since(since, *known)
         })
     }
 
     /// Returns the configuration in force if it has at least this version.
-    pub(super) fn config_since(&self, version: u64) -> Option<Arc<Table>> {
+    pub(super) fn config_since(&self, version: u64) -> Option<Arc<RoutingTable>> {
         let table = self.has_config().then(|| self.table.load_full());
         table.filter(|table| table.config().version >= version)
     }
--- a/daemon/src/relay/lease.rs
+++ b/daemon/src/relay/lease.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use celerypond_relay::{Ended, Load, PlacementKey, Targets};
+use celerypond_relay::{AttemptFailure, Load, PlacementKey, Targets};
 use celerypond_telemetry::Counter;
 use celerypond_types::{TargetKey, TargetName, VersionName};
 use tokio::time::Instant;
@@ -42,7 +42,7 @@
 
     fn open(site: &Arc<Site>, targets: &mut Targets, key: TargetKey) -> Option<Self> {
         let target = targets.get_mut(key)?;
-        target.open += 1;
+        target.open_requests += 1;
         Some(Self {
             site: Arc::clone(site),
             key,
@@ -56,23 +56,23 @@
     /// Takes in a sign of life.
     pub(super) fn answered(&mut self, load: Option<Load>) {
         if let Some(target) = self.site.known.targets().get_mut(self.key) {
-            target.answered(load, Instant::now());
+            target.record_response(load, Instant::now());
         }
     }
 
     /// Takes in the result of a request in one piece.
     pub(super) fn note_result(&self, is_good: bool, time: Duration) {
         let mut targets = self.site.known.targets();
-        targets.note_result(self.key, is_good, time, Instant::now());
+        targets.record_result(self.key, is_good, time, Instant::now());
     }
 
     /// Takes in that what was sent was reset at once, on a connection that had rested for so long.
     pub(super) fn connection_lost(&self, rested: Duration) {
         let mut targets = self.site.known.targets();
-        if !targets.connection_lost(self.key, rested, Instant::now()) {
+        if !targets.record_idle_reset(self.key, rested, Instant::now()) {
             return;
         }
-        let most = targets.rest(self.key, Instant::now());
+        let most = targets.idle_limit(self.key, Instant::now());
         log::info!(
             target = self.name.as_str(),
             rested_ms = rested.as_millis() as u64,
@@ -84,20 +84,23 @@
     /// Takes in that the prompt was read.
     pub(super) fn has_read(&mut self) {
         if let Some(stream) = self.stream {
-            self.site.known.targets().stream_read(self.key, stream);
+            self.site
+                .known
+                .targets()
+                .record_prompt_read(self.key, stream);
             self.site.placed.notify_one();
         }
     }
 
     /// Takes in how the attempt ended.
-    pub(super) fn ended(&self, ended: Ended) {
+    pub(super) fn ended(&self, ended: AttemptFailure) {
         note(&self.site, self.key, ended);
-        if ended.suspects() {
+        if ended.suggests_target_down() {
             self.site.connections.drop_idle(self.address);
             self.site.placed.notify_one();
         }
         // A stream that breaks may be the sign of a dead engine, which others should know of.
-        if ended == Ended::Broken && self.stream.is_some() {
+        if ended == AttemptFailure::Broken && self.stream.is_some() {
             let check = check(Arc::clone(&self.site), self.key, self.address);
             self.site.tasks.spawn(check);
         }
@@ -105,13 +108,13 @@
 }
 
 /// Takes in how an attempt at a target ended, or that it was found dead.
-fn note(site: &Site, key: TargetKey, ended: Ended) {
+fn note(site: &Site, key: TargetKey, ended: AttemptFailure) {
     let mut targets = site.known.targets();
     let Some(target) = targets.get_mut(key) else {
         return;
     };
     let was_dead = target.is_dead;
-    target.ended(ended, Instant::now());
+    target.record_failure(ended, Instant::now());
     if target.is_dead && !was_dead {
         site.metrics.add(Counter::TargetsDead, 1);
     }
@@ -121,7 +124,7 @@
     if site.connections.is_alive(address).await {
         return;
     }
-    note(&site, key, Ended::Dead);
+    note(&site, key, AttemptFailure::Dead);
     log::info!(address:% = address, reason = "no connection"; "target dead");
     site.placed.notify_one();
 }
@@ -130,7 +133,7 @@
     fn drop(&mut self) {
         let mut targets = self.site.known.targets();
         if let Some(target) = targets.get_mut(self.key) {
-            target.open = target.open.saturating_sub(1);
+            target.open_requests = target.open_requests.saturating_sub(1);
         }
         if let Some(stream) = self.stream {
             targets.remove_stream(self.key, stream);
--- a/daemon/src/relay/request.rs
+++ b/daemon/src/relay/request.rs
@@ -7,7 +7,9 @@
 };
 
 use celerypond_adapter::headers;
-use celerypond_relay::{CallerHead, Clock, Denied, Route, RouteKind, StaleWait, Table};
+use celerypond_relay::{
+    CallerHead, Denied, RequestDeadline, Route, RouteKind, RoutingTable, StaleWait,
+};
 use celerypond_telemetry::{Counter, Latency};
 use celerypond_types::{AccountName, ServiceName};
 use http::{
@@ -153,7 +155,7 @@
         Ok(taken) => taken,
         Err(denied) => return deny(denied, &id),
     };
-    let clock = Clock::new(start, head.deadline, route.timeout);
+    let clock = RequestDeadline::new(start, head.deadline, route.timeout);
     let limit = site.known.table().config().limits.body_bytes;
     let asked = match read(request, id.clone(), limit).await {
         Ok(asked) => asked,
@@ -161,12 +163,12 @@
     };
     let now = Instant::now();
     let stop = site.stop.load_full();
-    if let Some(stop) = stop.filter(|stop| !stop.admits(clock.left(now), now)) {
-        let back = stop.come_back(members::others(site), route.aim, now);
-        return reply::not_run(&id, clock.left(now), back, Reason::Stopping);
+    if let Some(stop) = stop.filter(|stop| !stop.admits(clock.remaining(now), now)) {
+        let back = stop.retry_after(members::others(site), route.aim, now);
+        return reply::not_run(&id, clock.remaining(now), back, Reason::Stopping);
     }
     let Some(service) = choose_service(&route) else {
-        return reply::not_run(&id, clock.left(Instant::now()), None, Reason::NoTarget);
+        return reply::not_run(&id, clock.remaining(Instant::now()), None, Reason::NoTarget);
     };
     let mut run = Run::new(site, asked, &route, service, account, clock);
     run.take_prompt(head.prompt.as_ref());
@@ -180,15 +182,15 @@
     }
 }
 
-type Taken = Result<(Route, Option<AccountName>), Denied>;
+type EngineUsage = Result<(Route, Option<AccountName>), Denied>;
 
 /// Finds the route and the account; nothing while no configuration is known.
-fn admit(site: &Site, host: &str, path: &str, head: &CallerHead) -> Option<Taken> {
+fn admit(site: &Site, host: &str, path: &str, head: &CallerHead) -> Option<EngineUsage> {
     if !site.known.has_config() {
         return None;
     }
-    let table: arc_swap::Guard<Arc<Table>> = site.known.table();
-    let taken = table.admit(host, path, head.key.as_deref());
+    let table: arc_swap::Guard<Arc<RoutingTable>> = site.known.table();
+    let taken = table.resolve(host, path, head.key.as_deref());
     Some(taken.map(|(route, account)| {
         let account = account.map(|account| account.name.clone());
         (route.clone(), account)
--- a/daemon/src/relay/revive.rs
+++ b/daemon/src/relay/revive.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use celerypond_adapter::{engine, headers};
-use celerypond_relay::Dead;
+use celerypond_relay::DeadEngine;
 use celerypond_telemetry::Counter;
 use celerypond_types::TargetName;
 use futures::future::join_all;
@@ -40,14 +40,17 @@
     }
 }
 
-async fn look(site: &Site, dead: Dead) {
+async fn look(site: &Site, dead: DeadEngine) {
     let Some((path, tokens)) = may_adopt(site, &dead) else {
         return;
     };
     let Some(name) = ask(site, dead.address, path, tokens).await else {
         return;
     };
-    let is_new = site.known.targets().adopt(dead.hash, &name, Instant::now());
+    let is_new = site
+        .known
+        .targets()
+        .add_restarted_engine(dead.name_hash, &name, Instant::now());
     if is_new {
         site.metrics.add(Counter::TargetsFound, 1);
         log::info!(target = name.as_str(), before = dead.name.as_str(), source = "engine"; "engine found again");
@@ -57,9 +60,9 @@
 
 /// Returns the path of the health check and the memory of the service's engines, if an engine at
 /// the address can only be of this service.
-fn may_adopt(site: &Site, dead: &Dead) -> Option<(Uri, u64)> {
+fn may_adopt(site: &Site, dead: &DeadEngine) -> Option<(Uri, u64)> {
     let table = site.known.table();
-    let service = table.only_engines()?;
+    let service = table.only_engine_service()?;
     if service.name != dead.service {
         return None;
     }
--- a/daemon/src/relay/rollouts.rs
+++ b/daemon/src/relay/rollouts.rs
@@ -8,7 +8,7 @@
 };
 
 use celerypond_platform::Version;
-use celerypond_relay::{Fleet, Order, Phase, Report, Rollout, Stage, Versions};
+use celerypond_relay::{EvidenceReport, Fleet, Order, Phase, Rollout, Stage, VersionRouting};
 use celerypond_telemetry::Counter;
 use celerypond_types::ServiceName;
 use smol_str::SmolStr;
@@ -33,7 +33,7 @@
 /// This instance's side in rollouts.
 #[derive(Default)]
 pub(super) struct Rollouts {
-    versions: Mutex<Versions>,
+    versions: Mutex<VersionRouting>,
     /// The orders that this instance drives; empty while it drives none.
     driven: Mutex<HashMap<ServiceName, Driven>>,
 }
@@ -60,21 +60,21 @@
 
 impl Rollouts {
     /// Returns which versions take requests.
-    pub(super) fn versions(&self) -> MutexGuard<'_, Versions> {
+    pub(super) fn versions(&self) -> MutexGuard<'_, VersionRouting> {
         lock(&self.versions)
     }
 
     /// Takes in how far an order had come at a moment, from the instance that drives it.
     pub(super) fn hear_stage(&self, stage: Stage, at: Instant) {
-        self.versions().hear(stage, at);
+        self.versions().update(stage, at);
     }
 
     /// Takes in what another instance saw, if this one drives the order.
-    pub(super) fn hear_report(&self, service: &ServiceName, report: Report) {
+    pub(super) fn hear_report(&self, service: &ServiceName, report: EvidenceReport) {
         let mut driven = lock(&self.driven);
         let rollout = driven.get_mut(service).map(|driven| &mut driven.rollout);
         if let Some(rollout) = rollout.filter(|rollout| rollout.order.version == report.version) {
-            rollout.evidence.hear(report, Instant::now());
+            rollout.evidence.merge(report, Instant::now());
         }
     }
 
@@ -194,10 +194,10 @@
     for driven in lock(&site.rollouts.driven).values_mut() {
         let rollout = &mut driven.rollout;
         let fleet = fleet(site, &rollout.order);
-        let next = rollout.next(&bounds, fleet, Instant::now());
+        let next = rollout.next_phase(&bounds, fleet, Instant::now());
         let before = std::mem::replace(&mut rollout.phase, next);
         if next.is_ended() && next != before {
-            let seen = rollout.evidence.sum();
+            let seen = rollout.evidence.total();
             log::info!(
                 service = rollout.order.service.as_str(),
                 version = rollout.order.version.as_str(),
