--- a/bench/src/answer/cost.rs
+++ b/bench/src/answer/cost.rs
@@ -4,7 +4,8 @@
 
 use celerypond_answer::{
     ChainDigest, Chosen, Driver, Effect, Event, Frame, Generation, GenerationLimits, Input,
-    KeeperRecord, Link, Mode, Origin, Request, SealKey, Splice, Stall, StallLimits, Stream,
+    KeeperRecord, Link, Mode, Origin, Request, SealKey, Splice, Stream, TimeoutEstimator,
+    TimeoutLimits,
 };
 use celerypond_types::{Attempt, Digest, Position, TokenId};
 use tokio::time::{Duration, Instant};
@@ -148,7 +149,7 @@
     let chosen = Chosen {
         target: "engine-1".into(),
         version: "v1".into(),
-        patience: Stall::new(StallLimits::default()).patience(0),
+        timeouts: TimeoutEstimator::new(TimeoutLimits::default()).timeouts(0),
     };
     generation.step(now, Input::Chosen(chosen), &mut out);
     (generation, now)
@@ -157,18 +158,18 @@
 /// Resident memory for the observed gaps of each of many targets.
 fn gaps() -> f64 {
     let before = resident();
-    let stalls: Vec<Stall> = (0..TARGETS).map(|_| observed()).collect();
+    let stalls: Vec<TimeoutEstimator> = (0..TARGETS).map(|_| observed()).collect();
     let after = resident();
     black_box(&stalls);
     (after - before) / TARGETS as f64
 }
 
-fn observed() -> Stall {
-    let mut stall = Stall::new(StallLimits::default());
+fn observed() -> TimeoutEstimator {
+    let mut estimator = TimeoutEstimator::new(TimeoutLimits::default());
     for gap in 0..LENGTH * 20 {
-        stall.observe(Duration::from_millis(u64::from(gap % 400)));
+        estimator.observe(Duration::from_millis(u64::from(gap % 400)));
     }
-    stall
+    estimator
 }
 
 /// Encoded length of a record whose prefix has `tokens` tokens.
--- a/bench/src/answer/model.rs
+++ b/bench/src/answer/model.rs
@@ -14,8 +14,8 @@
 
 use celerypond_answer::{
     Chosen, Driver, Effect, Event, Frame, Generation, GenerationLimits, Input, KeeperRecord, Link,
-    Mode, Pace, Patience, Refusal, Request, Seal, SealKey, Stall, StallLimits, Start, Stream,
-    TakeOver, WaiterKey,
+    Mode, Pace, Refusal, Request, Seal, SealKey, Start, Stream, TakeOver, TimeoutEstimator,
+    TimeoutLimits, Timeouts, WaiterKey,
 };
 use celerypond_types::{Attempt, Digest, Position, TargetKey, TargetName, TokenId, VersionKey};
 use rand::{rngs::StdRng, Rng, SeedableRng};
@@ -131,7 +131,7 @@
     waiters: HashMap<WaiterKey, usize>,
     held: VecDeque<usize>,
     version: VersionKey,
-    patience: Patience,
+    timeouts: Timeouts,
     rng: StdRng,
     struck: bool,
     /// When the last fault came.
@@ -170,7 +170,7 @@
             waiters: HashMap::new(),
             held: VecDeque::new(),
             version: SlotMap::<VersionKey, ()>::with_key().insert(()),
-            patience: learned(&mut rng, way),
+            timeouts: learned(&mut rng, way),
             rng,
             struck: false,
             fault_at: 0,
@@ -287,7 +287,7 @@
         let input = Input::Chosen(Chosen {
             target: engine.to_string().as_str().into(),
             version: "v1".into(),
-            patience: self.patience(at),
+            timeouts: self.timeouts(at),
         });
         let mut out = Vec::new();
         let now = self.instant();
@@ -399,20 +399,20 @@
 }
 
 /// The timeouts after 10,000 gaps of a healthy engine, or a fixed one.
-fn learned(rng: &mut StdRng, way: Way) -> Patience {
-    let mut stall = Stall::new(StallLimits::default());
+fn learned(rng: &mut StdRng, way: Way) -> Timeouts {
+    let mut estimator = TimeoutEstimator::new(TimeoutLimits::default());
     for _ in 0..10_000 {
         let gap = rng.random_range(GAP_US.0..GAP_US.1);
-        stall.observe(Duration::from_micros(gap + WIRE_US));
+        estimator.observe(Duration::from_micros(gap + WIRE_US));
     }
-    let patience = stall.patience(0);
+    let timeouts = estimator.timeouts(0);
     match way.timeout {
-        Some(gap) => Patience {
-            gap,
-            first: gap,
-            stuck: gap,
-            ..patience
+        Some(gap) => Timeouts {
+            token_gap: gap,
+            first_token: gap,
+            no_progress: gap,
+            ..timeouts
         },
-        None => patience,
+        None => timeouts,
     }
 }
--- a/bench/src/answer/model/instances.rs
+++ b/bench/src/answer/model/instances.rs
@@ -134,12 +134,12 @@
     }
 
     pub(super) fn chosen(&mut self, at: usize, target: Option<usize>) {
-        let patience = self.patience(at);
+        let timeouts = self.timeouts(at);
         let input = match target {
             Some(target) => Input::Chosen(Chosen {
                 target: target.to_string().as_str().into(),
                 version: "v1".into(),
-                patience,
+                timeouts,
             }),
             None => Input::NoTarget,
         };
@@ -147,13 +147,13 @@
         self.after(0, Act::Input(at, conn, input));
     }
 
-    pub(super) fn patience(&self, at: usize) -> Patience {
+    pub(super) fn timeouts(&self, at: usize) -> Timeouts {
         let answer = &self.answers[at];
         let tokens = answer.prompt + u64::from(answer.shown);
         let read = Duration::from_micros(PREFILL_US * tokens);
-        Patience {
-            first: self.patience.first + read * 2,
-            ..self.patience
+        Timeouts {
+            first_token: self.timeouts.first_token + read * 2,
+            ..self.timeouts
         }
     }
 
@@ -203,10 +203,10 @@
         let limits = limits();
         let now = self.instant();
         let mut out = Vec::new();
-        let patience = self.patience(at);
+        let timeouts = self.timeouts(at);
         self.answers[at].generation = match plan {
             Ok(Some(plan)) if self.way.takeover != TakeOverWay::Restart => {
-                Generation::take_over(request, limits, seal, plan, patience, now, &mut out)
+                Generation::take_over(request, limits, seal, plan, timeouts, now, &mut out)
             }
             _ => self.anew(at, request, seal, driver, &mut out),
         };
@@ -248,7 +248,7 @@
             text: String::new(),
         };
         let limits = limits();
-        let (now, patience) = (self.instant(), self.patience(at));
-        Generation::take_over(request, limits, seal, plan, patience, now, out)
+        let (now, timeouts) = (self.instant(), self.timeouts(at));
+        Generation::take_over(request, limits, seal, plan, timeouts, now, out)
     }
 }
--- a/crates/answer/src/generation.rs
+++ b/crates/answer/src/generation.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     outlet::Outlet, reader::Reader, ChainDigest, Driver, Effect, Event, GenerationLimits, Input,
-    KeeperRecord, Link, Origin, Patience, Request, Seal, Splice, Stream, TakeOver,
+    KeeperRecord, Link, Origin, Request, Seal, Splice, Stream, TakeOver, Timeouts,
 };
 
 /// Drives one answer from its first choice of a target to its end.
@@ -115,13 +115,13 @@
 
     /// Goes on with an answer that another instance began, or the same one for another connection.
     ///
-    /// `patience` is that of the target of the plan's stream.
+    /// `timeouts` is that of the target of the plan's stream.
     pub fn take_over(
         request: Request,
         limits: GenerationLimits,
         seal: Seal,
         plan: TakeOver,
-        patience: Patience,
+        timeouts: Timeouts,
         now: Instant,
         out: &mut Vec<Effect>,
     ) -> Self {
@@ -146,7 +146,7 @@
         let mut generation = Self::with(request, limits, seal, outlet, plan.attempt, now);
         generation.splice = Some(splice.with_prefix(plan.tokens));
         generation.other = plan.other;
-        generation.adopt(stream, plan.former, patience, now, out);
+        generation.adopt(stream, plan.former, timeouts, now, out);
         generation
     }
 
--- a/crates/answer/src/generation/choosing.rs
+++ b/crates/answer/src/generation/choosing.rs
@@ -4,7 +4,7 @@
 use tokio::time::Instant;
 
 use super::{Generation, State};
-use crate::{reader::Reader, Choice, Chosen, Driver, Effect, Patience, Splice, Start, Stream};
+use crate::{reader::Reader, Choice, Chosen, Driver, Effect, Splice, Start, Stream, Timeouts};
 
 /// Enough to pass any sensible longest rest, and few enough not to overflow.
 const MAX_DOUBLINGS: u32 = 10;
@@ -15,7 +15,7 @@
         &mut self,
         stream: Stream,
         former: Option<InstanceName>,
-        patience: Patience,
+        timeouts: Timeouts,
         now: Instant,
         out: &mut Vec<Effect>,
     ) {
@@ -31,7 +31,7 @@
             stream: stream.clone(),
             from: self.next(),
         });
-        self.state = State::Reading(Reader::resume(stream, link, patience, now));
+        self.state = State::Reading(Reader::resume(stream, link, timeouts, now));
     }
 
     pub(super) fn choose(&mut self, now: Instant, out: &mut Vec<Effect>) {
@@ -79,7 +79,7 @@
         if self.held.is_none() || !record.prefix.is_empty() {
             out.push(self.keep(record));
         }
-        self.state = State::Reading(Reader::start(stream, link, chosen.patience, now));
+        self.state = State::Reading(Reader::start(stream, link, chosen.timeouts, now));
     }
 
     pub(super) fn fits(&self, version: &VersionName) -> bool {
--- a/crates/answer/src/generation/reading.rs
+++ b/crates/answer/src/generation/reading.rs
@@ -166,7 +166,7 @@
         let (State::Reading(reader), Some(other)) = (&self.state, self.other.take()) else {
             return false;
         };
-        let patience = reader.patience();
+        let timeouts = reader.timeouts();
         // A higher number, so that the keepers drop what was copied of the other sequence.
         let Some(number) = self.fresh else {
             return false;
@@ -176,7 +176,7 @@
         let (key, limit) = (self.request.key.clone(), self.request.limit);
         let attempt = other.stream.attempt;
         self.splice = Some(Splice::new(key, other.version, attempt, limit));
-        self.adopt(other.stream, None, patience, now, out);
+        self.adopt(other.stream, None, timeouts, now, out);
         true
     }
 
--- a/crates/answer/src/input.rs
+++ b/crates/answer/src/input.rs
@@ -2,7 +2,7 @@
 
 use celerypond_types::{TargetName, VersionName};
 
-use crate::{Event, KeeperRecord, Patience};
+use crate::{Event, KeeperRecord, Timeouts};
 
 /// A connection to an engine, numbered within its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -56,5 +56,5 @@
     /// The version that it runs.
     pub version: VersionName,
     /// Its timeouts.
-    pub patience: Patience,
+    pub timeouts: Timeouts,
 }
--- a/crates/answer/src/lib.rs
+++ b/crates/answer/src/lib.rs
@@ -20,9 +20,9 @@
 mod resume;
 mod seal;
 mod splice;
-mod stall;
 mod stream;
 mod takeover;
+mod timeouts;
 
 pub use chain::ChainDigest;
 pub use driver::Driver;
@@ -38,6 +38,6 @@
 pub use resume::{Origin, ResumeError, ResumeToken};
 pub use seal::{Seal, SealKey, Sealed};
 pub use splice::{Splice, Verdict};
-pub use stall::{Patience, Stall, StallLimits};
 pub use stream::Stream;
 pub use takeover::{TakeOver, TakeOverError};
+pub use timeouts::{TimeoutEstimator, TimeoutLimits, Timeouts};
--- a/crates/answer/src/reader.rs
+++ b/crates/answer/src/reader.rs
@@ -3,7 +3,7 @@
 use celerypond_types::TargetName;
 use tokio::time::Instant;
 
-use crate::{Link, Patience, Stream};
+use crate::{Link, Stream, Timeouts};
 
 /// How many times the wait for the first token an attempt gets while its engine answers probes.
 const STUCK_FIRSTS: u32 = 4;
@@ -19,11 +19,11 @@
 /// The failure: many resumes at once make all engines slow. If each slow stream were started anew
 /// elsewhere, its prefix would be read once more there, which makes the engines slower yet; the
 /// symptom would be answers that move about and never go on. An engine that answers is therefore
-/// given twice the time after each probe, up to a bound for one whose stream is stuck.
+/// given twice the time after each probe, up to a bound for one whose stream is no_progress.
 #[derive(Clone, Debug)]
 pub(crate) struct Reader {
     stream: Stream,
-    patience: Patience,
+    timeouts: Timeouts,
     /// The connection that is read, unless it was lost.
     link: Option<Link>,
     /// The connection of a resume that the engine has not answered.
@@ -55,13 +55,13 @@
 }
 
 impl Reader {
-    pub(crate) fn start(stream: Stream, link: Link, patience: Patience, now: Instant) -> Self {
+    pub(crate) fn start(stream: Stream, link: Link, timeouts: Timeouts, now: Instant) -> Self {
         Self {
             stream,
-            patience,
+            timeouts,
             link: Some(link),
             probe: None,
-            due: now + patience.probe,
+            due: now + timeouts.probe,
             opened: false,
             begun: false,
             probes: 0,
@@ -71,13 +71,13 @@
     }
 
     /// Reads a stream that another instance started.
-    pub(crate) fn resume(stream: Stream, link: Link, patience: Patience, now: Instant) -> Self {
+    pub(crate) fn resume(stream: Stream, link: Link, timeouts: Timeouts, now: Instant) -> Self {
         Self {
             link: None,
             probe: Some(link),
             begun: true,
             probes: 1,
-            ..Self::start(stream, link, patience, now)
+            ..Self::start(stream, link, timeouts, now)
         }
     }
 
@@ -113,7 +113,7 @@
     pub(crate) fn probe(&mut self, link: Link, now: Instant) {
         self.probe = Some(link);
         self.probes += 1;
-        self.due = now + self.patience.probe;
+        self.due = now + self.timeouts.probe;
     }
 
     /// Takes note of the loss of a connection.
@@ -163,8 +163,8 @@
         self.opened && !self.begun && self.broke
     }
 
-    pub(crate) const fn patience(&self) -> Patience {
-        self.patience
+    pub(crate) const fn timeouts(&self) -> Timeouts {
+        self.timeouts
     }
 
     pub(crate) const fn due(&self) -> Instant {
@@ -182,18 +182,18 @@
     /// Returns when a stream is given up although its engine answers.
     fn limit(&self) -> Instant {
         let stuck = if self.begun {
-            self.patience.stuck
+            self.timeouts.no_progress
         } else {
-            self.patience.first * STUCK_FIRSTS
+            self.timeouts.first_token * STUCK_FIRSTS
         };
         self.since + stuck
     }
 
     const fn wait(&self) -> std::time::Duration {
         if self.begun {
-            self.patience.gap
+            self.timeouts.token_gap
         } else {
-            self.patience.first
+            self.timeouts.first_token
         }
     }
 
--- a/crates/answer/src/stall.rs
+++ b/crates/answer/src/timeouts.rs
@@ -15,7 +15,7 @@
 
 /// Bounds of the progress timeout.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StallLimits {
+pub struct TimeoutLimits {
     /// The shortest timeout between two tokens.
     pub floor: Duration,
     /// The longest timeout between two tokens, and the one for a target not yet observed.
@@ -25,27 +25,27 @@
     /// How many times that quantile the timeout is.
     pub factor: f64,
     /// The timeout for the first token of an attempt without a prefix.
-    pub first: Duration,
+    pub first_token: Duration,
     /// What each token of the prompt or prefix adds to it.
-    pub prefill: Duration,
+    pub prefill_per_token: Duration,
     /// How long a probe may take.
     pub probe: Duration,
     /// How long a stream may give no token although its engine answers probes.
-    pub stuck: Duration,
+    pub no_progress: Duration,
 }
 
 /// The timeouts of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct Timeouts {
     /// How long to wait for the first token.
-    pub first: Duration,
+    pub first_token: Duration,
     /// How long to wait for each further token.
-    pub gap: Duration,
+    pub token_gap: Duration,
     /// How long to wait for the answer to a probe.
     pub probe: Duration,
     /// How long to go without a token although the engine answers probes. An attempt that has had
-    /// none yet gets several times `first` instead.
-    pub stuck: Duration,
+    /// none yet gets several times `first_token` instead.
+    pub no_progress: Duration,
 }
 
 /// Learns the gaps between tokens of one target, and sets the progress timeout from them.
@@ -59,40 +59,40 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use celerypond_answer::{Stall, StallLimits};
+/// use celerypond_answer::{TimeoutEstimator, TimeoutLimits};
 ///
-/// let mut stall = Stall::new(StallLimits::default());
-/// assert_eq!(stall.patience(0).gap, StallLimits::default().ceiling);
+/// let mut estimator = TimeoutEstimator::new(TimeoutLimits::default());
+/// assert_eq!(estimator.timeouts(0).token_gap, TimeoutLimits::default().ceiling);
 /// for _ in 0..1000 {
-///     stall.observe(Duration::from_millis(30));
+///     estimator.observe(Duration::from_millis(30));
 /// }
-/// assert_eq!(stall.patience(0).gap, StallLimits::default().floor);
+/// assert_eq!(estimator.timeouts(0).token_gap, TimeoutLimits::default().floor);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Stall {
-    limits: StallLimits,
+pub struct TimeoutEstimator {
+    limits: TimeoutLimits,
     recent: Histogram<u16>,
     earlier: Histogram<u16>,
 }
 
-impl Default for StallLimits {
+impl Default for TimeoutLimits {
     fn default() -> Self {
         Self {
             floor: Duration::from_millis(250),
             ceiling: Duration::from_millis(700),
             quantile: 0.999,
             factor: 3.0,
-            first: Duration::from_millis(900),
-            prefill: Duration::from_micros(200),
+            first_token: Duration::from_millis(900),
+            prefill_per_token: Duration::from_micros(200),
             probe: Duration::from_millis(200),
-            stuck: Duration::from_millis(1500),
+            no_progress: Duration::from_millis(1500),
         }
     }
 }
 
-impl Stall {
+impl TimeoutEstimator {
     /// Starts without an observation.
-    pub fn new(limits: StallLimits) -> Self {
+    pub fn new(limits: TimeoutLimits) -> Self {
         Self {
             limits,
             recent: empty(),
@@ -111,17 +111,18 @@
     }
 
     /// Returns the timeouts for an attempt that first reads `tokens` of prompt and prefix.
-    pub fn patience(&self, tokens: u32) -> Patience {
-        let gap = self.gap();
-        Patience {
-            first: self.limits.first.max(gap) + self.limits.prefill * tokens,
-            gap,
+    pub fn timeouts(&self, tokens: u32) -> Timeouts {
+        let token_gap = self.token_gap();
+        Timeouts {
+            first_token: self.limits.first_token.max(token_gap)
+                + self.limits.prefill_per_token * tokens,
+            token_gap,
             probe: self.limits.probe,
-            stuck: self.limits.stuck.max(gap * 2),
+            no_progress: self.limits.no_progress.max(token_gap * 2),
         }
     }
 
-    fn gap(&self) -> Duration {
+    fn token_gap(&self) -> Duration {
         let limits = &self.limits;
         if self.recent.len() + self.earlier.len() < ENOUGH_GAPS {
             return limits.ceiling;
--- a/crates/answer/tests/runner.rs
+++ b/crates/answer/tests/runner.rs
@@ -6,6 +6,6 @@
 mod test_resume;
 mod test_scripts;
 mod test_splice;
-mod test_stall;
 mod test_takeover;
+mod test_timeouts;
 mod world;
--- a/crates/answer/tests/test_takeover.rs
+++ b/crates/answer/tests/test_takeover.rs
@@ -4,7 +4,7 @@
 
 use celerypond_answer::{
     ChainDigest, Driver, Effect, Generation, GenerationLimits, Input, KeeperRecord, Link, Mode,
-    Origin, Patience, Request, ResumeToken, SealKey, Stream, TakeOver, TakeOverError,
+    Origin, Request, ResumeToken, SealKey, Stream, TakeOver, TakeOverError, Timeouts,
 };
 use celerypond_types::{Attempt, Digest, Position, TokenId};
 use rstest::rstest;
@@ -104,16 +104,16 @@
         deadline: now + Duration::from_secs(60),
         instance: "b".into(),
     };
-    let patience = Patience {
-        first: Duration::from_secs(1),
-        gap: Duration::from_secs(1),
+    let timeouts = Timeouts {
+        first_token: Duration::from_secs(1),
+        token_gap: Duration::from_secs(1),
         probe: Duration::from_secs(1),
-        stuck: Duration::from_secs(1),
+        no_progress: Duration::from_secs(1),
     };
     let seal = request.seal(&SealKey::new([7; 32]));
     let limits = GenerationLimits::default();
     let mut out = Vec::new();
-    let mut answer = Generation::take_over(request, limits, seal, plan, patience, now, &mut out);
+    let mut answer = Generation::take_over(request, limits, seal, plan, timeouts, now, &mut out);
     assert_eq!(resumed(&out), [("e2", 4)]);
     assert!(out
         .iter()
--- a/crates/answer/tests/test_stall.rs
+++ b/crates/answer/tests/test_timeouts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_answer::{Stall, StallLimits};
+use celerypond_answer::{TimeoutEstimator, TimeoutLimits};
 use rstest::rstest;
 
 const fn ms(count: u64) -> Duration {
@@ -17,18 +17,18 @@
 #[case::very_slow_target_gets_the_ceiling(&[(1000, 500)], ms(700))]
 #[case::old_gaps_are_forgotten(&[(1000, 500), (9000, 20)], ms(250))]
 fn timeout_follows_the_observed_gaps(#[case] gaps: &[(usize, u64)], #[case] expected: Duration) {
-    let mut stall = Stall::new(StallLimits::default());
+    let mut estimator = TimeoutEstimator::new(TimeoutLimits::default());
     for (count, gap) in gaps {
-        (0..*count).for_each(|_| stall.observe(ms(*gap)));
+        (0..*count).for_each(|_| estimator.observe(ms(*gap)));
     }
-    let found = stall.patience(0).gap;
+    let found = estimator.timeouts(0).token_gap;
     let error = found.abs_diff(expected);
     assert!(error <= expected / 50, "{found:?}");
 }
 
 #[test]
 fn first_token_is_allowed_the_time_to_read_the_prompt() {
-    let stall = Stall::new(StallLimits::default());
-    let more = stall.patience(5000).first - stall.patience(0).first;
-    assert_eq!(more, StallLimits::default().prefill * 5000);
+    let estimator = TimeoutEstimator::new(TimeoutLimits::default());
+    let more = estimator.timeouts(5000).first_token - estimator.timeouts(0).first_token;
+    assert_eq!(more, TimeoutLimits::default().prefill_per_token * 5000);
 }
--- a/crates/answer/tests/world.rs
+++ b/crates/answer/tests/world.rs
@@ -14,8 +14,8 @@
 
 use celerypond_answer::{
     Choice, Chosen, Copies, Driver, Effect, Emit, Finish, Frame, Generation, GenerationLimits,
-    Incomplete, Input, Keeper, KeeperRecord, Link, Mode, Patience, Request, Seal, SealKey, Start,
-    TakeOver, Unkept,
+    Incomplete, Input, Keeper, KeeperRecord, Link, Mode, Request, Seal, SealKey, Start, TakeOver,
+    Timeouts, Unkept,
 };
 use celerypond_types::{Attempt, Digest, Position, RequestKey, TargetName, TokenId, VersionName};
 use rand::{rngs::StdRng, seq::IndexedRandom, Rng, SeedableRng};
@@ -345,12 +345,12 @@
     }
 }
 
-fn patience() -> Patience {
-    Patience {
-        first: Duration::from_millis(300),
-        gap: Duration::from_millis(100),
+fn timeouts() -> Timeouts {
+    Timeouts {
+        first_token: Duration::from_millis(300),
+        token_gap: Duration::from_millis(100),
         probe: Duration::from_millis(50),
-        stuck: Duration::from_millis(400),
+        no_progress: Duration::from_millis(400),
     }
 }
 
--- a/crates/answer/tests/world/instances.rs
+++ b/crates/answer/tests/world/instances.rs
@@ -154,7 +154,7 @@
             Some((target, version)) => Input::Chosen(Chosen {
                 target: target.clone(),
                 version: version.clone(),
-                patience: patience(),
+                timeouts: timeouts(),
             }),
             None => Input::NoTarget,
         };
@@ -235,8 +235,8 @@
         let plan = TakeOver::plan(driver, token.as_ref(), record.as_ref(), &brought).unwrap();
         let generation = match plan {
             Some(plan) => {
-                let patience = patience();
-                Generation::take_over(request, limits, seal, plan, patience, now, &mut out)
+                let timeouts = timeouts();
+                Generation::take_over(request, limits, seal, plan, timeouts, now, &mut out)
             }
             None => Generation::new(request, limits, seal, driver, now, &mut out),
         };
--- a/daemon/src/generation/choice.rs
+++ b/daemon/src/generation/choice.rs
@@ -109,11 +109,11 @@
                 let _ = inputs.send(Input::NoTarget).await;
                 return;
             };
-            let patience = node.stalls.patience(&target, tokens);
+            let timeouts = node.stalls.patience(&target, tokens);
             let chosen = Chosen {
                 target,
                 version,
-                patience,
+                timeouts,
             };
             if inputs.send(Input::Chosen(chosen)).await.is_err() {
                 node.admission.settled(key);
@@ -122,11 +122,11 @@
     }
 
     pub(super) fn chosen(&self, target: TargetName, version: VersionName) -> Chosen {
-        let patience = self.node.stalls.patience(&target, self.prompt_tokens());
+        let timeouts = self.node.stalls.patience(&target, self.prompt_tokens());
         Chosen {
             target,
             version,
-            patience,
+            timeouts,
         }
     }
 
--- a/daemon/src/link.rs
+++ b/daemon/src/link.rs
@@ -6,7 +6,7 @@
     sync::{Arc, Mutex},
 };
 
-use celerypond_answer::{Event, Input, Link, Refusal, Stall, Start, Stream};
+use celerypond_answer::{Event, Input, Link, Refusal, Start, Stream, TimeoutEstimator};
 use celerypond_types::{AdapterName, Attempt, ModelName, Position, Priority, RequestKey};
 use error_stack::Report;
 use futures::StreamExt;
@@ -41,7 +41,7 @@
     ask: Arc<Ask>,
     address: SocketAddr,
     start: Start,
-    stall: Arc<Mutex<Stall>>,
+    stall: Arc<Mutex<TimeoutEstimator>>,
     inputs: mpsc::Sender<Input>,
 ) {
     let call = Generate {
@@ -68,7 +68,7 @@
     link: Link,
     stream: Stream,
     from: Position,
-    stall: Arc<Mutex<Stall>>,
+    stall: Arc<Mutex<TimeoutEstimator>>,
     inputs: mpsc::Sender<Input>,
 ) {
     let opening = engine::resume(address, &request, stream.attempt, from).await;
@@ -79,7 +79,7 @@
     link: Link,
     attempt: Attempt,
     opening: Result<Opening, Report<CallError>>,
-    stall: &Mutex<Stall>,
+    stall: &Mutex<TimeoutEstimator>,
     inputs: &mpsc::Sender<Input>,
 ) {
     // A send fails only when the answer is over, and then nobody wants the rest.
@@ -100,7 +100,7 @@
     link: Link,
     attempt: Attempt,
     open: engine::Open,
-    stall: &Mutex<Stall>,
+    stall: &Mutex<TimeoutEstimator>,
     inputs: &mpsc::Sender<Input>,
 ) {
     let mut wanted = inputs.send(Input::Opened(link)).await.is_ok();
--- a/daemon/src/stalls.rs
+++ b/daemon/src/stalls.rs
@@ -6,30 +6,30 @@
     time::Duration,
 };
 
-use celerypond_answer::{Patience, Stall, StallLimits};
+use celerypond_answer::{TimeoutEstimator, TimeoutLimits, Timeouts};
 use celerypond_types::TargetName;
 
 /// The gaps between tokens of each engine.
 #[derive(Default)]
 pub struct Stalls {
-    targets: Mutex<HashMap<TargetName, Arc<Mutex<Stall>>>>,
+    targets: Mutex<HashMap<TargetName, Arc<Mutex<TimeoutEstimator>>>>,
 }
 
 impl Stalls {
     /// Returns the gaps of one engine.
-    pub fn of(&self, target: &TargetName) -> Arc<Mutex<Stall>> {
+    pub fn of(&self, target: &TargetName) -> Arc<Mutex<TimeoutEstimator>> {
         let mut targets = self.targets.lock().unwrap_or_else(PoisonError::into_inner);
-        let stall = targets
-            .entry(target.clone())
-            .or_insert_with(|| Arc::new(Mutex::new(Stall::new(StallLimits::default()))));
+        let stall = targets.entry(target.clone()).or_insert_with(|| {
+            Arc::new(Mutex::new(TimeoutEstimator::new(TimeoutLimits::default())))
+        });
         Arc::clone(stall)
     }
 
     /// Returns the timeouts of an attempt that first reads `tokens` tokens.
-    pub fn patience(&self, target: &TargetName, tokens: u32) -> Patience {
+    pub fn patience(&self, target: &TargetName, tokens: u32) -> Timeouts {
         let stall = self.of(target);
         let stall = stall.lock().unwrap_or_else(PoisonError::into_inner);
-        stall.patience(tokens)
+        stall.timeouts(tokens)
     }
 
     /// Forgets engines that are no longer declared.
@@ -40,7 +40,7 @@
 }
 
 /// Takes the time between two tokens into account.
-pub fn observe(stall: &Mutex<Stall>, gap: Duration) {
+pub fn observe(stall: &Mutex<TimeoutEstimator>, gap: Duration) {
     let mut stall = stall.lock().unwrap_or_else(PoisonError::into_inner);
     stall.observe(gap);
 }
--- a/daemon/tests/test_links.rs
+++ b/daemon/tests/test_links.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use celerypond_answer::{Event, Input, Link, Stall, StallLimits, Start, Stream};
+use celerypond_answer::{Event, Input, Link, Start, Stream, TimeoutEstimator, TimeoutLimits};
 use celerypond_daemon::link::{self, Ask};
 use celerypond_testutils::engine::{Engine, EngineSettings};
 use celerypond_types::{Attempt, Priority};
@@ -42,7 +42,7 @@
         seed: 1,
         prefix: Vec::new(),
     };
-    let stall = Arc::new(Mutex::new(Stall::new(StallLimits::default())));
+    let stall = Arc::new(Mutex::new(TimeoutEstimator::new(TimeoutLimits::default())));
     let (inputs, mut received) = mpsc::channel(16);
     link::start(Arc::new(ask), server.address, start, stall, inputs).await;
     let mut all = Vec::new();
