--- a/bench/src/answer/model.rs
+++ b/bench/src/answer/model.rs
@@ -303,7 +303,7 @@
         answer.generation.step(now, Input::Tick, &mut out);
         for effect in out {
             match effect {
-                Effect::Keep(record) => answer.record = Some(record),
+                Effect::PutRecord(record) => answer.record = Some(record),
                 Effect::Emit(emit) => answer.id = emit.id.to_string(),
                 _ => {}
             }
--- a/bench/src/answer/model/instances.rs
+++ b/bench/src/answer/model/instances.rs
@@ -41,13 +41,13 @@
                 } => self.resume(at, link, &stream, from),
                 Effect::Close(link) => self.close(at, link),
                 Effect::Cancel(stream) => self.cancel(at, &stream),
-                Effect::Keep(record) => self.answers[at].record = Some(record),
+                Effect::PutRecord(record) => self.answers[at].record = Some(record),
                 Effect::Emit(emit) => self.emit(at, emit.id.as_str()),
                 Effect::Fail(_) => self.answers[at].over = true,
-                Effect::Copy(_)
-                | Effect::Forget(..)
-                | Effect::Tell(..)
-                | Effect::Review(_)
+                Effect::ExtendRecord(_)
+                | Effect::RemoveRecord(..)
+                | Effect::NotifyInstance(..)
+                | Effect::QueryRecord(_)
                 | Effect::Finish(_) => {}
             }
         }
--- a/crates/answer/src/effect.rs
+++ b/crates/answer/src/effect.rs
@@ -5,7 +5,7 @@
 };
 use smol_str::SmolStr;
 
-use crate::{ConnectionId, Incomplete, KeeperCopy, KeeperRecord, Reason, Stream};
+use crate::{ConnectionId, Incomplete, KeeperRecord, Reason, RecordExtension, Stream};
 
 /// What an answer asks its instance to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -29,15 +29,15 @@
     /// answer, for as long as it may be paused.
     Cancel(Stream),
     /// Put the record at the keepers; answer with `Fenced` if one has a higher record.
-    Keep(KeeperRecord),
+    PutRecord(KeeperRecord),
     /// Add tokens to the record at the keepers.
-    Copy(KeeperCopy),
+    ExtendRecord(RecordExtension),
     /// Remove the record from the keepers, unless it is of a later attempt.
-    Forget(RequestKey, Attempt),
+    RemoveRecord(RequestKey, Attempt),
     /// Send the record to the instance that drove the request before.
-    Tell(InstanceName, KeeperRecord),
-    /// Ask the keepers for the record; answer with `Reviewed`.
-    Review(RequestKey),
+    NotifyInstance(InstanceName, KeeperRecord),
+    /// Ask the keepers for the record; answer with `RecordQueried`.
+    QueryRecord(RequestKey),
     /// Send a token to the caller.
     Emit(Emit),
     /// The answer is whole.
--- a/crates/answer/src/generation.rs
+++ b/crates/answer/src/generation.rs
@@ -164,9 +164,9 @@
             Input::Closed(connection) => self.closed(now, connection, out),
             Input::Chosen(chosen) => self.chosen(now, chosen, out),
             Input::NoTarget => self.no_target(now),
-            Input::CallerGone => self.gone = Some(now + self.limits.grace),
+            Input::CallerDisconnected => self.gone = Some(now + self.limits.grace),
             Input::Fenced(record) => self.fenced(&record, out),
-            Input::Reviewed(record) => self.reviewed(record.as_ref(), out),
+            Input::RecordQueried(record) => self.reviewed(record.as_ref(), out),
             Input::Tick => self.tick(now, out),
         }
     }
@@ -294,12 +294,12 @@
     fn keep(&mut self, record: KeeperRecord) -> Effect {
         self.held = None;
         self.copied = (record.position().0, record.text.len());
-        Effect::Keep(record)
+        Effect::PutRecord(record)
     }
 
     /// Returns the effect that removes the record, if the keepers have one.
     fn forget(&self) -> Option<Effect> {
-        let forget = || Effect::Forget(self.request.key.clone(), self.attempt);
+        let forget = || Effect::RemoveRecord(self.request.key.clone(), self.attempt);
         self.held.is_none().then(forget)
     }
 
--- a/crates/answer/src/generation/choosing.rs
+++ b/crates/answer/src/generation/choosing.rs
@@ -22,7 +22,7 @@
         let record = self.record(&stream, now);
         self.outlet.seal(self.seal.attempt(&record.origin));
         if let Some(former) = former.filter(|former| *former != self.request.instance) {
-            out.push(Effect::Tell(former, record.clone()));
+            out.push(Effect::NotifyInstance(former, record.clone()));
         }
         out.push(self.keep(record));
         let connection = self.next_connection();
--- a/crates/answer/src/generation/ending.rs
+++ b/crates/answer/src/generation/ending.rs
@@ -74,7 +74,7 @@
         };
         let due = now + self.limits.review;
         self.state = State::Reviewing { due, reader };
-        out.push(Effect::Review(self.request.key.clone()));
+        out.push(Effect::QueryRecord(self.request.key.clone()));
     }
 
     pub(super) fn reviewed(&mut self, record: Option<&KeeperRecord>, out: &mut Vec<Effect>) {
--- a/crates/answer/src/generation/reading.rs
+++ b/crates/answer/src/generation/reading.rs
@@ -5,7 +5,7 @@
 
 use super::{ending, Generation, State};
 use crate::{
-    reader::Loss, ConnectionId, Done, Driver, Effect, Frame, Incomplete, KeeperCopy, Refusal,
+    reader::Loss, ConnectionId, Done, Driver, Effect, Frame, Incomplete, RecordExtension, Refusal,
     Splice, Verdict,
 };
 
@@ -74,7 +74,7 @@
             return;
         }
         let text = self.outlet.text().unwrap_or_default();
-        out.push(Effect::Copy(KeeperCopy {
+        out.push(Effect::ExtendRecord(RecordExtension {
             key: self.request.key.clone(),
             attempt: self.attempt,
             from: Position(tokens),
--- a/crates/answer/src/input.rs
+++ b/crates/answer/src/input.rs
@@ -39,11 +39,11 @@
     /// No target can be chosen.
     NoTarget,
     /// The caller's connection ended.
-    CallerGone,
+    CallerDisconnected,
     /// A keeper or an instance holds a higher record of the request.
     Fenced(KeeperRecord),
     /// The keepers' record, as a review asked for it.
-    Reviewed(Option<KeeperRecord>),
+    RecordQueried(Option<KeeperRecord>),
     /// Time has passed.
     Tick,
 }
--- a/crates/answer/src/keeper.rs
+++ b/crates/answer/src/keeper.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-use crate::{KeeperCopy, KeeperRecord};
+use crate::{KeeperRecord, RecordExtension};
 
 /// The memory of a keeper that is made without a limit, in bytes.
 const DEFAULT_LIMIT: usize = 32 << 20;
@@ -16,7 +16,7 @@
 
 /// Why a record is not kept.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum Unkept {
+pub enum PutError {
     /// A record of a higher attempt is here; the sender is to give the answer up.
     #[error("a later record is held")]
     Fenced(Box<KeeperRecord>),
@@ -78,8 +78,8 @@
     ///
     /// # Errors
     ///
-    /// [`Unkept::Fenced`] with the higher record, or [`Unkept::Full`].
-    pub fn put(&mut self, now: Instant, record: KeeperRecord) -> Result<(), Unkept> {
+    /// [`PutError::Fenced`] with the higher record, or [`PutError::Full`].
+    pub fn put(&mut self, now: Instant, record: KeeperRecord) -> Result<(), PutError> {
         self.expire(now);
         let attempt = record.attempt();
         let merged = match self.get(now, &record.key) {
@@ -88,16 +88,16 @@
         };
         // A record that stays keeps its own time to live.
         if merged.attempt() > attempt {
-            return Err(Unkept::Fenced(Box::new(merged)));
+            return Err(PutError::Fenced(Box::new(merged)));
         }
         let freed = self
             .records
             .get(&merged.key)
             .map_or(0, |held| cost(&held.record));
         if self.used - freed + cost(&merged) > self.limit {
-            return Err(Unkept::Full);
+            return Err(PutError::Full);
         }
-        self.remove(&merged.key.clone());
+        self.take(&merged.key.clone());
         let expires = now + merged.time_left();
         self.insert(Kept {
             record: merged,
@@ -107,12 +107,12 @@
     }
 
     /// Adds tokens to a record, if they follow its last one and there is room.
-    pub fn extend(&mut self, copy: &KeeperCopy) {
+    pub fn extend(&mut self, copy: &RecordExtension) {
         let more = copy.tokens.len() * TOKEN_BYTES + copy.text.len();
         if self.used + more > self.limit {
             return;
         }
-        if let Some(kept) = self.remove(&copy.key) {
+        if let Some(kept) = self.take(&copy.key) {
             self.insert(Kept {
                 record: kept.record.extend(copy),
                 ..kept
@@ -129,10 +129,10 @@
     }
 
     /// Removes the record of a request, if it is not of a later attempt than `attempt`.
-    pub fn forget(&mut self, key: &RequestKey, attempt: Attempt) {
+    pub fn remove(&mut self, key: &RequestKey, attempt: Attempt) {
         let held = self.records.get(key);
         if held.is_some_and(|kept| kept.record.attempt() <= attempt) {
-            self.remove(key);
+            self.take(key);
         }
     }
 
@@ -143,7 +143,7 @@
                 break;
             }
             let key = key.clone();
-            self.remove(&key);
+            self.take(&key);
         }
     }
 
@@ -164,7 +164,7 @@
         self.records.insert(key, kept);
     }
 
-    fn remove(&mut self, key: &RequestKey) -> Option<Kept> {
+    fn take(&mut self, key: &RequestKey) -> Option<Kept> {
         let kept = self.records.remove(key)?;
         self.used -= cost(&kept.record);
         self.expiry.remove(&(kept.expires, key.clone()));
--- a/crates/answer/src/record.rs
+++ b/crates/answer/src/record.rs
@@ -33,7 +33,7 @@
 
 /// Tokens that are added to a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeeperCopy {
+pub struct RecordExtension {
     /// The request.
     pub key: RequestKey,
     /// The driver's latest attempt number.
@@ -57,7 +57,7 @@
     Digest,
 }
 
-impl KeeperCopy {
+impl RecordExtension {
     /// Encodes the copy.
     pub fn encode(&self) -> Vec<u8> {
         // Writing plain fields to memory can't fail.
@@ -114,7 +114,7 @@
 
     /// Returns the record with more tokens, or without change if they don't follow its last one.
     #[must_use]
-    pub fn extend(mut self, copy: &KeeperCopy) -> Self {
+    pub fn extend(mut self, copy: &RecordExtension) -> Self {
         if copy.attempt == self.attempt() && copy.from == self.position() {
             let fold = |digest: ChainDigest, token: &TokenId| digest.with(*token);
             self.digest = copy.tokens.iter().fold(self.digest, fold);
--- a/crates/answer/tests/test_keeper.rs
+++ b/crates/answer/tests/test_keeper.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_answer::{ChainDigest, Keeper, KeeperRecord, Origin, RecordError, Stream, Unkept};
+use celerypond_answer::{ChainDigest, Keeper, KeeperRecord, Origin, PutError, RecordError, Stream};
 use celerypond_types::{Attempt, TokenId};
 use rstest::rstest;
 use tokio::time::Instant;
@@ -44,15 +44,15 @@
     let mut keeper = Keeper::default();
     assert_eq!(keeper.put(now, record(first, length)), Ok(()));
     let answer = keeper.put(now, record(second, longer));
-    assert_eq!(matches!(answer, Err(Unkept::Fenced(_))), fenced);
+    assert_eq!(matches!(answer, Err(PutError::Fenced(_))), fenced);
     assert_eq!(answer.is_ok(), !fenced);
     assert_eq!(
         keeper.get(now, &"r".into()).unwrap().attempt(),
         Attempt(held)
     );
-    keeper.forget(&"r".into(), Attempt(held - 1));
+    keeper.remove(&"r".into(), Attempt(held - 1));
     assert_eq!(keeper.len(), 1, "an earlier driver removed the record");
-    keeper.forget(&"r".into(), Attempt(held));
+    keeper.remove(&"r".into(), Attempt(held));
     assert!(keeper.is_empty());
 }
 
@@ -106,7 +106,7 @@
         .filter(|at| keeper.put(now, of(*at)).is_ok())
         .count();
     assert!((20..40).contains(&kept), "{kept}");
-    assert_eq!(keeper.put(now, of(1_000)), Err(Unkept::Full));
+    assert_eq!(keeper.put(now, of(1_000)), Err(PutError::Full));
     let later = now + Duration::from_millis(1000);
     assert_eq!(keeper.put(later, of(1_000)), Ok(()));
     assert_eq!(keeper.len(), 1);
--- a/crates/answer/tests/test_takeover.rs
+++ b/crates/answer/tests/test_takeover.rs
@@ -115,9 +115,9 @@
     let mut out = Vec::new();
     let mut answer = Generation::take_over(request, limits, seal, plan, timeouts, now, &mut out);
     assert_eq!(resumed(&out), [("e2", 4)]);
-    assert!(out
-        .iter()
-        .any(|effect| matches!(effect, Effect::Tell(former, _) if former.as_str() == "a")));
+    assert!(out.iter().any(
+        |effect| matches!(effect, Effect::NotifyInstance(former, _) if former.as_str() == "a")
+    ));
     out.clear();
     answer.step(now, Input::Closed(ConnectionId(1)), &mut out);
     assert_eq!(resumed(&out), [("e1", 0)]);
--- a/crates/answer/tests/world/faults.rs
+++ b/crates/answer/tests/world/faults.rs
@@ -113,7 +113,7 @@
 
     pub(super) fn part(&mut self, caller: usize, back: bool) {
         if let Some(drive) = self.callers[caller].drive.take() {
-            self.after(WIRE, Act::Input(drive, Input::CallerGone));
+            self.after(WIRE, Act::Input(drive, Input::CallerDisconnected));
         }
         let over = self.callers[caller].finish.is_some();
         self.callers[caller].left = !back;
--- a/crates/answer/tests/world/instances.rs
+++ b/crates/answer/tests/world/instances.rs
@@ -69,8 +69,8 @@
                 let call = Call::Cancel(stream.attempt);
                 self.after(WIRE, Act::Call(index(&stream.target), call));
             }
-            Effect::Keep(record) => self.keep(drive, &record),
-            Effect::Copy(copy) => {
+            Effect::PutRecord(record) => self.keep(drive, &record),
+            Effect::ExtendRecord(copy) => {
                 self.note(
                     drive,
                     format!("copy {} from {}", copy.tokens.len(), copy.from),
@@ -78,15 +78,17 @@
                 let keepers = self.keepers.iter_mut();
                 keepers.for_each(|keeper| keeper.extend(&copy));
             }
-            Effect::Forget(key, attempt) => self
+            Effect::RemoveRecord(key, attempt) => self
                 .keepers
                 .iter_mut()
-                .for_each(|keeper| keeper.forget(&key, attempt)),
-            Effect::Tell(instance, record) => self.tell(index_of(instance.as_str()), &record),
-            Effect::Review(key) => {
+                .for_each(|keeper| keeper.remove(&key, attempt)),
+            Effect::NotifyInstance(instance, record) => {
+                self.tell(index_of(instance.as_str()), &record)
+            }
+            Effect::QueryRecord(key) => {
                 self.note(drive, "review".to_owned());
                 let record = self.record(&key);
-                self.after(WIRE * 2, Act::Input(drive, Input::Reviewed(record)));
+                self.after(WIRE * 2, Act::Input(drive, Input::RecordQueried(record)));
             }
             Effect::Emit(emit) => self.emit(drive, emit),
             Effect::Finish(finish) => {
@@ -169,7 +171,7 @@
         let now = self.instant();
         for at in 0..self.keepers.len() {
             let copy = KeeperRecord::decode(&record.encode()).unwrap();
-            if let Err(Unkept::Fenced(higher)) = self.keepers[at].put(now, copy) {
+            if let Err(PutError::Fenced(higher)) = self.keepers[at].put(now, copy) {
                 self.after(WIRE * 2, Act::Input(drive, Input::Fenced(*higher)));
             }
         }
--- a/daemon/src/generation.rs
+++ b/daemon/src/generation.rs
@@ -168,7 +168,7 @@
             Some(input) = self.received.recv() => input,
             () = self.pieces.closed(), if !self.gone => {
                 self.gone = true;
-                Input::CallerGone
+                Input::CallerDisconnected
             }
             () = time::sleep_until(due) => Input::Tick,
         }
@@ -204,11 +204,15 @@
                 self.links.remove(&link);
             }
             Effect::Cancel(stream) => self.cancel(stream),
-            Effect::Review(request) => self.review(request),
-            Effect::Copy(copy) => keeping::extend(&self.node, &copy),
-            Effect::Keep(record) => keeping::keep(&self.node, &record, &self.inputs),
-            Effect::Forget(request, attempt) => keeping::forget(&self.node, &request, attempt),
-            Effect::Tell(instance, record) => keeping::tell(&self.node, &instance, &record),
+            Effect::QueryRecord(request) => self.review(request),
+            Effect::ExtendRecord(copy) => keeping::extend(&self.node, &copy),
+            Effect::PutRecord(record) => keeping::keep(&self.node, &record, &self.inputs),
+            Effect::RemoveRecord(request, attempt) => {
+                keeping::forget(&self.node, &request, attempt)
+            }
+            Effect::NotifyInstance(instance, record) => {
+                keeping::tell(&self.node, &instance, &record)
+            }
             Effect::Emit(emit) => {
                 self.node.metrics.add(Counter::Tokens, 1);
                 return self.send(Piece::Token(emit)).await;
@@ -230,7 +234,7 @@
             return None;
         }
         self.gone = true;
-        Some(Input::CallerGone)
+        Some(Input::CallerDisconnected)
     }
 
     /// Learns of targets from what their connections bring.
--- a/daemon/src/generation/open.rs
+++ b/daemon/src/generation/open.rs
@@ -120,7 +120,7 @@
         self.node.work.spawn(async move {
             let record = keeping::find(&node, &request).await;
             // An answer that is over needs no review.
-            let _ = inputs.send(Input::Reviewed(record)).await;
+            let _ = inputs.send(Input::RecordQueried(record)).await;
         });
     }
 
--- a/daemon/src/keeping.rs
+++ b/daemon/src/keeping.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc};
 
-use celerypond_answer::{Input, KeeperCopy, KeeperRecord};
+use celerypond_answer::{Input, KeeperRecord, RecordExtension};
 use celerypond_types::{Attempt, InstanceName, RequestKey};
 use tokio::{sync::mpsc, time::Instant};
 
@@ -28,7 +28,7 @@
 }
 
 /// Adds tokens to the record at the keepers.
-pub fn extend(node: &Arc<Node>, copy: &KeeperCopy) {
+pub fn extend(node: &Arc<Node>, copy: &RecordExtension) {
     let value = copy.encode();
     for keeper in gossip::keepers(node, &copy.key) {
         let node = Arc::clone(node);
--- a/daemon/src/peer_server.rs
+++ b/daemon/src/peer_server.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use celerypond_answer::{KeeperCopy, KeeperRecord, Unkept};
+use celerypond_answer::{KeeperRecord, PutError, RecordExtension};
 use celerypond_fleet::{accept, Message, Peer};
 use celerypond_telemetry::{Counter, Gauge};
 use celerypond_types::{Attempt, RequestKey, Revision};
@@ -40,26 +40,26 @@
         keeping::tell_driver(&self.0, &record);
         let kept = self.0.keeper().put(Instant::now(), record);
         let counter = match kept {
-            Err(Unkept::Full) => Counter::KeeperDropped,
-            Ok(()) | Err(Unkept::Fenced(_)) => Counter::KeeperRecords,
+            Err(PutError::Full) => Counter::KeeperDropped,
+            Ok(()) | Err(PutError::Fenced(_)) => Counter::KeeperRecords,
         };
         self.0.metrics.add(counter, 1);
         let held = self.0.keeper().len() as u64;
         self.0.metrics.set(Gauge::KeeperHeld, held);
         match kept {
-            Err(Unkept::Fenced(higher)) => Some(higher.encode()),
-            Ok(()) | Err(Unkept::Full) => None,
+            Err(PutError::Fenced(higher)) => Some(higher.encode()),
+            Ok(()) | Err(PutError::Full) => None,
         }
     }
 
     async fn extend(self, _: Context, copy: Vec<u8>) {
-        if let Ok(copy) = KeeperCopy::decode(&copy) {
+        if let Ok(copy) = RecordExtension::decode(&copy) {
             self.0.keeper().extend(&copy);
         }
     }
 
     async fn forget(self, _: Context, request: RequestKey, attempt: Attempt) {
-        self.0.keeper().forget(&request, attempt);
+        self.0.keeper().remove(&request, attempt);
     }
 
     async fn kept(self, _: Context, request: RequestKey) -> Option<Vec<u8>> {
