--- a/bench/src/answer/cost.rs
+++ b/bench/src/answer/cost.rs
@@ -4,7 +4,7 @@
 
 use celerypond_answer::{
     ChainDigest, ChosenTarget, ConnectionId, Driver, Effect, Event, Frame, Generation,
-    GenerationLimits, Input, KeeperRecord, Mode, Origin, Request, SealKey, Splice, Stream,
+    GenerationLimits, Input, KeeperRecord, Mode, Origin, Request, ResumeTokenKey, Splice, Stream,
     TimeoutEstimator, TimeoutLimits,
 };
 use celerypond_types::{Attempt, Digest, Position, TokenId};
@@ -146,10 +146,10 @@
         deadline: now + Duration::from_secs(600),
         instance: "instance-1".into(),
     };
-    let seal = request.seal(&SealKey::new([7; 32]));
+    let codec = request.resume_token_codec(&ResumeTokenKey::new([7; 32]));
     let limits = GenerationLimits::default();
     let mut out: Vec<Effect> = Vec::new();
-    let mut generation = Generation::new(request, limits, seal, Driver::new(1), now, &mut out);
+    let mut generation = Generation::new(request, limits, codec, Driver::new(1), now, &mut out);
     let chosen = ChosenTarget {
         target: "engine-1".into(),
         version: "v1".into(),
--- a/bench/src/answer/model.rs
+++ b/bench/src/answer/model.rs
@@ -14,8 +14,8 @@
 
 use celerypond_answer::{
     ChosenTarget, ConnectionId, Driver, Effect, Event, Frame, Generation, GenerationLimits, Input,
-    KeeperRecord, Mode, Pace, Refusal, Request, Seal, SealKey, Start, Stream, TakeOver,
-    TimeoutEstimator, TimeoutLimits, Timeouts, WaiterKey,
+    KeeperRecord, Mode, Pace, Refusal, Request, ResumeTokenCodec, ResumeTokenKey, Start, Stream,
+    TakeOver, TimeoutEstimator, TimeoutLimits, Timeouts, WaiterKey,
 };
 use celerypond_types::{Attempt, Digest, Position, TargetKey, TargetName, TokenId, VersionKey};
 use rand::{rngs::StdRng, Rng, SeedableRng};
@@ -253,9 +253,9 @@
         let mut out = Vec::new();
         let driver = Driver::draw(&mut self.rng);
         let limits = limits();
-        let seal = seal(&request);
+        let codec = codec(&request);
         let now = self.instant();
-        let generation = Generation::new(request, limits, seal, driver, now, &mut out);
+        let generation = Generation::new(request, limits, codec, driver, now, &mut out);
         self.answers.push(Answer {
             generation,
             prompt: self.rng.random_range(PROMPT.0..PROMPT.1),
@@ -375,8 +375,8 @@
     }
 }
 
-fn seal(request: &Request) -> Seal {
-    request.seal(&SealKey::new([7; 32]))
+fn codec(request: &Request) -> ResumeTokenCodec {
+    request.resume_token_codec(&ResumeTokenKey::new([7; 32]))
 }
 
 fn number(target: &TargetName) -> usize {
--- a/bench/src/answer/model/instances.rs
+++ b/bench/src/answer/model/instances.rs
@@ -198,9 +198,9 @@
         }
         self.answers[at].down = false;
         let request = self.request(at);
-        let seal = seal(&request);
+        let codec = codec(&request);
         let shown = self.answers[at].shown;
-        let token = seal.decode(&self.answers[at].id).ok();
+        let token = codec.decode(&self.answers[at].id).ok();
         let all: Vec<TokenId> = (0..shown).map(|position| token_of(at, position)).collect();
         let record = self.answers[at].record.clone();
         let (record, brought) = self.way.takeover.known(record, &all);
@@ -212,9 +212,9 @@
         let timeouts = self.timeouts(at);
         self.answers[at].generation = match plan {
             Ok(Some(plan)) if self.way.takeover != TakeOverWay::Restart => {
-                Generation::take_over(request, limits, seal, plan, timeouts, now, &mut out)
+                Generation::take_over(request, limits, codec, plan, timeouts, now, &mut out)
             }
-            _ => self.anew(at, request, seal, driver, &mut out),
+            _ => self.anew(at, request, codec, driver, &mut out),
         };
         self.apply(at, out);
         self.watch(at);
@@ -225,7 +225,7 @@
         &mut self,
         at: usize,
         request: Request,
-        seal: Seal,
+        codec: ResumeTokenCodec,
         driver: Driver,
         out: &mut Vec<Effect>,
     ) -> Generation {
@@ -246,7 +246,7 @@
             other: None,
             former: None,
             shown: Position(self.answers[at].shown),
-            digest: seal
+            digest: codec
                 .decode(&self.answers[at].id)
                 .map(|token| token.digest)
                 .unwrap_or_default(),
@@ -255,6 +255,6 @@
         };
         let limits = limits();
         let (now, timeouts) = (self.instant(), self.timeouts(at));
-        Generation::take_over(request, limits, seal, plan, timeouts, now, out)
+        Generation::take_over(request, limits, codec, plan, timeouts, now, out)
     }
 }
--- a/crates/answer/src/chain.rs
+++ b/crates/answer/src/chain.rs
@@ -14,7 +14,7 @@
 /// Two instances, or two attempts, that agree on the position and the digest hold the same tokens.
 /// Each step digests the previous state with the next token, so both order and length count.
 /// The function is fixed (rapidhash version 3), because digests travel between instances of
-/// different builds. It guards against mistakes; [`Seal`](crate::Seal) guards against forgery.
+/// different builds. It guards against mistakes; [`ResumeTokenCodec`](crate::ResumeTokenCodec) guards against forgery.
 ///
 /// # Examples
 ///
--- a/crates/answer/src/generation.rs
+++ b/crates/answer/src/generation.rs
@@ -9,8 +9,8 @@
 
 use crate::{
     outlet::Outlet, reader::Reader, ChainDigest, ConnectionId, Driver, Effect, Event,
-    GenerationLimits, Input, KeeperRecord, Origin, Request, Seal, Splice, Stream, TakeOver,
-    Timeouts,
+    GenerationLimits, Input, KeeperRecord, Origin, Request, ResumeTokenCodec, Splice, Stream,
+    TakeOver, Timeouts,
 };
 
 /// Drives one answer from its first choice of a target to its end.
@@ -25,7 +25,7 @@
 /// use std::time::Duration;
 ///
 /// use celerypond_answer::{
-///     Driver, Effect, Generation, GenerationLimits, Input, Mode, Request, SealKey,
+///     Driver, Effect, Generation, GenerationLimits, Input, Mode, Request, ResumeTokenKey,
 /// };
 /// use celerypond_types::Digest;
 /// use tokio::time::Instant;
@@ -40,10 +40,10 @@
 ///     deadline: now + Duration::from_secs(60),
 ///     instance: "a".into(),
 /// };
-/// let seal = request.seal(&SealKey::new([7; 32]));
+/// let codec = request.resume_token_codec(&ResumeTokenKey::new([7; 32]));
 /// let mut effects = Vec::new();
 /// let mut answer = Generation::new(
-///     request, GenerationLimits::default(), seal, Driver::new(1), now, &mut effects,
+///     request, GenerationLimits::default(), codec, Driver::new(1), now, &mut effects,
 /// );
 /// assert!(matches!(effects[..], [Effect::ChooseTarget(_)]));
 /// effects.clear();
@@ -54,7 +54,7 @@
 pub struct Generation {
     request: Request,
     limits: GenerationLimits,
-    seal: Seal,
+    codec: ResumeTokenCodec,
     /// The tokens so far, once a version was chosen.
     splice: Option<Splice>,
     outlet: Outlet,
@@ -100,14 +100,14 @@
     pub fn new(
         request: Request,
         limits: GenerationLimits,
-        seal: Seal,
+        codec: ResumeTokenCodec,
         driver: Driver,
         now: Instant,
         out: &mut Vec<Effect>,
     ) -> Self {
         let outlet = Outlet::new(request.mode);
         let first = driver.first();
-        let mut generation = Self::with(request, limits, seal, outlet, first, now);
+        let mut generation = Self::with(request, limits, codec, outlet, first, now);
         generation.fresh = Some(first);
         generation.held = Some(now + generation.limits.settle);
         generation.choose(now, out);
@@ -120,7 +120,7 @@
     pub fn take_over(
         request: Request,
         limits: GenerationLimits,
-        seal: Seal,
+        codec: ResumeTokenCodec,
         plan: TakeOver,
         timeouts: Timeouts,
         now: Instant,
@@ -144,7 +144,7 @@
             stream.attempt,
             request.limit,
         );
-        let mut generation = Self::with(request, limits, seal, outlet, plan.attempt, now);
+        let mut generation = Self::with(request, limits, codec, outlet, plan.attempt, now);
         generation.splice = Some(splice.with_prefix(plan.tokens));
         generation.other = plan.other;
         generation.adopt(stream, plan.former, timeouts, now, out);
@@ -198,7 +198,7 @@
     fn with(
         request: Request,
         limits: GenerationLimits,
-        seal: Seal,
+        codec: ResumeTokenCodec,
         outlet: Outlet,
         attempt: Attempt,
         now: Instant,
@@ -206,7 +206,7 @@
         Self {
             request,
             limits,
-            seal,
+            codec,
             splice: None,
             outlet,
             state: State::Choosing { retry: None },
--- a/crates/answer/src/generation/choosing.rs
+++ b/crates/answer/src/generation/choosing.rs
@@ -22,7 +22,8 @@
         out: &mut Vec<Effect>,
     ) {
         let record = self.record(&stream, now);
-        self.outlet.seal(self.seal.attempt(&record.origin));
+        self.outlet
+            .set_encoder(self.codec.for_attempt(&record.origin));
         if let Some(former) = former.filter(|former| *former != self.request.instance) {
             out.push(Effect::NotifyInstance(former, record.clone()));
         }
@@ -69,7 +70,8 @@
         };
         self.follow(chosen.version.clone(), attempt);
         let record = self.record(&stream, now);
-        self.outlet.seal(self.seal.attempt(&record.origin));
+        self.outlet
+            .set_encoder(self.codec.for_attempt(&record.origin));
         let connection = self.next_connection();
         out.push(Effect::Start(Start {
             connection,
--- a/crates/answer/src/outlet.rs
+++ b/crates/answer/src/outlet.rs
@@ -2,7 +2,7 @@
 
 use celerypond_types::{Position, TokenId};
 
-use crate::{ChainDigest, Effect, Emit, Frame, Incomplete, Mode, Sealed, Splice};
+use crate::{AttemptTokenEncoder, ChainDigest, Effect, Emit, Frame, Incomplete, Mode, Splice};
 
 /// What the caller has of an answer, and what it gets next.
 #[derive(Clone, Debug)]
@@ -11,7 +11,7 @@
     shown: Position,
     digest: ChainDigest,
     proved: bool,
-    sealed: Option<Sealed>,
+    encoder: Option<AttemptTokenEncoder>,
     text: String,
 }
 
@@ -22,7 +22,7 @@
             shown: Position(0),
             digest: ChainDigest(0),
             proved: true,
-            sealed: None,
+            encoder: None,
             text: String::new(),
         }
     }
@@ -40,14 +40,14 @@
             shown,
             digest,
             proved: shown.0 == 0 || ChainDigest::of(tokens) == digest,
-            sealed: None,
+            encoder: None,
             text,
         }
     }
 
-    /// Seals the coming tokens with `sealed`.
-    pub(crate) fn seal(&mut self, sealed: Sealed) {
-        self.sealed = Some(sealed);
+    /// Encodes the resume tokens of later tokens with `encoder`.
+    pub(crate) fn set_encoder(&mut self, encoder: AttemptTokenEncoder) {
+        self.encoder = Some(encoder);
     }
 
     /// Takes the latest token of `splice`, and returns what to show of it.
@@ -72,9 +72,9 @@
         self.shown = length;
         self.digest = splice.digest();
         let resume_token = self
-            .sealed
+            .encoder
             .as_ref()
-            .map(|sealed| sealed.encode(length, self.digest));
+            .map(|encoder| encoder.encode(length, self.digest));
         Ok(Some(Effect::Emit(Emit {
             position: frame.position,
             token: frame.token,
--- a/crates/answer/src/request.rs
+++ b/crates/answer/src/request.rs
@@ -5,7 +5,7 @@
 use celerypond_types::{Digest, InstanceName, RequestKey};
 use tokio::time::Instant;
 
-use crate::{Seal, SealKey};
+use crate::{ResumeTokenCodec, ResumeTokenKey};
 
 /// What stays the same through all attempts at an answer.
 #[derive(Clone, Debug)]
@@ -89,8 +89,8 @@
 }
 
 impl Request {
-    /// Returns the seal of the request's resume tokens.
-    pub fn seal(&self, key: &SealKey) -> Seal {
-        Seal::new(key, &self.key, &self.body)
+    /// Returns the codec of the request's resume tokens.
+    pub fn resume_token_codec(&self, key: &ResumeTokenKey) -> ResumeTokenCodec {
+        ResumeTokenCodec::new(key, &self.key, &self.body)
     }
 }
--- a/crates/answer/src/resume.rs
+++ b/crates/answer/src/resume.rs
@@ -8,7 +8,7 @@
 
 /// What a caller sends to go on with an answer at any instance, as `Last-Event-ID`.
 ///
-/// [`Seal`](crate::Seal) encodes and decodes it.
+/// [`ResumeTokenCodec`](crate::ResumeTokenCodec) encodes and decodes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResumeToken {
     /// The parts that stay the same within an attempt.
--- a/crates/answer/src/seal.rs
+++ b/crates/answer/src/resume_codec.rs
@@ -18,7 +18,7 @@
 
 /// The secret that all instances share for sealing.
 #[derive(Clone)]
-pub struct SealKey([u8; KEY_BYTES]);
+pub struct ResumeTokenKey([u8; KEY_BYTES]);
 
 /// Seals the resume tokens of one request.
 ///
@@ -30,11 +30,11 @@
 ///
 /// ```
 /// use celerypond_answer::{
-///     ChainDigest, Origin, ResumeError, ResumeToken, Seal, SealKey, Stream,
+///     ChainDigest, Origin, ResumeError, ResumeToken, ResumeTokenCodec, ResumeTokenKey, Stream,
 /// };
 /// use celerypond_types::{Attempt, Digest, Position};
 ///
-/// let seal = Seal::new(&SealKey::new([7; 32]), &"r".into(), &Digest::of(b"body"));
+/// let codec = ResumeTokenCodec::new(&ResumeTokenKey::new([7; 32]), &"r".into(), &Digest::of(b"body"));
 /// let token = ResumeToken {
 ///     origin: Origin {
 ///         attempt: Attempt(1),
@@ -45,51 +45,51 @@
 ///     position: Position(3),
 ///     digest: ChainDigest(5),
 /// };
-/// let text = seal.encode(&token);
-/// assert_eq!(seal.decode(&text), Ok(token));
-/// let other = Seal::new(&SealKey::new([7; 32]), &"q".into(), &Digest::of(b"body"));
+/// let text = codec.encode(&token);
+/// assert_eq!(codec.decode(&text), Ok(token));
+/// let other = ResumeTokenCodec::new(&ResumeTokenKey::new([7; 32]), &"q".into(), &Digest::of(b"body"));
 /// assert_eq!(other.decode(&text), Err(ResumeError::Tag));
 /// ```
 #[derive(Clone)]
-pub struct Seal {
+pub struct ResumeTokenCodec {
     state: Sha256,
 }
 
-/// A seal with the parts of a token that stay the same within an attempt already in place.
+/// A codec with the parts of a token that stay the same within an attempt already in place.
 #[derive(Clone)]
-pub struct Sealed {
+pub struct AttemptTokenEncoder {
     state: Sha256,
     head: SmolStr,
 }
 
-impl SealKey {
+impl ResumeTokenKey {
     /// Makes a key from 32 secret bytes.
     pub const fn new(bytes: [u8; KEY_BYTES]) -> Self {
         Self(bytes)
     }
 }
 
-impl fmt::Debug for SealKey {
+impl fmt::Debug for ResumeTokenKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("SealKey(..)")
+        f.write_str("ResumeTokenKey(..)")
     }
 }
 
-impl fmt::Debug for Seal {
+impl fmt::Debug for ResumeTokenCodec {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Seal(..)")
+        f.write_str("ResumeTokenCodec(..)")
     }
 }
 
-impl fmt::Debug for Sealed {
+impl fmt::Debug for AttemptTokenEncoder {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Sealed({})", self.head)
+        write!(f, "AttemptTokenEncoder({})", self.head)
     }
 }
 
-impl Seal {
-    /// Makes the seal of the request `request` whose body has the digest `body`.
-    pub fn new(key: &SealKey, request: &RequestKey, body: &Digest) -> Self {
+impl ResumeTokenCodec {
+    /// Makes the codec of the request `request` whose body has the digest `body`.
+    pub fn new(key: &ResumeTokenKey, request: &RequestKey, body: &Digest) -> Self {
         let name = Sha256::digest(request.as_str().as_bytes());
         let state = Sha256::new()
             .chain_update(key.0)
@@ -98,11 +98,11 @@
         Self { state }
     }
 
-    /// Prepares the seal for the tokens of one attempt, which then cost one short digest each.
-    pub fn attempt(&self, origin: &Origin) -> Sealed {
+    /// Prepares the codec for the tokens of one attempt, which then cost one short digest each.
+    pub fn for_attempt(&self, origin: &Origin) -> AttemptTokenEncoder {
         // Writing plain fields to memory can't fail.
         let head = bincode::serialize(origin).unwrap_or_default();
-        Sealed {
+        AttemptTokenEncoder {
             state: self.state.clone().chain_update(&head),
             head: SmolStr::new(BASE64_URL_SAFE_NO_PAD.encode(head)),
         }
@@ -110,7 +110,7 @@
 
     /// Encodes a token as text for the `id` field of a server-sent event.
     pub fn encode(&self, token: &ResumeToken) -> SmolStr {
-        self.attempt(&token.origin)
+        self.for_attempt(&token.origin)
             .encode(token.position, token.digest)
     }
 
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     ///
-    /// A [`ResumeError`] when the text is cut short, changed, or sealed for another request, body
+    /// A [`ResumeError`] when the text is cut short, changed, or made for another request, body
     /// or key.
     pub fn decode(&self, text: &str) -> Result<ResumeToken, ResumeError> {
         let (head, tail) = text.split_once(SEPARATOR).ok_or(ResumeError::Parts)?;
@@ -139,7 +139,7 @@
     }
 }
 
-impl Sealed {
+impl AttemptTokenEncoder {
     /// Encodes the token for `position` tokens with the digest `digest`.
     pub fn encode(&self, position: Position, digest: ChainDigest) -> SmolStr {
         let mut tail = [0; TAIL_BYTES];
--- a/crates/answer/tests/test_resume.rs
+++ b/crates/answer/tests/test_resume.rs
@@ -1,11 +1,17 @@
 //! Resume tokens as text.
 
-use celerypond_answer::{ChainDigest, Origin, ResumeError, ResumeToken, Seal, SealKey, Stream};
+use celerypond_answer::{
+    ChainDigest, Origin, ResumeError, ResumeToken, ResumeTokenCodec, ResumeTokenKey, Stream,
+};
 use celerypond_types::{Attempt, Digest, Position};
 use rstest::rstest;
 
-fn seal(key: u8, request: &str, body: &[u8]) -> Seal {
-    Seal::new(&SealKey::new([key; 32]), &request.into(), &Digest::of(body))
+fn codec(key: u8, request: &str, body: &[u8]) -> ResumeTokenCodec {
+    ResumeTokenCodec::new(
+        &ResumeTokenKey::new([key; 32]),
+        &request.into(),
+        &Digest::of(body),
+    )
 }
 
 fn token() -> ResumeToken {
@@ -28,23 +34,26 @@
 // the answer would go on from a wrong place, so each single change must be refused.
 #[test]
 fn any_changed_character_or_cut_is_refused() {
-    let seal = seal(1, "r", b"body");
-    let text = seal.encode(&token());
-    assert_eq!(seal.decode(&text), Ok(token()));
+    let codec = codec(1, "r", b"body");
+    let text = codec.encode(&token());
+    assert_eq!(codec.decode(&text), Ok(token()));
     for at in 0..text.len() {
         let mut bytes = text.as_bytes().to_vec();
         bytes[at] = if bytes[at] == b'A' { b'B' } else { b'A' };
         let changed = String::from_utf8(bytes).unwrap();
-        assert!(seal.decode(&changed).is_err(), "changed at {at}: {changed}");
-        assert!(seal.decode(&text[..at]).is_err(), "cut at {at}");
+        assert!(
+            codec.decode(&changed).is_err(),
+            "changed at {at}: {changed}"
+        );
+        assert!(codec.decode(&text[..at]).is_err(), "cut at {at}");
     }
 }
 
 #[rstest]
-#[case::other_key(seal(2, "r", b"body"))]
-#[case::other_request(seal(1, "q", b"body"))]
-#[case::other_body(seal(1, "r", b"another"))]
-fn token_made_for_something_else_is_refused(#[case] other: Seal) {
-    let text = seal(1, "r", b"body").encode(&token());
+#[case::other_key(codec(2, "r", b"body"))]
+#[case::other_request(codec(1, "q", b"body"))]
+#[case::other_body(codec(1, "r", b"another"))]
+fn token_made_for_something_else_is_refused(#[case] other: ResumeTokenCodec) {
+    let text = codec(1, "r", b"body").encode(&token());
     assert_eq!(other.decode(&text), Err(ResumeError::Tag));
 }
--- a/crates/answer/tests/test_takeover.rs
+++ b/crates/answer/tests/test_takeover.rs
@@ -4,7 +4,7 @@
 
 use celerypond_answer::{
     ChainDigest, ConnectionId, Driver, Effect, Generation, GenerationLimits, Input, KeeperRecord,
-    Mode, Origin, Request, ResumeToken, SealKey, Stream, TakeOver, TakeOverError, Timeouts,
+    Mode, Origin, Request, ResumeToken, ResumeTokenKey, Stream, TakeOver, TakeOverError, Timeouts,
 };
 use celerypond_types::{Attempt, Digest, Position, TokenId};
 use rstest::rstest;
@@ -110,10 +110,10 @@
         probe: Duration::from_secs(1),
         no_progress: Duration::from_secs(1),
     };
-    let seal = request.seal(&SealKey::new([7; 32]));
+    let codec = request.resume_token_codec(&ResumeTokenKey::new([7; 32]));
     let limits = GenerationLimits::default();
     let mut out = Vec::new();
-    let mut answer = Generation::take_over(request, limits, seal, plan, timeouts, now, &mut out);
+    let mut answer = Generation::take_over(request, limits, codec, plan, timeouts, now, &mut out);
     assert_eq!(resumed(&out), [("e2", 4)]);
     assert!(out.iter().any(
         |effect| matches!(effect, Effect::NotifyInstance(former, _) if former.as_str() == "a")
--- a/crates/answer/tests/world.rs
+++ b/crates/answer/tests/world.rs
@@ -14,8 +14,8 @@
 
 use celerypond_answer::{
     ChosenTarget, ConnectionId, Copies, Driver, Effect, Emit, Finish, Frame, Generation,
-    GenerationLimits, Incomplete, Input, Keeper, KeeperRecord, Mode, PutError, Request, Seal,
-    SealKey, Start, TakeOver, TargetCriteria, Timeouts,
+    GenerationLimits, Incomplete, Input, Keeper, KeeperRecord, Mode, PutError, Request,
+    ResumeTokenCodec, ResumeTokenKey, Start, TakeOver, TargetCriteria, Timeouts,
 };
 use celerypond_types::{Attempt, Digest, Position, RequestKey, TargetName, TokenId, VersionName};
 use rand::{rngs::StdRng, seq::IndexedRandom, Rng, SeedableRng};
--- a/crates/answer/tests/world/instances.rs
+++ b/crates/answer/tests/world/instances.rs
@@ -203,9 +203,9 @@
             return self.after(RECONNECT, Act::Connect(caller));
         };
         let request = self.request(router);
-        let seal = request.seal(&SealKey::new([7; 32]));
+        let codec = request.resume_token_codec(&ResumeTokenKey::new([7; 32]));
         let driver = Driver::draw(&mut self.rng);
-        let (generation, effects) = self.generation(caller, request, seal, driver);
+        let (generation, effects) = self.generation(caller, request, codec, driver);
         self.drives.push(Drive {
             router,
             caller,
@@ -220,7 +220,7 @@
         &mut self,
         caller: usize,
         request: Request,
-        seal: Seal,
+        codec: ResumeTokenCodec,
         driver: Driver,
     ) -> (Generation, Vec<Effect>) {
         let mut out = Vec::new();
@@ -233,7 +233,7 @@
         let shown = &self.callers[caller].tokens;
         let token = shown
             .last()
-            .map(|emit| seal.decode(&emit.resume_token).unwrap());
+            .map(|emit| codec.decode(&emit.resume_token).unwrap());
         let brought: Vec<TokenId> = shown
             .iter()
             .filter(|_| self.brings)
@@ -244,9 +244,9 @@
         let generation = match plan {
             Some(plan) => {
                 let timeouts = timeouts();
-                Generation::take_over(request, limits, seal, plan, timeouts, now, &mut out)
+                Generation::take_over(request, limits, codec, plan, timeouts, now, &mut out)
             }
-            None => Generation::new(request, limits, seal, driver, now, &mut out),
+            None => Generation::new(request, limits, codec, driver, now, &mut out),
         };
         (generation, out)
     }
--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use celerypond_answer::{
-    Driver, Generation, GenerationLimits, Mode, Request, ResumeToken, Seal, TakeOver,
+    Driver, Generation, GenerationLimits, Mode, Request, ResumeToken, ResumeTokenCodec, TakeOver,
 };
 use celerypond_bundle::{Account, Model};
 use celerypond_route::{Route, Waiting};
@@ -142,8 +142,8 @@
         let priority = headers::priority(self.headers, self.account.priority)?;
         let mut rng = node.rng();
         let request = self.request(node, deadline, &mut rng);
-        let seal = request.seal(&node.seal_key);
-        let token = self.token(&seal)?;
+        let codec = request.resume_token_codec(&node.resume_token_key);
+        let token = self.token(&codec)?;
         let driver = Driver::draw(&mut rng);
         let record = match self.is_named {
             true => keeping::find(node, &request.key).await,
@@ -160,7 +160,7 @@
                 let answer = Generation::take_over(
                     request.clone(),
                     limits,
-                    seal,
+                    codec,
                     plan,
                     patience,
                     now,
@@ -172,7 +172,7 @@
                 let admitted = self.admit(node, priority, deadline).await?;
                 let now = Instant::now();
                 let request = request.clone();
-                let answer = Generation::new(request, limits, seal, driver, now, &mut effects);
+                let answer = Generation::new(request, limits, codec, driver, now, &mut effects);
                 (answer, Some(admitted))
             }
         };
@@ -256,10 +256,10 @@
         Digest::of(&serde_json::to_vec(&parts).unwrap_or_default())
     }
 
-    fn token(&self, seal: &Seal) -> Result<Option<ResumeToken>, Problem> {
+    fn token(&self, codec: &ResumeTokenCodec) -> Result<Option<ResumeToken>, Problem> {
         let value = self.headers.get("last-event-id");
         value
-            .map(|value| seal.decode(value.to_str().unwrap_or_default()))
+            .map(|value| codec.decode(value.to_str().unwrap_or_default()))
             .transpose()
             .map_err(|error| Problem::new(Kind::BadRequest, error))
     }
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -11,7 +11,7 @@
 };
 
 use arc_swap::{ArcSwap, ArcSwapOption};
-use celerypond_answer::{Input, Keeper, SealKey};
+use celerypond_answer::{Input, Keeper, ResumeTokenKey};
 use celerypond_bundle::{Bundle, Settings};
 use celerypond_fleet::{Gossip, Identity, Incarnation};
 use celerypond_platform::{Client, InstanceList, Rates};
@@ -89,7 +89,7 @@
     /// The time between retries.
     pub backoff: Backoff,
     /// The key of the seals of resume tokens.
-    pub seal_key: SealKey,
+    pub resume_token_key: ResumeTokenKey,
     /// Connections to other instances.
     pub peers: Peers,
     /// This instance's side in rollouts.
@@ -125,7 +125,7 @@
         };
         let mut rng = SmallRng::from_os_rng();
         let nonce = AtomicU64::new(rand::Rng::random(&mut rng));
-        let seal_key = SealKey::new(*settings.fleet_key.as_bytes());
+        let resume_token_key = ResumeTokenKey::new(*settings.fleet_key.as_bytes());
         let incarnation = wall_ms();
         let rollouts = Rollouts::new(settings.instance.clone(), incarnation);
         let gossip = new_gossip(&settings, incarnation, &mut rng, now);
@@ -148,7 +148,7 @@
             ledger: Ledger::default(),
             retries: RetryBudget::overall(),
             backoff: Backoff::default(),
-            seal_key,
+            resume_token_key,
             peers: Peers::default(),
             rollouts,
             relayed: Notify::new(),
