--- a/bench/src/answer.rs
+++ b/bench/src/answer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_answer::PaceLimits;
+use celerypond_answer::ResumeLimits;
 
 use crate::table::Row;
 
@@ -64,7 +64,7 @@
     ];
     let pace = |name, target| Way {
         name,
-        pace: Some(PaceLimits { target }),
+        pace: Some(ResumeLimits { per_target: target }),
         ..ours
     };
     let paced = vec![
--- a/bench/src/answer/model.rs
+++ b/bench/src/answer/model.rs
@@ -14,8 +14,8 @@
 
 use celerypond_answer::{
     ChosenTarget, ConnectionId, Driver, Effect, Event, Frame, Generation, GenerationLimits, Input,
-    KeeperRecord, Mode, Pace, Refusal, Request, ResumeTokenCodec, ResumeTokenKey, Start, Stream,
-    TakeOver, TimeoutEstimator, TimeoutLimits, Timeouts, WaiterKey,
+    KeeperRecord, Mode, Refusal, Request, ResumeScheduler, ResumeTokenCodec, ResumeTokenKey, Start,
+    Stream, TakeOver, TimeoutEstimator, TimeoutLimits, Timeouts, WaiterKey,
 };
 use celerypond_types::{Attempt, Digest, Position, TargetKey, TargetName, TokenId, VersionKey};
 use rand::{rngs::StdRng, Rng, SeedableRng};
@@ -127,7 +127,7 @@
     engines: Vec<Engine>,
     index: HashMap<TargetKey, usize>,
     answers: Vec<Answer>,
-    pace: Option<Pace>,
+    scheduler: Option<ResumeScheduler>,
     waiters: HashMap<WaiterKey, usize>,
     held: VecDeque<usize>,
     version: VersionKey,
@@ -166,7 +166,7 @@
             index: engines.iter().map(|engine| engine.key).zip(0..).collect(),
             engines,
             answers: Vec::new(),
-            pace: way.pace.map(Pace::new),
+            scheduler: way.pace.map(ResumeScheduler::new),
             waiters: HashMap::new(),
             held: VecDeque::new(),
             version: SlotMap::<VersionKey, ()>::with_key().insert(()),
--- a/bench/src/answer/model/instances.rs
+++ b/bench/src/answer/model/instances.rs
@@ -86,21 +86,21 @@
         let Some(target) = self.answers[at].granted.take() else {
             return;
         };
-        if let Some(pace) = &mut self.pace {
-            pace.settle(target);
+        if let Some(scheduler) = &mut self.scheduler {
+            scheduler.release(target);
         }
         self.grant();
     }
 
     pub(super) fn choose(&mut self, at: usize, avoid: &[TargetName], resumes: bool) {
         let last = self.base + Duration::from_micros(self.answers[at].last);
-        match &mut self.pace {
-            Some(pace) if resumes => {
-                let waiter = pace.wait(self.version, last);
+        match &mut self.scheduler {
+            Some(scheduler) if resumes => {
+                let waiter = scheduler.enqueue(self.version, last);
                 self.waiters.insert(waiter, at);
                 self.grant();
             }
-            Some(pace) if !pace.admits(self.version) => self.held.push_back(at),
+            Some(scheduler) if !scheduler.admits_new(self.version) => self.held.push_back(at),
             _ => {
                 let target = self.pick(avoid, |_| true);
                 self.chosen(at, target);
@@ -110,15 +110,15 @@
 
     pub(super) fn grant(&mut self) {
         loop {
-            let Some(mut pace) = self.pace.take() else {
+            let Some(mut scheduler) = self.scheduler.take() else {
                 return;
             };
-            let grant = pace.grant(|_, free| {
+            let grant = scheduler.grant(|_, free| {
                 let target = self.pick(&[], free)?;
                 Some(self.engines[target].key)
             });
-            let admits = pace.admits(self.version);
-            self.pace = Some(pace);
+            let admits = scheduler.admits_new(self.version);
+            self.scheduler = Some(scheduler);
             let Some(grant) = grant else {
                 if admits {
                     self.admit();
--- a/bench/src/answer/way.rs
+++ b/bench/src/answer/way.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_answer::{ChainDigest, KeeperRecord, PaceLimits};
+use celerypond_answer::{ChainDigest, KeeperRecord, ResumeLimits};
 use celerypond_types::{Position, TokenId};
 
 /// What fails.
@@ -36,7 +36,7 @@
     pub(super) trips: u64,
     /// A fixed progress timeout in place of the learned one.
     pub(super) timeout: Option<Duration>,
-    pub(super) pace: Option<PaceLimits>,
+    pub(super) pace: Option<ResumeLimits>,
     pub(super) takeover: TakeOverWay,
 }
 
--- a/crates/answer/src/pace.rs
+++ b/crates/answer/src/resume_scheduler.rs
@@ -13,9 +13,9 @@
 
 /// Bounds of the resumes that run at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PaceLimits {
+pub struct ResumeLimits {
     /// How many resumes one target reads prefixes for at once, from this instance.
-    pub target: u32,
+    pub per_target: u32,
 }
 
 /// Paces the resumes after a loss of many engines at once.
@@ -28,25 +28,25 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_answer::{Pace, PaceLimits};
+/// use celerypond_answer::{ResumeScheduler, ResumeLimits};
 /// use celerypond_types::{TargetKey, VersionKey};
 /// use slotmap::SlotMap;
 /// use tokio::time::Instant;
 ///
 /// let target = SlotMap::<TargetKey, ()>::with_key().insert(());
 /// let version = SlotMap::<VersionKey, ()>::with_key().insert(());
-/// let mut pace = Pace::new(PaceLimits { target: 1 });
-/// let waiter = pace.wait(version, Instant::now());
-/// assert!(!pace.admits(version));
-/// let grant = pace.grant(|_, free| free(target).then_some(target)).unwrap();
+/// let mut scheduler = ResumeScheduler::new(ResumeLimits { per_target: 1 });
+/// let waiter = scheduler.enqueue(version, Instant::now());
+/// assert!(!scheduler.admits_new(version));
+/// let grant = scheduler.grant(|_, free| free(target).then_some(target)).unwrap();
 /// assert_eq!((grant.waiter, grant.target), (waiter, target));
-/// assert!(pace.admits(version) && !pace.is_free(target));
-/// pace.settle(target);
-/// assert!(pace.is_free(target));
+/// assert!(scheduler.admits_new(version) && !scheduler.has_capacity(target));
+/// scheduler.release(target);
+/// assert!(scheduler.has_capacity(target));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Pace {
-    limits: PaceLimits,
+pub struct ResumeScheduler {
+    limits: ResumeLimits,
     waiters: SlotMap<WaiterKey, Waiter>,
     order: BTreeSet<(Instant, u64, WaiterKey)>,
     running: SecondaryMap<TargetKey, u32>,
@@ -73,34 +73,34 @@
 /// How many prefixes a target reads at once; measured, see the design note.
 const TARGET_RESUMES: u32 = 8;
 
-impl Default for PaceLimits {
+impl Default for ResumeLimits {
     fn default() -> Self {
-        Self::shared(1)
+        Self::per_instance(1)
     }
 }
 
-impl PaceLimits {
+impl ResumeLimits {
     /// Returns the limits of one of `instances` that send to the same targets.
     ///
     /// # Examples
     ///
     /// ```
-    /// use celerypond_answer::PaceLimits;
+    /// use celerypond_answer::ResumeLimits;
     ///
-    /// assert_eq!(PaceLimits::shared(3).target, 2);
-    /// assert_eq!(PaceLimits::shared(900).target, 1);
+    /// assert_eq!(ResumeLimits::per_instance(3).per_target, 2);
+    /// assert_eq!(ResumeLimits::per_instance(900).per_target, 1);
     /// ```
-    pub const fn shared(instances: u32) -> Self {
+    pub const fn per_instance(instances: u32) -> Self {
         let share = TARGET_RESUMES / if instances == 0 { 1 } else { instances };
         Self {
-            target: if share == 0 { 1 } else { share },
+            per_target: if share == 0 { 1 } else { share },
         }
     }
 }
 
-impl Pace {
+impl ResumeScheduler {
     /// Starts without a waiter.
-    pub fn new(limits: PaceLimits) -> Self {
+    pub fn new(limits: ResumeLimits) -> Self {
         Self {
             limits,
             waiters: SlotMap::with_key(),
@@ -111,12 +111,12 @@
     }
 
     /// Changes the bounds, as instances come or go; resumes that run already go on.
-    pub fn set_limits(&mut self, limits: PaceLimits) {
+    pub fn set_limits(&mut self, limits: ResumeLimits) {
         self.limits = limits;
     }
 
     /// Lets an answer of `version` wait whose caller had its last token at `since`.
-    pub fn wait(&mut self, version: VersionKey, since: Instant) -> WaiterKey {
+    pub fn enqueue(&mut self, version: VersionKey, since: Instant) -> WaiterKey {
         self.joined += 1;
         let waiter = Waiter {
             version,
@@ -129,7 +129,7 @@
     }
 
     /// Takes back a wait.
-    pub fn leave(&mut self, key: WaiterKey) {
+    pub fn cancel(&mut self, key: WaiterKey) {
         if let Some(waiter) = self.waiters.remove(key) {
             self.order.remove(&(waiter.since, waiter.joined, key));
         }
@@ -149,7 +149,7 @@
             if full.contains(&version) {
                 continue;
             }
-            let Some(target) = choose(version, &|target| self.is_free(target)) else {
+            let Some(target) = choose(version, &|target| self.has_capacity(target)) else {
                 full.insert(version);
                 continue;
             };
@@ -163,27 +163,27 @@
     }
 
     /// Ends a resume at `target`: its first token came, or it failed.
-    pub fn settle(&mut self, target: TargetKey) {
+    pub fn release(&mut self, target: TargetKey) {
         if let Some(running) = self.running.get_mut(target) {
             *running = running.saturating_sub(1);
         }
     }
 
     /// Forgets a target that is gone.
-    pub fn remove(&mut self, target: TargetKey) {
+    pub fn remove_target(&mut self, target: TargetKey) {
         self.running.remove(target);
     }
 
     /// Returns whether a new answer of `version` may start: none waits to be resumed.
-    pub fn admits(&self, version: VersionKey) -> bool {
+    pub fn admits_new(&self, version: VersionKey) -> bool {
         self.waiters
             .values()
             .all(|waiter| waiter.version != version)
     }
 
     /// Returns whether `target` may take one more resume.
-    pub fn is_free(&self, target: TargetKey) -> bool {
-        self.running.get(target).copied().unwrap_or(0) < self.limits.target
+    pub fn has_capacity(&self, target: TargetKey) -> bool {
+        self.running.get(target).copied().unwrap_or(0) < self.limits.per_target
     }
 
     /// Returns how many answers wait.
@@ -192,7 +192,7 @@
     }
 
     fn take(&mut self, grant: Grant) -> Grant {
-        self.leave(grant.waiter);
+        self.cancel(grant.waiter);
         // A target that was removed in the meantime has a stale key and is not counted.
         if let Some(entry) = self.running.entry(grant.target) {
             *entry.or_insert(0) += 1;
--- a/crates/answer/tests/runner.rs
+++ b/crates/answer/tests/runner.rs
@@ -2,8 +2,8 @@
 
 mod test_history;
 mod test_keeper;
-mod test_pace;
 mod test_resume;
+mod test_resume_scheduler;
 mod test_scripts;
 mod test_splice;
 mod test_takeover;
--- a/crates/answer/tests/test_pace.rs
+++ b/crates/answer/tests/test_resume_scheduler.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_answer::{Pace, PaceLimits};
+use celerypond_answer::{ResumeLimits, ResumeScheduler};
 use celerypond_types::{TargetKey, VersionKey};
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use slotmap::SlotMap;
@@ -17,28 +17,28 @@
         let targets: Vec<TargetKey> = keys(3);
         let version = keys::<VersionKey>(1)[0];
         let base = Instant::now();
-        let mut pace = Pace::new(PaceLimits { target: 2 });
+        let mut scheduler = ResumeScheduler::new(ResumeLimits { per_target: 2 });
         for _ in 0..50 {
-            pace.wait(
+            scheduler.enqueue(
                 version,
                 base + Duration::from_millis(rng.random_range(0..100)),
             );
         }
         let mut running = Vec::new();
         let mut granted = 0;
-        while pace.waiting() > 0 {
-            assert!(!pace.admits(version), "seed {seed}");
+        while scheduler.waiting() > 0 {
+            assert!(!scheduler.admits_new(version), "seed {seed}");
             let choose = |free: &dyn Fn(TargetKey) -> bool| {
                 targets.iter().copied().find(|target| free(*target))
             };
-            match pace.grant(|_, free| choose(free)) {
+            match scheduler.grant(|_, free| choose(free)) {
                 Some(grant) => {
                     running.push(grant.target);
                     granted += 1;
                 }
                 None => {
                     assert_eq!(running.len(), 6, "seed {seed}");
-                    pace.settle(running.swap_remove(rng.random_range(0..running.len())));
+                    scheduler.release(running.swap_remove(rng.random_range(0..running.len())));
                 }
             }
             for target in &targets {
@@ -47,7 +47,7 @@
             }
         }
         assert_eq!(granted, 50);
-        assert!(pace.admits(version));
+        assert!(scheduler.admits_new(version));
     }
 }
 
@@ -56,16 +56,16 @@
     let target = keys::<TargetKey>(1)[0];
     let versions: Vec<VersionKey> = keys(2);
     let base = Instant::now();
-    let mut pace = Pace::new(PaceLimits::default());
-    let late = pace.wait(versions[1], base + Duration::from_millis(2));
-    let without_target = pace.wait(versions[0], base);
-    let early = pace.wait(versions[1], base + Duration::from_millis(1));
-    let mut grant = || pace.grant(|version, _| (version == versions[1]).then_some(target));
+    let mut scheduler = ResumeScheduler::new(ResumeLimits::default());
+    let late = scheduler.enqueue(versions[1], base + Duration::from_millis(2));
+    let without_target = scheduler.enqueue(versions[0], base);
+    let early = scheduler.enqueue(versions[1], base + Duration::from_millis(1));
+    let mut grant = || scheduler.grant(|version, _| (version == versions[1]).then_some(target));
     let order: Vec<_> = (0..3).map(|_| grant().map(|grant| grant.waiter)).collect();
     assert_eq!(order, [Some(early), Some(late), None]);
-    assert!(!pace.admits(versions[0]) && pace.admits(versions[1]));
-    pace.leave(without_target);
-    assert_eq!(pace.waiting(), 0);
+    assert!(!scheduler.admits_new(versions[0]) && scheduler.admits_new(versions[1]));
+    scheduler.cancel(without_target);
+    assert_eq!(scheduler.waiting(), 0);
 }
 
 fn keys<K: slotmap::Key>(count: usize) -> Vec<K> {
--- a/daemon/src/admission.rs
+++ b/daemon/src/admission.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use celerypond_answer::{Pace, PaceLimits, WaiterKey};
+use celerypond_answer::{ResumeLimits, ResumeScheduler, WaiterKey};
 use celerypond_route::{Ask, InFlight, Queue, QueueLimits, Refusal, Route, View, Waiting};
 use celerypond_telemetry::Gauge;
 use celerypond_types::{NotRunReason, Priority, TargetKey, VersionKey};
@@ -45,7 +45,7 @@
 
 struct Inner {
     queues: HashMap<Route, Queue<Grant>>,
-    pace: Pace,
+    resume_scheduler: ResumeScheduler,
     resumes: HashMap<WaiterKey, oneshot::Sender<TargetKey>>,
     /// The engines that have not loaded a version, as those who wait to resume last saw it.
     unloaded: HashMap<VersionKey, Vec<TargetKey>>,
@@ -55,7 +55,7 @@
     fn default() -> Self {
         Self {
             queues: HashMap::new(),
-            pace: Pace::new(PaceLimits::default()),
+            resume_scheduler: ResumeScheduler::new(ResumeLimits::default()),
             resumes: HashMap::new(),
             unloaded: HashMap::new(),
         }
@@ -109,7 +109,7 @@
     ) -> oneshot::Receiver<TargetKey> {
         let (grant, receiver) = oneshot::channel();
         let mut inner = self.lock();
-        let waiter = inner.pace.wait(version, since);
+        let waiter = inner.resume_scheduler.enqueue(version, since);
         inner.resumes.insert(waiter, grant);
         inner.unloaded.insert(version, unloaded);
         drop(inner);
@@ -119,7 +119,7 @@
 
     /// Notes that a resumed answer goes on or has failed.
     pub fn settled(&self, target: TargetKey) {
-        self.lock().pace.settle(target);
+        self.lock().resume_scheduler.release(target);
         self.ended.notify_one();
     }
 
@@ -147,12 +147,14 @@
         let now_ms = view.clock().millis(now);
         let mut inner = self.lock();
         let instances = node.expected() as u32;
-        inner.pace.set_limits(PaceLimits::shared(instances));
+        inner
+            .resume_scheduler
+            .set_limits(ResumeLimits::per_instance(instances));
         let suspects = node.suspects.with(Vec::new(), now);
         inner.grant_resumes(&view, &suspects, now, rng);
         inner.grant_new(&view, &suspects, now_ms, rng);
         let waiting: usize = inner.queues.values().map(Queue::len).sum();
-        let waiting = waiting + inner.pace.waiting();
+        let waiting = waiting + inner.resume_scheduler.waiting();
         node.metrics.set(Gauge::Waiting, waiting as u64);
     }
 
@@ -170,7 +172,7 @@
     /// Returns whether no answer of the route waits to be resumed.
     fn admits(&self, route: Route) -> bool {
         match route {
-            Route::Version(version) => self.pace.admits(version),
+            Route::Version(version) => self.resume_scheduler.admits_new(version),
             Route::Service(_) => true,
         }
     }
@@ -191,10 +193,10 @@
             .collect();
         for waiter in gone {
             self.resumes.remove(&waiter);
-            self.pace.leave(waiter);
+            self.resume_scheduler.cancel(waiter);
         }
         let unloaded = &self.unloaded;
-        while let Some(grant) = self.pace.grant(|version, is_free| {
+        while let Some(grant) = self.resume_scheduler.grant(|version, is_free| {
             let route = Route::Version(version);
             let busy = view.pool(route)?.keys().filter(|target| !is_free(*target));
             let without = unloaded.get(&version).into_iter().flatten();
@@ -210,7 +212,7 @@
                 continue;
             };
             if sender.send(grant.target).is_err() {
-                self.pace.settle(grant.target);
+                self.resume_scheduler.release(grant.target);
             }
         }
     }
