--- a/bench/src/answer/cost.rs
+++ b/bench/src/answer/cost.rs
@@ -4,8 +4,8 @@
 
 use celerypond_answer::{
     ChainDigest, ChosenTarget, ConnectionId, Driver, Effect, Event, Frame, Generation,
-    GenerationLimits, Input, KeeperRecord, Mode, Origin, Request, ResumeTokenKey, Splice, Stream,
-    TimeoutEstimator, TimeoutLimits,
+    GenerationLimits, Input, KeeperRecord, Mode, Origin, Request, ResumeTokenKey, Stream,
+    TimeoutEstimator, TimeoutLimits, TokenSequence,
 };
 use celerypond_types::{Attempt, Digest, Position, TokenId};
 use tokio::time::{Duration, Instant};
@@ -107,7 +107,7 @@
 }
 
 fn splice() -> u64 {
-    let mut splice = Splice::new("order-1234567".into(), "v1".into(), Attempt(0), TOKENS);
+    let mut splice = TokenSequence::new("order-1234567".into(), "v1".into(), Attempt(0), TOKENS);
     let mut frame = frame(0);
     for position in 0..TOKENS {
         frame.position = Position(position);
@@ -121,7 +121,10 @@
     let mut out = Vec::new();
     for position in 0..TOKENS {
         let frame = Frame {
-            attempt: generation.splice().map(Splice::attempt).unwrap_or_default(),
+            attempt: generation
+                .sequence()
+                .map(TokenSequence::attempt)
+                .unwrap_or_default(),
             ..frame(position)
         };
         generation.step(
@@ -132,7 +135,9 @@
         black_box(&out);
         out.clear();
     }
-    generation.splice().map_or(0, |splice| splice.digest().0)
+    generation
+        .sequence()
+        .map_or(0, |sequence| sequence.digest().0)
 }
 
 fn open(key: &str) -> (Generation, Instant) {
@@ -212,7 +217,10 @@
 
 fn filled(key: &str) -> Generation {
     let (mut generation, now) = open(key);
-    let attempt = generation.splice().map(Splice::attempt).unwrap_or_default();
+    let attempt = generation
+        .sequence()
+        .map(TokenSequence::attempt)
+        .unwrap_or_default();
     let mut out = Vec::new();
     for position in 0..LENGTH {
         let frame = Frame {
--- a/bench/src/answer/model.rs
+++ b/bench/src/answer/model.rs
@@ -293,8 +293,10 @@
         let now = self.instant();
         let answer = &mut self.answers[at];
         answer.generation.step(now, input, &mut out);
-        let splice = answer.generation.splice();
-        let attempt = splice.map(|splice| splice.attempt()).unwrap_or_default();
+        let sequence = answer.generation.sequence();
+        let attempt = sequence
+            .map(|sequence| sequence.attempt())
+            .unwrap_or_default();
         for position in 0..shown {
             let event = Event::Frame(frame(at, attempt, position));
             let input = Input::Event(FIRST_LINK, event);
--- a/crates/answer/src/generation.rs
+++ b/crates/answer/src/generation.rs
@@ -9,8 +9,8 @@
 
 use crate::{
     outlet::Outlet, reader::Reader, ChainDigest, ConnectionId, Driver, Effect, Event,
-    GenerationLimits, Input, KeeperRecord, Origin, Request, ResumeTokenCodec, Splice, Stream,
-    TakeOver, Timeouts,
+    GenerationLimits, Input, KeeperRecord, Origin, Request, ResumeTokenCodec, Stream, TakeOver,
+    Timeouts, TokenSequence,
 };
 
 /// Drives one answer from its first choice of a target to its end.
@@ -56,7 +56,7 @@
     limits: GenerationLimits,
     codec: ResumeTokenCodec,
     /// The tokens so far, once a version was chosen.
-    splice: Option<Splice>,
+    sequence: Option<TokenSequence>,
     outlet: Outlet,
     state: State,
     /// The highest attempt number of this driver.
@@ -138,14 +138,14 @@
             plan.text,
         );
         let stream = plan.origin.stream;
-        let splice = Splice::new(
+        let sequence = TokenSequence::new(
             request.key.clone(),
             plan.origin.version,
             stream.attempt,
             request.limit,
         );
         let mut generation = Self::with(request, limits, codec, outlet, plan.attempt, now);
-        generation.splice = Some(splice.with_prefix(plan.tokens));
+        generation.sequence = Some(sequence.with_prefix(plan.tokens));
         generation.other = plan.other;
         generation.adopt(stream, plan.former, timeouts, now, out);
         generation
@@ -191,8 +191,8 @@
     }
 
     /// Returns the tokens so far and their version, once one was chosen.
-    pub const fn splice(&self) -> Option<&Splice> {
-        self.splice.as_ref()
+    pub const fn sequence(&self) -> Option<&TokenSequence> {
+        self.sequence.as_ref()
     }
 
     fn with(
@@ -207,7 +207,7 @@
             request,
             limits,
             codec,
-            splice: None,
+            sequence: None,
             outlet,
             state: State::Choosing { retry: None },
             attempt,
@@ -272,19 +272,19 @@
     }
 
     fn record(&self, stream: &Stream, now: Instant) -> KeeperRecord {
-        let splice = self.splice.as_ref();
+        let sequence = self.sequence.as_ref();
         let left = self.request.deadline.saturating_duration_since(now);
         KeeperRecord {
             key: self.request.key.clone(),
             origin: Origin {
                 attempt: self.attempt,
                 stream: stream.clone(),
-                version: splice.map_or_else(|| "".into(), |splice| splice.version().clone()),
+                version: sequence.map_or_else(|| "".into(), |sequence| sequence.version().clone()),
                 seed: self.request.seed,
             },
             instance: self.request.instance.clone(),
-            prefix: splice.map_or_else(Vec::new, |splice| splice.tokens().to_vec()),
-            digest: splice.map(Splice::digest).unwrap_or_default(),
+            prefix: sequence.map_or_else(Vec::new, |sequence| sequence.tokens().to_vec()),
+            digest: sequence.map(TokenSequence::digest).unwrap_or_default(),
             text: self.outlet.text().unwrap_or_default().to_owned(),
             remaining: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
         }
@@ -304,7 +304,10 @@
     }
 
     fn next(&self) -> celerypond_types::Position {
-        self.splice.as_ref().map(Splice::next).unwrap_or_default()
+        self.sequence
+            .as_ref()
+            .map(TokenSequence::next)
+            .unwrap_or_default()
     }
 
     fn next_connection(&mut self) -> ConnectionId {
--- a/crates/answer/src/generation/choosing.rs
+++ b/crates/answer/src/generation/choosing.rs
@@ -5,7 +5,8 @@
 
 use super::{Generation, State};
 use crate::{
-    reader::Reader, ChosenTarget, Driver, Effect, Splice, Start, Stream, TargetCriteria, Timeouts,
+    reader::Reader, ChosenTarget, Driver, Effect, Start, Stream, TargetCriteria, Timeouts,
+    TokenSequence,
 };
 
 /// Enough to pass any sensible longest rest, and few enough not to overflow.
@@ -40,14 +41,17 @@
     pub(super) fn choose(&mut self, now: Instant, out: &mut Vec<Effect>) {
         // Nothing of the old version was shown, so any version may start from zero.
         if self.outlet.is_fresh() && now.duration_since(self.last) >= self.limits.cede {
-            self.splice = None;
+            self.sequence = None;
             self.outlet.clear();
         }
         self.state = State::Choosing { retry: None };
         out.push(Effect::ChooseTarget(TargetCriteria {
-            version: self.splice.as_ref().map(|splice| splice.version().clone()),
+            version: self
+                .sequence
+                .as_ref()
+                .map(|sequence| sequence.version().clone()),
             excluded: self.excluded.clone(),
-            is_resume: self.splice.is_some(),
+            is_resume: self.sequence.is_some(),
         }));
     }
 
@@ -55,7 +59,7 @@
         if !matches!(self.state, State::Choosing { .. }) {
             return;
         }
-        // A target of another version would splice two generations into one answer.
+        // A target of another version would join two generations into one answer.
         if !self.fits(&chosen.version) {
             return self.no_target(now);
         }
@@ -87,17 +91,22 @@
     }
 
     pub(super) fn fits(&self, version: &VersionName) -> bool {
-        self.splice
+        self.sequence
             .as_ref()
-            .is_none_or(|splice| splice.version() == version)
+            .is_none_or(|sequence| sequence.version() == version)
     }
 
     pub(super) fn follow(&mut self, version: VersionName, attempt: Attempt) {
-        match &mut self.splice {
-            Some(splice) => splice.follow(attempt),
+        match &mut self.sequence {
+            Some(sequence) => sequence.set_attempt(attempt),
             None => {
                 let key = self.request.key.clone();
-                self.splice = Some(Splice::new(key, version, attempt, self.request.limit));
+                self.sequence = Some(TokenSequence::new(
+                    key,
+                    version,
+                    attempt,
+                    self.request.limit,
+                ));
             }
         }
     }
--- a/crates/answer/src/generation/ending.rs
+++ b/crates/answer/src/generation/ending.rs
@@ -18,11 +18,13 @@
             out.extend(others.map(Effect::Close));
         }
         out.extend(self.forget());
-        let Some(splice) = &self.splice else { return };
+        let Some(sequence) = &self.sequence else {
+            return;
+        };
         out.push(Effect::Finish(Finish {
             reason,
-            length: splice.next(),
-            version: splice.version().clone(),
+            length: sequence.next(),
+            version: sequence.version().clone(),
             text: self.outlet.text().map(str::to_owned),
         }));
     }
@@ -107,9 +109,9 @@
     }
 
     pub(super) fn late(&self) -> Incomplete {
-        match (&self.state, &self.splice) {
-            (State::Choosing { .. }, Some(splice)) => Incomplete::NoTarget {
-                version: splice.version().clone(),
+        match (&self.state, &self.sequence) {
+            (State::Choosing { .. }, Some(sequence)) => Incomplete::NoTarget {
+                version: sequence.version().clone(),
             },
             (State::Choosing { .. }, None) => Incomplete::NotStarted,
             _ => Incomplete::Deadline,
--- a/crates/answer/src/generation/reading.rs
+++ b/crates/answer/src/generation/reading.rs
@@ -6,7 +6,7 @@
 use super::{ending, Generation, State};
 use crate::{
     reader::Loss, ConnectionId, Done, Driver, Effect, Frame, Incomplete, RecordExtension, Refusal,
-    Splice, Verdict,
+    TokenSequence, Verdict,
 };
 
 impl Generation {
@@ -46,16 +46,16 @@
         frame: Frame,
         out: &mut Vec<Effect>,
     ) {
-        let (State::Reading(reader), Some(splice)) = (&mut self.state, &mut self.splice) else {
+        let (State::Reading(reader), Some(sequence)) = (&mut self.state, &mut self.sequence) else {
             return;
         };
-        match splice.accept(&frame) {
-            Verdict::Emit => {
+        match sequence.accept(&frame) {
+            Verdict::Accepted => {
                 out.extend(reader.progress(connection, now).map(Effect::Close));
                 self.barren = 0;
                 self.polls = 0;
                 self.last = now;
-                match self.outlet.take(frame, splice) {
+                match self.outlet.take(frame, sequence) {
                     Ok(effect) => out.extend(effect),
                     Err(error) => return self.diverged(now, error, out),
                 }
@@ -67,8 +67,10 @@
 
     /// Copies the tokens of a long answer to its keepers, some at a time.
     fn copy(&mut self, out: &mut Vec<Effect>) {
-        let Some(splice) = &self.splice else { return };
-        let (length, copies) = (splice.next().0, self.limits.copies);
+        let Some(sequence) = &self.sequence else {
+            return;
+        };
+        let (length, copies) = (sequence.next().0, self.limits.copies);
         let (tokens, bytes) = self.copied;
         if self.held.is_some() || length < copies.after || length < tokens + copies.each {
             return;
@@ -78,7 +80,7 @@
             key: self.request.key.clone(),
             attempt: self.attempt,
             from: Position(tokens),
-            tokens: splice.tokens()[tokens as usize..].to_vec(),
+            tokens: sequence.tokens()[tokens as usize..].to_vec(),
             text: text[bytes..].to_owned(),
         }));
         self.copied = (length, text.len());
@@ -91,11 +93,11 @@
         done: &Done,
         out: &mut Vec<Effect>,
     ) {
-        let (State::Reading(_), Some(splice)) = (&self.state, &self.splice) else {
+        let (State::Reading(_), Some(sequence)) = (&self.state, &self.sequence) else {
             return;
         };
-        match splice.finish(done) {
-            Verdict::Whole(reason) => match self.outlet.proof() {
+        match sequence.finish(done) {
+            Verdict::Complete(reason) => match self.outlet.proof() {
                 Ok(()) => self.finish(connection, reason, out),
                 Err(error) => self.diverged(now, error, out),
             },
@@ -112,12 +114,14 @@
         out: &mut Vec<Effect>,
     ) {
         match verdict {
-            Verdict::Gap { .. } | Verdict::Crossed => self.broken(now, connection, out),
-            Verdict::OtherVersion | Verdict::Contradiction { .. } => {
+            Verdict::Gap { .. } | Verdict::WrongRequest => self.broken(now, connection, out),
+            Verdict::WrongVersion | Verdict::Contradiction { .. } => {
                 self.distrust(now, connection, out)
             }
-            Verdict::Emit | Verdict::Whole(_) | Verdict::Duplicate | Verdict::Superseded { .. } => {
-            }
+            Verdict::Accepted
+            | Verdict::Complete(_)
+            | Verdict::Duplicate
+            | Verdict::Superseded { .. } => {}
         }
     }
 
@@ -194,7 +198,7 @@
         self.fresh = Driver::retry(number);
         let (key, limit) = (self.request.key.clone(), self.request.limit);
         let attempt = other.stream.attempt;
-        self.splice = Some(Splice::new(key, other.version, attempt, limit));
+        self.sequence = Some(TokenSequence::new(key, other.version, attempt, limit));
         self.adopt(other.stream, None, timeouts, now, out);
         true
     }
--- a/crates/answer/src/lib.rs
+++ b/crates/answer/src/lib.rs
@@ -1,4 +1,4 @@
-//! Continuity of an answer: splice, digest, resume, stall detection.
+//! Continuity of an answer: token sequence, digest, resume, stall detection.
 //!
 //! An answer is one sequence of tokens of one model version. Engines and instances die while it is
 //! generated; the types here decide which token goes to the caller next, and what to do when none
@@ -19,7 +19,7 @@
 mod resume;
 mod resume_codec;
 mod resume_scheduler;
-mod splice;
+mod sequence;
 mod stream;
 mod takeover;
 mod timeouts;
@@ -37,7 +37,7 @@
 pub use resume::{Origin, ResumeError, ResumeToken};
 pub use resume_codec::{AttemptTokenEncoder, ResumeTokenCodec, ResumeTokenKey};
 pub use resume_scheduler::{Grant, ResumeLimits, ResumeScheduler, WaiterKey};
-pub use splice::{Splice, Verdict};
+pub use sequence::{TokenSequence, Verdict};
 pub use stream::Stream;
 pub use takeover::{TakeOver, TakeOverError};
 pub use timeouts::{TimeoutEstimator, TimeoutLimits, Timeouts};
--- a/crates/answer/src/outlet.rs
+++ b/crates/answer/src/outlet.rs
@@ -2,7 +2,9 @@
 
 use celerypond_types::{Position, TokenId};
 
-use crate::{AttemptTokenEncoder, ChainDigest, Effect, Emit, Frame, Incomplete, Mode, Splice};
+use crate::{
+    AttemptTokenEncoder, ChainDigest, Effect, Emit, Frame, Incomplete, Mode, TokenSequence,
+};
 
 /// What the caller has of an answer, and what it gets next.
 #[derive(Clone, Debug)]
@@ -50,7 +52,7 @@
         self.encoder = Some(encoder);
     }
 
-    /// Takes the latest token of `splice`, and returns what to show of it.
+    /// Takes the latest token of `sequence`, and returns what to show of it.
     ///
     /// The failure: an instance takes over an answer of which the caller has the first tokens, and
     /// its own tokens before that place are others. The symptom would be an answer joined from two.
@@ -58,19 +60,19 @@
     pub(crate) fn take(
         &mut self,
         frame: Frame,
-        splice: &Splice,
+        sequence: &TokenSequence,
     ) -> Result<Option<Effect>, Incomplete> {
         if self.mode == Mode::Buffered {
             self.text.push_str(&frame.text);
             return Ok(None);
         }
-        let length = splice.next();
+        let length = sequence.next();
         if length <= self.shown {
-            return self.compare(length, splice.digest()).map(|()| None);
+            return self.compare(length, sequence.digest()).map(|()| None);
         }
         self.proof()?;
         self.shown = length;
-        self.digest = splice.digest();
+        self.digest = sequence.digest();
         let resume_token = self
             .encoder
             .as_ref()
--- a/crates/answer/src/splice.rs
+++ b/crates/answer/src/sequence.rs
@@ -9,10 +9,10 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_answer::{Frame, Splice, Verdict};
+/// use celerypond_answer::{Frame, TokenSequence, Verdict};
 /// use celerypond_types::{Attempt, Position, TokenId};
 ///
-/// let mut splice = Splice::new("r".into(), "v1".into(), Attempt(0), 100);
+/// let mut sequence = TokenSequence::new("r".into(), "v1".into(), Attempt(0), 100);
 /// let frame = Frame {
 ///     request: "r".into(),
 ///     attempt: Attempt(0),
@@ -21,12 +21,12 @@
 ///     token: TokenId(9),
 ///     text: "nine".into(),
 /// };
-/// assert_eq!(splice.accept(&frame), Verdict::Emit);
-/// assert_eq!(splice.accept(&frame), Verdict::Duplicate);
-/// assert_eq!(splice.tokens(), [TokenId(9)]);
+/// assert_eq!(sequence.accept(&frame), Verdict::Accepted);
+/// assert_eq!(sequence.accept(&frame), Verdict::Duplicate);
+/// assert_eq!(sequence.tokens(), [TokenId(9)]);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Splice {
+pub struct TokenSequence {
     request: RequestKey,
     version: VersionName,
     attempt: Attempt,
@@ -39,9 +39,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The token is the next one.
-    Emit,
+    Accepted,
     /// The answer is whole.
-    Whole(FinishReason),
+    Complete(FinishReason),
     /// The token was already taken; drop it.
     Duplicate,
     /// It comes from another attempt than the one in force; drop it.
@@ -57,9 +57,9 @@
         found: Position,
     },
     /// It answers another request; the connection can't be trusted.
-    Crossed,
+    WrongRequest,
     /// Another version generated it; the target can't be trusted.
-    OtherVersion,
+    WrongVersion,
     /// It contradicts what was taken before: another token at the same position, tokens beyond the
     /// limit, or an end before the last token or before the limit it claims to have reached.
     Contradiction {
@@ -68,7 +68,7 @@
     },
 }
 
-impl Splice {
+impl TokenSequence {
     /// Starts an answer of at most `limit` tokens.
     pub fn new(request: RequestKey, version: VersionName, attempt: Attempt, limit: u32) -> Self {
         Self {
@@ -90,7 +90,7 @@
     }
 
     /// Takes frames of `attempt` from now on, and of no other.
-    pub fn follow(&mut self, attempt: Attempt) {
+    pub fn set_attempt(&mut self, attempt: Attempt) {
         self.attempt = attempt;
     }
 
@@ -101,11 +101,11 @@
     /// foreign token in the answer. All four fields and the position must match, and one value
     /// holds the whole sequence, so no order of arrival can put a token in twice or out of place.
     pub fn accept(&mut self, frame: &Frame) -> Verdict {
-        if let Some(verdict) = self.foreign(&frame.request, frame.attempt) {
+        if let Some(verdict) = self.check_source(&frame.request, frame.attempt) {
             return verdict;
         }
         if frame.version != self.version {
-            return Verdict::OtherVersion;
+            return Verdict::WrongVersion;
         }
         let next = self.next();
         if frame.position > next {
@@ -115,14 +115,14 @@
             };
         }
         if frame.position < next {
-            return self.repeated(frame);
+            return self.check_repeated(frame);
         }
         if next.0 >= self.limit {
             return Verdict::Contradiction { position: next };
         }
         self.tokens.push(frame.token);
         self.digest = self.digest.with(frame.token);
-        Verdict::Emit
+        Verdict::Accepted
     }
 
     /// Checks the end of a stream against the tokens taken.
@@ -131,7 +131,7 @@
     /// that passes for the whole. The length must agree, and an end for reaching the limit must
     /// have reached it.
     pub fn finish(&self, done: &Done) -> Verdict {
-        if let Some(verdict) = self.foreign(&done.request, done.attempt) {
+        if let Some(verdict) = self.check_source(&done.request, done.attempt) {
             return verdict;
         }
         let next = self.next();
@@ -147,7 +147,7 @@
                 position: done.length,
             };
         }
-        Verdict::Whole(done.reason)
+        Verdict::Complete(done.reason)
     }
 
     /// Returns the position of the next token.
@@ -176,14 +176,14 @@
         &self.version
     }
 
-    fn foreign(&self, request: &RequestKey, attempt: Attempt) -> Option<Verdict> {
+    fn check_source(&self, request: &RequestKey, attempt: Attempt) -> Option<Verdict> {
         if *request != self.request {
-            return Some(Verdict::Crossed);
+            return Some(Verdict::WrongRequest);
         }
         (attempt != self.attempt).then_some(Verdict::Superseded { attempt })
     }
 
-    fn repeated(&self, frame: &Frame) -> Verdict {
+    fn check_repeated(&self, frame: &Frame) -> Verdict {
         if self.tokens[frame.position.0 as usize] == frame.token {
             return Verdict::Duplicate;
         }
--- a/crates/answer/tests/runner.rs
+++ b/crates/answer/tests/runner.rs
@@ -5,7 +5,7 @@
 mod test_resume;
 mod test_resume_scheduler;
 mod test_scripts;
-mod test_splice;
+mod test_sequence;
 mod test_takeover;
 mod test_timeouts;
 mod world;
--- a/crates/answer/tests/test_splice.rs
+++ b/crates/answer/tests/test_sequence.rs
@@ -1,6 +1,6 @@
 //! Verdicts on single events.
 
-use celerypond_answer::{Done, Event, FinishReason, Frame, Splice, Verdict};
+use celerypond_answer::{Done, Event, FinishReason, Frame, TokenSequence, Verdict};
 use celerypond_types::{Attempt, Position, TokenId};
 use rstest::rstest;
 
@@ -16,12 +16,12 @@
 }
 
 /// An answer of at most 5 tokens that holds the tokens 10 and 11 and follows attempt 1.
-fn splice() -> Splice {
-    let mut splice = Splice::new("r".into(), "v1".into(), Attempt(0), 5);
-    splice.accept(&frame("r", 0, "v1", 0, 10));
-    splice.accept(&frame("r", 0, "v1", 1, 11));
-    splice.follow(Attempt(1));
-    splice
+fn sequence() -> TokenSequence {
+    let mut sequence = TokenSequence::new("r".into(), "v1".into(), Attempt(0), 5);
+    sequence.accept(&frame("r", 0, "v1", 0, 10));
+    sequence.accept(&frame("r", 0, "v1", 1, 11));
+    sequence.set_attempt(Attempt(1));
+    sequence
 }
 
 const fn gap(found: u32) -> Verdict {
@@ -41,7 +41,7 @@
 // that is back, or from another request. Only the next token of this answer may be taken, since
 // the caller can't tell a wrong token from a right one.
 #[rstest]
-#[case::next_token(frame("r", 1, "v1", 2, 12), Verdict::Emit)]
+#[case::next_token(frame("r", 1, "v1", 2, 12), Verdict::Accepted)]
 #[case::repeated_token(frame("r", 1, "v1", 1, 11), Verdict::Duplicate)]
 #[case::other_token_at_a_taken_position(frame("r", 1, "v1", 1, 99), contradiction(1))]
 #[case::token_after_a_gap(frame("r", 1, "v1", 3, 13), gap(3))]
@@ -53,22 +53,22 @@
     frame("r", 65_536, "v1", 2, 12),
     Verdict::Superseded { attempt: Attempt(65_536) }
 )]
-#[case::frame_of_another_request(frame("q", 1, "v1", 2, 12), Verdict::Crossed)]
-#[case::frame_of_another_version(frame("r", 1, "v2", 2, 12), Verdict::OtherVersion)]
+#[case::frame_of_another_request(frame("q", 1, "v1", 2, 12), Verdict::WrongRequest)]
+#[case::frame_of_another_version(frame("r", 1, "v2", 2, 12), Verdict::WrongVersion)]
 fn frame_is_taken_only_as_the_next_of_this_answer(#[case] frame: Frame, #[case] verdict: Verdict) {
-    let mut splice = splice();
-    assert_eq!(splice.accept(&frame), verdict);
-    let taken = if verdict == Verdict::Emit { 3 } else { 2 };
-    assert_eq!(splice.next(), Position(taken));
+    let mut sequence = sequence();
+    assert_eq!(sequence.accept(&frame), verdict);
+    let taken = if verdict == Verdict::Accepted { 3 } else { 2 };
+    assert_eq!(sequence.next(), Position(taken));
 }
 
 // A stream ends early or lies about its length; a part must never pass for the whole.
 #[rstest]
-#[case::whole("r", 1, 2, FinishReason::Stop, Verdict::Whole(FinishReason::Stop))]
+#[case::whole("r", 1, 2, FinishReason::Stop, Verdict::Complete(FinishReason::Stop))]
 #[case::tokens_missing("r", 1, 4, FinishReason::Stop, gap(4))]
 #[case::shorter_than_taken("r", 1, 1, FinishReason::Stop, contradiction(1))]
 #[case::limit_not_reached("r", 1, 2, FinishReason::Length, contradiction(2))]
-#[case::other_request("q", 1, 2, FinishReason::Stop, Verdict::Crossed)]
+#[case::other_request("q", 1, 2, FinishReason::Stop, Verdict::WrongRequest)]
 #[case::old_attempt("r", 0, 2, FinishReason::Stop, Verdict::Superseded { attempt: Attempt(0) })]
 fn end_counts_only_if_the_answer_is_whole(
     #[case] request: &str,
@@ -83,7 +83,7 @@
         length: Position(length),
         reason,
     };
-    assert_eq!(splice().finish(&done), verdict);
+    assert_eq!(sequence().finish(&done), verdict);
 }
 
 #[rstest]
