--- a/bench/src/answer/cost.rs
+++ b/bench/src/answer/cost.rs
@@ -3,8 +3,8 @@
 use std::{fs, hint::black_box, time::Instant as Clock};
 
 use celerypond_answer::{
-    ChainDigest, ChosenTarget, ConnectionId, Driver, Effect, Event, Frame, Generation,
-    GenerationLimits, Input, KeeperRecord, Mode, Origin, Request, ResumeTokenKey, Stream,
+    ChainDigest, ChosenTarget, ConnectionId, DeliveryMode, DriverId, Effect, Event, Frame,
+    Generation, GenerationLimits, Input, KeeperRecord, Origin, Request, ResumeTokenKey, Stream,
     TimeoutEstimator, TimeoutLimits, TokenSequence,
 };
 use celerypond_types::{Attempt, Digest, Position, TokenId};
@@ -144,17 +144,17 @@
     let now = Instant::now();
     let request = Request {
         key: key.into(),
-        body: Digest::of(b"body"),
+        body_digest: Digest::of(b"body"),
         seed: 1,
-        limit: TOKENS,
-        mode: Mode::Streamed,
+        max_tokens: TOKENS,
+        mode: DeliveryMode::Streamed,
         deadline: now + Duration::from_secs(600),
         instance: "instance-1".into(),
     };
     let codec = request.resume_token_codec(&ResumeTokenKey::new([7; 32]));
     let limits = GenerationLimits::default();
     let mut out: Vec<Effect> = Vec::new();
-    let mut generation = Generation::new(request, limits, codec, Driver::new(1), now, &mut out);
+    let mut generation = Generation::new(request, limits, codec, DriverId::new(1), now, &mut out);
     let chosen = ChosenTarget {
         target: "engine-1".into(),
         version: "v1".into(),
--- a/bench/src/answer/model.rs
+++ b/bench/src/answer/model.rs
@@ -13,9 +13,9 @@
 };
 
 use celerypond_answer::{
-    ChosenTarget, ConnectionId, Driver, Effect, Event, Frame, Generation, GenerationLimits, Input,
-    KeeperRecord, Mode, Refusal, Request, ResumeScheduler, ResumeTokenCodec, ResumeTokenKey, Start,
-    Stream, TakeOver, TimeoutEstimator, TimeoutLimits, Timeouts, WaiterKey,
+    ChosenTarget, ConnectionId, DeliveryMode, DriverId, Effect, Event, Frame, Generation,
+    GenerationLimits, Input, KeeperRecord, Refusal, Request, ResumeScheduler, ResumeTokenCodec,
+    ResumeTokenKey, Start, Stream, TakeOver, TimeoutEstimator, TimeoutLimits, Timeouts, WaiterKey,
 };
 use celerypond_types::{Attempt, Digest, Position, TargetKey, TargetName, TokenId, VersionKey};
 use rand::{rngs::StdRng, Rng, SeedableRng};
@@ -251,7 +251,7 @@
         let at = self.answers.len();
         let request = self.request(at);
         let mut out = Vec::new();
-        let driver = Driver::draw(&mut self.rng);
+        let driver = DriverId::random(&mut self.rng);
         let limits = limits();
         let codec = codec(&request);
         let now = self.instant();
@@ -334,10 +334,10 @@
     fn request(&self, at: usize) -> Request {
         Request {
             key: format!("r{at}").as_str().into(),
-            body: Digest::of(b"body"),
+            body_digest: Digest::of(b"body"),
             seed: at as u64,
-            limit: 1_000_000,
-            mode: Mode::Streamed,
+            max_tokens: 1_000_000,
+            mode: DeliveryMode::Streamed,
             deadline: self.base + Duration::from_secs(600),
             instance: "a".into(),
         }
@@ -351,7 +351,7 @@
             }
             Act::Input(..) => {}
             Act::Tick(answer) => {
-                let due = self.answers[answer].generation.due();
+                let due = self.answers[answer].generation.next_tick();
                 if due.is_some_and(|due| due <= self.instant()) {
                     self.input(answer, Input::Tick);
                 }
@@ -372,7 +372,7 @@
 /// The records of the answers that are open already are at the keepers.
 fn limits() -> GenerationLimits {
     GenerationLimits {
-        settle: Duration::ZERO,
+        record_delay: Duration::ZERO,
         ..GenerationLimits::default()
     }
 }
--- a/bench/src/answer/model/instances.rs
+++ b/bench/src/answer/model/instances.rs
@@ -9,10 +9,10 @@
         if answer.over || answer.down {
             return;
         }
-        let before = answer.generation.due();
+        let before = answer.generation.next_tick();
         let mut out = Vec::new();
         answer.generation.step(now, input, &mut out);
-        let due = answer.generation.due();
+        let due = answer.generation.next_tick();
         self.apply(at, out);
         // With a token each 40 ms the next tick is only looked at now and then.
         // Before the fault nothing stalls.
@@ -23,7 +23,7 @@
 
     /// Sees to it that the next tick comes.
     pub(super) fn watch(&mut self, at: usize) {
-        if let Some(due) = self.answers[at].generation.due() {
+        if let Some(due) = self.answers[at].generation.next_tick() {
             let left = due.saturating_duration_since(self.instant());
             self.after(left.as_micros() as u64, Act::Tick(at));
         }
@@ -204,7 +204,7 @@
         let all: Vec<TokenId> = (0..shown).map(|position| token_of(at, position)).collect();
         let record = self.answers[at].record.clone();
         let (record, brought) = self.way.takeover.known(record, &all);
-        let driver = Driver::draw(&mut self.rng);
+        let driver = DriverId::random(&mut self.rng);
         let plan = TakeOver::plan(driver, token.as_ref(), record.as_ref(), &brought);
         let limits = limits();
         let now = self.instant();
@@ -226,31 +226,31 @@
         at: usize,
         request: Request,
         codec: ResumeTokenCodec,
-        driver: Driver,
+        driver: DriverId,
         out: &mut Vec<Effect>,
     ) -> Generation {
         for engine in &mut self.engines {
             engine.streams.retain(|written| written.answer != at);
         }
         let plan = TakeOver {
-            attempt: driver.first(),
+            attempt: driver.first_attempt(),
             origin: celerypond_answer::Origin {
-                attempt: driver.first(),
+                attempt: driver.first_attempt(),
                 stream: Stream {
                     target: "0".into(),
-                    attempt: driver.first(),
+                    attempt: driver.first_attempt(),
                 },
                 version: "v1".into(),
                 seed: at as u64,
             },
-            other: None,
-            former: None,
-            shown: Position(self.answers[at].shown),
+            fallback: None,
+            previous_instance: None,
+            delivered: Position(self.answers[at].shown),
             digest: codec
                 .decode(&self.answers[at].id)
                 .map(|token| token.digest)
                 .unwrap_or_default(),
-            tokens: Vec::new(),
+            prefix: Vec::new(),
             text: String::new(),
         };
         let limits = limits();
--- a/crates/answer/src/driver.rs
+++ b/crates/answer/src/driver.rs
@@ -22,41 +22,41 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_answer::Driver;
+/// use celerypond_answer::DriverId;
 ///
-/// let (one, two) = (Driver::new(1), Driver::new(2));
-/// assert!(one.first() < two.first());
-/// assert!(two.first() < one.after(two.first()).unwrap());
+/// let (one, two) = (DriverId::new(1), DriverId::new(2));
+/// assert!(one.first_attempt() < two.first_attempt());
+/// assert!(two.first_attempt() < one.first_attempt_after(two.first_attempt()).unwrap());
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Driver(u16);
+pub struct DriverId(u16);
 
-impl Driver {
+impl DriverId {
     /// Makes a driver with the low 14 bits of `mark`.
     pub const fn new(mark: u16) -> Self {
         Self(mark & DRIVER_MASK)
     }
 
     /// Draws a mark.
-    pub fn draw(rng: &mut impl Rng) -> Self {
+    pub fn random(rng: &mut impl Rng) -> Self {
         Self::new(rng.random())
     }
 
     /// Returns the number of the first attempt of a request that nobody drove before.
-    pub const fn first(self) -> Attempt {
+    pub const fn first_attempt(self) -> Attempt {
         Attempt((self.0 as u32) << TRY_BITS)
     }
 
     /// Returns the first number after a driver that reached `attempt`, or `None` when the terms are
     /// used up.
-    pub fn after(self, attempt: Attempt) -> Option<Attempt> {
+    pub fn first_attempt_after(self, attempt: Attempt) -> Option<Attempt> {
         let term = (attempt.0 >> TERM_SHIFT) + 1;
         let shifted = term.checked_mul(1 << TERM_SHIFT)?;
-        Some(Attempt(shifted | self.first().0))
+        Some(Attempt(shifted | self.first_attempt().0))
     }
 
     /// Returns the number of the next try of the same driver, or `None` when they are used up.
-    pub fn retry(attempt: Attempt) -> Option<Attempt> {
+    pub fn next_attempt(attempt: Attempt) -> Option<Attempt> {
         (attempt.0 & TRY_MASK < TRY_MASK).then(|| attempt.next())
     }
 }
--- a/crates/answer/src/generation.rs
+++ b/crates/answer/src/generation.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    outlet::Outlet, reader::Reader, ChainDigest, ConnectionId, Driver, Effect, Event,
+    outlet::Outlet, reader::Reader, ChainDigest, ConnectionId, DriverId, Effect, Event,
     GenerationLimits, Input, KeeperRecord, Origin, Request, ResumeTokenCodec, Stream, TakeOver,
     Timeouts, TokenSequence,
 };
@@ -25,7 +25,7 @@
 /// use std::time::Duration;
 ///
 /// use celerypond_answer::{
-///     Driver, Effect, Generation, GenerationLimits, Input, Mode, Request, ResumeTokenKey,
+///     DriverId, Effect, Generation, GenerationLimits, Input, DeliveryMode, Request, ResumeTokenKey,
 /// };
 /// use celerypond_types::Digest;
 /// use tokio::time::Instant;
@@ -33,22 +33,22 @@
 /// let now = Instant::now();
 /// let request = Request {
 ///     key: "r".into(),
-///     body: Digest::of(b"{}"),
+///     body_digest: Digest::of(b"{}"),
 ///     seed: 1,
-///     limit: 100,
-///     mode: Mode::Streamed,
+///     max_tokens: 100,
+///     mode: DeliveryMode::Streamed,
 ///     deadline: now + Duration::from_secs(60),
 ///     instance: "a".into(),
 /// };
 /// let codec = request.resume_token_codec(&ResumeTokenKey::new([7; 32]));
 /// let mut effects = Vec::new();
 /// let mut answer = Generation::new(
-///     request, GenerationLimits::default(), codec, Driver::new(1), now, &mut effects,
+///     request, GenerationLimits::default(), codec, DriverId::new(1), now, &mut effects,
 /// );
 /// assert!(matches!(effects[..], [Effect::ChooseTarget(_)]));
 /// effects.clear();
 /// answer.step(now, Input::NoTarget, &mut effects);
-/// assert!(effects.is_empty() && answer.due() > Some(now));
+/// assert!(effects.is_empty() && answer.next_tick() > Some(now));
 /// ```
 #[derive(Debug)]
 pub struct Generation {
@@ -67,7 +67,7 @@
     barren: u32,
     excluded: Vec<TargetName>,
     /// Where else the caller's tokens may be found.
-    other: Option<Origin>,
+    fallback: Option<Origin>,
     /// When the record goes to the keepers at the latest, as long as it has not.
     held: Option<Instant>,
     /// How many tokens the keepers have, and how many bytes of text.
@@ -101,15 +101,15 @@
         request: Request,
         limits: GenerationLimits,
         codec: ResumeTokenCodec,
-        driver: Driver,
+        driver: DriverId,
         now: Instant,
         out: &mut Vec<Effect>,
     ) -> Self {
         let outlet = Outlet::new(request.mode);
-        let first = driver.first();
+        let first = driver.first_attempt();
         let mut generation = Self::with(request, limits, codec, outlet, first, now);
         generation.fresh = Some(first);
-        generation.held = Some(now + generation.limits.settle);
+        generation.held = Some(now + generation.limits.record_delay);
         generation.choose(now, out);
         generation
     }
@@ -132,9 +132,9 @@
         };
         let outlet = Outlet::after(
             request.mode,
-            plan.shown,
+            plan.delivered,
             plan.digest,
-            &plan.tokens,
+            &plan.prefix,
             plan.text,
         );
         let stream = plan.origin.stream;
@@ -142,12 +142,12 @@
             request.key.clone(),
             plan.origin.version,
             stream.attempt,
-            request.limit,
+            request.max_tokens,
         );
         let mut generation = Self::with(request, limits, codec, outlet, plan.attempt, now);
-        generation.sequence = Some(sequence.with_prefix(plan.tokens));
-        generation.other = plan.other;
-        generation.adopt(stream, plan.former, timeouts, now, out);
+        generation.sequence = Some(sequence.with_prefix(plan.prefix));
+        generation.fallback = plan.fallback;
+        generation.adopt(stream, plan.previous_instance, timeouts, now, out);
         generation
     }
 
@@ -164,7 +164,7 @@
             Input::Closed(connection) => self.closed(now, connection, out),
             Input::Chosen(chosen) => self.chosen(now, chosen, out),
             Input::NoTarget => self.no_target(now),
-            Input::CallerDisconnected => self.gone = Some(now + self.limits.grace),
+            Input::CallerDisconnected => self.gone = Some(now + self.limits.caller_grace),
             Input::Fenced(record) => self.fenced(&record, out),
             Input::RecordQueried(record) => self.reviewed(record.as_ref(), out),
             Input::Tick => self.tick(now, out),
@@ -172,7 +172,7 @@
     }
 
     /// Returns when the next [`Input::Tick`] is needed, or `None` when the answer is over.
-    pub fn due(&self) -> Option<Instant> {
+    pub fn next_tick(&self) -> Option<Instant> {
         let due = match &self.state {
             State::Choosing { retry, .. } => *retry,
             State::Reading(reader) => [Some(reader.due()), self.held].into_iter().flatten().min(),
@@ -211,11 +211,11 @@
             outlet,
             state: State::Choosing { retry: None },
             attempt,
-            fresh: Driver::retry(attempt),
+            fresh: DriverId::next_attempt(attempt),
             last_connection: 0,
             barren: 0,
             excluded: Vec::new(),
-            other: None,
+            fallback: None,
             held: None,
             copied: (0, 0),
             last: now,
--- a/crates/answer/src/generation/choosing.rs
+++ b/crates/answer/src/generation/choosing.rs
@@ -5,7 +5,7 @@
 
 use super::{Generation, State};
 use crate::{
-    reader::Reader, ChosenTarget, Driver, Effect, Start, Stream, TargetCriteria, Timeouts,
+    reader::Reader, ChosenTarget, DriverId, Effect, Start, Stream, TargetCriteria, Timeouts,
     TokenSequence,
 };
 
@@ -17,7 +17,7 @@
     pub(super) fn adopt(
         &mut self,
         stream: Stream,
-        former: Option<InstanceName>,
+        previous: Option<InstanceName>,
         timeouts: Timeouts,
         now: Instant,
         out: &mut Vec<Effect>,
@@ -25,8 +25,8 @@
         let record = self.record(&stream, now);
         self.outlet
             .set_encoder(self.codec.for_attempt(&record.origin));
-        if let Some(former) = former.filter(|former| *former != self.request.instance) {
-            out.push(Effect::NotifyInstance(former, record.clone()));
+        if let Some(previous) = previous.filter(|previous| *previous != self.request.instance) {
+            out.push(Effect::NotifyInstance(previous, record.clone()));
         }
         out.push(self.keep(record));
         let connection = self.next_connection();
@@ -40,7 +40,7 @@
 
     pub(super) fn choose(&mut self, now: Instant, out: &mut Vec<Effect>) {
         // Nothing of the old version was shown, so any version may start from zero.
-        if self.outlet.is_fresh() && now.duration_since(self.last) >= self.limits.cede {
+        if self.outlet.is_fresh() && now.duration_since(self.last) >= self.limits.version_wait {
             self.sequence = None;
             self.outlet.clear();
         }
@@ -67,7 +67,7 @@
             return self.fail(self.fruitless(), out);
         };
         self.attempt = attempt;
-        self.fresh = Driver::retry(attempt);
+        self.fresh = DriverId::next_attempt(attempt);
         let stream = Stream {
             target: chosen.target,
             attempt,
@@ -105,7 +105,7 @@
                     key,
                     version,
                     attempt,
-                    self.request.limit,
+                    self.request.max_tokens,
                 ));
             }
         }
@@ -117,10 +117,10 @@
         }
         // A target that was avoided may be back, and may be the last of its version.
         self.excluded.clear();
-        let rest = self.limits.poll * (1 << self.polls.min(MAX_DOUBLINGS));
+        let rest = self.limits.min_retry_delay * (1 << self.polls.min(MAX_DOUBLINGS));
         self.polls += 1;
         self.state = State::Choosing {
-            retry: Some(now + rest.min(self.limits.rest)),
+            retry: Some(now + rest.min(self.limits.max_retry_delay)),
         };
     }
 }
--- a/crates/answer/src/generation/ending.rs
+++ b/crates/answer/src/generation/ending.rs
@@ -74,7 +74,7 @@
             State::Reading(reader) => Some(reader),
             _ => None,
         };
-        let due = now + self.limits.review;
+        let due = now + self.limits.query_timeout;
         self.state = State::Reviewing { due, reader };
         out.push(Effect::QueryRecord(self.request.key.clone()));
     }
@@ -119,7 +119,7 @@
     }
 
     pub(super) const fn fruitless(&self) -> Incomplete {
-        Incomplete::Barren {
+        Incomplete::NoFirstToken {
             attempts: self.barren,
         }
     }
--- a/crates/answer/src/generation/reading.rs
+++ b/crates/answer/src/generation/reading.rs
@@ -5,8 +5,8 @@
 
 use super::{ending, Generation, State};
 use crate::{
-    reader::Loss, ConnectionId, Done, Driver, Effect, Frame, Incomplete, RecordExtension, Refusal,
-    TokenSequence, Verdict,
+    reader::Loss, ConnectionId, Done, DriverId, Effect, Frame, Incomplete, RecordExtension,
+    Refusal, TokenSequence, Verdict,
 };
 
 impl Generation {
@@ -32,7 +32,7 @@
         // An engine that failed may have begun the stream; one that refused has not.
         match refusal {
             Refusal::Failed => self.barren += 1,
-            Refusal::Busy | Refusal::Gone | Refusal::Version => {}
+            Refusal::Busy | Refusal::Gone | Refusal::VersionNotLoaded => {}
         }
         // An engine that no longer has the stream is alive, and may start an attempt.
         let shun = refusal != Refusal::Gone;
@@ -65,14 +65,15 @@
         }
     }
 
-    /// Copies the tokens of a long answer to its keepers, some at a time.
+    /// ExtensionLimits the tokens of a long answer to its keepers, some at a time.
     fn copy(&mut self, out: &mut Vec<Effect>) {
         let Some(sequence) = &self.sequence else {
             return;
         };
-        let (length, copies) = (sequence.next().0, self.limits.copies);
+        let (length, extension) = (sequence.next().0, self.limits.record_extension);
         let (tokens, bytes) = self.copied;
-        if self.held.is_some() || length < copies.after || length < tokens + copies.each {
+        if self.held.is_some() || length < extension.min_length || length < tokens + extension.batch
+        {
             return;
         }
         let text = self.outlet.text().unwrap_or_default();
@@ -175,18 +176,18 @@
     /// Looks for the caller's tokens elsewhere: what was read is another driver's, whose stream is
     /// left alone.
     pub(super) fn diverged(&mut self, now: Instant, error: Incomplete, out: &mut Vec<Effect>) {
-        if self.other.is_none() {
+        if self.fallback.is_none() {
             return self.fail(error, out);
         }
         if let State::Reading(reader) = &self.state {
             out.extend(reader.connections().map(Effect::Close));
         }
-        self.turn_to_other(now, out);
+        self.read_fallback(now, out);
     }
 
     /// Reads the other stream that may have the caller's tokens, once.
-    pub(super) fn turn_to_other(&mut self, now: Instant, out: &mut Vec<Effect>) -> bool {
-        let (State::Reading(reader), Some(other)) = (&self.state, self.other.take()) else {
+    pub(super) fn read_fallback(&mut self, now: Instant, out: &mut Vec<Effect>) -> bool {
+        let (State::Reading(reader), Some(fallback)) = (&self.state, self.fallback.take()) else {
             return false;
         };
         let timeouts = reader.timeouts();
@@ -195,11 +196,11 @@
             return false;
         };
         self.attempt = number;
-        self.fresh = Driver::retry(number);
-        let (key, limit) = (self.request.key.clone(), self.request.limit);
-        let attempt = other.stream.attempt;
-        self.sequence = Some(TokenSequence::new(key, other.version, attempt, limit));
-        self.adopt(other.stream, None, timeouts, now, out);
+        self.fresh = DriverId::next_attempt(number);
+        let (key, limit) = (self.request.key.clone(), self.request.max_tokens);
+        let attempt = fallback.stream.attempt;
+        self.sequence = Some(TokenSequence::new(key, fallback.version, attempt, limit));
+        self.adopt(fallback.stream, None, timeouts, now, out);
         true
     }
 
@@ -219,10 +220,10 @@
             self.excluded.push(reader.target().clone());
         }
         ending::stop(reader, out);
-        if self.outlet.proof().is_err() && self.turn_to_other(now, out) {
+        if self.outlet.proof().is_err() && self.read_fallback(now, out) {
             return;
         }
-        if self.barren > self.limits.barren {
+        if self.barren > self.limits.max_failed_attempts {
             return self.fail(self.fruitless(), out);
         }
         self.choose(now, out);
--- a/crates/answer/src/incomplete.rs
+++ b/crates/answer/src/incomplete.rs
@@ -20,7 +20,7 @@
     NotStarted,
     /// Too many attempts in succession broke before their first token.
     #[error("{attempts} attempts in succession broke before their first token")]
-    Barren {
+    NoFirstToken {
         /// How many.
         attempts: u32,
     },
--- a/crates/answer/src/input.rs
+++ b/crates/answer/src/input.rs
@@ -16,7 +16,7 @@
     /// It does not have the stream, or not from the asked position.
     Gone,
     /// It does not have the version.
-    Version,
+    VersionNotLoaded,
     /// It failed.
     Failed,
 }
--- a/crates/answer/src/lib.rs
+++ b/crates/answer/src/lib.rs
@@ -25,7 +25,7 @@
 mod timeouts;
 
 pub use chain::ChainDigest;
-pub use driver::Driver;
+pub use driver::DriverId;
 pub use effect::{Effect, Emit, Finish, Start, TargetCriteria};
 pub use event::{Done, Event, EventError, FinishReason, Frame};
 pub use generation::Generation;
@@ -33,7 +33,7 @@
 pub use input::{ChosenTarget, ConnectionId, Input, Refusal};
 pub use keeper::{Keeper, PutError};
 pub use record::{KeeperRecord, RecordError, RecordExtension};
-pub use request::{Copies, GenerationLimits, Mode, Request};
+pub use request::{DeliveryMode, ExtensionLimits, GenerationLimits, Request};
 pub use resume::{Origin, ResumeError, ResumeToken};
 pub use resume_codec::{AttemptTokenEncoder, ResumeTokenCodec, ResumeTokenKey};
 pub use resume_scheduler::{Grant, ResumeLimits, ResumeScheduler, WaiterKey};
--- a/crates/answer/src/outlet.rs
+++ b/crates/answer/src/outlet.rs
@@ -3,13 +3,13 @@
 use celerypond_types::{Position, TokenId};
 
 use crate::{
-    AttemptTokenEncoder, ChainDigest, Effect, Emit, Frame, Incomplete, Mode, TokenSequence,
+    AttemptTokenEncoder, ChainDigest, DeliveryMode, Effect, Emit, Frame, Incomplete, TokenSequence,
 };
 
 /// What the caller has of an answer, and what it gets next.
 #[derive(Clone, Debug)]
 pub(crate) struct Outlet {
-    mode: Mode,
+    mode: DeliveryMode,
     shown: Position,
     digest: ChainDigest,
     proved: bool,
@@ -18,7 +18,7 @@
 }
 
 impl Outlet {
-    pub(crate) const fn new(mode: Mode) -> Self {
+    pub(crate) const fn new(mode: DeliveryMode) -> Self {
         Self {
             mode,
             shown: Position(0),
@@ -31,7 +31,7 @@
 
     /// Goes on after `shown` tokens with the digest `digest`, of which `tokens` are known.
     pub(crate) fn after(
-        mode: Mode,
+        mode: DeliveryMode,
         shown: Position,
         digest: ChainDigest,
         tokens: &[TokenId],
@@ -62,7 +62,7 @@
         frame: Frame,
         sequence: &TokenSequence,
     ) -> Result<Option<Effect>, Incomplete> {
-        if self.mode == Mode::Buffered {
+        if self.mode == DeliveryMode::Buffered {
             self.text.push_str(&frame.text);
             return Ok(None);
         }
@@ -107,7 +107,7 @@
 
     /// Returns the text of an answer that is not streamed.
     pub(crate) fn text(&self) -> Option<&str> {
-        (self.mode == Mode::Buffered).then_some(self.text.as_str())
+        (self.mode == DeliveryMode::Buffered).then_some(self.text.as_str())
     }
 
     fn compare(&mut self, length: Position, digest: ChainDigest) -> Result<(), Incomplete> {
--- a/crates/answer/src/request.rs
+++ b/crates/answer/src/request.rs
@@ -13,13 +13,13 @@
     /// The caller's name for the request.
     pub key: RequestKey,
     /// The digest of the request's body, so that a resume token is bound to it.
-    pub body: Digest,
+    pub body_digest: Digest,
     /// The seed of the answer.
     pub seed: u64,
     /// How many tokens the answer has at most.
-    pub limit: u32,
+    pub max_tokens: u32,
     /// How the caller gets the answer.
-    pub mode: Mode,
+    pub mode: DeliveryMode,
     /// When the caller no longer wants it.
     pub deadline: Instant,
     /// The instance that drives the request.
@@ -28,7 +28,7 @@
 
 /// How a caller gets an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub enum DeliveryMode {
     /// Each token at once.
     Streamed,
     /// The whole at its end.
@@ -39,50 +39,50 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GenerationLimits {
     /// How long an answer goes on without its caller.
-    pub grace: Duration,
+    pub caller_grace: Duration,
     /// How long to wait for the keepers' record before giving up an answer without a caller.
-    pub review: Duration,
+    pub query_timeout: Duration,
     /// The time between the first two questions for a target while none is available; it doubles.
-    pub poll: Duration,
+    pub min_retry_delay: Duration,
     /// The longest time between two questions.
-    pub rest: Duration,
+    pub max_retry_delay: Duration,
     /// How long an answer of which nothing was shown waits for its version.
-    pub cede: Duration,
+    pub version_wait: Duration,
     /// How old a new answer is when its record goes to the keepers. A younger one loses little, and
     /// most answers are over by then.
-    pub settle: Duration,
+    pub record_delay: Duration,
     /// How many attempts in succession may break before their first token.
-    pub barren: u32,
+    pub max_failed_attempts: u32,
     /// When the tokens of an answer are copied to its keepers.
-    pub copies: Copies,
+    pub record_extension: ExtensionLimits,
 }
 
 /// When the tokens of an answer are copied to its keepers.
 ///
 /// Without a copy, an answer that loses its engine and its instance at once is generated once more
-/// up to where its caller is, unless the caller brings its tokens. Copies cost bandwidth, so only
+/// up to where its caller is, unless the caller brings its tokens. ExtensionLimits cost bandwidth, so only
 /// the longest answers are worth them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Copies {
+pub struct ExtensionLimits {
     /// From which length on.
-    pub after: u32,
+    pub min_length: u32,
     /// How many tokens go together.
-    pub each: u32,
+    pub batch: u32,
 }
 
 impl Default for GenerationLimits {
     fn default() -> Self {
         Self {
-            grace: Duration::from_secs(10),
-            review: Duration::from_secs(1),
-            poll: Duration::from_millis(50),
-            rest: Duration::from_secs(1),
-            cede: Duration::from_millis(500),
-            settle: Duration::from_secs(5),
-            barren: 8,
-            copies: Copies {
-                after: 7500,
-                each: 64,
+            caller_grace: Duration::from_secs(10),
+            query_timeout: Duration::from_secs(1),
+            min_retry_delay: Duration::from_millis(50),
+            max_retry_delay: Duration::from_secs(1),
+            version_wait: Duration::from_millis(500),
+            record_delay: Duration::from_secs(5),
+            max_failed_attempts: 8,
+            record_extension: ExtensionLimits {
+                min_length: 7500,
+                batch: 64,
             },
         }
     }
@@ -91,6 +91,6 @@
 impl Request {
     /// Returns the codec of the request's resume tokens.
     pub fn resume_token_codec(&self, key: &ResumeTokenKey) -> ResumeTokenCodec {
-        ResumeTokenCodec::new(key, &self.key, &self.body)
+        ResumeTokenCodec::new(key, &self.key, &self.body_digest)
     }
 }
--- a/crates/answer/src/resume.rs
+++ b/crates/answer/src/resume.rs
@@ -40,7 +40,7 @@
     Parts,
     /// A part is not in base 64.
     #[error("expected base 64")]
-    Digits,
+    Base64,
     /// The second part has another length.
     #[error("the second part has {0} bytes")]
     Length(usize),
--- a/crates/answer/src/resume_codec.rs
+++ b/crates/answer/src/resume_codec.rs
@@ -158,7 +158,7 @@
 fn decode(part: &str) -> Result<Vec<u8>, ResumeError> {
     BASE64_URL_SAFE_NO_PAD
         .decode(part)
-        .map_err(|_| ResumeError::Digits)
+        .map_err(|_| ResumeError::Base64)
 }
 
 fn tag(state: Sha256, body: &[u8]) -> [u8; TAG_BYTES] {
--- a/crates/answer/src/takeover.rs
+++ b/crates/answer/src/takeover.rs
@@ -3,7 +3,7 @@
 use celerypond_types::{Attempt, InstanceName, Position, TokenId};
 use thiserror::Error;
 
-use crate::{ChainDigest, Driver, KeeperRecord, Origin, ResumeToken};
+use crate::{ChainDigest, DriverId, KeeperRecord, Origin, ResumeToken};
 
 /// What an instance needs to go on with an answer that another one began.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -14,15 +14,15 @@
     pub origin: Origin,
     /// Where the caller's last token came from, if the keepers know of a later attempt that is looked
     /// at first. That one may belong to another caller's driver.
-    pub other: Option<Origin>,
+    pub fallback: Option<Origin>,
     /// The instance that drove the request before, if a keeper knew it.
-    pub former: Option<InstanceName>,
+    pub previous_instance: Option<InstanceName>,
     /// How many tokens the caller has.
-    pub shown: Position,
+    pub delivered: Position,
     /// The digest of those tokens.
     pub digest: ChainDigest,
     /// The first tokens of the answer, as far as they are known.
-    pub tokens: Vec<TokenId>,
+    pub prefix: Vec<TokenId>,
     /// The text of those tokens, if the answer is not streamed.
     pub text: String,
 }
@@ -32,10 +32,10 @@
 pub enum TakeOverError {
     /// The tokens that the caller sent are not those that its resume token names.
     #[error("the tokens sent do not agree with the resume token")]
-    Tokens,
+    TokenMismatch,
     /// The request was taken over more often than can be counted.
     #[error("the request was taken over too often")]
-    Terms,
+    TermsExhausted,
 }
 
 impl TakeOver {
@@ -52,17 +52,17 @@
     /// # Examples
     ///
     /// ```
-    /// use celerypond_answer::{Driver, TakeOver};
+    /// use celerypond_answer::{DriverId, TakeOver};
     ///
-    /// assert_eq!(TakeOver::plan(Driver::new(1), None, None, &[]), Ok(None));
+    /// assert_eq!(TakeOver::plan(DriverId::new(1), None, None, &[]), Ok(None));
     /// ```
     pub fn plan(
-        driver: Driver,
+        driver: DriverId,
         token: Option<&ResumeToken>,
         record: Option<&KeeperRecord>,
         brought: &[TokenId],
     ) -> Result<Option<Self>, TakeOverError> {
-        let Some((origin, other)) = origins(token, record) else {
+        let Some((origin, fallback)) = origins(token, record) else {
             return Ok(None);
         };
         let known = [
@@ -70,18 +70,20 @@
             record.map(KeeperRecord::attempt),
         ];
         let highest = known.into_iter().flatten().max().unwrap_or_default();
-        let attempt = driver.after(highest).ok_or(TakeOverError::Terms)?;
-        let shown = token.map_or(Position(0), |token| token.position);
+        let attempt = driver
+            .first_attempt_after(highest)
+            .ok_or(TakeOverError::TermsExhausted)?;
+        let delivered = token.map_or(Position(0), |token| token.position);
         let digest = token.map_or_else(ChainDigest::default, |token| token.digest);
-        let (tokens, text) = start(shown, digest, record_of(record, &origin), brought)?;
+        let (prefix, text) = start(delivered, digest, record_of(record, &origin), brought)?;
         Ok(Some(Self {
             attempt,
             origin,
-            other,
-            former: record.map(|record| record.instance.clone()),
-            shown,
+            fallback,
+            previous_instance: record.map(|record| record.instance.clone()),
+            delivered,
             digest,
-            tokens,
+            prefix,
             text,
         }))
     }
@@ -107,8 +109,8 @@
     if *record.version() != own.version || record.attempt() < own.attempt || strays(record, token) {
         return Some((own, None));
     }
-    let other = (*record.stream() != own.stream).then_some(own);
-    Some((record.origin.clone(), other))
+    let fallback = (*record.stream() != own.stream).then_some(own);
+    Some((record.origin.clone(), fallback))
 }
 
 /// Whether a record's tokens are others than the caller's.
@@ -125,17 +127,17 @@
 }
 
 fn start(
-    shown: Position,
+    delivered: Position,
     digest: ChainDigest,
     record: Option<&KeeperRecord>,
     brought: &[TokenId],
 ) -> Result<(Vec<TokenId>, String), TakeOverError> {
     if !brought.is_empty() {
         let tokens = brought
-            .get(..shown.0 as usize)
-            .ok_or(TakeOverError::Tokens)?;
+            .get(..delivered.0 as usize)
+            .ok_or(TakeOverError::TokenMismatch)?;
         if ChainDigest::of(tokens) != digest {
-            return Err(TakeOverError::Tokens);
+            return Err(TakeOverError::TokenMismatch);
         }
         return Ok((tokens.to_vec(), String::new()));
     }
@@ -143,10 +145,10 @@
         return Ok((Vec::new(), String::new()));
     };
     // Tokens that were not shown need their text, which only a buffered answer's record has.
-    if record.position() <= shown || !record.text.is_empty() {
+    if record.position() <= delivered || !record.text.is_empty() {
         return Ok((record.prefix.clone(), record.text.clone()));
     }
-    let known = &record.prefix[..shown.0 as usize];
+    let known = &record.prefix[..delivered.0 as usize];
     let agrees = ChainDigest::of(known) == digest;
     let tokens = if agrees { known.to_vec() } else { Vec::new() };
     Ok((tokens, String::new()))
--- a/crates/answer/tests/test_history.rs
+++ b/crates/answer/tests/test_history.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_answer::{Copies, Incomplete, Mode};
+use celerypond_answer::{DeliveryMode, ExtensionLimits, Incomplete};
 use rstest::rstest;
 
 use crate::world::{Damage, Fault, World, CURRENT};
@@ -64,13 +64,13 @@
 
 // Any eight faults at any moments of one answer: the same checks.
 #[rstest]
-#[case::streamed(Mode::Streamed, false, 7500)]
-#[case::streamed_to_a_caller_that_brings_its_tokens(Mode::Streamed, true, 7500)]
-#[case::streamed_with_copies(Mode::Streamed, false, 10)]
-#[case::buffered(Mode::Buffered, false, 7500)]
-#[case::buffered_with_copies(Mode::Buffered, false, 10)]
+#[case::streamed(DeliveryMode::Streamed, false, 7500)]
+#[case::streamed_to_a_caller_that_brings_its_tokens(DeliveryMode::Streamed, true, 7500)]
+#[case::streamed_with_copies(DeliveryMode::Streamed, false, 10)]
+#[case::buffered(DeliveryMode::Buffered, false, 7500)]
+#[case::buffered_with_copies(DeliveryMode::Buffered, false, 10)]
 fn answer_is_whole_under_random_faults(
-    #[case] mode: Mode,
+    #[case] mode: DeliveryMode,
     #[case] brings: bool,
     #[case] after: u32,
 ) {
@@ -78,7 +78,10 @@
         let mut world = random(seed);
         world.mode = mode;
         world.brings = brings;
-        world.copies = Copies { after, each: 8 };
+        world.copies = ExtensionLimits {
+            min_length: after,
+            batch: 8,
+        };
         world.call();
         whole(&mut world);
     }
--- a/crates/answer/tests/test_scripts.rs
+++ b/crates/answer/tests/test_scripts.rs
@@ -2,7 +2,7 @@
 
 use std::{error::Error, fmt::Write as _, time::Duration};
 
-use celerypond_answer::{Copies, Mode};
+use celerypond_answer::{DeliveryMode, ExtensionLimits};
 use goldenscript::{Argument, Command, Context};
 use rstest::rstest;
 
@@ -29,10 +29,13 @@
                 world.settle = ms(args.take_key("settle").unwrap_or("0"))?;
                 if let Some(after) = args.take_key("copies") {
                     let after = after.parse()?;
-                    world.copies = Copies { after, each: 4 };
+                    world.copies = ExtensionLimits {
+                        min_length: after,
+                        batch: 4,
+                    };
                 }
                 if args.take_key("mode") == Some("buffered") {
-                    world.mode = Mode::Buffered;
+                    world.mode = DeliveryMode::Buffered;
                 }
             }
             "call" => drop(world.call()),
--- a/crates/answer/tests/test_takeover.rs
+++ b/crates/answer/tests/test_takeover.rs
@@ -3,8 +3,9 @@
 use std::time::Duration;
 
 use celerypond_answer::{
-    ChainDigest, ConnectionId, Driver, Effect, Generation, GenerationLimits, Input, KeeperRecord,
-    Mode, Origin, Request, ResumeToken, ResumeTokenKey, Stream, TakeOver, TakeOverError, Timeouts,
+    ChainDigest, ConnectionId, DeliveryMode, DriverId, Effect, Generation, GenerationLimits, Input,
+    KeeperRecord, Origin, Request, ResumeToken, ResumeTokenKey, Stream, TakeOver, TakeOverError,
+    Timeouts,
 };
 use celerypond_types::{Attempt, Digest, Position, TokenId};
 use rstest::rstest;
@@ -48,7 +49,7 @@
 }
 
 fn plan(record: Option<KeeperRecord>, brought: &[TokenId]) -> Result<TakeOver, TakeOverError> {
-    let plan = TakeOver::plan(Driver::new(1), Some(&token()), record.as_ref(), brought);
+    let plan = TakeOver::plan(DriverId::new(1), Some(&token()), record.as_ref(), brought);
     plan.map(Option::unwrap)
 }
 
@@ -65,27 +66,27 @@
 fn stream_and_place_to_read_from(
     #[case] record: Option<KeeperRecord>,
     #[case] engine: u32,
-    #[case] other: Option<u32>,
+    #[case] fallback: Option<u32>,
     #[case] known: u32,
 ) {
     let attempt = record.as_ref().map_or(Attempt(1), KeeperRecord::attempt);
     let plan = plan(record, &[]).unwrap();
     assert_eq!(plan.origin, origin(engine, "v1"));
-    assert_eq!(plan.other, other.map(|other| origin(other, "v1")));
-    assert_eq!(plan.tokens, tokens(known));
+    assert_eq!(plan.fallback, fallback.map(|engine| origin(engine, "v1")));
+    assert_eq!(plan.prefix, tokens(known));
     assert!(plan.attempt > attempt.max(Attempt(1)));
 }
 
 #[rstest]
 #[case::all(tokens(5), Ok(5))]
 #[case::more_than_the_token_names(tokens(7), Ok(5))]
-#[case::fewer(tokens(4), Err(TakeOverError::Tokens))]
-#[case::others(vec![TokenId(9); 5], Err(TakeOverError::Tokens))]
+#[case::fewer(tokens(4), Err(TakeOverError::TokenMismatch))]
+#[case::others(vec![TokenId(9); 5], Err(TakeOverError::TokenMismatch))]
 fn tokens_that_the_caller_brings_must_be_its_own(
     #[case] brought: Vec<TokenId>,
     #[case] expected: Result<u32, TakeOverError>,
 ) {
-    let found = plan(None, &brought).map(|plan| plan.tokens);
+    let found = plan(None, &brought).map(|plan| plan.prefix);
     assert_eq!(found, expected.map(tokens));
 }
 
@@ -97,10 +98,10 @@
     let plan = plan(Some(record(2, "v1", tokens(4))), &[]).unwrap();
     let request = Request {
         key: "r".into(),
-        body: Digest::of(b"body"),
+        body_digest: Digest::of(b"body"),
         seed: 1,
-        limit: 100,
-        mode: Mode::Streamed,
+        max_tokens: 100,
+        mode: DeliveryMode::Streamed,
         deadline: now + Duration::from_secs(60),
         instance: "b".into(),
     };
@@ -116,7 +117,7 @@
     let mut answer = Generation::take_over(request, limits, codec, plan, timeouts, now, &mut out);
     assert_eq!(resumed(&out), [("e2", 4)]);
     assert!(out.iter().any(
-        |effect| matches!(effect, Effect::NotifyInstance(former, _) if former.as_str() == "a")
+        |effect| matches!(effect, Effect::NotifyInstance(instance, _) if instance.as_str() == "a")
     ));
     out.clear();
     answer.step(now, Input::Closed(ConnectionId(1)), &mut out);
--- a/crates/answer/tests/world.rs
+++ b/crates/answer/tests/world.rs
@@ -13,9 +13,9 @@
 };
 
 use celerypond_answer::{
-    ChosenTarget, ConnectionId, Copies, Driver, Effect, Emit, Finish, Frame, Generation,
-    GenerationLimits, Incomplete, Input, Keeper, KeeperRecord, Mode, PutError, Request,
-    ResumeTokenCodec, ResumeTokenKey, Start, TakeOver, TargetCriteria, Timeouts,
+    ChosenTarget, ConnectionId, DeliveryMode, DriverId, Effect, Emit, ExtensionLimits, Finish,
+    Frame, Generation, GenerationLimits, Incomplete, Input, Keeper, KeeperRecord, PutError,
+    Request, ResumeTokenCodec, ResumeTokenKey, Start, TakeOver, TargetCriteria, Timeouts,
 };
 use celerypond_types::{Attempt, Digest, Position, RequestKey, TargetName, TokenId, VersionName};
 use rand::{rngs::StdRng, seq::IndexedRandom, Rng, SeedableRng};
@@ -144,11 +144,11 @@
 pub(crate) struct World {
     pub(crate) callers: Vec<Caller>,
     pub(crate) log: Vec<String>,
-    pub(crate) mode: Mode,
+    pub(crate) mode: DeliveryMode,
     pub(crate) limit: u32,
     pub(crate) seed: u64,
     pub(crate) brings: bool,
-    pub(crate) copies: Copies,
+    pub(crate) copies: ExtensionLimits,
     pub(crate) settle: Duration,
     /// Whether engines of one version and seed give different tokens, as real ones may.
     pub(crate) drifts: bool,
@@ -207,11 +207,11 @@
         Self {
             callers: Vec::new(),
             log: Vec::new(),
-            mode: Mode::Streamed,
+            mode: DeliveryMode::Streamed,
             limit: 200,
             seed,
             brings: false,
-            copies: GenerationLimits::default().copies,
+            copies: GenerationLimits::default().record_extension,
             settle: Duration::ZERO,
             drifts: false,
             generated: 0,
@@ -313,7 +313,7 @@
             .iter()
             .enumerate()
             .filter(|(_, drive)| self.runs(drive.router))
-            .filter_map(|(at, drive)| Some((drive.generation.due()? - self.base, at)))
+            .filter_map(|(at, drive)| Some((drive.generation.next_tick()? - self.base, at)))
             .min();
         let next = self.queue.keys().next().copied();
         let tick = due.filter(|(due, _)| next.is_none_or(|(at, _)| *due < at));
--- a/crates/answer/tests/world/engines.rs
+++ b/crates/answer/tests/world/engines.rs
@@ -43,7 +43,7 @@
 
     pub(super) fn start(&mut self, at: usize, drive: usize, start: Start) {
         if !self.engines[at].loaded.contains(&start.version) {
-            return self.refuse(&Call::Start(drive, start), Some(Refusal::Version));
+            return self.refuse(&Call::Start(drive, start), Some(Refusal::VersionNotLoaded));
         }
         let attempt = start.stream.attempt;
         let written = Written {
--- a/crates/answer/tests/world/instances.rs
+++ b/crates/answer/tests/world/instances.rs
@@ -204,7 +204,7 @@
         };
         let request = self.request(router);
         let codec = request.resume_token_codec(&ResumeTokenKey::new([7; 32]));
-        let driver = Driver::draw(&mut self.rng);
+        let driver = DriverId::random(&mut self.rng);
         let (generation, effects) = self.generation(caller, request, codec, driver);
         self.drives.push(Drive {
             router,
@@ -221,13 +221,13 @@
         caller: usize,
         request: Request,
         codec: ResumeTokenCodec,
-        driver: Driver,
+        driver: DriverId,
     ) -> (Generation, Vec<Effect>) {
         let mut out = Vec::new();
         let now = self.instant();
         let limits = GenerationLimits {
-            copies: self.copies,
-            settle: self.settle,
+            record_extension: self.copies,
+            record_delay: self.settle,
             ..GenerationLimits::default()
         };
         let shown = &self.callers[caller].tokens;
@@ -254,9 +254,9 @@
     pub(super) fn request(&self, router: usize) -> Request {
         Request {
             key: "r".into(),
-            body: Digest::of(b"body"),
+            body_digest: Digest::of(b"body"),
             seed: SEED,
-            limit: self.limit,
+            max_tokens: self.limit,
             mode: self.mode,
             deadline: self.base + self.deadline,
             instance: format!("r{router}").as_str().into(),
--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -3,7 +3,8 @@
 use std::{sync::Arc, time::Duration};
 
 use celerypond_answer::{
-    Driver, Generation, GenerationLimits, Mode, Request, ResumeToken, ResumeTokenCodec, TakeOver,
+    DeliveryMode, DriverId, Generation, GenerationLimits, Request, ResumeToken, ResumeTokenCodec,
+    TakeOver,
 };
 use celerypond_bundle::{Account, Model};
 use celerypond_route::{Route, Waiting};
@@ -144,7 +145,7 @@
         let request = self.request(node, deadline, &mut rng);
         let codec = request.resume_token_codec(&node.resume_token_key);
         let token = self.token(&codec)?;
-        let driver = Driver::draw(&mut rng);
+        let driver = DriverId::random(&mut rng);
         let record = match self.is_named {
             true => keeping::find(node, &request.key).await,
             false => None,
@@ -231,12 +232,12 @@
         Request {
             // Two accounts may use the same key; at an engine their streams must differ.
             key: RequestKey::new(format!("{}.{}", self.account.name, self.key)),
-            body: self.digest(),
+            body_digest: self.digest(),
             seed: self.completion.seed.unwrap_or_else(|| rng.random()),
-            limit: self.completion.max_tokens,
+            max_tokens: self.completion.max_tokens,
             mode: match self.completion.stream {
-                true => Mode::Streamed,
-                false => Mode::Buffered,
+                true => DeliveryMode::Streamed,
+                false => DeliveryMode::Buffered,
             },
             deadline,
             instance: node.settings.instance.clone(),
--- a/daemon/src/generation.rs
+++ b/daemon/src/generation.rs
@@ -150,7 +150,7 @@
                 effects = next;
                 self.overdue = false;
             }
-            let Some(due) = answer.due() else {
+            let Some(due) = answer.next_tick() else {
                 return self.settle();
             };
             let input = self.next(due).await;
@@ -280,7 +280,7 @@
             Input::Opened(link) => self.ask_chunk(*link),
             // That an engine has not loaded a version says nothing about the version. It must not be
             // asked again at once, or one answer asks it thousands of times.
-            Input::Refused(link, Refusal::Version) => {
+            Input::Refused(link, Refusal::VersionNotLoaded) => {
                 self.take_trying(*link);
                 if let Some(chunk) = self.chunk.take_if(|chunk| chunk.link == *link) {
                     self.node.unload(&chunk.trial.target, &chunk.trial.version);
--- a/daemon/src/link.rs
+++ b/daemon/src/link.rs
@@ -129,7 +129,7 @@
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Refusal::Busy,
         StatusCode::NOT_FOUND => Refusal::Gone,
-        StatusCode::CONFLICT => Refusal::Version,
+        StatusCode::CONFLICT => Refusal::VersionNotLoaded,
         _ => Refusal::Failed,
     }
 }
