--- a/bench/src/rollout.rs
+++ b/bench/src/rollout.rs
@@ -11,7 +11,7 @@
 
 use std::{collections::BTreeMap, thread, time::Instant};
 
-use celerypond_rollout::{Agent, Method, Move, Part, Phase, Route, Trial, WHOLE_PPM};
+use celerypond_rollout::{Method, Move, Part, Phase, RolloutController, Route, Trial, WHOLE_PPM};
 use celerypond_types::InstanceName;
 
 use self::fake_fleet::{FakeFleet, Kind, Outcome, Setting, Trouble, Way};
@@ -225,35 +225,35 @@
         rolled_ms: 0,
         moves: vec![change],
     };
-    let agent = |name: &InstanceName| {
-        let mut agent = Agent::new(name.clone(), 1, Method::default());
-        agent.set_live(&names);
-        agent.set_parts(BTreeMap::from([(models[0].name.clone(), part.clone())]));
-        agent
+    let controller = |name: &InstanceName| {
+        let mut controller = RolloutController::new(name.clone(), 1, Method::default());
+        controller.set_live(&names);
+        controller.set_parts(BTreeMap::from([(models[0].name.clone(), part.clone())]));
+        controller
     };
-    let mut first = agent(&names[0]);
-    let mut rollout = first.due(&models, |_| 10.0, true, 0).remove(0);
+    let mut first = controller(&names[0]);
+    let mut rollout = first.due_records(&models, |_| 10.0, true, 0).remove(0);
     rollout.moves[0].senders = None;
     let reports: Vec<_> = names
         .iter()
         .flat_map(|name| {
-            let mut agent = agent(name);
-            agent.hear_store(rollout.clone());
-            observe(&mut agent);
-            agent.reports().cloned().collect::<Vec<_>>()
+            let mut controller = controller(name);
+            controller.merge_rollout(rollout.clone());
+            observe(&mut controller);
+            controller.own_reports().cloned().collect::<Vec<_>>()
         })
         .collect();
     let bytes: usize = reports
         .iter()
         .map(|report| serde_json::to_vec(report).map_or(0, |json| json.len()))
         .sum();
-    first.hear_store(rollout);
+    first.merge_rollout(rollout);
     for report in reports {
-        first.hear_report(report);
+        first.merge_report(report);
     }
     let weigh = |now_ms| {
         let start = Instant::now();
-        first.weigh(|_| 10, now_ms);
+        first.evaluate(|_| 10, now_ms);
         start.elapsed().as_secs_f64() * 1e6
     };
     let times = (0..50).map(weigh).collect();
@@ -270,7 +270,7 @@
 }
 
 /// Feeds an instance a thousand trials of each version on three routes.
-fn observe(agent: &mut Agent) {
+fn observe(controller: &mut RolloutController) {
     for at in 0..6_000_u64 {
         let version = if at % 2 == 0 { "v1" } else { "v2" };
         let route = ["draft", "letter", "drawing"][at as usize / 2 % 3];
@@ -282,7 +282,7 @@
             is_first: at % 8 < 2,
             begun_ms: at,
         };
-        agent.sent(&trial);
-        agent.came(&trial, 20_000 + at * 37 % 60_000);
+        controller.record_sent(&trial);
+        controller.record_success(&trial, 20_000 + at * 37 % 60_000);
     }
 }
--- a/crates/rollout/src/agent.rs
+++ b/crates/rollout/src/controller.rs
@@ -1,6 +1,6 @@
 //! What one instance knows of all rollouts and does about them.
 
-mod judging;
+mod evaluation;
 mod traffic;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,7 +23,7 @@
 
 /// What instances tell each other about rollouts, beside reports and their own actions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct RolloutSnapshot {
     /// The records known.
     pub rollouts: Vec<Rollout>,
     /// The brakes known. They travel with the records, so that nobody learns of a stage from someone
@@ -35,7 +35,7 @@
 ///
 /// The daemon feeds it what it hears and sees, and asks it which version takes the next request.
 #[derive(Clone, Debug)]
-pub struct Agent {
+pub struct RolloutController {
     me: InstanceName,
     incarnation: u64,
     sequence: u64,
@@ -58,7 +58,7 @@
     is_synced: bool,
 }
 
-impl Agent {
+impl RolloutController {
     /// Makes the side of an instance; `incarnation` must rise with each restart.
     pub fn new(me: InstanceName, incarnation: u64, method: Method) -> Self {
         Self {
@@ -88,7 +88,7 @@
     /// Takes the parts of the bundle that has come into force.
     pub fn set_parts(&mut self, parts: BTreeMap<ModelName, Part>) {
         for (origin, change) in self.changes() {
-            let share = self.share(origin, &change);
+            let share = self.local_share(origin, &change);
             self.last.insert(change.candidate, share);
         }
         self.brakes.release(&parts);
@@ -111,7 +111,7 @@
     }
 
     /// Takes how much traffic for a model this instance gets, relative to the mean over all instances.
-    pub fn set_traffic(&mut self, model: ModelName, relative: f64) {
+    pub fn set_relative_traffic(&mut self, model: ModelName, relative: f64) {
         self.traffic.insert(model, relative);
     }
 
@@ -123,22 +123,22 @@
     }
 
     /// Takes news from a peer; returns whether to pass them on at once.
-    pub fn hear(&mut self, news: &News) -> bool {
+    pub fn merge_snapshot(&mut self, news: &RolloutSnapshot) -> bool {
         self.is_synced = true;
         let mut is_new = false;
         for rollout in &news.rollouts {
-            is_new |= self.hear_store(rollout.clone());
+            is_new |= self.merge_rollout(rollout.clone());
         }
         for (origin, change) in self.changes() {
             if let Some(cause) = news.brakes.cause(origin, &change.candidate) {
-                is_new |= self.hear_brake(origin, change.candidate, cause);
+                is_new |= self.merge_brake(origin, change.candidate, cause);
             }
         }
         is_new
     }
 
     /// Takes a record that was read from, or written to, the store; returns whether it is newer.
-    pub fn hear_store(&mut self, rollout: Rollout) -> bool {
+    pub fn merge_rollout(&mut self, rollout: Rollout) -> bool {
         let held = self.rollouts.get(&rollout.origin);
         if held.is_some_and(|held| held.step >= rollout.step) {
             return false;
@@ -153,7 +153,7 @@
         true
     }
 
-    fn hear_brake(&mut self, origin: Revision, candidate: Candidate, cause: Cause) -> bool {
+    fn merge_brake(&mut self, origin: Revision, candidate: Candidate, cause: Cause) -> bool {
         // After its promise an instance changes its mind only through the store. Otherwise the report
         // "done" could be written while some instance has just begun to take back.
         let key = (origin, candidate.clone());
@@ -173,8 +173,8 @@
     }
 
     /// Returns what to tell peers.
-    pub fn news(&self) -> News {
-        News {
+    pub fn snapshot(&self) -> RolloutSnapshot {
+        RolloutSnapshot {
             rollouts: self.rollouts.values().cloned().collect(),
             brakes: self.brakes.clone(),
         }
@@ -186,12 +186,12 @@
     }
 
     /// Takes a report of evidence; returns whether it was news.
-    pub fn hear_report(&mut self, report: Report) -> bool {
+    pub fn merge_report(&mut self, report: Report) -> bool {
         self.evidence.merge(report)
     }
 
     /// Returns the own reports, for peers.
-    pub fn reports(&self) -> impl Iterator<Item = &Report> {
+    pub fn own_reports(&self) -> impl Iterator<Item = &Report> {
         self.own.values()
     }
 
--- a/crates/rollout/src/agent/judging.rs
+++ b/crates/rollout/src/controller/evaluation.rs
@@ -5,7 +5,7 @@
 use celerypond_bundle::Model;
 use celerypond_types::{ModelName, Revision, VersionName};
 
-use super::{subject, Agent};
+use super::{subject, RolloutController};
 use crate::{
     acting::{Acting, ActingMove},
     judge::Judge,
@@ -21,11 +21,11 @@
 const MIN_BASE_ENGINES: u32 = 1;
 const MS_PER_S: u64 = 1_000;
 
-impl Agent {
+impl RolloutController {
     /// Weighs all evidence; returns whether a brake was tripped, which peers must hear at once.
     ///
     /// Call it after each failure as well as now and then: the evidence is strongest right after one.
-    pub fn weigh(&mut self, base_engines: impl Fn(&Move) -> u32, now_ms: u64) -> bool {
+    pub fn evaluate(&mut self, base_engines: impl Fn(&Move) -> u32, now_ms: u64) -> bool {
         for report in self.own.values() {
             self.evidence.merge(report.clone());
         }
@@ -56,7 +56,7 @@
                     self.method,
                 )
             });
-            let verdict = judge.weigh(&self.evidence, stage, engines, now_ms);
+            let verdict = judge.evaluate(&self.evidence, stage, engines, now_ms);
             let Some(verdict) = verdict else { continue };
             if self.promised.contains(&key) {
                 self.objections.insert(key, verdict.cause);
@@ -91,7 +91,7 @@
     }
 
     fn acting_move(&mut self, origin: Revision, change: Move, base_open: u32) -> ActingMove {
-        let share_ppm = self.share(origin, &change);
+        let share_ppm = self.local_share(origin, &change);
         let candidate = change.candidate;
         let key = (origin, candidate.clone());
         let braked = self.brakes.cause(origin, &candidate).is_some();
@@ -116,7 +116,7 @@
     /// A new record is to be written if absent, a next step if the record has not changed.
     /// `is_listed` tells whether the list of live instances could be had lately, and `rate` gives the
     /// requests a second for a model.
-    pub fn due(
+    pub fn due_records(
         &self,
         models: &[Model],
         rate: impl Fn(&ModelName) -> f64,
@@ -193,7 +193,7 @@
                 .entry(part.origin)
                 .or_insert((part.rolled_ms, Vec::new()));
             entry.1.extend(part.moves.iter().map(|change| {
-                let from_ppm = self.share(part.origin, change);
+                let from_ppm = self.local_share(part.origin, change);
                 let change = Move {
                     from_ppm,
                     ..change.clone()
--- a/crates/rollout/src/agent/traffic.rs
+++ b/crates/rollout/src/controller/traffic.rs
@@ -5,7 +5,7 @@
 use celerypond_bundle::Model;
 use celerypond_types::{Revision, VersionName};
 
-use super::{subject, Agent};
+use super::{subject, RolloutController};
 use crate::{
     evidence::{Report, Subject, Trial},
     moves::{shares, Candidate, Move},
@@ -15,10 +15,10 @@
     tally::{Failure, Trials},
 };
 
-impl Agent {
+impl RolloutController {
     /// Chooses the version that takes the next request for a model.
-    pub fn choose(&mut self, model: &Model) -> VersionName {
-        let (base, wanted) = self.weights(model);
+    pub fn choose_version(&mut self, model: &Model) -> VersionName {
+        let (base, wanted) = self.effective_shares(model);
         for (version, share_ppm) in wanted {
             let candidate = Candidate {
                 model: model.name.clone(),
@@ -34,14 +34,14 @@
     /// Returns the version that takes what is left, and the shares of the others here and now.
     ///
     /// This is what the daemon publishes for its request threads, which split by [`crate::takes`].
-    pub fn weights(&self, model: &Model) -> (VersionName, BTreeMap<VersionName, u32>) {
+    pub fn effective_shares(&self, model: &Model) -> (VersionName, BTreeMap<VersionName, u32>) {
         let part = self.parts.get(&model.name);
         let changes = part.map_or(&[][..], |part| part.moves.as_slice());
         let origin = part.map_or_else(Revision::default, |part| part.origin);
         let base = changes.first().map_or(&model.base, |change| &change.base);
         let mut wanted = shares(model);
         for change in changes {
-            let share = self.share(origin, change);
+            let share = self.local_share(origin, change);
             wanted.insert(change.candidate.version.clone(), share);
         }
         wanted.remove(base);
@@ -49,7 +49,7 @@
     }
 
     /// Returns the part of its requests that this instance sends to a version under rollout.
-    pub fn share(&self, origin: Revision, change: &Move) -> u32 {
+    pub fn local_share(&self, origin: Revision, change: &Move) -> u32 {
         let candidate = &change.candidate;
         if self.brakes.cause(origin, candidate).is_some() {
             return 0;
@@ -65,7 +65,7 @@
             .is_none_or(|all| all.contains(&self.me));
         match record.phase {
             Phase::Stage { .. } if is_sender && record.senders.is_some() => {
-                self.local_share(candidate, record.local_ppm)
+                self.share_by_traffic(candidate, record.local_ppm)
             }
             Phase::Stage { .. } if is_sender => record.local_ppm,
             Phase::Stage { .. } | Phase::Superseded => record.change.from_ppm,
@@ -78,20 +78,20 @@
     ///
     /// The share of a stage is of all traffic. Callers choose instances as they like; if one of the few
     /// senders gets three times its part, so would the version.
-    fn local_share(&self, candidate: &Candidate, local_ppm: u32) -> u32 {
+    fn share_by_traffic(&self, candidate: &Candidate, local_ppm: u32) -> u32 {
         let relative = self.traffic.get(&candidate.model).copied().unwrap_or(1.0);
         (f64::from(local_ppm) / relative.max(1.0)) as u32
     }
 
     /// Returns how many engines serve a version now, out of those that the bundle names.
-    pub fn engines(&self, origin: Revision, candidate: &Candidate) -> Option<u32> {
+    pub fn stage_engines(&self, origin: Revision, candidate: &Candidate) -> Option<u32> {
         let record = self.rollouts.get(&origin)?.find(candidate)?;
         let stage = record.stages.get(usize::from(record.stage()))?;
         Some(stage.engines)
     }
 
     /// Notes that a chunk was asked for.
-    pub fn sent(&mut self, trial: &Trial) {
+    pub fn record_sent(&mut self, trial: &Trial) {
         if let Some(subject) = self.counted(trial) {
             self.since_ms.entry(subject).or_insert(trial.begun_ms);
         }
@@ -101,14 +101,14 @@
     }
 
     /// Notes that a chunk came: its time to the first token, or its time per token.
-    pub fn came(&mut self, trial: &Trial, time_us: u64) {
+    pub fn record_success(&mut self, trial: &Trial, time_us: u64) {
         if let Some(trials) = self.trials(trial) {
             trials.times.add(time_us);
         }
     }
 
     /// Notes that a chunk failed.
-    pub fn failed(&mut self, trial: &Trial, failure: Failure, now_ms: u64) {
+    pub fn record_failure(&mut self, trial: &Trial, failure: Failure, now_ms: u64) {
         let discount = self.method.discount;
         let Some(report) = self.report(trial) else {
             return;
@@ -137,7 +137,8 @@
             let change = &record.change;
             let is_candidate = change.candidate.version == trial.version;
             let is_party = is_candidate || change.base == trial.version;
-            let is_here = change.candidate.model == trial.model && self.share(origin, change) > 0;
+            let is_here =
+                change.candidate.model == trial.model && self.local_share(origin, change) > 0;
             is_party && is_here && self.is_running(origin, record)
         });
         let subject = subject(origin, &trial.model);
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -96,7 +96,7 @@
     }
 
     /// Weighs the evidence so far at the present stage.
-    pub fn weigh(
+    pub fn evaluate(
         &mut self,
         evidence: &Evidence,
         stage: &Stage,
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -3,8 +3,8 @@
 //! All decisions are pure. The daemon makes the store calls and carries the gossip.
 
 mod acting;
-mod agent;
 mod brake;
+mod controller;
 mod desk;
 mod evidence;
 mod histogram;
@@ -24,8 +24,8 @@
 mod verdict;
 
 pub use acting::{Acting, ActingMove, Roster, Spread};
-pub use agent::{Agent, News};
 pub use brake::Brakes;
+pub use controller::{RolloutController, RolloutSnapshot};
 pub use desk::{Desk, DeskError, Done, Request, Step};
 pub use evidence::{Evidence, Incident, Line, Report, Route, Subject, Trial, INCIDENT_MS};
 pub use histogram::{Histogram, BUCKETS};
--- a/crates/rollout/tests/fake_fleet.rs
+++ b/crates/rollout/tests/fake_fleet.rs
@@ -8,9 +8,9 @@
 
 use celerypond_bundle::{Model, Share, Version};
 use celerypond_rollout::{
-    parse, rollout_key, Agent, Brakes, Candidate, Cause, Condition, Engines, Failure, Judge,
-    Method, Move, MoveRecord, News, Part, Phase, Rollout, Route, Stage, StoreCall, StoreReply,
-    Subject, Trial,
+    parse, rollout_key, Brakes, Candidate, Cause, Condition, Engines, Failure, Judge, Method, Move,
+    MoveRecord, Part, Phase, Rollout, RolloutController, RolloutSnapshot, Route, Stage, StoreCall,
+    StoreReply, Subject, Trial,
 };
 use celerypond_types::{InstanceName, Revision, VersionName};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -170,7 +170,7 @@
 }
 
 struct Node {
-    agent: Agent,
+    controller: RolloutController,
     versions: BTreeMap<Revision, u64>,
     errors: BTreeMap<usize, (u32, u64)>,
     is_paused: bool,
@@ -207,7 +207,7 @@
     nodes: Vec<Node>,
     engines: Vec<Engine>,
     requests: Vec<Request>,
-    news: Vec<Rc<News>>,
+    news: Vec<Rc<RolloutSnapshot>>,
     store: FakeStore,
     parts: BTreeMap<celerypond_types::ModelName, Part>,
     oracle: Judge,
@@ -301,11 +301,12 @@
             Way::Judged(method) => method,
             Way::Canary => Method::default(),
         };
-        let mut agent = Agent::new(InstanceName::new(format!("i{at}")), incarnation, method);
-        agent.set_live(&self.names());
-        agent.set_parts(self.parts.clone());
+        let mut controller =
+            RolloutController::new(InstanceName::new(format!("i{at}")), incarnation, method);
+        controller.set_live(&self.names());
+        controller.set_parts(self.parts.clone());
         Node {
-            agent,
+            controller,
             versions: BTreeMap::new(),
             errors: BTreeMap::new(),
             is_paused: false,
@@ -351,8 +352,8 @@
             }
         }
         let bytes = |node: &Node| {
-            node.agent
-                .reports()
+            node.controller
+                .own_reports()
                 .map(|report| serde_json::to_vec(report).unwrap().len())
                 .sum::<usize>()
         };
@@ -371,7 +372,11 @@
                 self.plan_crash(at);
             }
             Event::Urgent(from, to, news) => {
-                if self.reaches(from, to) && self.nodes[to].agent.hear(&self.news[news].clone()) {
+                if self.reaches(from, to)
+                    && self.nodes[to]
+                        .controller
+                        .merge_snapshot(&self.news[news].clone())
+                {
                     self.push(to);
                 }
             }
@@ -395,7 +400,7 @@
                     };
                 }
                 for node in &mut self.nodes {
-                    node.agent.set_parts(self.parts.clone());
+                    node.controller.set_parts(self.parts.clone());
                 }
             }
         }
@@ -417,7 +422,7 @@
 
     fn serves(&self, at: usize) -> bool {
         let node = &self.nodes[at];
-        !node.is_paused && (node.incarnation == 1 || node.agent.is_synced())
+        !node.is_paused && (node.incarnation == 1 || node.controller.is_synced())
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
@@ -426,7 +431,7 @@
     }
 
     fn push(&mut self, from: usize) {
-        let news = self.nodes[from].agent.news();
+        let news = self.nodes[from].controller.snapshot();
         self.news.push(Rc::new(news));
         let at = self.news.len() - 1;
         for to in 0..self.nodes.len() {
@@ -446,7 +451,7 @@
             return;
         }
         let version = match self.setting.way {
-            Way::Judged(_) => self.nodes[node].agent.choose(&self.model),
+            Way::Judged(_) => self.nodes[node].controller.choose_version(&self.model),
             Way::Canary => {
                 let share = self.share(node);
                 let is_new = self.rng.random_range(0..1_000_000) < share;
@@ -493,9 +498,9 @@
 
     fn share(&self, node: usize) -> u32 {
         let change = &self.parts.values().next().unwrap().moves;
-        change
-            .first()
-            .map_or(0, |change| self.nodes[node].agent.share(ORIGIN, change))
+        change.first().map_or(0, |change| {
+            self.nodes[node].controller.local_share(ORIGIN, change)
+        })
     }
 
     fn count_sent(&mut self, node: usize, is_new: bool) {
@@ -522,13 +527,16 @@
     }
 
     fn record(&self, node: usize) -> Option<&MoveRecord> {
-        self.nodes[node].agent.rollout(ORIGIN)?.find(&candidate())
+        self.nodes[node]
+            .controller
+            .rollout(ORIGIN)?
+            .find(&candidate())
     }
 
     fn engine(&mut self, node: usize, is_new: bool) -> Option<usize> {
         let limit = self.nodes[node]
-            .agent
-            .engines(ORIGIN, &candidate())
+            .controller
+            .stage_engines(ORIGIN, &candidate())
             .unwrap_or(u32::MAX);
         let limit = if is_new && self.setting.way != Way::Canary {
             limit as usize
@@ -593,7 +601,7 @@
         request.failure = (is_bad || is_unlucky).then_some((Failure::Error, is_bad));
         request.is_slow = is_slow;
         let trial = request.trial.clone();
-        self.nodes[node].agent.sent(&trial);
+        self.nodes[node].controller.record_sent(&trial);
         self.at(self.now + time_ms as u64, Event::Chunk(at));
     }
 
@@ -610,10 +618,12 @@
             self.outcome.shown_ms.get_or_insert(self.now);
             self.outcome.harmed += u64::from(is_first);
         }
-        let Node { agent, errors, .. } = &mut self.nodes[node];
+        let Node {
+            controller, errors, ..
+        } = &mut self.nodes[node];
         let errors = errors.entry(engine).or_default();
         if let Some((failure, _)) = failed {
-            agent.failed(&trial, failure, self.now);
+            controller.record_failure(&trial, failure, self.now);
             errors.0 += 1;
             if errors.0 >= EJECT_AFTER {
                 *errors = (0, self.now + EJECT_MS);
@@ -621,7 +631,7 @@
         } else {
             errors.0 = 0;
             let tokens = if is_first { 1 } else { 32 };
-            agent.came(&trial, time_us / tokens);
+            controller.record_success(&trial, time_us / tokens);
         }
         if failed.is_some() && trial.version == self.new {
             self.prove();
@@ -654,8 +664,8 @@
         for at in hit {
             let (node, trial) = (self.requests[at].node, self.requests[at].trial.clone());
             self.nodes[node]
-                .agent
-                .failed(&trial, Failure::Cut, self.now);
+                .controller
+                .record_failure(&trial, Failure::Cut, self.now);
             self.close(at);
         }
     }
@@ -670,11 +680,13 @@
         }
         let base_open = self.nodes[at].base_open;
         let revision = ORIGIN;
-        self.nodes[at].agent.acting(revision, |_, _| base_open);
+        self.nodes[at].controller.acting(revision, |_, _| base_open);
         if self.setting.favourite.is_some() {
             let mean = self.outcome.sent as f64 / self.nodes.len() as f64;
             let relative = self.nodes[at].served as f64 / mean.max(1.0);
-            self.nodes[at].agent.set_traffic("draft".into(), relative);
+            self.nodes[at]
+                .controller
+                .set_relative_traffic("draft".into(), relative);
         }
         self.weigh(at);
         self.gossip(at);
@@ -692,7 +704,7 @@
         let is_tripped = match self.setting.way {
             Way::Judged(_) => {
                 let base = self.engine_counts().base;
-                self.nodes[at].agent.weigh(|_| base, self.now)
+                self.nodes[at].controller.evaluate(|_| base, self.now)
             }
             Way::Canary => at == 0 && self.threshold(),
         };
@@ -711,14 +723,22 @@
             return;
         }
         let mut all = celerypond_rollout::Evidence::default();
-        for report in self.nodes.iter().flat_map(|node| node.agent.reports()) {
+        for report in self
+            .nodes
+            .iter()
+            .flat_map(|node| node.controller.own_reports())
+        {
             all.merge(report.clone());
         }
         let record = self.record(0);
         let stage = record.map(|record| record.stages[usize::from(record.stage())].clone());
         let Some(stage) = stage else { return };
         let engines = self.engine_counts();
-        if self.oracle.weigh(&all, &stage, engines, self.now).is_some() {
+        if self
+            .oracle
+            .evaluate(&all, &stage, engines, self.now)
+            .is_some()
+        {
             self.outcome.proved_ms = Some(self.now);
         }
     }
@@ -730,7 +750,11 @@
         }
         let mut sums = (0, 0);
         for node in &self.nodes {
-            for line in node.agent.reports().flat_map(|report| &report.lines) {
+            for line in node
+                .controller
+                .own_reports()
+                .flat_map(|report| &report.lines)
+            {
                 if line.version == self.new {
                     let tally = &line.tally.first;
                     let failed = tally.failures() + tally.discounted;
@@ -746,11 +770,11 @@
         self.checked = (self.now, sums.0, sums.1);
         let mut brakes = Brakes::default();
         brakes.trip(ORIGIN, candidate(), Cause::Failures);
-        let news = News {
+        let news = RolloutSnapshot {
             rollouts: Vec::new(),
             brakes,
         };
-        failed * 20 > tried && self.nodes[0].agent.hear(&news)
+        failed * 20 > tried && self.nodes[0].controller.merge_snapshot(&news)
     }
 
     fn gossip(&mut self, from: usize) {
@@ -759,8 +783,8 @@
             .collect();
         for _ in 0..3.min(peers.len()) {
             let to = peers.swap_remove(self.rng.random_range(0..peers.len()));
-            let sender = &self.nodes[from].agent;
-            let known = self.nodes[to].agent.evidence();
+            let sender = &self.nodes[from].controller;
+            let known = self.nodes[to].controller.evidence();
             let reports: Vec<_> = sender
                 .evidence()
                 .all()
@@ -772,11 +796,11 @@
                 .iter()
                 .filter_map(|name| sender.roster().get(name).cloned())
                 .collect();
-            let news = sender.news();
-            let receiver = &mut self.nodes[to].agent;
-            receiver.hear(&news);
+            let news = sender.snapshot();
+            let receiver = &mut self.nodes[to].controller;
+            receiver.merge_snapshot(&news);
             for report in reports {
-                receiver.hear_report(report);
+                receiver.merge_report(report);
             }
             for acting in acting {
                 receiver.hear_acting(acting);
@@ -794,14 +818,17 @@
             StoreReply::Found { version, value } => {
                 let rollout: Rollout = parse(&value).unwrap();
                 self.nodes[at].versions.insert(ORIGIN, version);
-                self.nodes[at].agent.hear_store(rollout);
+                self.nodes[at].controller.merge_rollout(rollout);
             }
             StoreReply::Missing => {}
             _ => return,
         }
         let rate = self.setting.rate;
         let models = [self.model.clone()];
-        for mut rollout in self.nodes[at].agent.due(&models, |_| rate, true, self.now) {
+        for mut rollout in self.nodes[at]
+            .controller
+            .due_records(&models, |_| rate, true, self.now)
+        {
             if rollout.step == 1 && self.setting.way == Way::Canary {
                 fixed_steps(&mut rollout);
             }
@@ -819,7 +846,7 @@
                 }
                 if !self.rng.random_bool(self.setting.lost) {
                     self.nodes[at].versions.insert(ORIGIN, version);
-                    self.nodes[at].agent.hear_store(rollout);
+                    self.nodes[at].controller.merge_rollout(rollout);
                 }
             }
         }
@@ -838,7 +865,11 @@
                 continue;
             }
             let share = self.share(at);
-            let is_braked = node.agent.brakes().cause(ORIGIN, &candidate()).is_some();
+            let is_braked = node
+                .controller
+                .brakes()
+                .cause(ORIGIN, &candidate())
+                .is_some();
             let is_whole = self.setting.percent == 100;
             let is_true = match phase {
                 Phase::Done => {
--- a/crates/rollout/tests/test_scripts.rs
+++ b/crates/rollout/tests/test_scripts.rs
@@ -4,8 +4,8 @@
 
 use celerypond_bundle::Model;
 use celerypond_rollout::{
-    moves, parse, rollout_key, Agent, Condition, Failure, Method, Part, Rollout, Route, StoreCall,
-    StoreReply, Trial,
+    moves, parse, rollout_key, Condition, Failure, Method, Part, Rollout, RolloutController, Route,
+    StoreCall, StoreReply, Trial,
 };
 use celerypond_types::{InstanceName, Revision};
 use goldenscript::Context;
@@ -19,7 +19,7 @@
 
 #[derive(Default)]
 struct Script {
-    agents: BTreeMap<String, Agent>,
+    controllers: BTreeMap<String, RolloutController>,
     incarnation: u64,
     versions: BTreeMap<String, u64>,
     planned: BTreeMap<String, Vec<Rollout>>,
@@ -40,7 +40,8 @@
 
     fn start(&mut self, name: &str) {
         self.incarnation += 1;
-        let mut agent = Agent::new(name.into(), self.incarnation, Method::default());
+        let mut controller =
+            RolloutController::new(name.into(), self.incarnation, Method::default());
         let next = &Self::models()[0];
         let moves = moves(Some(&model("v1", 0)), next);
         let part = Part {
@@ -48,9 +49,9 @@
             rolled_ms: 0,
             moves,
         };
-        agent.set_parts(BTreeMap::from([(next.name.clone(), part)]));
-        agent.set_live(&self.live);
-        self.agents.insert(name.to_owned(), agent);
+        controller.set_parts(BTreeMap::from([(next.name.clone(), part)]));
+        controller.set_live(&self.live);
+        self.controllers.insert(name.to_owned(), controller);
     }
 
     fn read(&mut self, name: &str) -> &'static str {
@@ -58,7 +59,10 @@
             StoreReply::Found { version, value } => {
                 self.versions.insert(name.to_owned(), version);
                 let rollout = parse(&value).unwrap();
-                self.agents.get_mut(name).unwrap().hear_store(rollout);
+                self.controllers
+                    .get_mut(name)
+                    .unwrap()
+                    .merge_rollout(rollout);
                 "read"
             }
             StoreReply::Missing => "missing",
@@ -67,7 +71,12 @@
     }
 
     fn plan(&mut self, name: &str) -> String {
-        let due = self.agents[name].due(&Self::models(), |_| 100.0, !self.store.down, self.now);
+        let due = self.controllers[name].due_records(
+            &Self::models(),
+            |_| 100.0,
+            !self.store.down,
+            self.now,
+        );
         let phases: Vec<_> = due
             .iter()
             .map(|rollout| format!("{:?}", rollout.moves[0].phase))
@@ -92,7 +101,10 @@
                     .call(&StoreCall::write(rollout_key(ORIGIN), condition, &rollout));
             if let StoreReply::Written { version } = reply {
                 self.versions.insert(name.to_owned(), version);
-                self.agents.get_mut(name).unwrap().hear_store(rollout);
+                self.controllers
+                    .get_mut(name)
+                    .unwrap()
+                    .merge_rollout(rollout);
             }
             writeln!(out, "{reply:?}").unwrap();
         }
@@ -101,7 +113,7 @@
 
     fn act(&mut self, name: &str) {
         let open = self.open.get(name).copied().unwrap_or(0);
-        self.agents
+        self.controllers
             .get_mut(name)
             .unwrap()
             .acting(ORIGIN, |_, _| open);
@@ -109,11 +121,11 @@
 
     fn gossip(&mut self, from: &str, to: &str) {
         self.act(from);
-        let sender = self.agents[from].clone();
-        let receiver = self.agents.get_mut(to).unwrap();
-        receiver.hear(&sender.news());
+        let sender = self.controllers[from].clone();
+        let receiver = self.controllers.get_mut(to).unwrap();
+        receiver.merge_snapshot(&sender.snapshot());
         for report in sender.evidence().all() {
-            receiver.hear_report(report.clone());
+            receiver.merge_report(report.clone());
         }
         for acting in self
             .live
@@ -126,7 +138,7 @@
 
     /// Sends `count` requests to each version; those to the new one fail if it is bad.
     fn requests(&mut self, name: &str, count: u64, is_bad: bool) -> String {
-        let agent = self.agents.get_mut(name).unwrap();
+        let controller = self.controllers.get_mut(name).unwrap();
         for at in 0..2 * count {
             let version = if at % 2 == 0 { "v2" } else { "v1" };
             let trial = Trial {
@@ -137,14 +149,14 @@
                 is_first: true,
                 begun_ms: self.now,
             };
-            agent.sent(&trial);
+            controller.record_sent(&trial);
             if is_bad && at % 2 == 0 {
-                agent.failed(&trial, Failure::Error, self.now);
+                controller.record_failure(&trial, Failure::Error, self.now);
             } else {
-                agent.came(&trial, 400_000);
+                controller.record_success(&trial, 400_000);
             }
         }
-        let is_tripped = agent.weigh(|_| 2, self.now);
+        let is_tripped = controller.evaluate(|_| 2, self.now);
         if is_tripped {
             "brake tripped".to_owned()
         } else {
@@ -169,15 +181,15 @@
             .unwrap();
         }
         let change = moves(Some(&model("v1", 0)), &Self::models()[0]).remove(0);
-        for (name, agent) in &self.agents {
-            let share = agent.share(ORIGIN, &change) / 10_000;
-            let braked = agent.brakes().cause(ORIGIN, &candidate()).is_some();
-            let word = agent
+        for (name, controller) in &self.controllers {
+            let share = controller.local_share(ORIGIN, &change) / 10_000;
+            let braked = controller.brakes().cause(ORIGIN, &candidate()).is_some();
+            let word = controller
                 .roster()
                 .get(&name.as_str().into())
                 .and_then(|acting| acting.find(ORIGIN, &candidate()));
             let promised = word.is_some_and(|word| word.promised);
-            let synced = agent.is_synced();
+            let synced = controller.is_synced();
             writeln!(
                 out,
                 "{name}: share {share} %, braked {braked}, promised {promised}, synced {synced}"
@@ -223,8 +235,9 @@
             "good" => return Ok(self.requests(&first, words[1].parse()?, false)),
             "bad" => return Ok(self.requests(&first, words[1].parse()?, true)),
             "report" => {
-                let agent = &self.agents[&first];
-                let standing = agent.standing(ORIGIN, &candidate(), !self.store.down, self.now);
+                let controller = &self.controllers[&first];
+                let standing =
+                    controller.standing(ORIGIN, &candidate(), !self.store.down, self.now);
                 return Ok(serde_json::to_string(&standing)?);
             }
             "status" => return Ok(self.status()),
--- a/daemon/src/generation/chunk.rs
+++ b/daemon/src/generation/chunk.rs
@@ -29,7 +29,7 @@
     fn came(&self, node: &Node, now: Instant) {
         let per_token = (now - self.began).as_micros() as u64 / u64::from(self.tokens.max(1));
         node.rollouts
-            .note(|agent| agent.came(&self.trial, per_token));
+            .note(|controller| controller.record_success(&self.trial, per_token));
     }
 
     /// Begins the next chunk; it counts from its first token on.
@@ -52,12 +52,14 @@
             let took_us = (now - chunk.began).as_micros() as u64;
             self.node
                 .rollouts
-                .note(|agent| agent.came(&chunk.trial, took_us));
+                .note(|controller| controller.record_success(&chunk.trial, took_us));
             chunk.next(now);
             return;
         }
         if !std::mem::replace(&mut chunk.is_asked, true) {
-            self.node.rollouts.note(|agent| agent.sent(&chunk.trial));
+            self.node
+                .rollouts
+                .note(|controller| controller.record_sent(&chunk.trial));
         }
         chunk.tokens += 1;
         if chunk.tokens == CHUNK {
@@ -82,7 +84,9 @@
         let chunk = self.chunk.as_mut().filter(|chunk| chunk.link == link);
         if let Some(chunk) = chunk.filter(|chunk| !chunk.is_asked) {
             chunk.is_asked = true;
-            self.node.rollouts.note(|agent| agent.sent(&chunk.trial));
+            self.node
+                .rollouts
+                .note(|controller| controller.record_sent(&chunk.trial));
         }
     }
 
@@ -93,7 +97,7 @@
             let now_ms = node::wall_ms();
             self.node
                 .rollouts
-                .note(|agent| agent.failed(&chunk.trial, failure, now_ms));
+                .note(|controller| controller.record_failure(&chunk.trial, failure, now_ms));
         }
     }
 
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -9,7 +9,8 @@
 use celerypond_bundle::Model;
 use celerypond_fleet::{Brake, EntryKind};
 use celerypond_rollout::{
-    witnesses, Acting, Agent, Brakes, Candidate, Cause, Method, News, Report, Route, Trial,
+    witnesses, Acting, Brakes, Candidate, Cause, Method, Report, RolloutController,
+    RolloutSnapshot, Route, Trial,
 };
 use celerypond_types::{InstanceName, ModelName, TargetKey, TargetName, VersionName};
 use rand::seq::IndexedRandom;
@@ -41,13 +42,13 @@
 /// What instances exchange about rollouts.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Talk {
-    news: News,
+    news: RolloutSnapshot,
     reports: Vec<Report>,
 }
 
 /// This instance's side in rollouts.
 pub struct Rollouts {
-    agent: Mutex<Agent>,
+    controller: Mutex<RolloutController>,
     open: Mutex<BTreeMap<(ModelName, VersionName), u32>>,
     shares: Shares,
     /// What was last said that this instance acts on, and when.
@@ -75,7 +76,7 @@
     /// Makes the side of an instance; `incarnation` must rise with each restart.
     pub fn new(name: InstanceName, incarnation: u64) -> Self {
         Self {
-            agent: Mutex::new(Agent::new(name, incarnation, Method::default())),
+            controller: Mutex::new(RolloutController::new(name, incarnation, Method::default())),
             open: Mutex::default(),
             shares: Shares::default(),
             said: Mutex::default(),
@@ -85,15 +86,15 @@
 
     /// Takes the bundle that has come into force.
     pub fn set_force(&self, force: &Force) {
-        let mut agent = self.agent();
-        agent.set_parts(force.headline.parts.clone());
-        self.shares.publish(&agent, &force.bundle);
+        let mut controller = self.controller();
+        controller.set_parts(force.headline.parts.clone());
+        self.shares.publish(&controller, &force.bundle);
     }
 
     /// Lets requests see the shares as they are now, which a brake has just changed, for example.
     fn publish(&self, node: &Node) {
         if let Some(force) = node.force.load_full() {
-            self.shares.publish(&self.agent(), &force.bundle);
+            self.shares.publish(&self.controller(), &force.bundle);
         }
     }
 
@@ -138,7 +139,8 @@
             return excluded;
         };
         let part = force.headline.parts.get(&model.name);
-        let engines = part.and_then(|part| self.agent().engines(part.origin, &candidate));
+        let engines =
+            part.and_then(|part| self.controller().stage_engines(part.origin, &candidate));
         let engines = engines.map_or(targets.len(), |engines| engines as usize);
         let view = node.view.load();
         // All instances leave out the same engines, in the order that the bundle names them.
@@ -158,9 +160,9 @@
         unloaded.filter_map(|name| view.key(name)).collect()
     }
 
-    /// Lets the agent note what became of a request.
-    pub fn note(&self, note: impl FnOnce(&mut Agent)) {
-        note(&mut self.agent());
+    /// Lets the controller note what became of a request.
+    pub fn note(&self, note: impl FnOnce(&mut RolloutController)) {
+        note(&mut self.controller());
     }
 
     /// Takes a brake that gossip brought.
@@ -174,11 +176,11 @@
         };
         let mut brakes = Brakes::default();
         brakes.trip(brake.revision, candidate, Cause::Failures);
-        let news = News {
+        let news = RolloutSnapshot {
             rollouts: Vec::new(),
             brakes,
         };
-        let is_new = self.agent().hear(&news);
+        let is_new = self.controller().merge_snapshot(&news);
         self.publish(node);
         if is_new {
             node.metrics.add(celerypond_telemetry::Counter::Brakes, 1);
@@ -199,9 +201,9 @@
                 .filter_map(|(_, item)| serde_json::from_slice(&item.value).ok())
                 .collect()
         };
-        let mut agent = self.agent();
+        let mut controller = self.controller();
         for word in words {
-            agent.hear_acting(word);
+            controller.hear_acting(word);
         }
     }
 
@@ -216,11 +218,11 @@
             return;
         };
         let is_new = {
-            let mut agent = self.agent();
+            let mut controller = self.controller();
             for report in talk.reports {
-                agent.hear_report(report);
+                controller.merge_report(report);
             }
-            agent.hear(&talk.news)
+            controller.merge_snapshot(&talk.news)
         };
         self.publish(node);
         if is_new {
@@ -229,17 +231,17 @@
     }
 
     fn talk(&self) -> Vec<u8> {
-        let agent = self.agent();
+        let controller = self.controller();
         let talk = Talk {
-            news: agent.news(),
-            reports: agent.reports().cloned().collect(),
+            news: controller.snapshot(),
+            reports: controller.own_reports().cloned().collect(),
         };
         serde_json::to_vec(&talk).unwrap_or_default()
     }
 
     /// Passes the brakes on by gossip and all news to some peers, without the store.
     fn spread(&self, node: &Arc<Node>) {
-        let brakes: Vec<Brake> = brakes(node, &self.agent());
+        let brakes: Vec<Brake> = brakes(node, &self.controller());
         for brake in brakes {
             node.gossip().trip(brake);
         }
@@ -296,8 +298,8 @@
         is_old
     }
 
-    fn agent(&self) -> MutexGuard<'_, Agent> {
-        lock(&self.agent)
+    fn controller(&self) -> MutexGuard<'_, RolloutController> {
+        lock(&self.controller)
     }
 }
 
@@ -325,7 +327,7 @@
     reported.is_none_or(|versions| versions.contains(version))
 }
 
-fn brakes(node: &Node, agent: &Agent) -> Vec<Brake> {
+fn brakes(node: &Node, controller: &RolloutController) -> Vec<Brake> {
     let Some(force) = node.force.load_full() else {
         return Vec::new();
     };
@@ -335,7 +337,7 @@
             .map(|change| (part.origin, change.candidate.clone()))
     });
     moves
-        .filter(|(origin, candidate)| agent.brakes().cause(*origin, candidate).is_some())
+        .filter(|(origin, candidate)| controller.brakes().cause(*origin, candidate).is_some())
         .map(|(revision, candidate)| Brake {
             revision,
             version: VersionName::new(format!(
--- a/daemon/src/rollouts/driver.rs
+++ b/daemon/src/rollouts/driver.rs
@@ -58,21 +58,21 @@
     };
     let live = listed(node);
     let (tripped, acting, is_talking) = {
-        let mut agent = node.rollouts.agent();
-        agent.set_live(&live);
+        let mut controller = node.rollouts.controller();
+        controller.set_live(&live);
         let engines = |change: &Move| base_engines(&force, change);
-        let tripped = agent.weigh(engines, node::wall_ms());
+        let tripped = controller.evaluate(engines, node::wall_ms());
         let open = lock(&node.rollouts.open);
-        let acting = agent.acting(force.revision(), |model, version| {
+        let acting = controller.acting(force.revision(), |model, version| {
             let key = (model.clone(), version.clone());
             open.get(&key).copied().unwrap_or(0)
         });
         let is_talking = force.headline.parts.values().any(|part| {
-            let rollout = agent.rollout(part.origin);
+            let rollout = controller.rollout(part.origin);
             rollout.is_some_and(|rollout| rollout.moves.iter().any(|it| !it.phase.is_ended()))
         });
-        node.rollouts.shares.publish(&agent, &force.bundle);
-        (tripped, acting, is_talking || !agent.is_synced())
+        node.rollouts.shares.publish(&controller, &force.bundle);
+        (tripped, acting, is_talking || !controller.is_synced())
     };
     if node.rollouts.is_news(&acting) {
         let value = serde_json::to_vec(&acting).unwrap_or_default();
@@ -102,7 +102,7 @@
     for object in listing.objects {
         if let Some(rollout) = celerypond_rollout::parse::<Rollout>(&object.value) {
             versions.insert(rollout.origin, object.version);
-            is_new |= node.rollouts.agent().hear_store(rollout);
+            is_new |= node.rollouts.controller().merge_rollout(rollout);
         }
     }
     node.rollouts.publish(node);
@@ -121,10 +121,10 @@
         return;
     };
     let due = {
-        let agent = node.rollouts.agent();
+        let controller = node.rollouts.controller();
         let rates = |model: &ModelName| rate(node, model);
         let is_listed = node.listed_at().is_some_and(|at| at.elapsed() < LIST_AGE);
-        agent.due(&force.bundle.models, rates, is_listed, node::wall_ms())
+        controller.due_records(&force.bundle.models, rates, is_listed, node::wall_ms())
     };
     since.retain(|origin, _| due.iter().any(|rollout| rollout.origin == *origin));
     for rollout in due {
@@ -154,7 +154,7 @@
                 let (model, version) = (&candidate.model, &candidate.version);
                 log::info!("rollout of {model} {version}: {:?}", record.phase);
             }
-            node.rollouts.agent().hear_store(rollout);
+            node.rollouts.controller().merge_rollout(rollout);
             node.rollouts.publish(node);
             node.rollouts.spread(node);
         }
--- a/daemon/src/rollouts/shares.rs
+++ b/daemon/src/rollouts/shares.rs
@@ -10,7 +10,7 @@
 
 use arc_swap::ArcSwap;
 use celerypond_bundle::{Bundle, Model};
-use celerypond_rollout::{takes, Agent, WHOLE_PPM};
+use celerypond_rollout::{takes, RolloutController, WHOLE_PPM};
 use celerypond_types::{ModelName, VersionName};
 
 /// The shares of versions, in a snapshot that requests read without a lock.
@@ -79,17 +79,17 @@
 }
 
 impl Shares {
-    /// Publishes the shares as the agent has them now.
-    pub(super) fn publish(&self, agent: &Agent, bundle: &Bundle) {
+    /// Publishes the shares as the controller has them now.
+    pub(super) fn publish(&self, controller: &RolloutController, bundle: &Bundle) {
         let last = self.current.load();
         let split = |model: &Model| {
-            let (base, shares) = agent.weights(model);
+            let (base, shares) = controller.effective_shares(model);
             let split = Split::new(base, shares, last.models.get(&model.name));
             (model.name.clone(), split)
         };
         self.current.store(Arc::new(Snapshot {
             models: bundle.models.iter().map(split).collect(),
-            is_synced: agent.is_synced(),
+            is_synced: controller.is_synced(),
         }));
     }
 
--- a/daemon/src/rollouts/status.rs
+++ b/daemon/src/rollouts/status.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_rollout::{Agent, Cause, MoveRecord, Spread, Standing, Subject};
+use celerypond_rollout::{Cause, MoveRecord, RolloutController, Spread, Standing, Subject};
 use celerypond_types::{InstanceName, ModelName, Revision, VersionName};
 use serde::Serialize;
 
@@ -49,8 +49,8 @@
 }
 
 impl Seen {
-    fn of(agent: &Agent, subject: &Subject, version: &VersionName) -> Self {
-        let tally = agent.evidence().total(subject, version, None);
+    fn of(controller: &RolloutController, subject: &Subject, version: &VersionName) -> Self {
+        let tally = controller.evidence().total(subject, version, None);
         let parts = [&tally.first, &tally.later];
         Self {
             asked: parts.iter().map(|trials| trials.sent).sum(),
@@ -65,13 +65,13 @@
     pub fn status(&self, node: &Node) -> (Spread, Vec<RolloutStatus>) {
         let live = listed(node);
         let is_fresh = lock(&self.read).is_some_and(|at| at.elapsed() < FRESH);
-        let agent = self.agent();
+        let controller = self.controller();
         let Some(force) = node.force.load_full() else {
-            return (agent.roster().in_force(Revision(1), &live), Vec::new());
+            return (controller.roster().in_force(Revision(1), &live), Vec::new());
         };
-        let in_force = agent.roster().in_force(force.revision(), &live);
+        let in_force = controller.roster().in_force(force.revision(), &live);
         let parts = force.headline.parts.values();
-        let rollouts = parts.filter_map(|part| agent.rollout(part.origin));
+        let rollouts = parts.filter_map(|part| controller.rollout(part.origin));
         let statuses = rollouts
             .flat_map(|rollout| {
                 rollout
@@ -79,7 +79,7 @@
                     .iter()
                     .map(move |record| (rollout.origin, record))
             })
-            .map(|(origin, record)| status(origin, record, &agent, &live, is_fresh))
+            .map(|(origin, record)| status(origin, record, &controller, &live, is_fresh))
             .collect();
         (in_force, statuses)
     }
@@ -88,7 +88,7 @@
 fn status(
     origin: Revision,
     record: &MoveRecord,
-    agent: &Agent,
+    controller: &RolloutController,
     live: &[InstanceName],
     is_fresh: bool,
 ) -> RolloutStatus {
@@ -97,7 +97,7 @@
         origin,
         model: change.candidate.model.clone(),
     };
-    let standing = agent.standing(origin, &change.candidate, is_fresh, node::wall_ms());
+    let standing = controller.standing(origin, &change.candidate, is_fresh, node::wall_ms());
     let (stage, ending, cause) = match standing {
         Standing::Running { stage, .. } => {
             let text = format!("stage {} of {}", stage + 1, record.stages.len());
@@ -114,9 +114,9 @@
         stage,
         ending,
         cause,
-        acting: record.spread(origin, agent.roster(), live),
+        acting: record.spread(origin, controller.roster(), live),
         deadline_ms: record.deadline_ms,
-        candidate: Seen::of(agent, &subject, &change.candidate.version),
-        base: Seen::of(agent, &subject, &change.base),
+        candidate: Seen::of(controller, &subject, &change.candidate.version),
+        base: Seen::of(controller, &subject, &change.base),
     }
 }
