--- a/crates/rollout/src/desk.rs
+++ b/crates/rollout/src/operation.rs
@@ -3,7 +3,7 @@
 //! Each step is a state machine that asks for one store call at a time. What decides is always the
 //! condition of a single write, so operators may race and replies may be lost at any call.
 
-mod steps;
+mod replies;
 
 use celerypond_bundle::Bundle;
 use celerypond_types::{Digest, OperatorName, Revision};
@@ -15,13 +15,13 @@
 };
 
 /// How often a call without a reply is repeated before the step ends as unknown.
-const MAX_TRIES: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 /// How many nonces `current` keeps, so how many later rolls a lost reply can be behind.
 const KEPT_NONCES: usize = 16;
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Request {
+pub enum OperationRequest {
     /// Stores a bundle for approval.
     Submit(Box<Bundle>),
     /// Signs off the bundle with this digest.
@@ -37,7 +37,7 @@
 
 /// How a step ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Done {
+pub enum OperationOutcome {
     /// The bundle is stored, now or since this earlier submission.
     Submitted(Digest, Signature),
     /// The bundle is approved, now or since this earlier approval.
@@ -45,7 +45,7 @@
     /// The bundle is accepted under a new revision.
     Rolled(Current),
     /// Another roll came first; this one took no effect.
-    Outrun {
+    LostRace {
         /// What is in force instead.
         winner: Option<Current>,
     },
@@ -53,19 +53,19 @@
 
 /// Why a step did not end.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum DeskError {
+pub enum OperationError {
     /// The store refused a call; the step took no effect.
     #[error("the store is down; nothing was changed")]
-    Down,
+    StoreDown,
     /// The step may have taken effect; the history will show.
     #[error("the store did not answer; the step may have taken effect")]
-    Unknown,
+    OutcomeUnknown,
     /// No bundle with this digest was submitted.
     #[error("no bundle {0} was submitted")]
-    NoBundle(Digest),
+    BundleNotFound(Digest),
     /// The submitter may not approve.
     #[error("the bundle must be approved by another operator than its submitter")]
-    OwnBundle,
+    SelfApproval,
     /// The bundle has no approval.
     #[error("bundle {0} is not approved")]
     NotApproved(Digest),
@@ -79,29 +79,29 @@
 
 /// What a step wants next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
-    /// Make this call and hand its reply to [`Desk::reply`].
+pub enum OperationStep {
+    /// Make this call and hand its reply to [`Operation::reply`].
     Call(StoreCall),
     /// The step ended.
-    End(Result<Done, DeskError>),
+    Finished(Result<OperationOutcome, OperationError>),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Stage {
+enum Awaiting {
     Bundle,
     Approval,
     Current,
     Previous(Current),
     Write,
     ReadBack,
-    Audit(After),
+    Audit(AfterAudit),
 }
 
 /// What follows once the audit records are written.
 #[derive(Clone, Debug, PartialEq)]
-enum After {
+enum AfterAudit {
     Roll(Current),
-    End(Done),
+    End(OperationOutcome),
 }
 
 /// One step of an operator under way.
@@ -109,67 +109,67 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_rollout::{Desk, DeskError, Request, Signature, Step, StoreReply};
+/// use celerypond_rollout::{Operation, OperationError, OperationRequest, Signature, OperationStep, StoreReply};
 /// use celerypond_types::Digest;
 ///
 /// let digest = Digest::of(b"");
 /// let signature = Signature { operator: "aigul".into(), at_ms: 1, nonce: 7 };
-/// let (mut desk, _call) = Desk::begin(Request::Approve(digest), signature);
-/// let step = desk.reply(StoreReply::Missing);
-/// assert_eq!(step, Step::End(Err(DeskError::NoBundle(digest))));
+/// let (mut operation, _call) = Operation::begin(OperationRequest::Approve(digest), signature);
+/// let step = operation.reply(StoreReply::Missing);
+/// assert_eq!(step, OperationStep::Finished(Err(OperationError::BundleNotFound(digest))));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Desk {
-    request: Request,
+pub struct Operation {
+    request: OperationRequest,
     digest: Digest,
     signature: Signature,
-    stage: Stage,
+    awaiting: Awaiting,
     call: StoreCall,
-    tries: u32,
-    lost: bool,
-    owner: Option<OperatorName>,
+    attempts: u32,
+    is_write_unconfirmed: bool,
+    submitter: Option<OperatorName>,
     current: Option<(u64, Current)>,
     audits: Vec<Audit>,
     bundle: Option<Bundle>,
     next: Option<Current>,
 }
 
-impl Desk {
+impl Operation {
     /// Begins a step and returns it with its first call.
-    pub fn begin(request: Request, signature: Signature) -> (Self, Step) {
+    pub fn begin(request: OperationRequest, signature: Signature) -> (Self, OperationStep) {
         let digest = match &request {
-            Request::Submit(bundle) => bundle.digest(),
-            Request::Approve(digest) | Request::Roll { digest, .. } => *digest,
+            OperationRequest::Submit(bundle) => bundle.digest(),
+            OperationRequest::Approve(digest) | OperationRequest::Roll { digest, .. } => *digest,
         };
-        let mut desk = Self {
+        let mut operation = Self {
             request,
             digest,
             signature,
-            stage: Stage::Bundle,
+            awaiting: Awaiting::Bundle,
             call: StoreCall::read(bundle_key(digest)),
-            tries: 0,
-            lost: false,
-            owner: None,
+            attempts: 0,
+            is_write_unconfirmed: false,
+            submitter: None,
             current: None,
             audits: Vec::new(),
             bundle: None,
             next: None,
         };
-        let step = desk.first();
-        (desk, step)
+        let step = operation.first_call();
+        (operation, step)
     }
 
     /// Takes the reply to the last call and returns what comes next.
-    pub fn reply(&mut self, reply: StoreReply) -> Step {
+    pub fn reply(&mut self, reply: StoreReply) -> OperationStep {
         match reply {
-            StoreReply::Lost | StoreReply::Down => self.again(reply == StoreReply::Lost),
-            reply => self.advance(reply),
+            StoreReply::Lost | StoreReply::Down => self.retry(reply == StoreReply::Lost),
+            reply => self.on_reply(reply),
         }
     }
 
-    fn first(&mut self) -> Step {
-        let Request::Submit(bundle) = &self.request else {
-            return Step::Call(self.call.clone());
+    fn first_call(&mut self) -> OperationStep {
+        let OperationRequest::Submit(bundle) = &self.request else {
+            return OperationStep::Call(self.call.clone());
         };
         let submission = Submission {
             signature: self.signature.clone(),
@@ -179,15 +179,15 @@
         self.write(bundle_key(self.digest), Condition::Absent, &submission)
     }
 
-    fn advance(&mut self, reply: StoreReply) -> Step {
-        match self.stage.clone() {
-            Stage::Bundle => self.bundle_read(reply),
-            Stage::Approval => self.approval_read(reply),
-            Stage::Current => self.current_read(reply),
-            Stage::Previous(current) => self.previous_read(&current, reply),
-            Stage::Write => self.written(reply),
-            Stage::ReadBack => self.read_back(reply),
-            Stage::Audit(after) => self.audit(after),
+    fn on_reply(&mut self, reply: StoreReply) -> OperationStep {
+        match self.awaiting.clone() {
+            Awaiting::Bundle => self.on_bundle(reply),
+            Awaiting::Approval => self.on_approval(reply),
+            Awaiting::Current => self.on_current(reply),
+            Awaiting::Previous(current) => self.on_previous(&current, reply),
+            Awaiting::Write => self.on_written(reply),
+            Awaiting::ReadBack => self.on_read_back(reply),
+            Awaiting::Audit(after) => self.write_audits(after),
         }
     }
 
@@ -195,50 +195,52 @@
     ///
     /// A write whose reply was lost may still take effect later. The same write with the same
     /// condition is sent again: at most one of the two can hold, and the nonce tells whose it was.
-    fn again(&mut self, lost: bool) -> Step {
-        if let Stage::Audit(after) = &self.stage {
+    fn retry(&mut self, is_reply_lost: bool) -> OperationStep {
+        if let Awaiting::Audit(after) = &self.awaiting {
             // The step itself took effect. Its record follows from the object that it wrote, and the
             // next step on this bundle, or the next roll, writes it before it changes that object.
             return match after {
-                After::Roll(_) => Step::End(Err(DeskError::Down)),
-                After::End(done) => Step::End(Ok(done.clone())),
+                AfterAudit::Roll(_) => OperationStep::Finished(Err(OperationError::StoreDown)),
+                AfterAudit::End(done) => OperationStep::Finished(Ok(done.clone())),
             };
         }
         let is_write = matches!(self.call, StoreCall::Write { .. });
-        self.lost |= is_write && lost;
-        self.tries += 1;
-        match (self.tries < MAX_TRIES, self.lost) {
-            (true, _) if lost || self.lost => Step::Call(self.call.clone()),
-            (_, true) => Step::End(Err(DeskError::Unknown)),
-            (_, false) => Step::End(Err(DeskError::Down)),
+        self.is_write_unconfirmed |= is_write && is_reply_lost;
+        self.attempts += 1;
+        match (self.attempts < MAX_ATTEMPTS, self.is_write_unconfirmed) {
+            (true, _) if is_reply_lost || self.is_write_unconfirmed => {
+                OperationStep::Call(self.call.clone())
+            }
+            (_, true) => OperationStep::Finished(Err(OperationError::OutcomeUnknown)),
+            (_, false) => OperationStep::Finished(Err(OperationError::StoreDown)),
         }
     }
 
-    fn written(&mut self, reply: StoreReply) -> Step {
+    fn on_written(&mut self, reply: StoreReply) -> OperationStep {
         match reply {
-            StoreReply::Written { .. } => self.success(),
-            _ => self.read(Stage::ReadBack, self.call.key().clone()),
+            StoreReply::Written { .. } => self.on_success(),
+            _ => self.read(Awaiting::ReadBack, self.call.key().clone()),
         }
     }
 
     /// Writes the next record, or goes on when none is left.
-    fn audit(&mut self, after: After) -> Step {
+    fn write_audits(&mut self, after: AfterAudit) -> OperationStep {
         if let Some(audit) = self.audits.pop() {
-            self.stage = Stage::Audit(after);
+            self.awaiting = Awaiting::Audit(after);
             self.call = StoreCall::write(audit.key(), Condition::Absent, &audit);
-            return Step::Call(self.call.clone());
+            return OperationStep::Call(self.call.clone());
         }
         match after {
-            After::Roll(next) => self.roll(&next),
-            After::End(done) => Step::End(Ok(done)),
+            AfterAudit::Roll(next) => self.write_current(&next),
+            AfterAudit::End(done) => OperationStep::Finished(Ok(done)),
         }
     }
 
-    fn read(&mut self, stage: Stage, key: impl Into<smol_str::SmolStr>) -> Step {
-        self.stage = stage;
-        self.tries = 0;
+    fn read(&mut self, awaiting: Awaiting, key: impl Into<smol_str::SmolStr>) -> OperationStep {
+        self.awaiting = awaiting;
+        self.attempts = 0;
         self.call = StoreCall::read(key);
-        Step::Call(self.call.clone())
+        OperationStep::Call(self.call.clone())
     }
 
     fn write(
@@ -246,15 +248,15 @@
         key: impl Into<smol_str::SmolStr>,
         condition: Condition,
         value: &impl serde::Serialize,
-    ) -> Step {
-        self.stage = Stage::Write;
-        self.tries = 0;
+    ) -> OperationStep {
+        self.awaiting = Awaiting::Write;
+        self.attempts = 0;
         self.call = StoreCall::write(key, condition, value);
         match &self.call {
             StoreCall::Write { value, .. } if value.len() > MAX_VALUE_BYTES => {
-                Step::End(Err(DeskError::TooLarge(value.len())))
+                OperationStep::Finished(Err(OperationError::TooLarge(value.len())))
             }
-            call => Step::Call(call.clone()),
+            call => OperationStep::Call(call.clone()),
         }
     }
 }
--- a/crates/rollout/src/desk/steps.rs
+++ b/crates/rollout/src/operation/replies.rs
@@ -5,7 +5,10 @@
 use celerypond_bundle::Bundle;
 use celerypond_types::{Digest, Revision};
 
-use super::{After, Desk, DeskError, Done, Request, Stage, Step, KEPT_NONCES};
+use super::{
+    AfterAudit, Awaiting, Operation, OperationError, OperationOutcome, OperationRequest,
+    OperationStep, KEPT_NONCES,
+};
 use crate::{
     moves::moves,
     record::{
@@ -14,25 +17,25 @@
     store::{parse, Condition, StoreReply},
 };
 
-impl Desk {
-    pub(super) fn bundle_read(&mut self, reply: StoreReply) -> Step {
+impl Operation {
+    pub(super) fn on_bundle(&mut self, reply: StoreReply) -> OperationStep {
         let StoreReply::Found { value, .. } = reply else {
-            return Step::End(Err(DeskError::NoBundle(self.digest)));
+            return OperationStep::Finished(Err(OperationError::BundleNotFound(self.digest)));
         };
         let Some(submission) = parse::<Submission>(&value) else {
-            return Step::End(Err(DeskError::Malformed));
+            return OperationStep::Finished(Err(OperationError::Malformed));
         };
         if submission.bundle.digest() != self.digest {
-            return Step::End(Err(DeskError::Malformed));
+            return OperationStep::Finished(Err(OperationError::Malformed));
         }
         self.audits = vec![submission.audit(self.digest)];
-        self.owner = Some(submission.signature.operator);
+        self.submitter = Some(submission.signature.operator);
         self.bundle = Some(submission.bundle);
-        if matches!(self.request, Request::Roll { .. }) {
-            return self.read(Stage::Approval, approval_key(self.digest));
+        if matches!(self.request, OperationRequest::Roll { .. }) {
+            return self.read(Awaiting::Approval, approval_key(self.digest));
         }
-        if self.owner.as_ref() == Some(&self.signature.operator) {
-            return Step::End(Err(DeskError::OwnBundle));
+        if self.submitter.as_ref() == Some(&self.signature.operator) {
+            return OperationStep::Finished(Err(OperationError::SelfApproval));
         }
         let approval = Approval {
             signature: self.signature.clone(),
@@ -42,29 +45,29 @@
         self.write(approval_key(self.digest), Condition::Absent, &approval)
     }
 
-    pub(super) fn approval_read(&mut self, reply: StoreReply) -> Step {
+    pub(super) fn on_approval(&mut self, reply: StoreReply) -> OperationStep {
         let StoreReply::Found { value, .. } = reply else {
-            return Step::End(Err(DeskError::NotApproved(self.digest)));
+            return OperationStep::Finished(Err(OperationError::NotApproved(self.digest)));
         };
         let Some(approval) = parse::<Approval>(&value) else {
-            return Step::End(Err(DeskError::Malformed));
+            return OperationStep::Finished(Err(OperationError::Malformed));
         };
         // An approval that names other content, or the submitter, signs nothing off.
         if approval.digest != self.digest {
-            return Step::End(Err(DeskError::NotApproved(self.digest)));
+            return OperationStep::Finished(Err(OperationError::NotApproved(self.digest)));
         }
-        if Some(&approval.signature.operator) == self.owner.as_ref() {
-            return Step::End(Err(DeskError::OwnBundle));
+        if Some(&approval.signature.operator) == self.submitter.as_ref() {
+            return OperationStep::Finished(Err(OperationError::SelfApproval));
         }
         self.audits.push(approval.audit());
-        self.read(Stage::Current, CURRENT_KEY)
+        self.read(Awaiting::Current, CURRENT_KEY)
     }
 
-    pub(super) fn current_read(&mut self, reply: StoreReply) -> Step {
+    pub(super) fn on_current(&mut self, reply: StoreReply) -> OperationStep {
         self.current = match reply {
             StoreReply::Found { version, value } => match parse::<Current>(&value) {
                 Some(current) => Some((version, current)),
-                None => return Step::End(Err(DeskError::Malformed)),
+                None => return OperationStep::Finished(Err(OperationError::Malformed)),
             },
             _ => None,
         };
@@ -72,33 +75,33 @@
         let found = current.map_or_else(Revision::default, |current| current.revision);
         let is_stale = matches!(
             self.request,
-            Request::Roll { expected: Some(expected), .. } if expected != found
+            OperationRequest::Roll { expected: Some(expected), .. } if expected != found
         );
         if is_stale {
-            return Step::End(Ok(Done::Outrun {
+            return OperationStep::Finished(Ok(OperationOutcome::LostRace {
                 winner: current.cloned(),
             }));
         }
         match current.cloned() {
             Some(current) => {
                 let key = bundle_key(current.digest);
-                self.read(Stage::Previous(current), key)
+                self.read(Awaiting::Previous(current), key)
             }
             None => self.prepare(None, None),
         }
     }
 
-    pub(super) fn previous_read(&mut self, current: &Current, reply: StoreReply) -> Step {
+    pub(super) fn on_previous(&mut self, current: &Current, reply: StoreReply) -> OperationStep {
         let StoreReply::Found { value, .. } = reply else {
-            return Step::End(Err(DeskError::Malformed));
+            return OperationStep::Finished(Err(OperationError::Malformed));
         };
         let Some(previous) = parse::<Submission>(&value) else {
-            return Step::End(Err(DeskError::Malformed));
+            return OperationStep::Finished(Err(OperationError::Malformed));
         };
         self.prepare(Some(current), Some(&previous.bundle))
     }
 
-    fn prepare(&mut self, current: Option<&Current>, previous: Option<&Bundle>) -> Step {
+    fn prepare(&mut self, current: Option<&Current>, previous: Option<&Bundle>) -> OperationStep {
         let mut next = successor(current, self.digest, &self.signature);
         let bundle = self.bundle.as_ref();
         for model in bundle.iter().flat_map(|bundle| &bundle.models) {
@@ -116,10 +119,10 @@
         // daemon that died between a roll and its record would leave a hole in the trail.
         self.audits.extend(current.map(Current::audit));
         self.next = Some(next.clone());
-        self.audit(After::Roll(next))
+        self.write_audits(AfterAudit::Roll(next))
     }
 
-    pub(super) fn roll(&mut self, next: &Current) -> Step {
+    pub(super) fn write_current(&mut self, next: &Current) -> OperationStep {
         let condition = self
             .current
             .as_ref()
@@ -130,50 +133,55 @@
         self.write(CURRENT_KEY, condition, next)
     }
 
-    pub(super) fn success(&mut self) -> Step {
+    pub(super) fn on_success(&mut self) -> OperationStep {
         let done = match &self.request {
-            Request::Submit(_) => Done::Submitted(self.digest, self.signature.clone()),
-            Request::Approve(digest) => Done::Approved(Approval {
+            OperationRequest::Submit(_) => {
+                OperationOutcome::Submitted(self.digest, self.signature.clone())
+            }
+            OperationRequest::Approve(digest) => OperationOutcome::Approved(Approval {
                 signature: self.signature.clone(),
                 digest: *digest,
             }),
-            Request::Roll { .. } => match self.next.clone() {
-                Some(next) => Done::Rolled(next),
-                None => return Step::End(Err(DeskError::Unknown)),
+            OperationRequest::Roll { .. } => match self.next.clone() {
+                Some(next) => OperationOutcome::Rolled(next),
+                None => return OperationStep::Finished(Err(OperationError::OutcomeUnknown)),
             },
         };
-        self.audit(After::End(done))
+        self.write_audits(AfterAudit::End(done))
     }
 
     /// Looks who holds the object that this step could not write.
     ///
     /// The failure: the first write took effect, its reply was lost and the repeat met a conflict.
     /// Without the nonce the operator would be told that they lost a race which they won.
-    pub(super) fn read_back(&mut self, reply: StoreReply) -> Step {
+    pub(super) fn on_read_back(&mut self, reply: StoreReply) -> OperationStep {
         let StoreReply::Found { value, .. } = reply else {
-            return Step::End(Err(DeskError::Unknown));
+            return OperationStep::Finished(Err(OperationError::OutcomeUnknown));
         };
         match &self.request {
-            Request::Submit(_) => match parse::<Submission>(&value) {
-                Some(found) if found.signature == self.signature => self.success(),
-                Some(found) => Step::End(Ok(Done::Submitted(self.digest, found.signature.clone()))),
-                None => Step::End(Err(DeskError::Malformed)),
+            OperationRequest::Submit(_) => match parse::<Submission>(&value) {
+                Some(found) if found.signature == self.signature => self.on_success(),
+                Some(found) => OperationStep::Finished(Ok(OperationOutcome::Submitted(
+                    self.digest,
+                    found.signature.clone(),
+                ))),
+                None => OperationStep::Finished(Err(OperationError::Malformed)),
             },
-            Request::Approve(_) => match parse::<Approval>(&value) {
-                Some(found) if found.signature == self.signature => self.success(),
-                Some(found) => Step::End(Ok(Done::Approved(found))),
-                None => Step::End(Err(DeskError::Malformed)),
+            OperationRequest::Approve(_) => match parse::<Approval>(&value) {
+                Some(found) if found.signature == self.signature => self.on_success(),
+                Some(found) => OperationStep::Finished(Ok(OperationOutcome::Approved(found))),
+                None => OperationStep::Finished(Err(OperationError::Malformed)),
             },
-            Request::Roll { .. } => match parse::<Current>(&value) {
-                Some(found) => self.judge(found),
-                None => Step::End(Err(DeskError::Malformed)),
+            OperationRequest::Roll { .. } => match parse::<Current>(&value) {
+                Some(found) => self.resolve_roll(found),
+                None => OperationStep::Finished(Err(OperationError::Malformed)),
             },
         }
     }
 
-    fn judge(&mut self, found: Current) -> Step {
+    fn resolve_roll(&mut self, found: Current) -> OperationStep {
         if found.nonces.contains(&self.signature.nonce) {
-            return self.success();
+            return self.on_success();
         }
         let base = self
             .current
@@ -181,13 +189,13 @@
             .map_or(0, |(_, current)| current.revision.0);
         if found.revision.0 <= base {
             // The condition failed, so a later revision exists and this read was stale.
-            return self.again(true);
+            return self.retry(true);
         }
-        let is_forgotten = found.revision.0.saturating_sub(base) > KEPT_NONCES as u64;
-        if self.lost && is_forgotten {
-            return Step::End(Err(DeskError::Unknown));
+        let is_nonce_dropped = found.revision.0.saturating_sub(base) > KEPT_NONCES as u64;
+        if self.is_write_unconfirmed && is_nonce_dropped {
+            return OperationStep::Finished(Err(OperationError::OutcomeUnknown));
         }
-        Step::End(Ok(Done::Outrun {
+        OperationStep::Finished(Ok(OperationOutcome::LostRace {
             winner: Some(found),
         }))
     }
--- a/crates/rollout/tests/fake_store.rs
+++ b/crates/rollout/tests/fake_store.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 
 use celerypond_rollout::{
-    Condition, Desk, DeskError, Done, Request, Signature, Step, StoreCall, StoreReply,
+    Condition, Operation, OperationError, OperationOutcome, OperationRequest, OperationStep,
+    Signature, StoreCall, StoreReply,
 };
 use rand::{rngs::SmallRng, Rng};
 use smol_str::SmolStr;
@@ -78,14 +79,14 @@
     /// Runs one step to its end without faults.
     pub(crate) fn run(
         &mut self,
-        request: Request,
+        request: OperationRequest,
         signature: Signature,
-    ) -> Result<Done, DeskError> {
-        let (mut desk, mut step) = Desk::begin(request, signature);
+    ) -> Result<OperationOutcome, OperationError> {
+        let (mut operation, mut step) = Operation::begin(request, signature);
         loop {
             match step {
-                Step::Call(call) => step = desk.reply(self.call(&call)),
-                Step::End(end) => return end,
+                OperationStep::Call(call) => step = operation.reply(self.call(&call)),
+                OperationStep::Finished(end) => return end,
             }
         }
     }
--- a/crates/rollout/tests/runner.rs
+++ b/crates/rollout/tests/runner.rs
@@ -2,9 +2,9 @@
 
 mod fake_fleet;
 mod fake_store;
-mod test_desk;
 mod test_in_force;
 mod test_merge;
 mod test_moves;
+mod test_operation;
 mod test_rollout;
 mod test_scripts;
--- a/crates/rollout/tests/test_in_force.rs
+++ b/crates/rollout/tests/test_in_force.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use celerypond_rollout::{
-    bundle_key, is_watcher, parse, BodyError, Condition, Current, Headline, InForce, Request,
-    Source, StoreCall, StoreReply, Submission, CURRENT_KEY,
+    bundle_key, is_watcher, parse, BodyError, Condition, Current, Headline, InForce,
+    OperationRequest, Source, StoreCall, StoreReply, Submission, CURRENT_KEY,
 };
 use celerypond_types::{InstanceName, Revision};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -13,7 +13,7 @@
 
 use crate::{
     fake_store::FakeStore,
-    test_desk::{approved, bundle, roll, signed},
+    test_operation::{approved, bundle, roll, signed},
 };
 
 const TICK: Duration = Duration::from_millis(50);
@@ -256,10 +256,16 @@
         let digest = bundle.digest();
         let nonce = 10 * at as u64;
         store
-            .run(Request::Submit(Box::new(bundle)), signed("aigul", nonce))
+            .run(
+                OperationRequest::Submit(Box::new(bundle)),
+                signed("aigul", nonce),
+            )
             .unwrap();
         store
-            .run(Request::Approve(digest), signed("bolat", nonce + 1))
+            .run(
+                OperationRequest::Approve(digest),
+                signed("bolat", nonce + 1),
+            )
             .unwrap();
         store.run(roll(digest), signed("dana", nonce + 2)).unwrap();
         let current: Current = parse(&store.objects[CURRENT_KEY].1).unwrap();
--- a/crates/rollout/tests/test_moves.rs
+++ b/crates/rollout/tests/test_moves.rs
@@ -3,7 +3,7 @@
 use celerypond_bundle::{Bundle, Model, Share, Version};
 use celerypond_rollout::moves;
 
-use crate::test_desk::bundle;
+use crate::test_operation::bundle;
 
 fn version(name: &str) -> Version {
     Version {
--- a/crates/rollout/tests/test_desk.rs
+++ b/crates/rollout/tests/test_operation.rs
@@ -2,8 +2,8 @@
 
 use celerypond_bundle::{Bundle, FORMAT};
 use celerypond_rollout::{
-    approval_key, parse, Action, Audit, Current, Desk, DeskError, Done, Request, Signature, Step,
-    StoreCall, StoreReply, AUDIT_PREFIX, CURRENT_KEY,
+    approval_key, parse, Action, Audit, Current, Operation, OperationError, OperationOutcome,
+    OperationRequest, OperationStep, Signature, StoreCall, StoreReply, AUDIT_PREFIX, CURRENT_KEY,
 };
 use celerypond_types::{Digest, Revision};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -30,8 +30,8 @@
     }
 }
 
-pub(crate) fn roll(digest: Digest) -> Request {
-    Request::Roll {
+pub(crate) fn roll(digest: Digest) -> OperationRequest {
+    OperationRequest::Roll {
         digest,
         expected: None,
     }
@@ -45,10 +45,13 @@
         let bundle = bundle(title);
         let digest = bundle.digest();
         let nonce = 2 * at as u64;
-        let submit = Request::Submit(Box::new(bundle));
+        let submit = OperationRequest::Submit(Box::new(bundle));
         store.run(submit, signed("aigul", nonce)).unwrap();
         store
-            .run(Request::Approve(digest), signed("bolat", nonce + 1))
+            .run(
+                OperationRequest::Approve(digest),
+                signed("bolat", nonce + 1),
+            )
             .unwrap();
         digests.push(digest);
     }
@@ -71,7 +74,7 @@
     let done = store.run(roll(digests[0]), signed("dana", 9)).unwrap();
     assert!(matches!(
         done,
-        Done::Rolled(Current {
+        OperationOutcome::Rolled(Current {
             revision: Revision(1),
             ..
         })
@@ -93,20 +96,20 @@
 }
 
 #[rstest]
-#[case::by_the_submitter(Request::Approve(bundle("a").digest()), "aigul", DeskError::OwnBundle)]
+#[case::by_the_submitter(OperationRequest::Approve(bundle("a").digest()), "aigul", OperationError::SelfApproval)]
 #[case::of_nothing(
-    Request::Approve(Digest::of(b"")),
+    OperationRequest::Approve(Digest::of(b"")),
     "bolat",
-    DeskError::NoBundle(Digest::of(b""))
+    OperationError::BundleNotFound(Digest::of(b""))
 )]
-#[case::without_approval(roll(bundle("a").digest()), "dana", DeskError::NotApproved(bundle("a").digest()))]
+#[case::without_approval(roll(bundle("a").digest()), "dana", OperationError::NotApproved(bundle("a").digest()))]
 fn a_step_that_is_not_signed_off_is_refused(
-    #[case] request: Request,
+    #[case] request: OperationRequest,
     #[case] operator: &str,
-    #[case] error: DeskError,
+    #[case] error: OperationError,
 ) {
     let mut store = FakeStore::default();
-    let submit = Request::Submit(Box::new(bundle("a")));
+    let submit = OperationRequest::Submit(Box::new(bundle("a")));
     store.run(submit, signed("aigul", 1)).unwrap();
     assert_eq!(store.run(request, signed(operator, 2)), Err(error));
     assert!(!store.objects.contains_key(CURRENT_KEY));
@@ -120,7 +123,7 @@
     let seen = store.objects[&approval_key(digests[0])].clone();
     store.objects.insert(approval_key(digests[1]), seen);
     let end = store.run(roll(digests[1]), signed("dana", 9));
-    assert_eq!(end, Err(DeskError::NotApproved(digests[1])));
+    assert_eq!(end, Err(OperationError::NotApproved(digests[1])));
 }
 
 #[test]
@@ -140,28 +143,30 @@
 /// Runs steps of several operators with their calls interleaved; a killed step just stops.
 fn interleave(
     store: &mut FakeStore,
-    requests: &[(Request, Signature)],
+    requests: &[(OperationRequest, Signature)],
     faults: Faults,
     killed: f64,
     rng: &mut SmallRng,
-) -> Vec<Option<Result<Done, DeskError>>> {
+) -> Vec<Option<Result<OperationOutcome, OperationError>>> {
     let mut ends = vec![None; requests.len()];
-    let mut open: Vec<(usize, Desk, StoreCall)> = Vec::new();
+    let mut open: Vec<(usize, Operation, StoreCall)> = Vec::new();
     for (at, (request, signature)) in requests.iter().enumerate() {
-        let (desk, step) = Desk::begin(request.clone(), signature.clone());
-        let Step::Call(call) = step else { panic!() };
-        open.push((at, desk, call));
+        let (operation, step) = Operation::begin(request.clone(), signature.clone());
+        let OperationStep::Call(call) = step else {
+            panic!()
+        };
+        open.push((at, operation, call));
     }
     while !open.is_empty() {
-        let (at, mut desk, call) = open.swap_remove(rng.random_range(0..open.len()));
+        let (at, mut operation, call) = open.swap_remove(rng.random_range(0..open.len()));
         if rng.random_bool(killed) {
             store.call(&call);
             continue;
         }
         let reply = store.faulty(&call, faults, rng);
-        match desk.reply(reply) {
-            Step::Call(call) => open.push((at, desk, call)),
-            Step::End(end) => ends[at] = Some(end),
+        match operation.reply(reply) {
+            OperationStep::Call(call) => open.push((at, operation, call)),
+            OperationStep::Finished(end) => ends[at] = Some(end),
         }
     }
     ends
@@ -193,12 +198,16 @@
             let ends = interleave(&mut store, &requests, faults, 0.02, &mut rng);
             for (end, (_, signature)) in ends.iter().zip(&requests) {
                 match end {
-                    Some(Ok(Done::Rolled(_))) => (won.push((true, signature.nonce)), rolled += 1).1,
-                    Some(Ok(Done::Outrun { .. }) | Err(DeskError::Down)) => {
+                    Some(Ok(OperationOutcome::Rolled(_))) => {
+                        (won.push((true, signature.nonce)), rolled += 1).1
+                    }
+                    Some(
+                        Ok(OperationOutcome::LostRace { .. }) | Err(OperationError::StoreDown),
+                    ) => {
                         won.push((false, signature.nonce));
                         outrun += 1;
                     }
-                    Some(Err(DeskError::Unknown)) | None => unknown += 1,
+                    Some(Err(OperationError::OutcomeUnknown)) | None => unknown += 1,
                     other => panic!("seed {seed}: {other:?}"),
                 }
             }
@@ -236,11 +245,13 @@
     let (mut store, digests) = approved(&["old", "mine", "theirs"]);
     store.run(roll(digests[0]), signed("dana", 50)).unwrap();
     let old = store.clone().call(&StoreCall::read(CURRENT_KEY));
-    let (mut desk, mut step) = Desk::begin(roll(digests[1]), signed("dana", 51));
+    let (mut operation, mut step) = Operation::begin(roll(digests[1]), signed("dana", 51));
     let mut stale = Some(old);
     let mut conflicts = 0;
     let end = loop {
-        let Step::Call(call) = step else { break step };
+        let OperationStep::Call(call) = step else {
+            break step;
+        };
         if call.key() == CURRENT_KEY && matches!(call, StoreCall::Write { .. }) {
             store.run(roll(digests[2]), signed("erlan", 52)).unwrap();
         }
@@ -251,9 +262,9 @@
             store.call(&call)
         };
         conflicts += u32::from(reply == StoreReply::Conflict && call.key() == CURRENT_KEY);
-        step = desk.reply(reply);
+        step = operation.reply(reply);
     };
-    let Step::End(Ok(Done::Outrun {
+    let OperationStep::Finished(Ok(OperationOutcome::LostRace {
         winner: Some(winner),
     })) = end
     else {
--- a/daemon/src/front/operator.rs
+++ b/daemon/src/front/operator.rs
@@ -4,8 +4,9 @@
 
 use celerypond_bundle::Bundle;
 use celerypond_rollout::{
-    bundle_key, parse, Audit, Current, Desk, DeskError, Done, Request, Signature, Spread, Step,
-    StoreCall, StoreReply, Submission, AUDIT_PREFIX,
+    bundle_key, parse, Audit, Current, Operation, OperationError, OperationOutcome,
+    OperationRequest, OperationStep, Signature, Spread, StoreCall, StoreReply, Submission,
+    AUDIT_PREFIX,
 };
 use celerypond_types::{Digest, Revision};
 use gotham::hyper::StatusCode;
@@ -73,7 +74,7 @@
             let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
             Problem::new(Kind::BadRequest, lines.join("\n"))
         })?;
-        Ok(Request::Submit(Box::new(bundle)))
+        Ok(OperationRequest::Submit(Box::new(bundle)))
     })
     .await
 }
@@ -82,7 +83,7 @@
 pub async fn approve(node: Arc<Node>, call: Call) -> Reply {
     step(node, call, |text| {
         let approve: Approve = read_json(text)?;
-        Ok(Request::Approve(approve.digest))
+        Ok(OperationRequest::Approve(approve.digest))
     })
     .await
 }
@@ -91,7 +92,7 @@
 pub async fn roll(node: Arc<Node>, call: Call) -> Reply {
     step(node, call, |text| {
         let roll: Roll = read_json(text)?;
-        Ok(Request::Roll {
+        Ok(OperationRequest::Roll {
             digest: roll.digest,
             expected: roll.expected,
         })
@@ -162,16 +163,22 @@
     match store::call(&node.platform, &node.metrics, &read).await {
         StoreReply::Found { value, .. } => parse::<Submission>(&value)
             .map(|submission| submission.bundle)
-            .ok_or_else(|| Problem::new(Kind::Incomplete, DeskError::Malformed)),
-        StoreReply::Missing => Err(Problem::new(Kind::NotFound, DeskError::NoBundle(digest))),
-        _ => Err(come_back(Problem::new(Kind::NotRun, DeskError::Down))),
+            .ok_or_else(|| Problem::new(Kind::Incomplete, OperationError::Malformed)),
+        StoreReply::Missing => Err(Problem::new(
+            Kind::NotFound,
+            OperationError::BundleNotFound(digest),
+        )),
+        _ => Err(come_back(Problem::new(
+            Kind::NotRun,
+            OperationError::StoreDown,
+        ))),
     }
 }
 
 async fn step(
     node: Arc<Node>,
     call: Call,
-    request: impl FnOnce(&[u8]) -> Result<Request, Problem>,
+    request: impl FnOnce(&[u8]) -> Result<OperationRequest, Problem>,
 ) -> Reply {
     let result = async {
         let operator = auth::operator(&node, &call.headers)?;
@@ -184,7 +191,7 @@
         let request = request(&text)?;
         run(&node, request, signature)
             .await
-            .map_err(|error| desk_problem(&error))
+            .map_err(|error| operation_problem(&error))
     };
     match result.await {
         Ok(done) => reply(&node, done).await,
@@ -192,45 +199,49 @@
     }
 }
 
-async fn run(node: &Node, request: Request, signature: Signature) -> Result<Done, DeskError> {
-    let (mut desk, mut step) = Desk::begin(request, signature);
+async fn run(
+    node: &Node,
+    request: OperationRequest,
+    signature: Signature,
+) -> Result<OperationOutcome, OperationError> {
+    let (mut operation, mut step) = Operation::begin(request, signature);
     loop {
         match step {
-            Step::Call(call) => {
+            OperationStep::Call(call) => {
                 let reply = store::call(&node.platform, &node.metrics, &call).await;
-                step = desk.reply(reply);
+                step = operation.reply(reply);
             }
-            Step::End(end) => return end,
+            OperationStep::Finished(end) => return end,
         }
     }
 }
 
-async fn reply(node: &Arc<Node>, done: Done) -> Reply {
+async fn reply(node: &Arc<Node>, done: OperationOutcome) -> Reply {
     match done {
-        Done::Submitted(digest, signature) => {
+        OperationOutcome::Submitted(digest, signature) => {
             let operator = signature.operator.to_string();
             problem::json(StatusCode::OK, &Submitted { digest, operator })
         }
-        Done::Approved(approval) => problem::json(StatusCode::OK, &approval),
-        Done::Rolled(current) => {
+        OperationOutcome::Approved(approval) => problem::json(StatusCode::OK, &approval),
+        OperationOutcome::Rolled(current) => {
             // The roll is accepted whether or not this instance can read it back now.
             watch::ask_store(node).await;
             problem::json(StatusCode::OK, &current)
         }
-        Done::Outrun { winner } => {
+        OperationOutcome::LostRace { winner } => {
             problem::json(StatusCode::CONFLICT, &Outrun { outrun_by: winner })
         }
     }
 }
 
-fn desk_problem(error: &DeskError) -> Problem {
+fn operation_problem(error: &OperationError) -> Problem {
     let kind = match error {
-        DeskError::Down => Kind::NotRun,
-        DeskError::Unknown => Kind::Unknown,
-        DeskError::NoBundle(_) => Kind::NotFound,
-        DeskError::OwnBundle | DeskError::NotApproved(_) => Kind::Conflict,
-        DeskError::TooLarge(_) => Kind::TooLarge,
-        DeskError::Malformed => Kind::Incomplete,
+        OperationError::StoreDown => Kind::NotRun,
+        OperationError::OutcomeUnknown => Kind::Unknown,
+        OperationError::BundleNotFound(_) => Kind::NotFound,
+        OperationError::SelfApproval | OperationError::NotApproved(_) => Kind::Conflict,
+        OperationError::TooLarge(_) => Kind::TooLarge,
+        OperationError::Malformed => Kind::Incomplete,
     };
     come_back(Problem::new(kind, error))
 }
