--- a/bench/src/rollout.rs
+++ b/bench/src/rollout.rs
@@ -11,7 +11,9 @@
 
 use std::{collections::BTreeMap, thread, time::Instant};
 
-use celerypond_rollout::{Method, Move, Part, Phase, RolloutController, Route, Trial, WHOLE_PPM};
+use celerypond_rollout::{
+    Method, ModelPart, Phase, RolloutController, Route, ShareIncrease, Trial, WHOLE_PPM,
+};
 use celerypond_types::InstanceName;
 
 use self::fake_fleet::{FakeFleet, Kind, Outcome, Setting, Trouble, Way};
@@ -213,14 +215,14 @@
         .collect();
     let setting = holding();
     let models = [setting.model()];
-    let change = Move {
+    let change = ShareIncrease {
         candidate: fake_fleet::candidate(),
         base: "v1".into(),
         from_ppm: 0,
         to_ppm: WHOLE_PPM,
         engines: 10,
     };
-    let part = Part {
+    let part = ModelPart {
         origin: fake_fleet::ORIGIN,
         rolled_ms: 0,
         moves: vec![change],
--- a/crates/rollout/src/acting.rs
+++ b/crates/rollout/src/acting.rs
@@ -5,7 +5,7 @@
 use celerypond_types::{InstanceName, Revision};
 use serde::{Deserialize, Serialize};
 
-use crate::moves::Candidate;
+use crate::share_increase::Candidate;
 
 /// What an instance does with one version under rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/rollout/src/brake.rs
+++ b/crates/rollout/src/brake.rs
@@ -5,7 +5,7 @@
 use celerypond_types::{ModelName, Revision};
 use serde::{Deserialize, Serialize};
 
-use crate::{moves::Candidate, record::Part, verdict::Cause};
+use crate::{record::ModelPart, share_increase::Candidate, verdict::Cause};
 
 /// The versions braked so far; entries are only ever added, so merges need no order and no store.
 ///
@@ -18,7 +18,7 @@
 /// let bad = Candidate { model: "draft".into(), version: "v2".into() };
 /// let mut mine = Brakes::default();
 /// let mut theirs = Brakes::default();
-/// theirs.trip(Revision(3), bad.clone(), Cause::Failures);
+/// theirs.insert(Revision(3), bad.clone(), Cause::Failures);
 /// assert!(mine.merge(&theirs));
 /// assert!(mine.cause(Revision(3), &bad).is_some());
 /// ```
@@ -36,9 +36,9 @@
 
 impl Brakes {
     /// Adds a version; returns whether it was not braked yet.
-    pub fn trip(&mut self, origin: Revision, candidate: Candidate, cause: Cause) -> bool {
-        let is_it = |entry: &&mut Entry| entry.origin == origin && entry.candidate == candidate;
-        if let Some(entry) = self.entries.iter_mut().find(is_it) {
+    pub fn insert(&mut self, origin: Revision, candidate: Candidate, cause: Cause) -> bool {
+        let is_same = |entry: &&mut Entry| entry.origin == origin && entry.candidate == candidate;
+        if let Some(entry) = self.entries.iter_mut().find(is_same) {
             // Two instances may trip for different causes; all settle on one of them.
             entry.cause = entry.cause.min(cause);
             return false;
@@ -55,19 +55,19 @@
     pub fn merge(&mut self, other: &Self) -> bool {
         let mut is_new = false;
         for entry in &other.entries {
-            is_new |= self.trip(entry.origin, entry.candidate.clone(), entry.cause);
+            is_new |= self.insert(entry.origin, entry.candidate.clone(), entry.cause);
         }
         is_new
     }
 
     /// Returns why a version is braked, if it is.
     pub fn cause(&self, origin: Revision, candidate: &Candidate) -> Option<Cause> {
-        let is_it = |entry: &&Entry| entry.origin == origin && entry.candidate == *candidate;
-        self.entries.iter().find(is_it).map(|entry| entry.cause)
+        let is_same = |entry: &&Entry| entry.origin == origin && entry.candidate == *candidate;
+        self.entries.iter().find(is_same).map(|entry| entry.cause)
     }
 
     /// Drops the entries that later bundles released, by the parts of the bundle in force.
-    pub fn release(&mut self, parts: &BTreeMap<ModelName, Part>) {
+    pub fn remove_superseded(&mut self, parts: &BTreeMap<ModelName, ModelPart>) {
         self.entries.retain(|entry| {
             let part = parts.get(&entry.candidate.model);
             part.is_some_and(|part| part.origin <= entry.origin)
@@ -76,7 +76,7 @@
 
     /// Returns the entries that fulfil a condition.
     #[must_use]
-    pub fn only(&self, holds: impl Fn(Revision, &Candidate) -> bool) -> Self {
+    pub fn filtered(&self, holds: impl Fn(Revision, &Candidate) -> bool) -> Self {
         let kept = self
             .entries
             .iter()
--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -13,12 +13,12 @@
     brake::Brakes,
     evidence::{Evidence, Report, Subject},
     judge::Judge,
-    move_record::MoveRecord,
-    moves::{Candidate, Move},
-    record::Part,
+    record::ModelPart,
     rollout::{Phase, Rollout},
+    share_increase::{Candidate, ShareIncrease},
     splitter::Splitter,
     verdict::{Cause, Method},
+    version_rollout::VersionRollout,
 };
 
 /// What instances tell each other about rollouts, beside reports and their own actions.
@@ -40,7 +40,7 @@
     incarnation: u64,
     sequence: u64,
     method: Method,
-    parts: BTreeMap<ModelName, Part>,
+    parts: BTreeMap<ModelName, ModelPart>,
     live: Vec<InstanceName>,
     rollouts: BTreeMap<Revision, Rollout>,
     brakes: Brakes,
@@ -86,12 +86,12 @@
     }
 
     /// Takes the parts of the bundle that has come into force.
-    pub fn set_parts(&mut self, parts: BTreeMap<ModelName, Part>) {
+    pub fn set_parts(&mut self, parts: BTreeMap<ModelName, ModelPart>) {
         for (origin, change) in self.changes() {
             let share = self.local_share(origin, &change);
             self.last.insert(change.candidate, share);
         }
-        self.brakes.release(&parts);
+        self.brakes.remove_superseded(&parts);
         let named = parts
             .iter()
             .map(|(model, part)| subject(part.origin, model));
@@ -146,7 +146,7 @@
         for record in &rollout.moves {
             if let Phase::Braking { cause } | Phase::TakenBack { cause } = record.phase {
                 let candidate = record.change.candidate.clone();
-                self.brakes.trip(rollout.origin, candidate, cause);
+                self.brakes.insert(rollout.origin, candidate, cause);
             }
         }
         self.rollouts.insert(rollout.origin, rollout);
@@ -160,7 +160,7 @@
         if self.promised.contains(&key) && self.brakes.cause(origin, &candidate).is_none() {
             return self.objections.insert(key, cause).is_none();
         }
-        self.brakes.trip(origin, candidate, cause)
+        self.brakes.insert(origin, candidate, cause)
     }
 
     /// Returns whether a peer has told what it knows since the start.
@@ -216,8 +216,8 @@
     }
 
     /// Returns the rises of shares that the bundle in force asks for.
-    fn changes(&self) -> Vec<(Revision, Move)> {
-        let of_part = |part: &Part| {
+    fn changes(&self) -> Vec<(Revision, ShareIncrease)> {
+        let of_part = |part: &ModelPart| {
             let origin = part.origin;
             part.moves
                 .clone()
@@ -227,7 +227,7 @@
         self.parts.values().flat_map(of_part).collect()
     }
 
-    fn record(&self, origin: Revision, candidate: &Candidate) -> Option<&MoveRecord> {
+    fn record(&self, origin: Revision, candidate: &Candidate) -> Option<&VersionRollout> {
         self.rollouts.get(&origin)?.find(candidate)
     }
 }
--- a/crates/rollout/src/controller/evaluation.rs
+++ b/crates/rollout/src/controller/evaluation.rs
@@ -9,12 +9,12 @@
 use crate::{
     acting::{Acting, ActingMove},
     judge::Judge,
-    move_record::MoveRecord,
-    moves::{Candidate, Move},
     plan::{plan, Demand},
-    rollout::{Phase, Rollout, View},
+    rollout::{Phase, Rollout, StepContext},
+    share_increase::{Candidate, ShareIncrease},
     standing::Standing,
     verdict::Engines,
+    version_rollout::VersionRollout,
 };
 
 /// How many engines of the base an instance assumes when the bundle names none.
@@ -25,7 +25,7 @@
     /// Weighs all evidence; returns whether a brake was tripped, which peers must hear at once.
     ///
     /// Call it after each failure as well as now and then: the evidence is strongest right after one.
-    pub fn evaluate(&mut self, base_engines: impl Fn(&Move) -> u32, now_ms: u64) -> bool {
+    pub fn evaluate(&mut self, base_engines: impl Fn(&ShareIncrease) -> u32, now_ms: u64) -> bool {
         for report in self.own.values() {
             self.evidence.merge(report.clone());
         }
@@ -61,7 +61,7 @@
             if self.promised.contains(&key) {
                 self.objections.insert(key, verdict.cause);
             } else {
-                is_new |= self.brakes.trip(origin, candidate, verdict.cause);
+                is_new |= self.brakes.insert(origin, candidate, verdict.cause);
             }
         }
         is_new
@@ -90,13 +90,18 @@
         acting
     }
 
-    fn acting_move(&mut self, origin: Revision, change: Move, base_open: u32) -> ActingMove {
+    fn acting_move(
+        &mut self,
+        origin: Revision,
+        change: ShareIncrease,
+        base_open: u32,
+    ) -> ActingMove {
         let share_ppm = self.local_share(origin, &change);
         let candidate = change.candidate;
         let key = (origin, candidate.clone());
         let braked = self.brakes.cause(origin, &candidate).is_some();
         let record = self.record(origin, &candidate);
-        let stage = record.map_or(0, MoveRecord::stage);
+        let stage = record.map_or(0, VersionRollout::stage);
         if record.is_some_and(|record| record.phase == Phase::Closing) && !braked {
             self.promised.insert(key.clone());
         }
@@ -141,7 +146,7 @@
                 let part = self.parts.get(&candidate.model);
                 part.is_some_and(|part| part.origin > origin)
             };
-            rollout.next(&view, answers, objection, superseded)
+            rollout.next_step(&view, answers, objection, superseded)
         }));
         due
     }
@@ -158,8 +163,8 @@
         Standing::of(origin, self.record(origin, candidate), &view, is_fresh)
     }
 
-    fn view(&self, is_listed: bool, now_ms: u64) -> View<'_> {
-        View {
+    fn view(&self, is_listed: bool, now_ms: u64) -> StepContext<'_> {
+        StepContext {
             me: &self.me,
             now_ms,
             live: is_listed.then_some(self.live.as_slice()),
@@ -194,7 +199,7 @@
                 .or_insert((part.rolled_ms, Vec::new()));
             entry.1.extend(part.moves.iter().map(|change| {
                 let from_ppm = self.local_share(part.origin, change);
-                let change = Move {
+                let change = ShareIncrease {
                     from_ppm,
                     ..change.clone()
                 };
@@ -208,7 +213,7 @@
         found.into_iter().map(record).collect()
     }
 
-    pub(super) fn is_running(&self, origin: Revision, record: &MoveRecord) -> bool {
+    pub(super) fn is_running(&self, origin: Revision, record: &VersionRollout) -> bool {
         let candidate = &record.change.candidate;
         let part = self.parts.get(&candidate.model);
         let is_current = part.is_some_and(|part| part.origin == origin);
--- a/crates/rollout/src/controller/traffic.rs
+++ b/crates/rollout/src/controller/traffic.rs
@@ -8,10 +8,10 @@
 use super::{subject, RolloutController};
 use crate::{
     evidence::{Report, Subject, Trial},
-    moves::{shares, Candidate, Move},
     plan::MAX_WITNESSES,
     rank::rank,
     rollout::{sender_role, Phase},
+    share_increase::{configured_shares, Candidate, ShareIncrease},
     tally::{Failure, Trials},
 };
 
@@ -39,7 +39,7 @@
         let changes = part.map_or(&[][..], |part| part.moves.as_slice());
         let origin = part.map_or_else(Revision::default, |part| part.origin);
         let base = changes.first().map_or(&model.base, |change| &change.base);
-        let mut wanted = shares(model);
+        let mut wanted = configured_shares(model);
         for change in changes {
             let share = self.local_share(origin, change);
             wanted.insert(change.candidate.version.clone(), share);
@@ -49,7 +49,7 @@
     }
 
     /// Returns the part of its requests that this instance sends to a version under rollout.
-    pub fn local_share(&self, origin: Revision, change: &Move) -> u32 {
+    pub fn local_share(&self, origin: Revision, change: &ShareIncrease) -> u32 {
         let candidate = &change.candidate;
         if self.brakes.cause(origin, candidate).is_some() {
             return 0;
--- a/crates/rollout/src/operation/replies.rs
+++ b/crates/rollout/src/operation/replies.rs
@@ -10,10 +10,10 @@
     OperationStep, KEPT_NONCES,
 };
 use crate::{
-    moves::moves,
     record::{
-        approval_key, bundle_key, Approval, Current, Part, Signature, Submission, CURRENT_KEY,
+        approval_key, bundle_key, Approval, Current, ModelPart, Signature, Submission, CURRENT_KEY,
     },
+    share_increase::share_increases,
     store::{parse, Condition, StoreReply},
 };
 
@@ -108,10 +108,10 @@
             let before = previous.and_then(|bundle| bundle.model(&model.name));
             let part = current.and_then(|current| current.parts.get(&model.name));
             let part = part.filter(|_| before == Some(model)).cloned();
-            let part = part.unwrap_or_else(|| Part {
+            let part = part.unwrap_or_else(|| ModelPart {
                 origin: next.revision,
                 rolled_ms: next.signature.at_ms,
-                moves: moves(before, model),
+                moves: share_increases(before, model),
             });
             next.parts.insert(model.name.clone(), part);
         }
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{moves::Move, splitter::WHOLE_PPM};
+use crate::{share_increase::ShareIncrease, splitter::WHOLE_PPM};
 
 /// The local share that early stages aim at, so that few instances gather evidence quickly.
 const LOCAL_PPM: u32 = 250_000;
@@ -91,9 +91,9 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use celerypond_rollout::{Candidate, Demand, Move, STEPS, plan};
+/// use celerypond_rollout::{Candidate, Demand, ShareIncrease, STEPS, plan};
 ///
-/// let change = Move {
+/// let change = ShareIncrease {
 ///     candidate: Candidate { model: "draft".into(), version: "v2".into() },
 ///     base: "v1".into(),
 ///     from_ppm: 0,
@@ -110,7 +110,7 @@
 /// let shares: Vec<_> = stages.iter().map(|stage| stage.share_ppm / 10_000).collect();
 /// assert_eq!(shares, [2, 10, 30, 60, 90, 100]);
 /// ```
-pub fn plan(change: &Move, demand: &Demand, steps: &[StageStep]) -> Vec<Stage> {
+pub fn plan(change: &ShareIncrease, demand: &Demand, steps: &[StageStep]) -> Vec<Stage> {
     let is_whole = change.to_ppm == WHOLE_PPM;
     let drain = if is_whole {
         demand.answer
@@ -183,7 +183,7 @@
     (count < live && share_ppm < LOCAL_PPM).then_some(count)
 }
 
-fn engines(stage: usize, share_ppm: u32, change: &Move) -> u32 {
+fn engines(stage: usize, share_ppm: u32, change: &ShareIncrease) -> u32 {
     let part = u64::from(change.engines) * u64::from(share_ppm);
     let needed = part.div_ceil(u64::from(change.to_ppm.max(1))) as u32;
     let least = if stage == 0 { MIN_ENGINES } else { 1 };
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use smol_str::{format_smolstr, SmolStr};
 
-use crate::moves::Move;
+use crate::share_increase::ShareIncrease;
 
 /// The key of the object that names the bundle in force.
 pub const CURRENT_KEY: &str = "current";
@@ -55,13 +55,13 @@
 
 /// Since when a model's part of the bundle is what it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct ModelPart {
     /// The revision at which it changed last.
     pub origin: Revision,
     /// The wall clock at that roll, in milliseconds since 1970.
     pub rolled_ms: u64,
     /// The rises of shares that it asked for.
-    pub moves: Vec<Move>,
+    pub moves: Vec<ShareIncrease>,
 }
 
 /// The bundle in force; the value of `current`.
@@ -80,7 +80,7 @@
     /// A bundle that leaves a model as it was must not restart the rollout of that model, nor
     /// release its brake. An instance that starts later learns from here what is being rolled out.
     #[serde(default)]
-    pub parts: BTreeMap<ModelName, Part>,
+    pub parts: BTreeMap<ModelName, ModelPart>,
     /// The nonces of the latest rolls, newest first, by which a lost reply is resolved.
     pub nonces: Vec<u64>,
 }
@@ -158,7 +158,7 @@
     /// The digest of the bundle.
     pub digest: Digest,
     /// Since when each model's part is what it is.
-    pub parts: BTreeMap<ModelName, Part>,
+    pub parts: BTreeMap<ModelName, ModelPart>,
 }
 
 impl Current {
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -7,10 +7,10 @@
 use crate::{
     acting::Roster,
     brake::Brakes,
-    move_record::MoveRecord,
-    moves::{Candidate, Move},
     plan::Stage,
+    share_increase::{Candidate, ShareIncrease},
     verdict::Cause,
+    version_rollout::VersionRollout,
 };
 
 /// Returns the key of a rollout's record.
@@ -71,12 +71,12 @@
     /// The instance that made the last step.
     pub by: InstanceName,
     /// The versions.
-    pub moves: Vec<MoveRecord>,
+    pub moves: Vec<VersionRollout>,
 }
 
 /// What an instance knows when it looks for the next step.
 #[derive(Clone, Copy, Debug)]
-pub struct View<'a> {
+pub struct StepContext<'a> {
     /// The instance.
     pub me: &'a InstanceName,
     /// The wall clock in milliseconds since 1970.
@@ -95,11 +95,11 @@
         origin: Revision,
         rolled_ms: u64,
         by: InstanceName,
-        moves: Vec<(Move, Vec<Stage>, u64)>,
+        moves: Vec<(ShareIncrease, Vec<Stage>, u64)>,
         live: &[InstanceName],
     ) -> Self {
         let record = |(change, stages, deadline_ms)| {
-            let mut record = MoveRecord {
+            let mut record = VersionRollout {
                 change,
                 stages,
                 deadline_ms,
@@ -108,7 +108,7 @@
                 senders: None,
                 local_ppm: 0,
             };
-            record.enter(0, origin, live);
+            record.enter_stage(0, origin, live);
             record
         };
         Self {
@@ -126,9 +126,9 @@
     /// instance sees but has promised not to brake for, and `superseded` whether a later bundle has
     /// another part for the model. The caller writes the result under the condition that the record
     /// has not changed; whoever loses that race just looks again.
-    pub fn next(
+    pub fn next_step(
         &self,
-        view: &View<'_>,
+        view: &StepContext<'_>,
         answers: impl Fn(&Candidate) -> u64,
         objection: impl Fn(&Candidate) -> Option<Cause>,
         superseded: impl Fn(&Candidate) -> bool,
@@ -140,7 +140,7 @@
                 continue;
             }
             if superseded(&candidate) {
-                record.turn(Phase::Superseded, view.now_ms);
+                record.set_phase(Phase::Superseded, view.now_ms);
                 continue;
             }
             let cause = view
@@ -164,7 +164,7 @@
     }
 
     /// Finds the rollout of a version.
-    pub fn find(&self, candidate: &Candidate) -> Option<&MoveRecord> {
+    pub fn find(&self, candidate: &Candidate) -> Option<&VersionRollout> {
         self.moves
             .iter()
             .find(|record| record.change.candidate == *candidate)
--- a/crates/rollout/src/moves.rs
+++ b/crates/rollout/src/share_increase.rs
@@ -21,7 +21,7 @@
 
 /// A rise of a version's share, to be made in stages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Move {
+pub struct ShareIncrease {
     /// The version whose share rises.
     pub candidate: Candidate,
     /// The version that it is compared with and that takes its traffic back.
@@ -35,7 +35,7 @@
 }
 
 /// Returns the share of each version of a model, in parts per million.
-pub fn shares(model: &Model) -> BTreeMap<VersionName, u32> {
+pub fn configured_shares(model: &Model) -> BTreeMap<VersionName, u32> {
     let mut shares = BTreeMap::new();
     let mut rest = WHOLE_PPM;
     for share in &model.shares {
@@ -52,18 +52,18 @@
 ///
 /// A model without an earlier form has nothing to be compared with and comes into force at once. A
 /// version that was the base before is known and needs no stages either.
-pub fn moves(previous: Option<&Model>, next: &Model) -> Vec<Move> {
+pub fn share_increases(previous: Option<&Model>, next: &Model) -> Vec<ShareIncrease> {
     let Some(previous) = previous else {
         return Vec::new();
     };
-    let before = shares(previous);
+    let before = configured_shares(previous);
     let share_before = |version: &VersionName| before.get(version).copied().unwrap_or(0);
-    let rises = shares(next)
+    let rises = configured_shares(next)
         .into_iter()
         .filter(|(version, ppm)| *version != previous.base && *ppm > share_before(version));
     rises
-        .map(|(version, to_ppm)| Move {
-            base: leader(previous, &before, next, &version),
+        .map(|(version, to_ppm)| ShareIncrease {
+            base: traffic_leader(previous, &before, next, &version),
             from_ppm: share_before(&version),
             to_ppm,
             engines: engines(next, &version),
@@ -79,7 +79,7 @@
 ///
 /// The failure: a model was moved from v1 to v2 by a share, and the next bundle, which no longer has v1,
 /// moves it to v3. With v1 as the base, all requests but the first stage's would have no engine.
-fn leader(
+fn traffic_leader(
     previous: &Model,
     before: &BTreeMap<VersionName, u32>,
     next: &Model,
--- a/crates/rollout/src/standing.rs
+++ b/crates/rollout/src/standing.rs
@@ -5,9 +5,9 @@
 
 use crate::{
     acting::Spread,
-    move_record::MoveRecord,
-    rollout::{Phase, View},
+    rollout::{Phase, StepContext},
     verdict::Cause,
+    version_rollout::VersionRollout,
 };
 
 /// What is known of a rollout; never more than the store has recorded.
@@ -48,11 +48,11 @@
     /// overtaken, and claiming it would be a guess.
     pub fn of(
         origin: Revision,
-        record: Option<&MoveRecord>,
-        view: &View<'_>,
+        record: Option<&VersionRollout>,
+        view: &StepContext<'_>,
         is_fresh: bool,
     ) -> Self {
-        let spread = |record: &MoveRecord| {
+        let spread = |record: &VersionRollout| {
             let live = view.live?;
             Some(record.spread(origin, view.roster, live))
         };
--- a/crates/rollout/src/move_record.rs
+++ b/crates/rollout/src/version_rollout.rs
@@ -5,19 +5,19 @@
 
 use crate::{
     acting::{ActingMove, Roster, Spread},
-    moves::Move,
     plan::{local_ppm, Stage},
     rank::rank,
-    rollout::{sender_role, Phase, View},
+    rollout::{sender_role, Phase, StepContext},
+    share_increase::ShareIncrease,
     splitter::WHOLE_PPM,
     verdict::Cause,
 };
 
 /// The rollout of one version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MoveRecord {
+pub struct VersionRollout {
     /// What is to change.
-    pub change: Move,
+    pub change: ShareIncrease,
     /// The stages.
     pub stages: Vec<Stage>,
     /// When the final share must act everywhere, as wall clock in milliseconds since 1970.
@@ -32,7 +32,7 @@
     pub local_ppm: u32,
 }
 
-impl MoveRecord {
+impl VersionRollout {
     /// Returns the stage that the phase belongs to.
     pub fn stage(&self) -> u8 {
         match self.phase {
@@ -68,7 +68,7 @@
         &mut self,
         origin: Revision,
         rolled_ms: u64,
-        view: &View<'_>,
+        view: &StepContext<'_>,
         cause: Option<Cause>,
         answers: u64,
     ) {
@@ -81,54 +81,54 @@
         };
         match (self.phase, cause) {
             (Phase::Stage { .. } | Phase::Closing, Some(cause)) => {
-                self.turn(Phase::Braking { cause }, view.now_ms);
+                self.set_phase(Phase::Braking { cause }, view.now_ms);
             }
             (Phase::Stage { stage }, None) => {
-                self.leave(stage, origin, rolled_ms, view, answers, is_full(self));
+                self.advance_stage(stage, origin, rolled_ms, view, answers, is_full(self));
             }
-            (Phase::Closing, None) if is_full(self) => self.turn(Phase::Done, view.now_ms),
+            (Phase::Closing, None) if is_full(self) => self.set_phase(Phase::Done, view.now_ms),
             (Phase::Braking { cause }, _) if is_full(self) => {
-                self.turn(Phase::TakenBack { cause }, view.now_ms);
+                self.set_phase(Phase::TakenBack { cause }, view.now_ms);
             }
             _ => {}
         }
     }
 
     /// Leaves a stage when its time is over, or gives up when the deadline can't be met.
-    fn leave(
+    fn advance_stage(
         &mut self,
         stage: u8,
         origin: Revision,
         rolled_ms: u64,
-        view: &View<'_>,
+        view: &StepContext<'_>,
         answers: u64,
         is_full: bool,
     ) {
         let current = &self.stages[usize::from(stage)];
         let is_last = usize::from(stage) + 1 == self.stages.len();
-        let is_over = view.now_ms >= rolled_ms + current.until_ms;
-        let is_proved = answers >= current.answers;
+        let is_time_over = view.now_ms >= rolled_ms + current.until_ms;
+        let has_enough_answers = answers >= current.answers;
         if is_last {
             // Past the deadline the final share stays: taking back a version that showed no fault
             // only because one instance can't be heard would be worse than to report late.
-            if is_over && is_proved && is_full {
-                self.turn(Phase::Closing, view.now_ms);
+            if is_time_over && has_enough_answers && is_full {
+                self.set_phase(Phase::Closing, view.now_ms);
             }
             return;
         }
         if view.now_ms >= self.deadline_ms {
-            let cause = if is_proved {
+            let cause = if has_enough_answers {
                 Cause::Deadline
             } else {
                 Cause::TooLittleEvidence
             };
-            self.turn(Phase::Braking { cause }, view.now_ms);
+            self.set_phase(Phase::Braking { cause }, view.now_ms);
             return;
         }
         let Some(live) = view.live else { return };
-        if is_over && is_proved {
-            self.turn(Phase::Stage { stage: stage + 1 }, view.now_ms);
-            self.enter(stage + 1, origin, live);
+        if is_time_over && has_enough_answers {
+            self.set_phase(Phase::Stage { stage: stage + 1 }, view.now_ms);
+            self.enter_stage(stage + 1, origin, live);
         } else if self
             .senders
             .iter()
@@ -136,11 +136,11 @@
             .any(|sender| !live.contains(sender))
         {
             // A sender that died took its part of the evidence along; others take its place.
-            self.enter(stage, origin, live);
+            self.enter_stage(stage, origin, live);
         }
     }
 
-    pub(crate) fn enter(&mut self, stage: u8, origin: Revision, live: &[InstanceName]) {
+    pub(crate) fn enter_stage(&mut self, stage: u8, origin: Revision, live: &[InstanceName]) {
         let Some(stage) = self.stages.get(usize::from(stage)) else {
             return;
         };
@@ -150,7 +150,7 @@
         self.local_ppm = local_ppm(stage, live.len() as u32);
     }
 
-    pub(crate) fn turn(&mut self, phase: Phase, now_ms: u64) {
+    pub(crate) fn set_phase(&mut self, phase: Phase, now_ms: u64) {
         self.phase = phase;
         self.since_ms = now_ms;
     }
--- a/crates/rollout/tests/fake_fleet.rs
+++ b/crates/rollout/tests/fake_fleet.rs
@@ -8,9 +8,9 @@
 
 use celerypond_bundle::{Model, Share, Version};
 use celerypond_rollout::{
-    parse, rollout_key, Brakes, Candidate, Cause, Condition, Engines, Failure, Judge, Method, Move,
-    MoveRecord, Part, Phase, Rollout, RolloutController, RolloutSnapshot, Route, Stage, StoreCall,
-    StoreReply, Subject, Trial,
+    parse, rollout_key, Brakes, Candidate, Cause, Condition, Engines, Failure, Judge, Method,
+    ModelPart, Phase, Rollout, RolloutController, RolloutSnapshot, Route, ShareIncrease, Stage,
+    StoreCall, StoreReply, Subject, Trial, VersionRollout,
 };
 use celerypond_types::{InstanceName, Revision, VersionName};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -209,7 +209,7 @@
     requests: Vec<Request>,
     news: Vec<Rc<RolloutSnapshot>>,
     store: FakeStore,
-    parts: BTreeMap<celerypond_types::ModelName, Part>,
+    parts: BTreeMap<celerypond_types::ModelName, ModelPart>,
     oracle: Judge,
     fault_ms: u64,
     heavy: f64,
@@ -231,14 +231,14 @@
     pub(crate) fn new(setting: Setting, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let model = setting.model();
-        let change = Move {
+        let change = ShareIncrease {
             candidate: candidate(),
             base: "v1".into(),
             from_ppm: 0,
             to_ppm: u32::from(setting.percent) * 10_000,
             engines: setting.new_engines as u32,
         };
-        let part = Part {
+        let part = ModelPart {
             origin: ORIGIN,
             rolled_ms: 0,
             moves: vec![change],
@@ -393,7 +393,7 @@
             Trouble::General(is_general) => self.is_general = is_general,
             Trouble::Supersede => {
                 for part in self.parts.values_mut() {
-                    *part = Part {
+                    *part = ModelPart {
                         origin: Revision(3),
                         rolled_ms: self.now,
                         moves: Vec::new(),
@@ -504,7 +504,7 @@
     }
 
     fn count_sent(&mut self, node: usize, is_new: bool) {
-        let stage = self.record(node).map_or(0, MoveRecord::stage);
+        let stage = self.record(node).map_or(0, VersionRollout::stage);
         let share = self.share(node);
         let outcome = &mut self.outcome;
         let entry = outcome.stages.entry(stage).or_default();
@@ -526,7 +526,7 @@
         }
     }
 
-    fn record(&self, node: usize) -> Option<&MoveRecord> {
+    fn record(&self, node: usize) -> Option<&VersionRollout> {
         self.nodes[node]
             .controller
             .rollout(ORIGIN)?
@@ -769,7 +769,7 @@
         }
         self.checked = (self.now, sums.0, sums.1);
         let mut brakes = Brakes::default();
-        brakes.trip(ORIGIN, candidate(), Cause::Failures);
+        brakes.insert(ORIGIN, candidate(), Cause::Failures);
         let news = RolloutSnapshot {
             rollouts: Vec::new(),
             brakes,
--- a/crates/rollout/tests/runner.rs
+++ b/crates/rollout/tests/runner.rs
@@ -4,7 +4,7 @@
 mod fake_store;
 mod test_in_force;
 mod test_merge;
-mod test_moves;
 mod test_operation;
 mod test_rollout;
 mod test_scripts;
+mod test_share_increase;
--- a/crates/rollout/tests/test_in_force.rs
+++ b/crates/rollout/tests/test_in_force.rs
@@ -252,7 +252,7 @@
     let mut store = FakeStore::default();
     let mut origins = Vec::new();
     for (at, (title, percent)) in [("a", 0), ("b", 0), ("c", 50)].into_iter().enumerate() {
-        let bundle = crate::test_moves::with_model(title, "v1", percent);
+        let bundle = crate::test_share_increase::with_model(title, "v1", percent);
         let digest = bundle.digest();
         let nonce = 10 * at as u64;
         store
--- a/crates/rollout/tests/test_merge.rs
+++ b/crates/rollout/tests/test_merge.rs
@@ -49,7 +49,7 @@
         for report in order {
             evidence.merge(report);
             let mut other = Brakes::default();
-            other.trip(Revision(2), candidate(), causes[rng.random_range(0..3)]);
+            other.insert(Revision(2), candidate(), causes[rng.random_range(0..3)]);
             brakes.merge(&other);
         }
         ends.push((evidence, brakes.cause(Revision(2), &candidate())));
--- a/crates/rollout/tests/test_scripts.rs
+++ b/crates/rollout/tests/test_scripts.rs
@@ -4,8 +4,8 @@
 
 use celerypond_bundle::Model;
 use celerypond_rollout::{
-    moves, parse, rollout_key, Condition, Failure, Method, Part, Rollout, RolloutController, Route,
-    StoreCall, StoreReply, Trial,
+    parse, rollout_key, share_increases, Condition, Failure, Method, ModelPart, Rollout,
+    RolloutController, Route, StoreCall, StoreReply, Trial,
 };
 use celerypond_types::{InstanceName, Revision};
 use goldenscript::Context;
@@ -14,7 +14,7 @@
 use crate::{
     fake_fleet::{candidate, ORIGIN},
     fake_store::FakeStore,
-    test_moves::model,
+    test_share_increase::model,
 };
 
 #[derive(Default)]
@@ -43,8 +43,8 @@
         let mut controller =
             RolloutController::new(name.into(), self.incarnation, Method::default());
         let next = &Self::models()[0];
-        let moves = moves(Some(&model("v1", 0)), next);
-        let part = Part {
+        let moves = share_increases(Some(&model("v1", 0)), next);
+        let part = ModelPart {
             origin: ORIGIN,
             rolled_ms: 0,
             moves,
@@ -180,7 +180,7 @@
             )
             .unwrap();
         }
-        let change = moves(Some(&model("v1", 0)), &Self::models()[0]).remove(0);
+        let change = share_increases(Some(&model("v1", 0)), &Self::models()[0]).remove(0);
         for (name, controller) in &self.controllers {
             let share = controller.local_share(ORIGIN, &change) / 10_000;
             let braked = controller.brakes().cause(ORIGIN, &candidate()).is_some();
--- a/crates/rollout/tests/test_moves.rs
+++ b/crates/rollout/tests/test_share_increase.rs
@@ -1,7 +1,7 @@
 //! What a bundle changes in the shares.
 
 use celerypond_bundle::{Bundle, Model, Share, Version};
-use celerypond_rollout::moves;
+use celerypond_rollout::share_increases;
 
 use crate::test_operation::bundle;
 
@@ -51,7 +51,7 @@
         (("v2", 0), ("v2", 50), None),
     ];
     for ((base, percent), (next_base, next_percent), wanted) in cases {
-        let found = moves(Some(&model(base, percent)), &model(next_base, next_percent));
+        let found = share_increases(Some(&model(base, percent)), &model(next_base, next_percent));
         let shares = found.first().map(|found| (found.from_ppm, found.to_ppm));
         assert_eq!(
             shares, wanted,
@@ -61,7 +61,7 @@
             .iter()
             .all(|found| found.candidate.version.as_str() == "v2" && found.engines == 2));
     }
-    assert!(moves(None, &model("v1", 50)).is_empty());
+    assert!(share_increases(None, &model("v1", 50)).is_empty());
 }
 
 // v1 was moved to v2 by a share, and the next bundle, which no longer has v1, moves v2 to v3. With v1
@@ -78,8 +78,11 @@
         }],
         ..model("v2", 0)
     };
-    assert_eq!(moves(Some(&moved), &next)[0].base, "v2".into());
+    assert_eq!(share_increases(Some(&moved), &next)[0].base, "v2".into());
     // A version that has most of the traffic is not its own base.
     let most = model("v1", 60);
-    assert_eq!(moves(Some(&most), &model("v1", 100))[0].base, "v1".into());
+    assert_eq!(
+        share_increases(Some(&most), &model("v1", 100))[0].base,
+        "v1".into()
+    );
 }
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -175,7 +175,7 @@
             version: version.into(),
         };
         let mut brakes = Brakes::default();
-        brakes.trip(brake.revision, candidate, Cause::Failures);
+        brakes.insert(brake.revision, candidate, Cause::Failures);
         let news = RolloutSnapshot {
             rollouts: Vec::new(),
             brakes,
--- a/daemon/src/rollouts/driver.rs
+++ b/daemon/src/rollouts/driver.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use celerypond_fleet::EntryKind;
 use celerypond_platform::{PlatformError, Version};
-use celerypond_rollout::{rank, rollout_key, Move, Rollout};
+use celerypond_rollout::{rank, rollout_key, Rollout, ShareIncrease};
 use celerypond_types::{ModelName, Revision};
 use tokio::time::{self, Instant};
 
@@ -60,7 +60,7 @@
     let (tripped, acting, is_talking) = {
         let mut controller = node.rollouts.controller();
         controller.set_live(&live);
-        let engines = |change: &Move| base_engines(&force, change);
+        let engines = |change: &ShareIncrease| base_engines(&force, change);
         let tripped = controller.evaluate(engines, node::wall_ms());
         let open = lock(&node.rollouts.open);
         let acting = controller.acting(force.revision(), |model, version| {
@@ -166,7 +166,7 @@
     }
 }
 
-fn base_engines(force: &Force, change: &Move) -> u32 {
+fn base_engines(force: &Force, change: &ShareIncrease) -> u32 {
     let model = force.model(&change.candidate.model);
     let versions = model.into_iter().flat_map(|model| &model.versions);
     let base = versions
--- a/daemon/src/rollouts/status.rs
+++ b/daemon/src/rollouts/status.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_rollout::{Cause, MoveRecord, RolloutController, Spread, Standing, Subject};
+use celerypond_rollout::{Cause, RolloutController, Spread, Standing, Subject, VersionRollout};
 use celerypond_types::{InstanceName, ModelName, Revision, VersionName};
 use serde::Serialize;
 
@@ -87,7 +87,7 @@
 
 fn status(
     origin: Revision,
-    record: &MoveRecord,
+    record: &VersionRollout,
     controller: &RolloutController,
     live: &[InstanceName],
     is_fresh: bool,
