--- a/crates/rollout/src/acting.rs
+++ b/crates/rollout/src/applied_state.rs
@@ -9,7 +9,7 @@
 
 /// What an instance does with one version under rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ActingMove {
+pub struct AppliedShare {
     /// The revision of the rollout.
     pub origin: Revision,
     /// The version.
@@ -28,7 +28,7 @@
 
 /// What an instance acts on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Acting {
+pub struct AppliedState {
     /// The instance.
     pub instance: InstanceName,
     /// Tells the runs of a restarted instance apart; rises.
@@ -38,21 +38,21 @@
     /// The revision of the bundle in force.
     pub revision: Revision,
     /// The rollouts.
-    pub moves: Vec<ActingMove>,
+    pub moves: Vec<AppliedShare>,
 }
 
-impl Acting {
+impl AppliedState {
     /// Finds what it does with a version.
-    pub fn find(&self, origin: Revision, candidate: &Candidate) -> Option<&ActingMove> {
-        let is_it =
-            |acting: &&ActingMove| acting.origin == origin && acting.candidate == *candidate;
-        self.moves.iter().find(is_it)
+    pub fn find(&self, origin: Revision, candidate: &Candidate) -> Option<&AppliedShare> {
+        let is_same =
+            |applied: &&AppliedShare| applied.origin == origin && applied.candidate == *candidate;
+        self.moves.iter().find(is_same)
     }
 }
 
 /// How far something has spread over the live instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spread {
+pub struct Coverage {
     /// On how many instances.
     pub on: usize,
     /// Of how many.
@@ -61,9 +61,9 @@
     pub missing: Vec<InstanceName>,
 }
 
-impl Spread {
+impl Coverage {
     /// Returns whether it is on all instances, of which there is one at least.
-    pub fn is_full(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.missing.is_empty() && self.of > 0
     }
 }
@@ -73,52 +73,60 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_rollout::{Acting, Roster};
+/// use celerypond_rollout::{AppliedState, AppliedStates};
 /// use celerypond_types::Revision;
 ///
-/// let mut roster = Roster::default();
-/// roster.merge(Acting {
+/// let mut applied_states = AppliedStates::default();
+/// applied_states.merge(AppliedState {
 ///     instance: "i1".into(),
 ///     incarnation: 1,
 ///     sequence: 1,
 ///     revision: Revision(4),
 ///     moves: Vec::new(),
 /// });
-/// let spread = roster.in_force(Revision(4), &["i1".into(), "i2".into()]);
-/// assert_eq!((spread.on, spread.of), (1, 2));
+/// let coverage = applied_states.bundle_coverage(Revision(4), &["i1".into(), "i2".into()]);
+/// assert_eq!((coverage.on, coverage.of), (1, 2));
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Roster {
-    latest: BTreeMap<InstanceName, Acting>,
+pub struct AppliedStates {
+    latest: BTreeMap<InstanceName, AppliedState>,
 }
 
-impl Roster {
+impl AppliedStates {
     /// Takes the word of an instance; returns whether it is newer than the one held.
-    pub fn merge(&mut self, acting: Acting) -> bool {
-        let order = |acting: &Acting| (acting.incarnation, acting.sequence);
-        let held = self.latest.get(&acting.instance).map(order);
-        let is_newer = held.is_none_or(|held| held < order(&acting));
+    pub fn merge(&mut self, applied: AppliedState) -> bool {
+        let order = |applied: &AppliedState| (applied.incarnation, applied.sequence);
+        let held = self.latest.get(&applied.instance).map(order);
+        let is_newer = held.is_none_or(|held| held < order(&applied));
         if is_newer {
-            self.latest.insert(acting.instance.clone(), acting);
+            self.latest.insert(applied.instance.clone(), applied);
         }
         is_newer
     }
 
     /// Returns the latest word of an instance.
-    pub fn get(&self, instance: &InstanceName) -> Option<&Acting> {
+    pub fn get(&self, instance: &InstanceName) -> Option<&AppliedState> {
         self.latest.get(instance)
     }
 
     /// Returns on how many live instances a bundle is in force.
-    pub fn in_force(&self, revision: Revision, live: &[InstanceName]) -> Spread {
-        self.spread(live, |acting| acting.revision >= revision)
+    pub fn bundle_coverage(&self, revision: Revision, live: &[InstanceName]) -> Coverage {
+        self.coverage(live, |applied| applied.revision >= revision)
     }
 
     /// Returns how many live instances fulfil a condition by their latest word.
-    pub fn spread(&self, live: &[InstanceName], holds: impl Fn(&Acting) -> bool) -> Spread {
-        let is_on = |name: &&InstanceName| self.latest.get(*name).is_some_and(&holds);
-        let missing: Vec<_> = live.iter().filter(|name| !is_on(name)).cloned().collect();
-        Spread {
+    pub fn coverage(
+        &self,
+        live: &[InstanceName],
+        holds: impl Fn(&AppliedState) -> bool,
+    ) -> Coverage {
+        let holds_on = |name: &&InstanceName| self.latest.get(*name).is_some_and(&holds);
+        let missing: Vec<_> = live
+            .iter()
+            .filter(|name| !holds_on(name))
+            .cloned()
+            .collect();
+        Coverage {
             on: live.len() - missing.len(),
             of: live.len(),
             missing,
@@ -126,7 +134,7 @@
     }
 
     /// Drops the words of instances that the list of the platform no longer names.
-    pub fn keep(&mut self, live: &[InstanceName]) {
+    pub fn retain_live(&mut self, live: &[InstanceName]) {
         self.latest.retain(|name, _| live.contains(name));
     }
 }
--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    acting::{Acting, Roster},
+    applied_state::{AppliedState, AppliedStates},
     brake::Brakes,
     evidence::{Evidence, Report, Subject},
     judge::Judge,
@@ -44,7 +44,7 @@
     live: Vec<InstanceName>,
     rollouts: BTreeMap<Revision, Rollout>,
     brakes: Brakes,
-    roster: Roster,
+    applied_states: AppliedStates,
     evidence: Evidence,
     own: BTreeMap<Subject, Report>,
     since_ms: BTreeMap<Subject, u64>,
@@ -70,7 +70,7 @@
             live: Vec::new(),
             rollouts: BTreeMap::new(),
             brakes: Brakes::default(),
-            roster: Roster::default(),
+            applied_states: AppliedStates::default(),
             evidence: Evidence::default(),
             own: BTreeMap::new(),
             since_ms: BTreeMap::new(),
@@ -119,7 +119,7 @@
     pub fn set_live(&mut self, live: &[InstanceName]) {
         self.live = live.to_vec();
         self.witness.clear();
-        self.roster.keep(live);
+        self.applied_states.retain_live(live);
     }
 
     /// Takes news from a peer; returns whether to pass them on at once.
@@ -181,8 +181,8 @@
     }
 
     /// Takes what an instance says it acts on; returns whether it was news.
-    pub fn hear_acting(&mut self, acting: Acting) -> bool {
-        self.roster.merge(acting)
+    pub fn merge_applied_state(&mut self, applied: AppliedState) -> bool {
+        self.applied_states.merge(applied)
     }
 
     /// Takes a report of evidence; returns whether it was news.
@@ -206,8 +206,8 @@
     }
 
     /// Returns what the instances say they act on.
-    pub fn roster(&self) -> &Roster {
-        &self.roster
+    pub fn applied_states(&self) -> &AppliedStates {
+        &self.applied_states
     }
 
     /// Returns the record of a rollout.
--- a/crates/rollout/src/controller/evaluation.rs
+++ b/crates/rollout/src/controller/evaluation.rs
@@ -7,12 +7,12 @@
 
 use super::{subject, RolloutController};
 use crate::{
-    acting::{Acting, ActingMove},
+    applied_state::{AppliedShare, AppliedState},
     judge::Judge,
     plan::{plan, Demand},
+    reported_status::ReportedStatus,
     rollout::{Phase, Rollout, StepContext},
     share_increase::{Candidate, ShareIncrease},
-    standing::Standing,
     verdict::Engines,
     version_rollout::VersionRollout,
 };
@@ -68,34 +68,34 @@
     }
 
     /// Returns what this instance acts on, for peers; `base_open` counts open answers of a version.
-    pub fn acting(
+    pub fn update_applied_state(
         &mut self,
         revision: Revision,
         base_open: impl Fn(&ModelName, &VersionName) -> u32,
-    ) -> Acting {
+    ) -> AppliedState {
         let mut moves = Vec::new();
         for (origin, change) in self.changes() {
             let open = base_open(&change.candidate.model, &change.base);
-            moves.push(self.acting_move(origin, change, open));
+            moves.push(self.applied_share(origin, change, open));
         }
         self.sequence += 1;
-        let acting = Acting {
+        let applied = AppliedState {
             instance: self.me.clone(),
             incarnation: self.incarnation,
             sequence: self.sequence,
             revision,
             moves,
         };
-        self.roster.merge(acting.clone());
-        acting
+        self.applied_states.merge(applied.clone());
+        applied
     }
 
-    fn acting_move(
+    fn applied_share(
         &mut self,
         origin: Revision,
         change: ShareIncrease,
         base_open: u32,
-    ) -> ActingMove {
+    ) -> AppliedShare {
         let share_ppm = self.local_share(origin, &change);
         let candidate = change.candidate;
         let key = (origin, candidate.clone());
@@ -105,7 +105,7 @@
         if record.is_some_and(|record| record.phase == Phase::Closing) && !braked {
             self.promised.insert(key.clone());
         }
-        ActingMove {
+        AppliedShare {
             origin,
             candidate,
             stage,
@@ -128,7 +128,7 @@
         is_listed: bool,
         now_ms: u64,
     ) -> Vec<Rollout> {
-        let view = self.view(is_listed, now_ms);
+        let context = self.context(is_listed, now_ms);
         let mut due = self.missing(models, rate, is_listed);
         due.extend(self.rollouts.values().filter_map(|rollout| {
             let origin = rollout.origin;
@@ -146,29 +146,29 @@
                 let part = self.parts.get(&candidate.model);
                 part.is_some_and(|part| part.origin > origin)
             };
-            rollout.next_step(&view, answers, objection, superseded)
+            rollout.next_step(&context, answers, objection, superseded)
         }));
         due
     }
 
     /// Tells how the rollout of a version stands; `is_fresh` tells whether the store answered lately.
-    pub fn standing(
+    pub fn reported_status(
         &self,
         origin: Revision,
         candidate: &Candidate,
         is_fresh: bool,
         now_ms: u64,
-    ) -> Standing {
-        let view = self.view(is_fresh, now_ms);
-        Standing::of(origin, self.record(origin, candidate), &view, is_fresh)
+    ) -> ReportedStatus {
+        let context = self.context(is_fresh, now_ms);
+        ReportedStatus::of(origin, self.record(origin, candidate), &context, is_fresh)
     }
 
-    fn view(&self, is_listed: bool, now_ms: u64) -> StepContext<'_> {
+    fn context(&self, is_listed: bool, now_ms: u64) -> StepContext<'_> {
         StepContext {
             me: &self.me,
             now_ms,
             live: is_listed.then_some(self.live.as_slice()),
-            roster: &self.roster,
+            applied_states: &self.applied_states,
             brakes: &self.brakes,
         }
     }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! All decisions are pure. The daemon makes the store calls and carries the gossip.
 
-mod acting;
+mod applied_state;
 mod brake;
 mod controller;
 mod evidence;
@@ -14,16 +14,16 @@
 mod plan;
 mod rank;
 mod record;
+mod reported_status;
 mod rollout;
 mod share_increase;
 mod splitter;
-mod standing;
 mod store;
 mod tally;
 mod verdict;
 mod version_rollout;
 
-pub use acting::{Acting, ActingMove, Roster, Spread};
+pub use applied_state::{AppliedShare, AppliedState, AppliedStates, Coverage};
 pub use brake::Brakes;
 pub use controller::{RolloutController, RolloutSnapshot};
 pub use evidence::{Evidence, Incident, Line, Report, Route, Subject, Trial, INCIDENT_MS};
@@ -38,10 +38,10 @@
     approval_key, bundle_key, Action, Approval, Audit, Current, Headline, ModelPart, Signature,
     Submission, AUDIT_PREFIX, CURRENT_KEY,
 };
+pub use reported_status::ReportedStatus;
 pub use rollout::{rollout_key, Phase, Rollout, StepContext};
 pub use share_increase::{configured_shares, share_increases, Candidate, ShareIncrease};
 pub use splitter::{takes, Splitter, WHOLE_PPM};
-pub use standing::Standing;
 pub use store::{parse, Condition, StoreCall, StoreReply, MAX_VALUE_BYTES};
 pub use tally::{Failure, Tally, Trials};
 pub use verdict::{Cause, Engines, Method, Verdict};
--- a/crates/rollout/src/standing.rs
+++ b/crates/rollout/src/reported_status.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    acting::Spread,
+    applied_state::Coverage,
     rollout::{Phase, StepContext},
     verdict::Cause,
     version_rollout::VersionRollout,
@@ -13,7 +13,7 @@
 /// What is known of a rollout; never more than the store has recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
-pub enum Standing {
+pub enum ReportedStatus {
     /// It is at a stage, before its deadline.
     Running {
         /// The stage, from 0.
@@ -36,11 +36,11 @@
         /// The last phase known.
         last: Option<Phase>,
         /// The instances that act on it, if it is known which live.
-        spread: Option<Spread>,
+        spread: Option<Coverage>,
     },
 }
 
-impl Standing {
+impl ReportedStatus {
     /// Tells how a rollout stands by a record and what the instance knows besides.
     ///
     /// `is_fresh` tells whether the record was read from the store lately. An ending that was recorded
@@ -49,12 +49,12 @@
     pub fn of(
         origin: Revision,
         record: Option<&VersionRollout>,
-        view: &StepContext<'_>,
+        context: &StepContext<'_>,
         is_fresh: bool,
     ) -> Self {
-        let spread = |record: &VersionRollout| {
-            let live = view.live?;
-            Some(record.spread(origin, view.roster, live))
+        let coverage = |record: &VersionRollout| {
+            let live = context.live?;
+            Some(record.coverage(origin, context.applied_states, live))
         };
         let Some(record) = record else {
             return Self::NotYetKnown {
@@ -62,11 +62,11 @@
                 spread: None,
             };
         };
-        let is_braked = view
+        let is_braked = context
             .brakes
             .cause(origin, &record.change.candidate)
             .is_some();
-        let is_early = view.now_ms < record.deadline_ms && !is_braked;
+        let is_early = context.now_ms < record.deadline_ms && !is_braked;
         match record.phase {
             Phase::Done => Self::Done,
             Phase::TakenBack { cause } => Self::TakenBack { cause },
@@ -77,7 +77,7 @@
             },
             phase => Self::NotYetKnown {
                 last: Some(phase),
-                spread: spread(record),
+                spread: coverage(record),
             },
         }
     }
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -5,7 +5,7 @@
 use smol_str::{format_smolstr, SmolStr};
 
 use crate::{
-    acting::Roster,
+    applied_state::AppliedStates,
     brake::Brakes,
     plan::Stage,
     share_increase::{Candidate, ShareIncrease},
@@ -84,7 +84,7 @@
     /// The live instances by the platform's list; `None` when the list can't be had.
     pub live: Option<&'a [InstanceName]>,
     /// What instances say they act on.
-    pub roster: &'a Roster,
+    pub applied_states: &'a AppliedStates,
     /// The brakes known.
     pub brakes: &'a Brakes,
 }
@@ -128,7 +128,7 @@
     /// has not changed; whoever loses that race just looks again.
     pub fn next_step(
         &self,
-        view: &StepContext<'_>,
+        context: &StepContext<'_>,
         answers: impl Fn(&Candidate) -> u64,
         objection: impl Fn(&Candidate) -> Option<Cause>,
         superseded: impl Fn(&Candidate) -> bool,
@@ -140,17 +140,17 @@
                 continue;
             }
             if superseded(&candidate) {
-                record.set_phase(Phase::Superseded, view.now_ms);
+                record.set_phase(Phase::Superseded, context.now_ms);
                 continue;
             }
-            let cause = view
+            let cause = context
                 .brakes
                 .cause(self.origin, &candidate)
                 .or(objection(&candidate));
             record.advance(
                 self.origin,
                 self.rolled_ms,
-                view,
+                context,
                 cause,
                 answers(&candidate),
             );
@@ -159,7 +159,7 @@
             return None;
         }
         next.step += 1;
-        next.by = view.me.clone();
+        next.by = context.me.clone();
         Some(next)
     }
 
--- a/crates/rollout/src/version_rollout.rs
+++ b/crates/rollout/src/version_rollout.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    acting::{ActingMove, Roster, Spread},
+    applied_state::{AppliedShare, AppliedStates, Coverage},
     plan::{local_ppm, Stage},
     rank::rank,
     rollout::{sender_role, Phase, StepContext},
@@ -42,53 +42,67 @@
     }
 
     /// Returns how far the condition of the phase is fulfilled over the live instances.
-    pub fn spread(&self, origin: Revision, roster: &Roster, live: &[InstanceName]) -> Spread {
+    pub fn coverage(
+        &self,
+        origin: Revision,
+        applied_states: &AppliedStates,
+        live: &[InstanceName],
+    ) -> Coverage {
         let candidate = &self.change.candidate;
-        let holds = |acting: &ActingMove| match self.phase {
+        let holds = |applied: &AppliedShare| match self.phase {
             Phase::Braking { .. } | Phase::TakenBack { .. } => {
-                acting.braked && acting.share_ppm == 0
+                applied.braked && applied.share_ppm == 0
             }
             Phase::Closing | Phase::Done => {
-                acting.promised && !acting.braked && self.is_final(acting)
+                applied.promised && !applied.braked && self.is_final(applied)
             }
-            _ => !acting.braked && self.is_final(acting),
+            _ => !applied.braked && self.is_final(applied),
         };
-        roster.spread(live, |acting| {
-            acting.find(origin, candidate).is_some_and(holds)
+        applied_states.coverage(live, |applied| {
+            applied.find(origin, candidate).is_some_and(holds)
         })
     }
 
-    fn is_final(&self, acting: &ActingMove) -> bool {
+    fn is_final(&self, applied: &AppliedShare) -> bool {
         let is_whole = self.change.to_ppm == WHOLE_PPM;
-        let is_drained = !is_whole || acting.base_open == 0;
-        acting.share_ppm == self.change.to_ppm && is_drained
+        let is_drained = !is_whole || applied.base_open == 0;
+        applied.share_ppm == self.change.to_ppm && is_drained
     }
 
     pub(crate) fn advance(
         &mut self,
         origin: Revision,
         rolled_ms: u64,
-        view: &StepContext<'_>,
+        context: &StepContext<'_>,
         cause: Option<Cause>,
         answers: u64,
     ) {
-        let is_full = |record: &Self| {
+        let is_complete = |record: &Self| {
             // Without the platform's list nobody knows whom to wait for, so nothing is complete.
-            let spread = view
+            let coverage = context
                 .live
-                .map(|live| record.spread(origin, view.roster, live));
-            spread.is_some_and(|spread| spread.is_full())
+                .map(|live| record.coverage(origin, context.applied_states, live));
+            coverage.is_some_and(|coverage| coverage.is_complete())
         };
         match (self.phase, cause) {
             (Phase::Stage { .. } | Phase::Closing, Some(cause)) => {
-                self.set_phase(Phase::Braking { cause }, view.now_ms);
+                self.set_phase(Phase::Braking { cause }, context.now_ms);
             }
             (Phase::Stage { stage }, None) => {
-                self.advance_stage(stage, origin, rolled_ms, view, answers, is_full(self));
+                self.advance_stage(
+                    stage,
+                    origin,
+                    rolled_ms,
+                    context,
+                    answers,
+                    is_complete(self),
+                );
+            }
+            (Phase::Closing, None) if is_complete(self) => {
+                self.set_phase(Phase::Done, context.now_ms)
             }
-            (Phase::Closing, None) if is_full(self) => self.set_phase(Phase::Done, view.now_ms),
-            (Phase::Braking { cause }, _) if is_full(self) => {
-                self.set_phase(Phase::TakenBack { cause }, view.now_ms);
+            (Phase::Braking { cause }, _) if is_complete(self) => {
+                self.set_phase(Phase::TakenBack { cause }, context.now_ms);
             }
             _ => {}
         }
@@ -100,34 +114,34 @@
         stage: u8,
         origin: Revision,
         rolled_ms: u64,
-        view: &StepContext<'_>,
+        context: &StepContext<'_>,
         answers: u64,
-        is_full: bool,
+        is_complete: bool,
     ) {
         let current = &self.stages[usize::from(stage)];
         let is_last = usize::from(stage) + 1 == self.stages.len();
-        let is_time_over = view.now_ms >= rolled_ms + current.until_ms;
+        let is_time_over = context.now_ms >= rolled_ms + current.until_ms;
         let has_enough_answers = answers >= current.answers;
         if is_last {
             // Past the deadline the final share stays: taking back a version that showed no fault
             // only because one instance can't be heard would be worse than to report late.
-            if is_time_over && has_enough_answers && is_full {
-                self.set_phase(Phase::Closing, view.now_ms);
+            if is_time_over && has_enough_answers && is_complete {
+                self.set_phase(Phase::Closing, context.now_ms);
             }
             return;
         }
-        if view.now_ms >= self.deadline_ms {
+        if context.now_ms >= self.deadline_ms {
             let cause = if has_enough_answers {
                 Cause::Deadline
             } else {
                 Cause::TooLittleEvidence
             };
-            self.set_phase(Phase::Braking { cause }, view.now_ms);
+            self.set_phase(Phase::Braking { cause }, context.now_ms);
             return;
         }
-        let Some(live) = view.live else { return };
+        let Some(live) = context.live else { return };
         if is_time_over && has_enough_answers {
-            self.set_phase(Phase::Stage { stage: stage + 1 }, view.now_ms);
+            self.set_phase(Phase::Stage { stage: stage + 1 }, context.now_ms);
             self.enter_stage(stage + 1, origin, live);
         } else if self
             .senders
--- a/crates/rollout/tests/fake_fleet.rs
+++ b/crates/rollout/tests/fake_fleet.rs
@@ -680,7 +680,9 @@
         }
         let base_open = self.nodes[at].base_open;
         let revision = ORIGIN;
-        self.nodes[at].controller.acting(revision, |_, _| base_open);
+        self.nodes[at]
+            .controller
+            .update_applied_state(revision, |_, _| base_open);
         if self.setting.favourite.is_some() {
             let mean = self.outcome.sent as f64 / self.nodes.len() as f64;
             let relative = self.nodes[at].served as f64 / mean.max(1.0);
@@ -792,9 +794,9 @@
                 .cloned()
                 .collect();
             let names = self.names();
-            let acting: Vec<_> = names
+            let applied: Vec<_> = names
                 .iter()
-                .filter_map(|name| sender.roster().get(name).cloned())
+                .filter_map(|name| sender.applied_states().get(name).cloned())
                 .collect();
             let news = sender.snapshot();
             let receiver = &mut self.nodes[to].controller;
@@ -802,8 +804,8 @@
             for report in reports {
                 receiver.merge_report(report);
             }
-            for acting in acting {
-                receiver.hear_acting(acting);
+            for applied in applied {
+                receiver.merge_applied_state(applied);
             }
         }
     }
--- a/crates/rollout/tests/test_scripts.rs
+++ b/crates/rollout/tests/test_scripts.rs
@@ -116,7 +116,7 @@
         self.controllers
             .get_mut(name)
             .unwrap()
-            .acting(ORIGIN, |_, _| open);
+            .update_applied_state(ORIGIN, |_, _| open);
     }
 
     fn gossip(&mut self, from: &str, to: &str) {
@@ -127,12 +127,12 @@
         for report in sender.evidence().all() {
             receiver.merge_report(report.clone());
         }
-        for acting in self
+        for applied in self
             .live
             .iter()
-            .filter_map(|name| sender.roster().get(name))
+            .filter_map(|name| sender.applied_states().get(name))
         {
-            receiver.hear_acting(acting.clone());
+            receiver.merge_applied_state(applied.clone());
         }
     }
 
@@ -185,9 +185,9 @@
             let share = controller.local_share(ORIGIN, &change) / 10_000;
             let braked = controller.brakes().cause(ORIGIN, &candidate()).is_some();
             let word = controller
-                .roster()
+                .applied_states()
                 .get(&name.as_str().into())
-                .and_then(|acting| acting.find(ORIGIN, &candidate()));
+                .and_then(|applied| applied.find(ORIGIN, &candidate()));
             let promised = word.is_some_and(|word| word.promised);
             let synced = controller.is_synced();
             writeln!(
@@ -236,9 +236,9 @@
             "bad" => return Ok(self.requests(&first, words[1].parse()?, true)),
             "report" => {
                 let controller = &self.controllers[&first];
-                let standing =
-                    controller.standing(ORIGIN, &candidate(), !self.store.down, self.now);
-                return Ok(serde_json::to_string(&standing)?);
+                let status =
+                    controller.reported_status(ORIGIN, &candidate(), !self.store.down, self.now);
+                return Ok(serde_json::to_string(&status)?);
             }
             "status" => return Ok(self.status()),
             name => return Err(format!("no command {name}").into()),
--- a/daemon/src/front/operator.rs
+++ b/daemon/src/front/operator.rs
@@ -4,9 +4,8 @@
 
 use celerypond_bundle::Bundle;
 use celerypond_rollout::{
-    bundle_key, parse, Audit, Current, Operation, OperationError, OperationOutcome,
-    OperationRequest, OperationStep, Signature, Spread, StoreCall, StoreReply, Submission,
-    AUDIT_PREFIX,
+    bundle_key, parse, Audit, Coverage, Current, Operation, OperationError, OperationOutcome,
+    OperationRequest, OperationStep, Signature, StoreCall, StoreReply, Submission, AUDIT_PREFIX,
 };
 use celerypond_types::{Digest, Revision};
 use gotham::hyper::StatusCode;
@@ -56,7 +55,7 @@
     revision: u64,
     digest: Option<Digest>,
     title: Option<String>,
-    in_force: Spread,
+    in_force: Coverage,
     rollout: Option<RolloutStatus>,
     rollouts: Vec<RolloutStatus>,
 }
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -9,7 +9,7 @@
 use celerypond_bundle::Model;
 use celerypond_fleet::{Brake, EntryKind};
 use celerypond_rollout::{
-    witnesses, Acting, Brakes, Candidate, Cause, Method, Report, RolloutController,
+    witnesses, AppliedState, Brakes, Candidate, Cause, Method, Report, RolloutController,
     RolloutSnapshot, Route, Trial,
 };
 use celerypond_types::{InstanceName, ModelName, TargetKey, TargetName, VersionName};
@@ -52,7 +52,7 @@
     open: Mutex<BTreeMap<(ModelName, VersionName), u32>>,
     shares: Shares,
     /// What was last said that this instance acts on, and when.
-    said: Mutex<Option<(Acting, Instant)>>,
+    said: Mutex<Option<(AppliedState, Instant)>>,
     /// When the records in the store were last read.
     read: Mutex<Option<Instant>>,
 }
@@ -194,7 +194,7 @@
 
     /// Takes what other instances say they act on.
     pub fn hear_acting(&self, node: &Node) {
-        let words: Vec<Acting> = {
+        let words: Vec<AppliedState> = {
             let gossip = node.gossip();
             let items = gossip.state().items(EntryKind::Acting);
             items
@@ -203,7 +203,7 @@
         };
         let mut controller = self.controller();
         for word in words {
-            controller.hear_acting(word);
+            controller.merge_applied_state(word);
         }
     }
 
@@ -286,7 +286,7 @@
     }
 
     /// Returns whether others must hear what this instance acts on: it changed, or was long not said.
-    fn is_news(&self, acting: &Acting) -> bool {
+    fn is_news(&self, acting: &AppliedState) -> bool {
         let mut said = lock(&self.said);
         let is_old = said.as_ref().is_none_or(|(last, at)| {
             let is_same = (last.revision, &last.moves) == (acting.revision, &acting.moves);
--- a/daemon/src/rollouts/driver.rs
+++ b/daemon/src/rollouts/driver.rs
@@ -63,7 +63,7 @@
         let engines = |change: &ShareIncrease| base_engines(&force, change);
         let tripped = controller.evaluate(engines, node::wall_ms());
         let open = lock(&node.rollouts.open);
-        let acting = controller.acting(force.revision(), |model, version| {
+        let acting = controller.update_applied_state(force.revision(), |model, version| {
             let key = (model.clone(), version.clone());
             open.get(&key).copied().unwrap_or(0)
         });
--- a/daemon/src/rollouts/status.rs
+++ b/daemon/src/rollouts/status.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use celerypond_rollout::{Cause, RolloutController, Spread, Standing, Subject, VersionRollout};
+use celerypond_rollout::{
+    Cause, Coverage, ReportedStatus, RolloutController, Subject, VersionRollout,
+};
 use celerypond_types::{InstanceName, ModelName, Revision, VersionName};
 use serde::Serialize;
 
@@ -28,7 +30,7 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cause: Option<Cause>,
     /// On how many instances the stage acts.
-    pub acting: Spread,
+    pub acting: Coverage,
     /// When it must be complete, in milliseconds since 1970.
     pub deadline_ms: u64,
     /// What was seen of the version since the roll.
@@ -62,14 +64,21 @@
 
 impl Rollouts {
     /// Returns how the rollouts of the bundle in force stand, and on how many instances it acts.
-    pub fn status(&self, node: &Node) -> (Spread, Vec<RolloutStatus>) {
+    pub fn status(&self, node: &Node) -> (Coverage, Vec<RolloutStatus>) {
         let live = listed(node);
         let is_fresh = lock(&self.read).is_some_and(|at| at.elapsed() < FRESH);
         let controller = self.controller();
         let Some(force) = node.force.load_full() else {
-            return (controller.roster().in_force(Revision(1), &live), Vec::new());
+            return (
+                controller
+                    .applied_states()
+                    .bundle_coverage(Revision(1), &live),
+                Vec::new(),
+            );
         };
-        let in_force = controller.roster().in_force(force.revision(), &live);
+        let in_force = controller
+            .applied_states()
+            .bundle_coverage(force.revision(), &live);
         let parts = force.headline.parts.values();
         let rollouts = parts.filter_map(|part| controller.rollout(part.origin));
         let statuses = rollouts
@@ -97,16 +106,18 @@
         origin,
         model: change.candidate.model.clone(),
     };
-    let standing = controller.standing(origin, &change.candidate, is_fresh, node::wall_ms());
+    let standing = controller.reported_status(origin, &change.candidate, is_fresh, node::wall_ms());
     let (stage, ending, cause) = match standing {
-        Standing::Running { stage, .. } => {
+        ReportedStatus::Running { stage, .. } => {
             let text = format!("stage {} of {}", stage + 1, record.stages.len());
             (text, None, None)
         }
-        Standing::Done => ("done".to_owned(), Some("done"), None),
-        Standing::TakenBack { cause } => ("taken back".to_owned(), Some("taken_back"), Some(cause)),
-        Standing::Superseded => ("superseded".to_owned(), None, None),
-        Standing::NotYetKnown { .. } => ("not yet known".to_owned(), None, None),
+        ReportedStatus::Done => ("done".to_owned(), Some("done"), None),
+        ReportedStatus::TakenBack { cause } => {
+            ("taken back".to_owned(), Some("taken_back"), Some(cause))
+        }
+        ReportedStatus::Superseded => ("superseded".to_owned(), None, None),
+        ReportedStatus::NotYetKnown { .. } => ("not yet known".to_owned(), None, None),
     };
     RolloutStatus {
         model: change.candidate.model.clone(),
@@ -114,7 +125,7 @@
         stage,
         ending,
         cause,
-        acting: record.spread(origin, controller.roster(), live),
+        acting: record.coverage(origin, controller.applied_states(), live),
         deadline_ms: record.deadline_ms,
         candidate: Seen::of(controller, &subject, &change.candidate.version),
         base: Seen::of(controller, &subject, &change.base),
