--- a/crates/rollout/src/agent.rs
+++ b/crates/rollout/src/controller.rs
@@ -1,6 +1,6 @@
 //! What one instance knows of all rollouts and does about them.
 
-mod judging;
+mod evaluation;
 mod traffic;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,21 +9,21 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    acting::{Acting, Roster},
+    applied_state::{AppliedState, AppliedStates},
     brake::Brakes,
     evidence::{Evidence, Report, Subject},
     judge::Judge,
-    move_record::MoveRecord,
-    moves::{Candidate, Move},
-    record::Part,
+    record::ModelPart,
     rollout::{Phase, Rollout},
+    share_increase::{Candidate, ShareIncrease},
     splitter::Splitter,
     verdict::{Cause, Method},
+    version_rollout::VersionRollout,
 };
 
 /// What instances tell each other about rollouts, beside reports and their own actions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct RolloutSnapshot {
     /// The records known.
     pub rollouts: Vec<Rollout>,
     /// The brakes known. They travel with the records, so that nobody learns of a stage from someone
@@ -35,16 +35,16 @@
 ///
 /// The daemon feeds it what it hears and sees, and asks it which version takes the next request.
 #[derive(Clone, Debug)]
-pub struct Agent {
+pub struct RolloutController {
     me: InstanceName,
     incarnation: u64,
     sequence: u64,
     method: Method,
-    parts: BTreeMap<ModelName, Part>,
+    parts: BTreeMap<ModelName, ModelPart>,
     live: Vec<InstanceName>,
     rollouts: BTreeMap<Revision, Rollout>,
     brakes: Brakes,
-    roster: Roster,
+    applied_states: AppliedStates,
     evidence: Evidence,
     own: BTreeMap<Subject, Report>,
     since_ms: BTreeMap<Subject, u64>,
@@ -58,7 +58,7 @@
     is_synced: bool,
 }
 
-impl Agent {
+impl RolloutController {
     /// Makes the side of an instance; `incarnation` must rise with each restart.
     pub fn new(me: InstanceName, incarnation: u64, method: Method) -> Self {
         Self {
@@ -70,7 +70,7 @@
             live: Vec::new(),
             rollouts: BTreeMap::new(),
             brakes: Brakes::default(),
-            roster: Roster::default(),
+            applied_states: AppliedStates::default(),
             evidence: Evidence::default(),
             own: BTreeMap::new(),
             since_ms: BTreeMap::new(),
@@ -86,12 +86,12 @@
     }
 
     /// Takes the parts of the bundle that has come into force.
-    pub fn set_parts(&mut self, parts: BTreeMap<ModelName, Part>) {
+    pub fn set_parts(&mut self, parts: BTreeMap<ModelName, ModelPart>) {
         for (origin, change) in self.changes() {
-            let share = self.share(origin, &change);
+            let share = self.local_share(origin, &change);
             self.last.insert(change.candidate, share);
         }
-        self.brakes.release(&parts);
+        self.brakes.remove_superseded(&parts);
         let named = parts
             .iter()
             .map(|(model, part)| subject(part.origin, model));
@@ -111,7 +111,7 @@
     }
 
     /// Takes how much traffic for a model this instance gets, relative to the mean over all instances.
-    pub fn set_traffic(&mut self, model: ModelName, relative: f64) {
+    pub fn set_relative_traffic(&mut self, model: ModelName, relative: f64) {
         self.traffic.insert(model, relative);
     }
 
@@ -119,26 +119,26 @@
     pub fn set_live(&mut self, live: &[InstanceName]) {
         self.live = live.to_vec();
         self.witness.clear();
-        self.roster.keep(live);
+        self.applied_states.retain_live(live);
     }
 
     /// Takes news from a peer; returns whether to pass them on at once.
-    pub fn hear(&mut self, news: &News) -> bool {
+    pub fn merge_snapshot(&mut self, news: &RolloutSnapshot) -> bool {
         self.is_synced = true;
         let mut is_new = false;
         for rollout in &news.rollouts {
-            is_new |= self.hear_store(rollout.clone());
+            is_new |= self.merge_rollout(rollout.clone());
         }
         for (origin, change) in self.changes() {
             if let Some(cause) = news.brakes.cause(origin, &change.candidate) {
-                is_new |= self.hear_brake(origin, change.candidate, cause);
+                is_new |= self.merge_brake(origin, change.candidate, cause);
             }
         }
         is_new
     }
 
     /// Takes a record that was read from, or written to, the store; returns whether it is newer.
-    pub fn hear_store(&mut self, rollout: Rollout) -> bool {
+    pub fn merge_rollout(&mut self, rollout: Rollout) -> bool {
         let held = self.rollouts.get(&rollout.origin);
         if held.is_some_and(|held| held.step >= rollout.step) {
             return false;
@@ -146,21 +146,21 @@
         for record in &rollout.moves {
             if let Phase::Braking { cause } | Phase::TakenBack { cause } = record.phase {
                 let candidate = record.change.candidate.clone();
-                self.brakes.trip(rollout.origin, candidate, cause);
+                self.brakes.insert(rollout.origin, candidate, cause);
             }
         }
         self.rollouts.insert(rollout.origin, rollout);
         true
     }
 
-    fn hear_brake(&mut self, origin: Revision, candidate: Candidate, cause: Cause) -> bool {
+    fn merge_brake(&mut self, origin: Revision, candidate: Candidate, cause: Cause) -> bool {
         // After its promise an instance changes its mind only through the store. Otherwise the report
         // "done" could be written while some instance has just begun to take back.
         let key = (origin, candidate.clone());
         if self.promised.contains(&key) && self.brakes.cause(origin, &candidate).is_none() {
             return self.objections.insert(key, cause).is_none();
         }
-        self.brakes.trip(origin, candidate, cause)
+        self.brakes.insert(origin, candidate, cause)
     }
 
     /// Returns whether a peer has told what it knows since the start.
@@ -173,25 +173,25 @@
     }
 
     /// Returns what to tell peers.
-    pub fn news(&self) -> News {
-        News {
+    pub fn snapshot(&self) -> RolloutSnapshot {
+        RolloutSnapshot {
             rollouts: self.rollouts.values().cloned().collect(),
             brakes: self.brakes.clone(),
         }
     }
 
     /// Takes what an instance says it acts on; returns whether it was news.
-    pub fn hear_acting(&mut self, acting: Acting) -> bool {
-        self.roster.merge(acting)
+    pub fn merge_applied_state(&mut self, applied: AppliedState) -> bool {
+        self.applied_states.merge(applied)
     }
 
     /// Takes a report of evidence; returns whether it was news.
-    pub fn hear_report(&mut self, report: Report) -> bool {
+    pub fn merge_report(&mut self, report: Report) -> bool {
         self.evidence.merge(report)
     }
 
     /// Returns the own reports, for peers.
-    pub fn reports(&self) -> impl Iterator<Item = &Report> {
+    pub fn own_reports(&self) -> impl Iterator<Item = &Report> {
         self.own.values()
     }
 
@@ -206,8 +206,8 @@
     }
 
     /// Returns what the instances say they act on.
-    pub fn roster(&self) -> &Roster {
-        &self.roster
+    pub fn applied_states(&self) -> &AppliedStates {
+        &self.applied_states
     }
 
     /// Returns the record of a rollout.
@@ -216,8 +216,8 @@
     }
 
     /// Returns the rises of shares that the bundle in force asks for.
-    fn changes(&self) -> Vec<(Revision, Move)> {
-        let of_part = |part: &Part| {
+    fn changes(&self) -> Vec<(Revision, ShareIncrease)> {
+        let of_part = |part: &ModelPart| {
             let origin = part.origin;
             part.moves
                 .clone()
@@ -227,7 +227,7 @@
         self.parts.values().flat_map(of_part).collect()
     }
 
-    fn record(&self, origin: Revision, candidate: &Candidate) -> Option<&MoveRecord> {
+    fn record(&self, origin: Revision, candidate: &Candidate) -> Option<&VersionRollout> {
         self.rollouts.get(&origin)?.find(candidate)
     }
 }
--- a/crates/rollout/src/agent/judging.rs
+++ b/crates/rollout/src/controller/evaluation.rs
@@ -5,27 +5,27 @@
 use celerypond_bundle::Model;
 use celerypond_types::{ModelName, Revision, VersionName};
 
-use super::{subject, Agent};
+use super::{subject, RolloutController};
 use crate::{
-    acting::{Acting, ActingMove},
+    applied_state::{AppliedShare, AppliedState},
     judge::Judge,
-    move_record::MoveRecord,
-    moves::{Candidate, Move},
     plan::{plan, Demand},
-    rollout::{Phase, Rollout, View},
-    standing::Standing,
+    reported_status::ReportedStatus,
+    rollout::{Phase, Rollout, StepContext},
+    share_increase::{Candidate, ShareIncrease},
     verdict::Engines,
+    version_rollout::VersionRollout,
 };
 
 /// How many engines of the base an instance assumes when the bundle names none.
 const MIN_BASE_ENGINES: u32 = 1;
 const MS_PER_S: u64 = 1_000;
 
-impl Agent {
+impl RolloutController {
     /// Weighs all evidence; returns whether a brake was tripped, which peers must hear at once.
     ///
     /// Call it after each failure as well as now and then: the evidence is strongest right after one.
-    pub fn weigh(&mut self, base_engines: impl Fn(&Move) -> u32, now_ms: u64) -> bool {
+    pub fn evaluate(&mut self, base_engines: impl Fn(&ShareIncrease) -> u32, now_ms: u64) -> bool {
         for report in self.own.values() {
             self.evidence.merge(report.clone());
         }
@@ -56,51 +56,56 @@
                     self.method,
                 )
             });
-            let verdict = judge.weigh(&self.evidence, stage, engines, now_ms);
+            let verdict = judge.evaluate(&self.evidence, stage, engines, now_ms);
             let Some(verdict) = verdict else { continue };
             if self.promised.contains(&key) {
                 self.objections.insert(key, verdict.cause);
             } else {
-                is_new |= self.brakes.trip(origin, candidate, verdict.cause);
+                is_new |= self.brakes.insert(origin, candidate, verdict.cause);
             }
         }
         is_new
     }
 
     /// Returns what this instance acts on, for peers; `base_open` counts open answers of a version.
-    pub fn acting(
+    pub fn update_applied_state(
         &mut self,
         revision: Revision,
         base_open: impl Fn(&ModelName, &VersionName) -> u32,
-    ) -> Acting {
+    ) -> AppliedState {
         let mut moves = Vec::new();
         for (origin, change) in self.changes() {
             let open = base_open(&change.candidate.model, &change.base);
-            moves.push(self.acting_move(origin, change, open));
+            moves.push(self.applied_share(origin, change, open));
         }
         self.sequence += 1;
-        let acting = Acting {
+        let applied = AppliedState {
             instance: self.me.clone(),
             incarnation: self.incarnation,
             sequence: self.sequence,
             revision,
             moves,
         };
-        self.roster.merge(acting.clone());
-        acting
+        self.applied_states.merge(applied.clone());
+        applied
     }
 
-    fn acting_move(&mut self, origin: Revision, change: Move, base_open: u32) -> ActingMove {
-        let share_ppm = self.share(origin, &change);
+    fn applied_share(
+        &mut self,
+        origin: Revision,
+        change: ShareIncrease,
+        base_open: u32,
+    ) -> AppliedShare {
+        let share_ppm = self.local_share(origin, &change);
         let candidate = change.candidate;
         let key = (origin, candidate.clone());
         let braked = self.brakes.cause(origin, &candidate).is_some();
         let record = self.record(origin, &candidate);
-        let stage = record.map_or(0, MoveRecord::stage);
+        let stage = record.map_or(0, VersionRollout::stage);
         if record.is_some_and(|record| record.phase == Phase::Closing) && !braked {
             self.promised.insert(key.clone());
         }
-        ActingMove {
+        AppliedShare {
             origin,
             candidate,
             stage,
@@ -116,14 +121,14 @@
     /// A new record is to be written if absent, a next step if the record has not changed.
     /// `is_listed` tells whether the list of live instances could be had lately, and `rate` gives the
     /// requests a second for a model.
-    pub fn due(
+    pub fn due_records(
         &self,
         models: &[Model],
         rate: impl Fn(&ModelName) -> f64,
         is_listed: bool,
         now_ms: u64,
     ) -> Vec<Rollout> {
-        let view = self.view(is_listed, now_ms);
+        let context = self.context(is_listed, now_ms);
         let mut due = self.missing(models, rate, is_listed);
         due.extend(self.rollouts.values().filter_map(|rollout| {
             let origin = rollout.origin;
@@ -141,29 +146,29 @@
                 let part = self.parts.get(&candidate.model);
                 part.is_some_and(|part| part.origin > origin)
             };
-            rollout.next(&view, answers, objection, superseded)
+            rollout.next_step(&context, answers, objection, superseded)
         }));
         due
     }
 
     /// Tells how the rollout of a version stands; `is_fresh` tells whether the store answered lately.
-    pub fn standing(
+    pub fn reported_status(
         &self,
         origin: Revision,
         candidate: &Candidate,
         is_fresh: bool,
         now_ms: u64,
-    ) -> Standing {
-        let view = self.view(is_fresh, now_ms);
-        Standing::of(origin, self.record(origin, candidate), &view, is_fresh)
+    ) -> ReportedStatus {
+        let context = self.context(is_fresh, now_ms);
+        ReportedStatus::of(origin, self.record(origin, candidate), &context, is_fresh)
     }
 
-    fn view(&self, is_listed: bool, now_ms: u64) -> View<'_> {
-        View {
+    fn context(&self, is_listed: bool, now_ms: u64) -> StepContext<'_> {
+        StepContext {
             me: &self.me,
             now_ms,
             live: is_listed.then_some(self.live.as_slice()),
-            roster: &self.roster,
+            applied_states: &self.applied_states,
             brakes: &self.brakes,
         }
     }
@@ -193,8 +198,8 @@
                 .entry(part.origin)
                 .or_insert((part.rolled_ms, Vec::new()));
             entry.1.extend(part.moves.iter().map(|change| {
-                let from_ppm = self.share(part.origin, change);
-                let change = Move {
+                let from_ppm = self.local_share(part.origin, change);
+                let change = ShareIncrease {
                     from_ppm,
                     ..change.clone()
                 };
@@ -208,7 +213,7 @@
         found.into_iter().map(record).collect()
     }
 
-    pub(super) fn is_running(&self, origin: Revision, record: &MoveRecord) -> bool {
+    pub(super) fn is_running(&self, origin: Revision, record: &VersionRollout) -> bool {
         let candidate = &record.change.candidate;
         let part = self.parts.get(&candidate.model);
         let is_current = part.is_some_and(|part| part.origin == origin);
