--- a/bench/src/route/affinity.rs
+++ b/bench/src/route/affinity.rs
@@ -116,7 +116,9 @@
                     view.survey(now);
                     for (key, load) in keys.iter().zip(&loads) {
                         let target = view.target(*key);
-                        target.into_iter().for_each(|t| t.gauge.report(ms, *load));
+                        target
+                            .into_iter()
+                            .for_each(|t| t.state.record_load(ms, *load));
                     }
                 }
             }
@@ -137,7 +139,7 @@
             let hit = self.serve(engine, prefix, ms, way);
             let open = view
                 .target(choice.target)
-                .and_then(|target| target.gauge.begin(ms));
+                .and_then(|target| target.state.begin_request(ms));
             let service = -self.rng.random::<f64>().ln() * SERVICE_MS;
             loads[engine] += 1;
             running.extend(open.map(|open| (ms + service as u64, engine, open)));
--- a/bench/src/route/cost.rs
+++ b/bench/src/route/cost.rs
@@ -33,7 +33,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     for key in &keys {
         if let Some(target) = view.target(*key) {
-            target.gauge.report(1, rng.random_range(0..8));
+            target.state.record_load(1, rng.random_range(0..8));
         }
     }
     view.survey(now);
@@ -82,7 +82,7 @@
     let now = Instant::now();
     let (view, bundle) = fleet::declared(targets, 8, now);
     for (_, target) in view.targets() {
-        target.gauge.report(1, 5);
+        target.state.record_load(1, 5);
     }
     let mut rng = SmallRng::seed_from_u64(1);
     let survey = timed(&mut rng, 1, |_| view.survey(now));
@@ -117,10 +117,10 @@
 fn least(view: &View, route: Route, now: Instant) -> Option<TargetKey> {
     let ms = view.clock().millis(now);
     let pool = view.pool(route)?;
-    let typical = pool.typical();
+    let averages = pool.averages();
     let load = |key: &TargetKey| {
         view.target(*key)
-            .map(|target| target.gauge.load(ms, typical))
+            .map(|target| target.state.estimated_load(ms, averages))
     };
     pool.keys().min_by_key(load)
 }
--- a/bench/src/route/herding.rs
+++ b/bench/src/route/herding.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use celerypond_route::{Ask, InFlight, Route, Typical, View};
+use celerypond_route::{Ask, InFlight, PoolAverages, Route, View};
 use celerypond_types::TargetKey;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use tokio::time::{Duration, Instant};
@@ -90,7 +90,7 @@
             let (view, route, keys) = &views[rng.random_range(0..INSTANCES)];
             let at = choose(way, view, *route, keys, now, &mut rng);
             let target = view.target(keys[at]);
-            let Some(open) = target.and_then(|target| target.gauge.begin(ms)) else {
+            let Some(open) = target.and_then(|target| target.state.begin_request(ms)) else {
                 continue;
             };
             let end = ms + (-rng.random::<f64>().ln() * service_ms) as u64;
@@ -109,7 +109,7 @@
     for (view, _, keys) in views {
         for (key, load) in keys.iter().zip(seen) {
             if let Some(target) = view.target(*key) {
-                target.gauge.report(sampled_ms, *load);
+                target.state.record_load(sampled_ms, *load);
             }
         }
     }
@@ -128,11 +128,14 @@
         Way::Random => rng.random_range(0..keys.len()),
         Way::LeastReported => {
             // Without a trust that falls, and without the own sends.
-            let typical = Typical {
-                others: 0,
-                turnover_ms: u32::MAX,
+            let averages = PoolAverages {
+                remote_load: 0,
+                service_ms: u32::MAX,
+            };
+            let load = |at: &usize| {
+                view.target(keys[*at])
+                    .map(|t| t.state.remote_load(ms, averages))
             };
-            let load = |at: &usize| view.target(keys[*at]).map(|t| t.gauge.others(ms, typical));
             (0..keys.len()).min_by_key(load).unwrap_or(0)
         }
         Way::Ours => {
--- a/bench/src/route/overload/model.rs
+++ b/bench/src/route/overload/model.rs
@@ -258,7 +258,7 @@
         }
         let instance = &self.instances[self.jobs[job].instance];
         let target = instance.view.target(instance.keys[at]);
-        let open = target.and_then(|target| target.gauge.begin(self.now));
+        let open = target.and_then(|target| target.state.begin_request(self.now));
         let one = self.tries.len();
         self.jobs[job].live += 1;
         self.tries.push(Try {
@@ -304,7 +304,7 @@
         let target = of.view.target(of.keys[at]);
         target
             .into_iter()
-            .for_each(|target| target.gauge.retries.succeeded());
+            .for_each(|target| target.state.retry_budget.succeeded());
         self.jobs[job].live -= 1;
         self.engines[at].busy -= 1;
         self.next(at);
@@ -360,7 +360,7 @@
         let target = of.view.target(of.keys[at]);
         let allowed = !self.way.budget
             || elsewhere
-            || target.is_some_and(|target| of.budget.take_both(&target.gauge.retries));
+            || target.is_some_and(|target| of.budget.take_both(&target.state.retry_budget));
         if !allowed {
             self.jobs[job].failed |= failure != Failure::Timeout;
             return;
@@ -448,7 +448,7 @@
             let target = self.view.target(*key);
             target
                 .into_iter()
-                .for_each(|target| target.gauge.report(sampled_ms, *load));
+                .for_each(|target| target.state.record_load(sampled_ms, *load));
         }
     }
 }
--- a/crates/route/src/gauge.rs
+++ b/crates/route/src/gauge.rs
@@ -21,24 +21,24 @@
 /// The time in which requests are taken to turn over until some have ended, in milliseconds.
 const FIRST_TURNOVER_MS: u32 = 4_000;
 /// The age at which a word of a target about itself is too old to send work on it unasked.
-pub const FRESH_MS: u64 = 2_000;
+pub const LIVENESS_TTL_MS: u64 = 2_000;
 /// The bits of a packed report that hold the load.
 const LOAD_BITS: u32 = 24;
 
 /// What is typical of the targets of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Typical {
+pub struct PoolAverages {
     /// The mean load that other instances put on a target, in requests.
-    pub others: u32,
+    pub remote_load: u32,
     /// The mean time that a request takes, in milliseconds: by then a target has other requests.
-    pub turnover_ms: u32,
+    pub service_ms: u32,
 }
 
-impl Default for Typical {
+impl Default for PoolAverages {
     fn default() -> Self {
         Self {
-            others: 0,
-            turnover_ms: FIRST_TURNOVER_MS,
+            remote_load: 0,
+            service_ms: FIRST_TURNOVER_MS,
         }
     }
 }
@@ -51,18 +51,18 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_route::{Gauge, Typical};
+/// use celerypond_route::{TargetState, PoolAverages};
 ///
-/// let gauge = Gauge::new();
-/// let typical = Typical::default();
-/// gauge.report(5_000, 3); // Three requests, sampled at 5 s.
-/// let first = gauge.begin(5_100).unwrap();
-/// assert_eq!(gauge.load(5_200, typical), 4); // The report and one sent since.
+/// let state = TargetState::new();
+/// let averages = PoolAverages::default();
+/// state.record_load(5_000, 3); // Three requests, sampled at 5 s.
+/// let first = state.begin_request(5_100).unwrap();
+/// assert_eq!(state.estimated_load(5_200, averages), 4); // The report and one sent since.
 /// drop(first);
-/// assert_eq!(gauge.load(5_200, typical), 3);
+/// assert_eq!(state.estimated_load(5_200, averages), 3);
 /// ```
 #[derive(Debug)]
-pub struct Gauge {
+pub struct TargetState {
     open: AtomicU32,
     closed: AtomicBool,
     /// The sampling time in milliseconds above the load; 0 when nothing was reported.
@@ -74,12 +74,12 @@
     /// The counts of open requests of the pools that the target is in.
     tallies: ArcSwap<Tallies>,
     /// The retries of calls that failed here.
-    pub retries: RetryBudget,
+    pub retry_budget: RetryBudget,
     /// The open requests at the last change in each slice of time: the slice above the count.
     marks: [AtomicU64; MARKS],
 }
 
-impl Gauge {
+impl TargetState {
     /// Makes the gauge of a target that takes work.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
@@ -89,7 +89,7 @@
             service: AtomicU32::new(0),
             word: AtomicU64::new(0),
             tallies: ArcSwap::default(),
-            retries: RetryBudget::of_target(),
+            retry_budget: RetryBudget::of_target(),
             marks: Default::default(),
         })
     }
@@ -98,9 +98,9 @@
     ///
     /// Call this immediately before the first byte is sent, also for resumes and retries: a request
     /// that was queued behind a choice would otherwise start on a target that has left meanwhile.
-    /// When the target [`is_stale`](Self::is_stale), ask it for its health first: an instance that
+    /// When the target [`needs_health_check`](Self::needs_health_check), ask it for its health first: an instance that
     /// hears neither the target nor a peer would otherwise send work until the list says so.
-    pub fn begin(self: &Arc<Self>, now_ms: u64) -> Option<InFlight> {
+    pub fn begin_request(self: &Arc<Self>, now_ms: u64) -> Option<InFlight> {
         if self.is_closed() {
             return None;
         }
@@ -124,14 +124,14 @@
 
     /// Takes a load report of the target, sampled at `sampled_ms`; an older one than the last is
     /// dropped.
-    pub fn report(&self, sampled_ms: u64, load: u32) {
+    pub fn record_load(&self, sampled_ms: u64, load: u32) {
         let load = u64::from(load).min((1 << LOAD_BITS) - 1);
         let packed = sampled_ms << LOAD_BITS | load;
         self.report.fetch_max(packed, Relaxed);
     }
 
     /// Takes the target's own word that it is live, from a probe that was sent at `sent_ms`.
-    pub fn confirm(&self, sent_ms: u64) {
+    pub fn record_live(&self, sent_ms: u64) {
         self.word.fetch_max(sent_ms.max(1), Relaxed);
     }
 
@@ -139,10 +139,10 @@
     ///
     /// No word at all is stale at any time: an instance that has just started knows of no target
     /// whether it left meanwhile.
-    pub fn is_stale(&self, now_ms: u64) -> bool {
+    pub fn needs_health_check(&self, now_ms: u64) -> bool {
         match self.word.load(Relaxed) {
             0 => true,
-            word => now_ms.saturating_sub(word) > FRESH_MS,
+            word => now_ms.saturating_sub(word) > LIVENESS_TTL_MS,
         }
     }
 
@@ -157,19 +157,19 @@
     }
 
     /// Returns how many requests of this instance are open.
-    pub fn open(&self) -> u32 {
+    pub fn in_flight(&self) -> u32 {
         self.open.load(Relaxed)
     }
 
     /// Returns the mean time that own requests took here, in milliseconds, once one has ended.
-    pub fn service_ms(&self) -> Option<u32> {
+    pub fn mean_service_ms(&self) -> Option<u32> {
         let mean = self.service.load(Relaxed);
         (mean > 0).then_some(mean)
     }
 
     /// Estimates the load now: the last report, aged, plus what this instance has sent since.
-    pub fn load(&self, now_ms: u64, typical: Typical) -> u32 {
-        self.open() + self.others(now_ms, typical)
+    pub fn estimated_load(&self, now_ms: u64, typical: PoolAverages) -> u32 {
+        self.in_flight() + self.remote_load(now_ms, typical)
     }
 
     /// Estimates the load that other instances put on the target.
@@ -178,10 +178,10 @@
     /// with its age over the time that requests take. The rest is taken to be as at other targets.
     /// Trusted for longer, reports that lag by more than a request takes are worse than none: a
     /// target that was idle then is flooded now.
-    pub fn others(&self, now_ms: u64, typical: Typical) -> u32 {
+    pub fn remote_load(&self, now_ms: u64, typical: PoolAverages) -> u32 {
         let packed = self.report.load(Relaxed);
         if packed == 0 {
-            return typical.others;
+            return typical.remote_load;
         }
         let sampled = packed >> LOAD_BITS;
         let reported = (packed & ((1 << LOAD_BITS) - 1)) as u32;
@@ -223,16 +223,16 @@
 }
 
 /// Moves `value` towards the typical one by the share of requests that have ended in `age_ms`.
-fn age(value: u32, typical: Typical, age_ms: u64) -> u32 {
-    let trust = (-(age_ms as f64) / f64::from(typical.turnover_ms.max(1))).exp();
-    let aged = f64::from(value) * trust + f64::from(typical.others) * (1.0 - trust);
+fn age(value: u32, typical: PoolAverages, age_ms: u64) -> u32 {
+    let trust = (-(age_ms as f64) / f64::from(typical.service_ms.max(1))).exp();
+    let aged = f64::from(value) * trust + f64::from(typical.remote_load) * (1.0 - trust);
     aged.round() as u32
 }
 
 /// A request that is open at a target; dropping it counts the request out.
 #[derive(Debug)]
 pub struct InFlight {
-    gauge: Arc<Gauge>,
+    gauge: Arc<TargetState>,
     tallies: Arc<Tallies>,
     began: u64,
 }
@@ -241,7 +241,7 @@
     /// Counts the request out at `now_ms`, and how long it took. Reports that were sampled before
     /// still find it open.
     pub fn end(self, now_ms: u64) {
-        let open = self.gauge.open().saturating_sub(1);
+        let open = self.gauge.in_flight().saturating_sub(1);
         self.gauge.mark(now_ms, open);
         self.gauge.took(now_ms.saturating_sub(self.began));
     }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! All decisions are functions of their input: the time is passed in, and so is the generator of
 //! random numbers. The request path reads one [`View`]; counts that change with every request are
-//! atomics in [`Gauge`]s, which all views share.
+//! atomics in [`TargetState`]s, which all views share.
 
 mod accounts;
 mod bucket;
@@ -40,7 +40,7 @@
 pub use ejector::{EjectEffect, EjectLimits, Ejector};
 pub use entries::{entries, Entry, ENTRIES_TTL};
 pub use failure::{Blame, Failure, Verdict};
-pub use gauge::{Gauge, InFlight, Typical, FRESH_MS};
+pub use gauge::{InFlight, PoolAverages, TargetState, LIVENESS_TTL_MS};
 pub use hash::hash;
 pub use meter::Meter;
 pub use pick::{Ask, Choice, PickError, Reason};
--- a/crates/route/src/pick.rs
+++ b/crates/route/src/pick.rs
@@ -9,7 +9,7 @@
     hash::mix,
     pool::{Member, Site, SLOT_UNIT},
     ring::Ring,
-    Pool, Route, Typical, View,
+    Pool, PoolAverages, Route, View,
 };
 
 /// How far a target may be above the mean load before work goes past it, in percent of the mean.
@@ -133,14 +133,14 @@
             pool,
             ask,
             now_ms,
-            typical: pool.typical(),
+            typical: pool.averages(),
             bound: bound(pool),
             panic: pool.is_panic(),
         };
         let (member, reason) = picker.pick(rng).ok_or(PickError::NoTarget)?;
         Ok(Choice {
             target: member.key,
-            ask_first: member.gauge.is_stale(now_ms),
+            ask_first: member.gauge.needs_health_check(now_ms),
             reason,
             fill: pool.fill(),
         })
@@ -160,7 +160,7 @@
     pool: &'a Pool,
     ask: &'a Ask<'a>,
     now_ms: u64,
-    typical: Typical,
+    typical: PoolAverages,
     bound: u64,
     panic: bool,
 }
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -10,7 +10,7 @@
 
 use celerypond_types::{DataCentre, TargetKey};
 
-use crate::{hash::hash, ring::Ring, Gauge, Target, Typical};
+use crate::{hash::hash, ring::Ring, PoolAverages, Target, TargetState};
 
 /// The weight of a target that gets its whole part of the work; 0 is ejected.
 pub const FULL_WEIGHT: u32 = 1_024;
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub(crate) struct Member {
     pub(crate) key: TargetKey,
-    pub(crate) gauge: Arc<Gauge>,
+    pub(crate) gauge: Arc<TargetState>,
     pub(crate) slots: u32,
     /// The part of its work that the target gets in this pool: an engine that fails with one
     /// version may be sound with another.
@@ -48,15 +48,15 @@
 
     /// Returns the load per slot if one more request were sent, in [`SLOT_UNIT`], higher for a
     /// target that gets less than its whole part.
-    pub(crate) fn pressure(&self, now_ms: u64, typical: Typical) -> u64 {
+    pub(crate) fn pressure(&self, now_ms: u64, typical: PoolAverages) -> u64 {
         let weight = u64::from(self.weight.load(Relaxed).max(1));
         let part = self.plain_pressure(now_ms, typical);
         part * u64::from(FULL_WEIGHT) / weight
     }
 
     /// Returns the load per slot if one more request were sent, in [`SLOT_UNIT`].
-    pub(crate) fn plain_pressure(&self, now_ms: u64, typical: Typical) -> u64 {
-        let next = u64::from(self.gauge.load(now_ms, typical)) + 1;
+    pub(crate) fn plain_pressure(&self, now_ms: u64, typical: PoolAverages) -> u64 {
+        let next = u64::from(self.gauge.estimated_load(now_ms, typical)) + 1;
         next * SLOT_UNIT / u64::from(self.slots.max(1))
     }
 }
@@ -142,7 +142,7 @@
     /// Takes the means over the pool, against which single targets are compared until the next
     /// survey, and the allowance of this instance, one of `instances`.
     pub fn survey(&self, now_ms: u64, instances: usize) {
-        let last = self.typical();
+        let last = self.averages();
         let stride = self.members.len().div_ceil(SURVEYED).max(1);
         let start = self.gauge.turn.fetch_add(1, Relaxed) as usize % stride;
         let sample = self.members.iter().skip(start).step_by(stride);
@@ -189,15 +189,15 @@
     }
 
     /// Returns what was typical of the targets at the last survey.
-    pub fn typical(&self) -> Typical {
-        let first = Typical::default();
+    pub fn averages(&self) -> PoolAverages {
+        let first = PoolAverages::default();
         let turnover_ms = match self.gauge.turnover.load(Relaxed) {
-            0 => first.turnover_ms,
+            0 => first.service_ms,
             mean => mean,
         };
-        Typical {
-            others: self.gauge.others.load(Relaxed),
-            turnover_ms,
+        PoolAverages {
+            remote_load: self.gauge.others.load(Relaxed),
+            service_ms: turnover_ms,
         }
     }
 
@@ -241,7 +241,7 @@
     let weight = before.map_or(FULL_WEIGHT, |member| member.weight.load(Relaxed));
     Member {
         key: *key,
-        gauge: Arc::clone(&target.gauge),
+        gauge: Arc::clone(&target.state),
         slots: target.slots,
         weight: AtomicU32::new(weight),
     }
@@ -260,13 +260,13 @@
 }
 
 impl Sums {
-    fn add(&mut self, member: &Member, now_ms: u64, typical: Typical) {
-        let others = u64::from(member.gauge.others(now_ms, typical));
+    fn add(&mut self, member: &Member, now_ms: u64, typical: PoolAverages) {
+        let others = u64::from(member.gauge.remote_load(now_ms, typical));
         self.count += 1;
         self.slots += u64::from(member.slots);
         self.others += others;
-        self.load += others + u64::from(member.gauge.open());
-        if let Some(service) = member.gauge.service_ms() {
+        self.load += others + u64::from(member.gauge.in_flight());
+        if let Some(service) = member.gauge.mean_service_ms() {
             self.service += u64::from(service);
             self.served += 1;
         }
--- a/crates/route/src/target.rs
+++ b/crates/route/src/target.rs
@@ -5,7 +5,7 @@
 use celerypond_bundle::TargetKind;
 use celerypond_types::{DataCentre, TargetName};
 
-use crate::Gauge;
+use crate::TargetState;
 
 /// A target in the arena of a [`crate::View`].
 #[derive(Clone, Debug)]
@@ -21,7 +21,7 @@
     /// How many requests it serves at once before they queue.
     pub slots: u32,
     /// Its load and state.
-    pub gauge: Arc<Gauge>,
+    pub state: Arc<TargetState>,
 }
 
 impl Target {
@@ -33,7 +33,7 @@
             address: declared.address,
             data_centre: declared.data_centre.clone(),
             slots: declared.slots,
-            gauge: Gauge::new(),
+            state: TargetState::new(),
         }
     }
 
@@ -42,7 +42,7 @@
     pub(crate) fn updated(&self, declared: &celerypond_bundle::Target) -> Option<Self> {
         let same = self.address == declared.address && self.kind == declared.kind;
         same.then(|| Self {
-            gauge: Arc::clone(&self.gauge),
+            state: Arc::clone(&self.state),
             ..Self::new(declared)
         })
     }
--- a/crates/route/src/view.rs
+++ b/crates/route/src/view.rs
@@ -258,7 +258,7 @@
         }
         for (key, target) in &self.targets {
             target
-                .gauge
+                .state
                 .set_tallies(tallies.remove(key).unwrap_or_default());
         }
     }
--- a/crates/route/tests/test_leaving.rs
+++ b/crates/route/tests/test_leaving.rs
@@ -103,8 +103,8 @@
         } else {
             by(Departure::default())
         };
-        let gauge = &instance.view.target(key).unwrap().gauge;
-        gauge.set_closed(last.is_leaving());
+        let state = &instance.view.target(key).unwrap().state;
+        state.set_closed(last.is_leaving());
     }
 
     /// Asks a target for its health; the answer takes a moment.
@@ -116,8 +116,8 @@
                 .view
                 .target(key)
                 .unwrap()
-                .gauge
-                .confirm(ms);
+                .state
+                .record_live(ms);
         }
     }
 
@@ -153,13 +153,13 @@
         self.instances[at].later = rest;
         let due: Vec<(u64, TargetKey, &'static str)> = due;
         for (_, key, why) in due {
-            let gauge = &self.instances[at].view.target(key).unwrap().gauge;
-            let stale = self.guards.ask && gauge.is_stale(ms);
+            let state = &self.instances[at].view.target(key).unwrap().state;
+            let stale = self.guards.ask && state.needs_health_check(ms);
             if stale {
                 self.ask(at, key, ms);
             }
-            let gauge = &self.instances[at].view.target(key).unwrap().gauge;
-            match gauge.begin(ms) {
+            let state = &self.instances[at].view.target(key).unwrap().state;
+            match state.begin_request(ms) {
                 None if self.guards.recheck => self.choose(at, ms, "again"),
                 open => {
                     if key == self.leaver && ms >= LEAVE_MS {
--- a/crates/route/tests/test_pick.rs
+++ b/crates/route/tests/test_pick.rs
@@ -6,7 +6,7 @@
 };
 
 use celerypond_route::{
-    Ask, CacheEvent, Caches, InFlight, PickError, Reason, Route, Typical, View, FULL_WEIGHT,
+    Ask, CacheEvent, Caches, InFlight, PickError, PoolAverages, Reason, Route, View, FULL_WEIGHT,
 };
 use celerypond_types::{Priority, TargetKey};
 use rand::Rng;
@@ -22,7 +22,7 @@
     let now = Instant::now();
     let (view, route, keys) = view(ENGINES, now);
     let pool = view.pool(route).unwrap();
-    view.target(keys[0]).unwrap().gauge.set_closed(true);
+    view.target(keys[0]).unwrap().state.set_closed(true);
     pool.set_weight(keys[1], 0);
     let ask = Ask {
         excluded: &keys[2..ENGINES - 1],
@@ -77,8 +77,8 @@
     assert_eq!(Some(choice.target), view.key(&"desk-001".into()));
     assert_eq!(choice.reason, Reason::Near);
     // Far above the mean, the work goes elsewhere.
-    let gauge = &view.target(choice.target).unwrap().gauge;
-    gauge.report(1, 4 * SLOTS);
+    let state = &view.target(choice.target).unwrap().state;
+    state.record_load(1, 4 * SLOTS);
     view.survey(now);
     let choice = view.pick(desk, &ask, now, &mut rng(1)).unwrap();
     assert_eq!(choice.reason, Reason::Any);
@@ -88,7 +88,12 @@
 fn counts_and_keys_outlive_a_new_bundle() {
     let now = Instant::now();
     let (view, route, keys) = view(ENGINES, now);
-    let open = view.target(keys[3]).unwrap().gauge.begin(0).unwrap();
+    let open = view
+        .target(keys[3])
+        .unwrap()
+        .state
+        .begin_request(0)
+        .unwrap();
     view.pool(route).unwrap().set_weight(keys[4], 0);
     let mut next = bundle(ENGINES);
     next.targets[0].address = ([10, 9, 9, 9], 80).into();
@@ -96,11 +101,11 @@
     next.models[0].versions[0].targets.remove(1);
     next.models[0].versions[1].targets.remove(1);
     let after = view.with_bundle(&next, now);
-    assert_eq!(after.target(keys[3]).unwrap().gauge.open(), 1);
+    assert_eq!(after.target(keys[3]).unwrap().state.in_flight(), 1);
     assert_ne!(after.key(&"engine-000".into()), Some(keys[0]));
     assert!(after.target(keys[1]).is_none());
     drop(open);
-    assert_eq!(after.target(keys[3]).unwrap().gauge.open(), 0);
+    assert_eq!(after.target(keys[3]).unwrap().state.in_flight(), 0);
     let left: Vec<TargetKey> = keys.iter().copied().filter(|key| *key != keys[4]).collect();
     let ask = Ask {
         excluded: &left,
@@ -153,10 +158,10 @@
             false => view.pool(route).unwrap().keys().next().unwrap(),
         };
         hits += u32::from(!held.insert(target));
-        let gauge = &view.target(target).unwrap().gauge;
-        open.push((5 * at + 100, gauge.begin(5 * at).unwrap()));
+        let state = &view.target(target).unwrap().state;
+        open.push((5 * at + 100, state.begin_request(5 * at).unwrap()));
         open.retain(|(end, _)| *end > 5 * at);
-        worst = worst.max(gauge.open());
+        worst = worst.max(state.in_flight());
     }
     (f64::from(hits) / 2_000.0, f64::from(worst))
 }
@@ -179,8 +184,8 @@
     let mut caches = Caches::default();
     caches.take(keys[5], 1, CacheEvent::Stored(70));
     let pick = |caches: &Caches, load| {
-        let gauge = &view.target(keys[5]).unwrap().gauge;
-        gauge.report(1, load);
+        let state = &view.target(keys[5]).unwrap().state;
+        state.record_load(1, load);
         let view = view.with_cache(Arc::new(caches.index()));
         let ask = Ask {
             prefixes: &[71, 70],
@@ -235,13 +240,16 @@
             if tick % 10 == 0 && tick >= 20 {
                 for key in keys {
                     let load = history[tick as usize - 20].get(key).copied().unwrap_or(0);
-                    view.target(*key).unwrap().gauge.report(ms - 1_000, load);
+                    view.target(*key)
+                        .unwrap()
+                        .state
+                        .record_load(ms - 1_000, load);
                 }
             }
             view.survey(now);
             if rng.random_bool(0.7) {
                 let key = choose(view, *route, now, &mut rng);
-                let open = view.target(key).unwrap().gauge.begin(ms).unwrap();
+                let open = view.target(key).unwrap().state.begin_request(ms).unwrap();
                 *loads.entry(key).or_default() += 1;
                 running.push((ms + rng.random_range(200..1_400), key, open));
             }
@@ -267,8 +275,8 @@
         let pool = view.pool(route).unwrap();
         let ms = view.clock().millis(now);
         let load = |key: &TargetKey| {
-            let gauge = &view.target(*key).unwrap().gauge;
-            gauge.others(ms, Typical::default())
+            let state = &view.target(*key).unwrap().state;
+            state.remote_load(ms, PoolAverages::default())
         };
         pool.keys().min_by_key(load).unwrap()
     });
@@ -302,7 +310,10 @@
             if ms % 500 == 0 && ms >= 1_000 {
                 let seen: &Vec<u32> = &history[(ms as usize - 1_000) / 50];
                 for (key, load) in keys.iter().zip(seen) {
-                    view.target(*key).unwrap().gauge.report(ms - 1_000, *load);
+                    view.target(*key)
+                        .unwrap()
+                        .state
+                        .record_load(ms - 1_000, *load);
                 }
             }
             view.survey(now);
@@ -312,7 +323,13 @@
                     break;
                 }
                 let at = keys.iter().position(|key| *key == choice.target).unwrap();
-                queues[at].push_back(view.target(choice.target).unwrap().gauge.begin(ms).unwrap());
+                queues[at].push_back(
+                    view.target(choice.target)
+                        .unwrap()
+                        .state
+                        .begin_request(ms)
+                        .unwrap(),
+                );
             }
         }
         for (at, queue) in queues.iter_mut().enumerate() {
@@ -354,8 +371,8 @@
     let (used, queued) = saturated(|_, choice, _| choice.has_room(Priority::Draft));
     assert!(used > 0.93 && queued < 3.0, "{used} {queued}");
     let (used, queued) = saturated(|view, choice, ms| {
-        let gauge = &view.target(choice.target).unwrap().gauge;
-        gauge.load(ms, Typical::default()) < SLOTS
+        let state = &view.target(choice.target).unwrap().state;
+        state.estimated_load(ms, PoolAverages::default()) < SLOTS
     });
     assert!(used < 0.9, "{used} {queued}");
 }
--- a/crates/route/tests/test_retries.rs
+++ b/crates/route/tests/test_retries.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_route::{Backoff, Blame, Failure, Gauge, RetryBudget, Verdict};
+use celerypond_route::{Backoff, Blame, Failure, RetryBudget, TargetState, Verdict};
 use rand::Rng;
 use rstest::rstest;
 
@@ -48,10 +48,10 @@
     let budget = RetryBudget::overall();
     assert!(amplification(2, Some(&budget)) > 1.019);
     // What a full target had open when it died can all be tried again.
-    let gauge = Gauge::new();
+    let state = TargetState::new();
     let overall = RetryBudget::new(0, 100, 100);
-    assert!((0..16).all(|_| overall.take_both(&gauge.retries)));
-    assert!(!overall.take_both(&gauge.retries));
+    assert!((0..16).all(|_| overall.take_both(&state.retry_budget)));
+    assert!(!overall.take_both(&state.retry_budget));
     // The retry that was refused by one budget was given back to the other.
     assert!((0..84).all(|_| overall.take()));
     assert!(!overall.take());
--- a/daemon/src/admission.rs
+++ b/daemon/src/admission.rs
@@ -282,10 +282,10 @@
     if !choice.has_room(priority) {
         return None;
     }
-    let gauge = &view.target(choice.target)?.gauge;
+    let state = &view.target(choice.target)?.state;
     Some(Permit {
         target: choice.target,
-        load: gauge.begin(view.clock().millis(now))?,
+        load: state.begin_request(view.clock().millis(now))?,
     })
 }
 
--- a/daemon/src/generation/open.rs
+++ b/daemon/src/generation/open.rs
@@ -67,7 +67,7 @@
         let permit = self.permit.take().filter(|permit| permit.target == target);
         let begun = permit
             .map(|permit| permit.load)
-            .or_else(|| found.gauge.begin(self.node.now_ms()));
+            .or_else(|| found.state.begin_request(self.node.now_ms()));
         // The target may have said that it leaves since it was chosen.
         let Some(load) = begun else {
             if resumed {
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -85,7 +85,7 @@
     /// retry, so that the failures of all others go to their callers.
     fn may_retry(&self, node: &Node) -> bool {
         match &self.target {
-            Some(target) => node.retries.take_both(&target.gauge.retries),
+            Some(target) => node.retries.take_both(&target.state.retry_budget),
             None => node.retries.take(),
         }
     }
@@ -208,7 +208,7 @@
                 let failure = status(&reply, after);
                 if reply.status < 400 || failure.verdict() == Verdict::Final {
                     node.retries.succeeded();
-                    target.gauge.retries.succeeded();
+                    target.state.retry_budget.succeeded();
                     return Ok(reply);
                 }
                 tries.last = Some(reply);
@@ -231,7 +231,7 @@
             let key = pick(node, &view, route, excluded).ok_or(reason)?;
             let target = view.target(key).ok_or(reason)?;
             let is_live = is_live(node, key, target).await;
-            let begun = is_live.then(|| target.gauge.begin(node.now_ms()));
+            let begun = is_live.then(|| target.state.begin_request(node.now_ms()));
             let Some(load) = begun.flatten() else {
                 excluded.push(key);
                 continue;
--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -116,7 +116,7 @@
         self.poll(&view, now_ms);
         let live = view
             .targets()
-            .filter(|(_, target)| !target.gauge.is_closed());
+            .filter(|(_, target)| !target.state.is_closed());
         self.node
             .metrics
             .set(Gauge::LiveTargets, live.count() as u64);
@@ -144,7 +144,7 @@
                 departure.target_says(word, polled.sent_ms, now_ms)
             });
             if word == Word::Live {
-                target.gauge.confirm(polled.sent_ms);
+                target.state.record_live(polled.sent_ms);
             }
         }
         if let Some(versions) = &polled.versions {
@@ -152,7 +152,9 @@
         }
         if let Some(load) = polled.load {
             let sampled_ms = polled.sent_ms.saturating_sub(load.age_ms);
-            target.gauge.report(sampled_ms, load.running + load.queued);
+            target
+                .state
+                .record_load(sampled_ms, load.running + load.queued);
         }
         if let Some(changes) = &polled.cache {
             let events: Vec<(u64, CacheEvent)> = changes.iter().map(cache_event).collect();
@@ -216,7 +218,7 @@
         let before = self.departures.get(key).copied().unwrap_or_default();
         let after = say(before);
         self.departures.insert(key, after);
-        target.gauge.set_closed(after.is_leaving());
+        target.state.set_closed(after.is_leaving());
         if before.is_leaving() != after.is_leaving() {
             let state = if after.is_leaving() {
                 "leaving"
@@ -328,13 +330,13 @@
 /// that says itself that it is live gets any; one that does not is missed for a moment by all.
 pub async fn is_live(node: &Node, key: TargetKey, target: &Target) -> bool {
     let sent_ms = node.now_ms();
-    if !target.gauge.is_stale(sent_ms) {
+    if !target.state.needs_health_check(sent_ms) {
         return true;
     }
     let health = engine::health(target.address, health_path(target.kind)).await;
     let is_live = matches!(health, Ok(Some(health)) if health.state == Presence::Live);
     match is_live {
-        true => target.gauge.confirm(sent_ms),
+        true => target.state.record_live(sent_ms),
         false => node.suspects.add(key, Instant::now()),
     }
     is_live
--- a/daemon/tests/test_targets.rs
+++ b/daemon/tests/test_targets.rs
@@ -189,9 +189,13 @@
     let gauge = &view
         .target(view.key(&"engine-0".into()).unwrap())
         .unwrap()
-        .gauge;
-    wait_for(async || gauge.open() == 0).await;
-    assert!(gauge.service_ms() >= Some(50), "{:?}", gauge.service_ms());
+        .state;
+    wait_for(async || gauge.in_flight() == 0).await;
+    assert!(
+        gauge.mean_service_ms() >= Some(50),
+        "{:?}",
+        gauge.mean_service_ms()
+    );
 }
 
 /// Serves callers for an instance without its other tasks.
@@ -262,7 +266,7 @@
     }));
     let view = node.view.load_full();
     for (_, target) in view.targets().filter(|_| used_up) {
-        while target.gauge.retries.take() {}
+        while target.state.retry_budget.take() {}
     }
     let force = node.force.load_full().unwrap();
     let service = Arc::new(force.service(&"desk".into()).unwrap().clone());
