--- a/crates/route/src/departure.rs
+++ b/crates/route/src/departure.rs
@@ -21,7 +21,7 @@
 
 /// What a source says of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum Availability {
     /// It takes new work.
     Live,
     /// It takes no new work.
@@ -33,7 +33,7 @@
 /// It carries its age, not a time: clocks of instances differ. Time on the wire makes the word
 /// look younger than it is, which can only keep a target closed until its next own 'live'.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Relay {
+pub struct DepartureNotice {
     /// Who said it first.
     pub origin: Origin,
     /// How long ago it was heard, in milliseconds.
@@ -50,18 +50,18 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_route::{Departure, Word};
+/// use celerypond_route::{DepartureState, Availability};
 ///
-/// let left = Departure::default().target_says(Word::Leaving, 900, 1_000);
+/// let left = DepartureState::default().observe_target(Availability::Leaving, 900, 1_000);
 /// assert!(left.is_leaving());
 /// // A list that lags and an answer to an earlier probe change nothing.
-/// assert!(left.list_says(Word::Live, 2_000).is_leaving());
-/// assert!(left.target_says(Word::Live, 990, 2_000).is_leaving());
+/// assert!(left.observe_list(Availability::Live, 2_000).is_leaving());
+/// assert!(left.observe_target(Availability::Live, 990, 2_000).is_leaving());
 /// // An answer to a later probe does.
-/// assert!(!left.target_says(Word::Live, 3_000, 3_001).is_leaving());
+/// assert!(!left.observe_target(Availability::Live, 3_000, 3_001).is_leaving());
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Departure {
+pub struct DepartureState {
     target_left: Option<u64>,
     target_live: Option<u64>,
     list_left: Option<u64>,
@@ -70,17 +70,17 @@
     steady: Option<u64>,
 }
 
-impl Departure {
+impl DepartureState {
     /// Takes the target's own word, from a probe or request that was sent at `sent_ms`.
     #[must_use]
-    pub fn target_says(self, word: Word, sent_ms: u64, now_ms: u64) -> Self {
+    pub fn observe_target(self, word: Availability, sent_ms: u64, now_ms: u64) -> Self {
         match word {
-            Word::Leaving => Self {
+            Availability::Leaving => Self {
                 target_left: self.target_left.max(Some(now_ms)),
                 ..self
             },
             // The answer may have been late on its way: only when it was asked for counts.
-            Word::Live => Self {
+            Availability::Live => Self {
                 target_live: self.target_live.max(Some(sent_ms)),
                 ..self
             },
@@ -89,14 +89,14 @@
 
     /// Takes the word of the platform's list.
     #[must_use]
-    pub fn list_says(self, word: Word, now_ms: u64) -> Self {
+    pub fn observe_list(self, word: Availability, now_ms: u64) -> Self {
         match word {
-            Word::Leaving => Self {
+            Availability::Leaving => Self {
                 list_left: self.list_left.max(Some(now_ms)),
                 steady: None,
                 ..self
             },
-            Word::Live => {
+            Availability::Live => {
                 let steady = self.steady.unwrap_or(now_ms);
                 let start = self.list_left.unwrap_or(0).max(steady);
                 let settled = now_ms.saturating_sub(start) >= LIST_SETTLE_MS;
@@ -115,7 +115,7 @@
 
     /// Takes a 'leaving' that a peer passes on; a peer's 'live' is never taken.
     #[must_use]
-    pub fn peer_says(self, relay: Relay, now_ms: u64) -> Self {
+    pub fn observe_notice(self, relay: DepartureNotice, now_ms: u64) -> Self {
         let heard = Some(now_ms.saturating_sub(relay.age_ms));
         match relay.origin {
             Origin::Target => Self {
@@ -136,14 +136,14 @@
     }
 
     /// Returns what to pass on to peers: each 'leaving' that holds and is not too old.
-    pub fn relays(&self, now_ms: u64) -> impl Iterator<Item = Relay> {
+    pub fn notices(&self, now_ms: u64) -> impl Iterator<Item = DepartureNotice> {
         let target = (Origin::Target, self.target_left, self.target_live);
         let list = (Origin::List, self.list_left, self.list_live);
         [target, list]
             .into_iter()
             .filter_map(move |(origin, left, live)| {
                 let age_ms = now_ms.saturating_sub(left?);
-                (left >= live && age_ms <= RELAY_MS).then_some(Relay { origin, age_ms })
+                (left >= live && age_ms <= RELAY_MS).then_some(DepartureNotice { origin, age_ms })
             })
     }
 }
--- a/crates/route/src/gauge.rs
+++ b/crates/route/src/gauge.rs
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Closes the target to new work, or opens it again. See [`crate::Departure`].
+    /// Closes the target to new work, or opens it again. See [`crate::DepartureState`].
     pub fn set_closed(&self, closed: bool) {
         self.closed.store(closed, Relaxed);
     }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -35,7 +35,7 @@
 pub use cache::{CacheEvent, CacheIndex, Caches, Holder};
 pub use clock::Clock;
 pub use demand::{published, Demand, Demands};
-pub use departure::{Departure, Origin, Relay, Word, LIST_SETTLE_MS};
+pub use departure::{Availability, DepartureNotice, DepartureState, Origin, LIST_SETTLE_MS};
 pub use drain::{Drain, DrainEffect, Stage, IDLE_CLOSE_MS, KEEP_ALIVE_MS, WORD_MS};
 pub use ejector::{EjectEffect, EjectLimits, Ejector};
 pub use entries::{entries, Entry, ENTRIES_TTL};
--- a/crates/route/tests/test_leaving.rs
+++ b/crates/route/tests/test_leaving.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use celerypond_route::{Ask, Departure, Relay, Route, View, Word};
+use celerypond_route::{Ask, Availability, DepartureNotice, DepartureState, Route, View};
 use celerypond_types::TargetKey;
 use proptest::{
     prelude::*,
@@ -44,7 +44,7 @@
     view: View,
     route: Route,
     keys: Vec<TargetKey>,
-    departures: BTreeMap<TargetKey, Departure>,
+    departures: BTreeMap<TargetKey, DepartureState>,
     /// Work that has chosen a target and is sent later: (when, target, why).
     later: Vec<(u64, TargetKey, &'static str)>,
 }
@@ -85,14 +85,14 @@
         }
     }
 
-    fn word(&self, key: TargetKey, ms: u64) -> Word {
+    fn word(&self, key: TargetKey, ms: u64) -> Availability {
         match key == self.leaver && ms >= LEAVE_MS {
-            true => Word::Leaving,
-            false => Word::Live,
+            true => Availability::Leaving,
+            false => Availability::Live,
         }
     }
 
-    fn hear(&mut self, at: usize, key: TargetKey, by: impl Fn(Departure) -> Departure) {
+    fn hear(&mut self, at: usize, key: TargetKey, by: impl Fn(DepartureState) -> DepartureState) {
         let origins = self.guards.origins;
         let instance = &mut self.instances[at];
         let last = instance.departures.entry(key).or_default();
@@ -101,7 +101,7 @@
         *last = if origins {
             next
         } else {
-            by(Departure::default())
+            by(DepartureState::default())
         };
         let state = &instance.view.target(key).unwrap().state;
         state.set_closed(last.is_leaving());
@@ -110,8 +110,8 @@
     /// Asks a target for its health; the answer takes a moment.
     fn ask(&mut self, at: usize, key: TargetKey, ms: u64) {
         let word = self.word(key, ms);
-        self.hear(at, key, |last| last.target_says(word, ms, ms + 2));
-        if word == Word::Live {
+        self.hear(at, key, |last| last.observe_target(word, ms, ms + 2));
+        if word == Availability::Live {
             self.instances[at]
                 .view
                 .target(key)
@@ -135,7 +135,7 @@
             if self.guards.ask && choice.ask_first {
                 self.ask(at, choice.target, ms);
                 excluded.push(choice.target);
-                if self.word(choice.target, ms) == Word::Leaving {
+                if self.word(choice.target, ms) == Availability::Leaving {
                     continue;
                 }
             }
@@ -177,12 +177,12 @@
             if from == CUT_OFF || to == CUT_OFF || self.rng.random_bool(0.1) {
                 continue;
             }
-            let word: Vec<Relay> = self.instances[from]
+            let word: Vec<DepartureNotice> = self.instances[from]
                 .departures
                 .get(&self.leaver)
-                .map_or(vec![], |last| last.relays(ms).collect());
+                .map_or(vec![], |last| last.notices(ms).collect());
             for relay in word {
-                self.hear(to, self.leaver, |last| last.peer_says(relay, ms));
+                self.hear(to, self.leaver, |last| last.observe_notice(relay, ms));
             }
         }
     }
@@ -192,7 +192,7 @@
             for at in 0..INSTANCES {
                 if ms % 1_000 == 0 {
                     let seen = self.word(self.leaver, ms.saturating_sub(LIST_LAG_MS));
-                    self.hear(at, self.leaver, |last| last.list_says(seen, ms));
+                    self.hear(at, self.leaver, |last| last.observe_list(seen, ms));
                     // Each instance watches the health of a third of the targets.
                     for key in self.instances[at]
                         .keys
@@ -243,7 +243,7 @@
 enum Said {
     Target { leaving: bool, took: u64 },
     List { leaving: bool },
-    Peer { relay: Relay },
+    Peer { relay: DepartureNotice },
 }
 
 fn said() -> impl Strategy<Value = Said> {
@@ -255,7 +255,7 @@
         (any::<bool>(), 0..3_000_u64).prop_map(|(leaving, took)| Said::Target { leaving, took }),
         any::<bool>().prop_map(|leaving| Said::List { leaving }),
         (origin, 0..20_000_u64).prop_map(|(origin, age_ms)| Said::Peer {
-            relay: Relay { origin, age_ms }
+            relay: DepartureNotice { origin, age_ms }
         }),
     ]
 }
@@ -270,7 +270,7 @@
     runner
         .run(&words, |words| {
             let mut now = 20_000;
-            let mut state = Departure::default();
+            let mut state = DepartureState::default();
             let mut left = None;
             for (word, wait) in words {
                 now += wait;
@@ -278,14 +278,14 @@
                     Said::Target {
                         leaving: true,
                         took,
-                    } => state.target_says(Word::Leaving, now - took, now),
+                    } => state.observe_target(Availability::Leaving, now - took, now),
                     Said::Target {
                         leaving: false,
                         took,
-                    } => state.target_says(Word::Live, now - took, now),
-                    Said::List { leaving: true } => state.list_says(Word::Leaving, now),
-                    Said::List { leaving: false } => state.list_says(Word::Live, now),
-                    Said::Peer { relay } => state.peer_says(relay, now),
+                    } => state.observe_target(Availability::Live, now - took, now),
+                    Said::List { leaving: true } => state.observe_list(Availability::Leaving, now),
+                    Said::List { leaving: false } => state.observe_list(Availability::Live, now),
+                    Said::Peer { relay } => state.observe_notice(relay, now),
                 };
                 left = match word {
                     Said::Target { leaving: true, .. } => Some(now),
@@ -309,21 +309,21 @@
 
 #[test]
 fn the_list_takes_back_its_word_only_after_a_steady_while() {
-    let list = |state: Departure, word, from: u64, until: u64| {
+    let list = |state: DepartureState, word, from: u64, until: u64| {
         let reads = (from..until).step_by(1_000);
-        reads.fold(state, |state, ms| state.list_says(word, ms))
+        reads.fold(state, |state, ms| state.observe_list(word, ms))
     };
-    let left = list(Departure::default(), Word::Leaving, 0, 5_000);
+    let left = list(DepartureState::default(), Availability::Leaving, 0, 5_000);
     // A replica that is behind says 'live' for 10 s.
-    let behind = list(left, Word::Live, 5_000, 15_000);
+    let behind = list(left, Availability::Live, 5_000, 15_000);
     assert!(behind.is_leaving());
-    let again = list(behind, Word::Leaving, 15_000, 16_000);
-    assert!(list(again, Word::Live, 16_000, 45_000).is_leaving());
-    let back = list(again, Word::Live, 16_000, 48_000);
-    assert!(!back.is_leaving() && back.relays(48_000).count() == 0);
+    let again = list(behind, Availability::Leaving, 15_000, 16_000);
+    assert!(list(again, Availability::Live, 16_000, 45_000).is_leaving());
+    let back = list(again, Availability::Live, 16_000, 48_000);
+    assert!(!back.is_leaving() && back.notices(48_000).count() == 0);
     // A peer that still passes on the old word does not close it again; a new one does.
-    let old = again.relays(48_000).next().unwrap();
-    assert!(!back.peer_says(old, 48_000).is_leaving());
-    let new = Relay { age_ms: 0, ..old };
-    assert!(back.peer_says(new, 48_000).is_leaving());
+    let old = again.notices(48_000).next().unwrap();
+    assert!(!back.observe_notice(old, 48_000).is_leaving());
+    let new = DepartureNotice { age_ms: 0, ..old };
+    assert!(back.observe_notice(new, 48_000).is_leaving());
 }
--- a/crates/route/tests/test_scripts.rs
+++ b/crates/route/tests/test_scripts.rs
@@ -3,7 +3,8 @@
 use std::error::Error;
 
 use celerypond_route::{
-    Departure, EjectEffect, EjectLimits, Ejector, Pool, Relay, Route, View, Word,
+    Availability, DepartureNotice, DepartureState, EjectEffect, EjectLimits, Ejector, Pool, Route,
+    View,
 };
 use celerypond_types::TargetKey;
 use rstest::rstest;
@@ -57,7 +58,7 @@
     route: Route,
     keys: Vec<TargetKey>,
     ejector: Ejector,
-    departure: Departure,
+    departure: DepartureState,
     now: u64,
 }
 
@@ -69,7 +70,7 @@
             route,
             keys,
             ejector: Ejector::new(EjectLimits::default()),
-            departure: Departure::default(),
+            departure: DepartureState::default(),
             now: 0,
         }
     }
@@ -105,7 +106,7 @@
         lines
     }
 
-    fn say(&mut self, next: Departure) -> String {
+    fn say(&mut self, next: DepartureState) -> String {
         self.departure = next;
         match next.is_leaving() {
             true => "leaving\n".into(),
@@ -114,10 +115,10 @@
     }
 }
 
-fn word(text: &str) -> Word {
+fn word(text: &str) -> Availability {
     match text {
-        "leaving" => Word::Leaving,
-        _ => Word::Live,
+        "leaving" => Availability::Leaving,
+        _ => Availability::Live,
     }
 }
 
@@ -163,13 +164,13 @@
                 asked_ms_ago,
             } => {
                 let sent = self.now - asked_ms_ago;
-                self.say(last.target_says(word(text), sent, self.now))
+                self.say(last.observe_target(word(text), sent, self.now))
             }
-            Command::List(text) => self.say(last.list_says(word(text), self.now)),
+            Command::List(text) => self.say(last.observe_list(word(text), self.now)),
             Command::Peer { age_ms } => {
                 let origin = celerypond_route::Origin::Target;
-                self.say(last.peer_says(
-                    Relay {
+                self.say(last.observe_notice(
+                    DepartureNotice {
                         origin,
                         age_ms: *age_ms,
                     },
--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -6,8 +6,8 @@
 use celerypond_fleet::EntryKind;
 use celerypond_platform::Presence;
 use celerypond_route::{
-    CacheEvent, Caches, Departure, EjectEffect, EjectLimits, Ejector, Relay, Route, Target, View,
-    Word,
+    Availability, CacheEvent, Caches, DepartureNotice, DepartureState, EjectEffect, EjectLimits,
+    Ejector, Route, Target, View,
 };
 use celerypond_telemetry::{Counter, Gauge};
 use celerypond_types::{TargetKey, TargetName, VersionName};
@@ -57,7 +57,7 @@
 struct Polled {
     target: TargetKey,
     sent_ms: u64,
-    word: Option<Word>,
+    word: Option<Availability>,
     versions: Option<Vec<VersionName>>,
     load: Option<engine::Load>,
     /// What its cache tells; `None` when it was not heard.
@@ -67,7 +67,7 @@
 struct Watch {
     node: Arc<Node>,
     rng: SmallRng,
-    departures: SecondaryMap<TargetKey, Departure>,
+    departures: SecondaryMap<TargetKey, DepartureState>,
     due: SecondaryMap<TargetKey, u64>,
     ejectors: HashMap<Route, Ejector>,
     /// Pools in which a target was asked for its health on behalf of their ejectors.
@@ -141,9 +141,9 @@
         let now_ms = view.clock().millis(Instant::now());
         if let Some(word) = polled.word {
             self.say(polled.target, target, |departure| {
-                departure.target_says(word, polled.sent_ms, now_ms)
+                departure.observe_target(word, polled.sent_ms, now_ms)
             });
-            if word == Word::Live {
+            if word == Availability::Live {
                 target.state.record_live(polled.sent_ms);
             }
         }
@@ -178,7 +178,7 @@
     fn hear_peers(&mut self) {
         let view = self.node.view.load_full();
         let now_ms = view.clock().millis(Instant::now());
-        let words: Vec<(TargetName, Vec<Relay>)> = {
+        let words: Vec<(TargetName, Vec<DepartureNotice>)> = {
             let gossip = self.node.gossip();
             let items = gossip.state().items(EntryKind::TargetLeaving);
             items
@@ -196,7 +196,9 @@
                 continue;
             };
             for relay in relays {
-                self.say(key, target, |departure| departure.peer_says(relay, now_ms));
+                self.say(key, target, |departure| {
+                    departure.observe_notice(relay, now_ms)
+                });
             }
         }
     }
@@ -209,12 +211,19 @@
             };
             let word = word(listed.state);
             if let Some(target) = view.target(key) {
-                self.say(key, target, |departure| departure.list_says(word, now_ms));
+                self.say(key, target, |departure| {
+                    departure.observe_list(word, now_ms)
+                });
             }
         }
     }
 
-    fn say(&mut self, key: TargetKey, target: &Target, say: impl FnOnce(Departure) -> Departure) {
+    fn say(
+        &mut self,
+        key: TargetKey,
+        target: &Target,
+        say: impl FnOnce(DepartureState) -> DepartureState,
+    ) {
         let before = self.departures.get(key).copied().unwrap_or_default();
         let after = say(before);
         self.departures.insert(key, after);
@@ -231,9 +240,9 @@
     }
 
     /// Tells the other instances that a target leaves; they may be cut off from it and the list.
-    fn pass_on(&self, target: &Target, departure: Departure) {
+    fn pass_on(&self, target: &Target, departure: DepartureState) {
         let name = target.name.as_str();
-        let relays: Vec<Relay> = departure.relays(self.node.now_ms()).collect();
+        let relays: Vec<DepartureNotice> = departure.notices(self.node.now_ms()).collect();
         if relays.is_empty() {
             self.node.gossip().clear(EntryKind::TargetLeaving, name);
             return;
@@ -387,9 +396,9 @@
 }
 
 /// Returns what a target's state means for new work.
-pub fn word(state: Presence) -> Word {
+pub fn word(state: Presence) -> Availability {
     match state {
-        Presence::Live => Word::Live,
-        Presence::Leaving => Word::Leaving,
+        Presence::Live => Availability::Live,
+        Presence::Leaving => Availability::Leaving,
     }
 }
