--- a/crates/route/src/drain.rs
+++ b/crates/route/src/drain.rs
@@ -4,7 +4,7 @@
 
 /// How long other instances may go on giving out the address of a stopping one: until its word has
 /// reached them, with a margin.
-pub const WORD_MS: u64 = 5_000;
+pub const LEAVING_PROPAGATION_MS: u64 = 5_000;
 /// How long a connection may be idle, as each response tells its caller.
 pub const KEEP_ALIVE_MS: u64 = 10_000;
 /// After how long an idle connection is closed, at any time: a caller may have sent a request just
@@ -13,12 +13,12 @@
 
 /// How far a planned stop has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum DrainStage {
     /// No stop was asked for.
     Serving,
     /// The address is given to nobody, but callers may still have it; all is served, and each
     /// response says that its connection closes.
-    Left,
+    Leaving,
     /// New connections are refused; requests that run, and those that come on connections that are
     /// still open, are served.
     Refusing,
@@ -31,11 +31,11 @@
 pub enum DrainEffect {
     /// Say 'leaving' to peers, leave the own address out of answers, and say `Connection: close` in
     /// each response from now on.
-    Leave,
+    AnnounceLeaving,
     /// Drop the listener.
-    Refuse,
+    CloseListener,
     /// Join all tasks and end.
-    End,
+    Exit,
 }
 
 /// A planned stop.
@@ -51,18 +51,18 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_route::{Drain, DrainEffect, Stage};
+/// use celerypond_route::{Drain, DrainEffect, DrainStage};
 ///
-/// let (drain, effect) = Drain::default().stop(0);
-/// assert_eq!(effect, Some(DrainEffect::Leave));
+/// let (drain, effect) = Drain::default().start(0);
+/// assert_eq!(effect, Some(DrainEffect::AnnounceLeaving));
 /// // A second stop changes nothing.
-/// assert_eq!(drain.stop(3_000), (drain, None));
+/// assert_eq!(drain.start(3_000), (drain, None));
 /// let (drain, effect) = drain.step(60_000, 2);
-/// assert_eq!((drain.stage(), effect), (Stage::Refusing, Some(DrainEffect::Refuse)));
+/// assert_eq!((drain.stage(), effect), (DrainStage::Refusing, Some(DrainEffect::CloseListener)));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Drain {
-    stage: Stage,
+    stage: DrainStage,
     /// When the stage was reached, in milliseconds.
     since: u64,
 }
@@ -70,7 +70,7 @@
 impl Default for Drain {
     fn default() -> Self {
         Self {
-            stage: Stage::Serving,
+            stage: DrainStage::Serving,
             since: 0,
         }
     }
@@ -78,15 +78,15 @@
 
 impl Drain {
     /// Returns the stage.
-    pub const fn stage(&self) -> Stage {
+    pub const fn stage(&self) -> DrainStage {
         self.stage
     }
 
     /// Asks for the stop; once is enough.
     #[must_use]
-    pub fn stop(self, now_ms: u64) -> (Self, Option<DrainEffect>) {
+    pub fn start(self, now_ms: u64) -> (Self, Option<DrainEffect>) {
         match self.stage {
-            Stage::Serving => to(Stage::Left, now_ms, DrainEffect::Leave),
+            DrainStage::Serving => to(DrainStage::Leaving, now_ms, DrainEffect::AnnounceLeaving),
             _ => (self, None),
         }
     }
@@ -96,15 +96,17 @@
     #[must_use]
     pub fn step(self, now_ms: u64, open: usize) -> (Self, Option<DrainEffect>) {
         let passed = now_ms.saturating_sub(self.since);
-        let cached = WORD_MS + ENTRIES_TTL.as_millis() as u64;
+        let cached = LEAVING_PROPAGATION_MS + ENTRIES_TTL.as_millis() as u64;
         match self.stage {
-            Stage::Left if passed >= cached => to(Stage::Refusing, now_ms, DrainEffect::Refuse),
-            Stage::Refusing if open == 0 => to(Stage::Done, now_ms, DrainEffect::End),
+            DrainStage::Leaving if passed >= cached => {
+                to(DrainStage::Refusing, now_ms, DrainEffect::CloseListener)
+            }
+            DrainStage::Refusing if open == 0 => to(DrainStage::Done, now_ms, DrainEffect::Exit),
             _ => (self, None),
         }
     }
 }
 
-fn to(stage: Stage, since: u64, effect: DrainEffect) -> (Drain, Option<DrainEffect>) {
+fn to(stage: DrainStage, since: u64, effect: DrainEffect) -> (Drain, Option<DrainEffect>) {
     (Drain { stage, since }, Some(effect))
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -36,7 +36,9 @@
 pub use clock::Clock;
 pub use demand::{published, Demand, Demands};
 pub use departure::{Availability, DepartureNotice, DepartureState, Origin, LIST_SETTLE_MS};
-pub use drain::{Drain, DrainEffect, Stage, IDLE_CLOSE_MS, KEEP_ALIVE_MS, WORD_MS};
+pub use drain::{
+    Drain, DrainEffect, DrainStage, IDLE_CLOSE_MS, KEEP_ALIVE_MS, LEAVING_PROPAGATION_MS,
+};
 pub use ejector::{EjectEffect, EjectLimits, Ejector};
 pub use entries::{entries, Entry, ENTRIES_TTL};
 pub use failure::{Blame, Failure, Verdict};
--- a/crates/route/tests/test_drain.rs
+++ b/crates/route/tests/test_drain.rs
@@ -1,7 +1,8 @@
 //! G8: a planned stop cuts off no request. And the answers that lead callers to an instance.
 
 use celerypond_route::{
-    entries, Drain, DrainEffect, Entry, Stage, ENTRIES_TTL, IDLE_CLOSE_MS, KEEP_ALIVE_MS, WORD_MS,
+    entries, Drain, DrainEffect, DrainStage, Entry, ENTRIES_TTL, IDLE_CLOSE_MS, KEEP_ALIVE_MS,
+    LEAVING_PROPAGATION_MS,
 };
 use rand::Rng;
 use rstest::rstest;
@@ -50,13 +51,13 @@
     let mut drain = Drain::default();
     let mut harm = Harm::default();
     // Some peer hears of the stop as late as it may.
-    let last_answer = STOP_MS + rng.random_range(0..WORD_MS);
+    let last_answer = STOP_MS + rng.random_range(0..LEAVING_PROPAGATION_MS);
     let (mut known, mut open): (Vec<u64>, Vec<Connection>) = Default::default();
     for ms in (0..400_000).step_by(50) {
         if ms == STOP_MS || ms == STOP_MS + 2_000 {
-            drain = drain.stop(ms).0;
+            drain = drain.start(ms).0;
         }
-        let left = drain.stage() != Stage::Serving;
+        let left = drain.stage() != DrainStage::Serving;
         if ms < last_answer && rng.random_bool(0.2) {
             known.push(ms + ENTRIES_TTL.as_millis() as u64);
         }
@@ -74,7 +75,7 @@
             }
         }
         if !known.is_empty() && ms % 150 == 0 {
-            let refuses = drain.stage() == Stage::Refusing || left && way == Way::RefuseAtOnce;
+            let refuses = drain.stage() == DrainStage::Refusing || left && way == Way::RefuseAtOnce;
             match refuses {
                 true => harm.refused += 1,
                 false => open.push(request()),
@@ -82,12 +83,12 @@
         }
         let (next, effect) = drain.step(ms, open.len());
         drain = next;
-        if effect == Some(DrainEffect::Refuse) && way == Way::CloseIdle {
+        if effect == Some(DrainEffect::CloseListener) && way == Way::CloseIdle {
             harm.cut_off += open.iter().filter(|one| one.is_kept(ms)).count();
             open.retain(|one| one.idle(ms).is_none());
         }
-        let ends = effect == Some(DrainEffect::Refuse) && way == Way::EndAtOnce;
-        if ends || drain.stage() == Stage::Done {
+        let ends = effect == Some(DrainEffect::CloseListener) && way == Way::EndAtOnce;
+        if ends || drain.stage() == DrainStage::Done {
             let busy = |one: &&Connection| one.idle(ms).is_none() || one.is_kept(ms);
             harm.cut_off += open.iter().filter(busy).count();
             return (harm, ms);
--- a/daemon/src/server.rs
+++ b/daemon/src/server.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use celerypond_bundle::Settings;
-use celerypond_route::{Drain, DrainEffect, Stage};
+use celerypond_route::{Drain, DrainEffect, DrainStage};
 use celerypond_telemetry::{Metrics, Output, SpanSettings, Spans};
 use error_stack::{Report, ResultExt};
 use thiserror::Error;
@@ -78,7 +78,7 @@
     };
     if !is_whole {
         log::error!("a background task has ended; the instance stops");
-        step(&node, Drain::default().stop(node.now_ms()));
+        step(&node, Drain::default().start(node.now_ms()));
     }
     finish(&node, tasks).await;
     if let Some(spans) = spans {
@@ -137,9 +137,9 @@
     if stops.recv().await.is_none() {
         std::future::pending::<()>().await;
     }
-    let mut drain = step(node, Drain::default().stop(node.now_ms()));
+    let mut drain = step(node, Drain::default().start(node.now_ms()));
     let mut tick = time::interval(DRAIN_STEP);
-    while drain.stage() != Stage::Refusing {
+    while drain.stage() != DrainStage::Refusing {
         tokio::select! {
             _ = tick.tick() => drain = step(node, drain.step(node.now_ms(), 1)),
             Some(()) = stops.recv() => {
@@ -152,14 +152,14 @@
 
 fn step(node: &Arc<Node>, (drain, effect): (Drain, Option<DrainEffect>)) -> Drain {
     match effect {
-        Some(DrainEffect::Leave) => {
+        Some(DrainEffect::AnnounceLeaving) => {
             node.leaving.cancel();
             gossip::leave(node);
             log::info!("leaving: the address is given to nobody, callers who have it are served");
         }
-        Some(DrainEffect::Refuse) => log::info!("leaving: new connections are refused"),
+        Some(DrainEffect::CloseListener) => log::info!("leaving: new connections are refused"),
         // The sockets end idle connections and wait for the others.
-        Some(DrainEffect::End) | None => {}
+        Some(DrainEffect::Exit) | None => {}
     }
     drain
 }
