--- a/bench/src/route/classes.rs
+++ b/bench/src/route/classes.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use celerypond_route::{
-    Backoff, EjectEffect, EjectLimits, Ejector, Failure, Pool, RetryBudget, Verdict,
+    Backoff, Failure, OutlierDetector, OutlierEffect, OutlierLimits, Pool, RetryBudget, Verdict,
 };
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use tokio::time::Instant;
@@ -140,14 +140,14 @@
 
     fn run(mut self) -> Figures {
         let (view, route, keys) = fleet::view(TARGETS, 8, Instant::now());
-        let mut ejector = Ejector::new(EjectLimits::default());
+        let mut detector = OutlierDetector::new(OutlierLimits::default());
         let mut out = [false; TARGETS];
         let (mut answered, mut tries) = (0_u32, 0_u32);
         let (mut waits, mut retried) = (0, 0);
         let mut later: Vec<Call> = Vec::new();
         for ms in (0..CALLS * STEP_MS + 20_000).step_by(STEP_MS as usize) {
             if let Some(pool) = view.pool(route).filter(|_| ms.is_multiple_of(100)) {
-                self.eject(&mut ejector, pool, &keys, &mut out, ms);
+                self.eject(&mut detector, pool, &keys, &mut out, ms);
             }
             let (mut due, rest): (Vec<Call>, Vec<Call>) =
                 later.into_iter().partition(|c| c.due <= ms);
@@ -170,14 +170,14 @@
                         answered += 1;
                         waits += ms - call.came;
                         retried += u64::from(call.tries > 1);
-                        ejector.succeeded(keys[at], 100.0);
+                        detector.record_success(keys[at], 100.0);
                         self.budget.iter().for_each(RetryBudget::succeeded);
                     }
                     Some(failure) => {
                         let status =
                             |low| matches!(failure, Failure::Status { code, .. } if code < low);
                         if !status(500) && !matches!(failure, Failure::Status { code: 503, .. }) {
-                            ejector.failed(keys[at]);
+                            detector.record_failure(keys[at]);
                         }
                         call.avoid.push(at);
                         later.extend(self.again(call, failure, ms));
@@ -241,18 +241,20 @@
 
     fn eject(
         &mut self,
-        ejector: &mut Ejector,
+        detector: &mut OutlierDetector,
         pool: &Pool,
         keys: &[celerypond_types::TargetKey],
         out: &mut [bool],
         ms: u64,
     ) {
-        for effect in ejector.step(pool, ms) {
+        for effect in detector.step(pool, ms) {
             let at = |key| keys.iter().position(|one| *one == key).unwrap_or(0);
             match effect {
-                EjectEffect::Weight(key, weight) => out[at(key)] = weight == 0,
-                EjectEffect::Probe(key) => ejector.probed(key, self.down[at(key)] <= ms, ms),
-                EjectEffect::Panic(_) => {}
+                OutlierEffect::Weight(key, weight) => out[at(key)] = weight == 0,
+                OutlierEffect::Probe(key) => {
+                    detector.record_probe(key, self.down[at(key)] <= ms, ms)
+                }
+                OutlierEffect::Panic(_) => {}
             }
         }
     }
--- a/bench/src/route/cost.rs
+++ b/bench/src/route/cost.rs
@@ -2,7 +2,9 @@
 
 use std::{fs, hint::black_box};
 
-use celerypond_route::{hash, Ask, EjectLimits, Ejector, Queue, QueueLimits, Route, View, Waiting};
+use celerypond_route::{
+    hash, Ask, OutlierDetector, OutlierLimits, Queue, QueueLimits, Route, View, Waiting,
+};
 use celerypond_types::{Priority, TargetKey};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use tokio::time::Instant;
@@ -87,19 +89,19 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let survey = timed(&mut rng, 1, |_| view.survey(now));
     let renew = timed(&mut rng, 1, |_| view.with_bundle(&bundle, now));
-    let mut ejector = Ejector::new(EjectLimits::default());
+    let mut detector = OutlierDetector::new(OutlierLimits::default());
     for at in 0..20 * targets {
         let key = bundle
             .targets
             .get(at % targets)
             .and_then(|target| view.key(&target.name));
         key.into_iter()
-            .for_each(|key| ejector.succeeded(key, at as f64 % 100.0));
+            .for_each(|key| detector.record_success(key, at as f64 % 100.0));
     }
     let mut now_ms = 0;
     let step = || {
         now_ms += 10_000;
-        view.pools().next().map(|pool| ejector.step(pool, now_ms))
+        view.pools().next().map(|pool| detector.step(pool, now_ms))
     };
     let steps = samples(step);
     let row = |measure, samples: Vec<f64>| {
--- a/bench/src/route/overload/model.rs
+++ b/bench/src/route/overload/model.rs
@@ -6,8 +6,8 @@
 };
 
 use celerypond_route::{
-    Ask, Backoff, Choice, EjectEffect, EjectLimits, Ejector, Failure, Queue, QueueLimits,
-    RetryBudget, Route, Verdict, View, Waiting,
+    Ask, Backoff, Choice, Failure, OutlierDetector, OutlierEffect, OutlierLimits, Queue,
+    QueueLimits, RetryBudget, Route, Verdict, View, Waiting,
 };
 use celerypond_types::{AccountKey, Priority, TargetKey};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -51,7 +51,7 @@
     route: Route,
     keys: Vec<TargetKey>,
     queue: Queue<usize>,
-    ejector: Ejector,
+    detector: OutlierDetector,
     budget: RetryBudget,
 }
 
@@ -84,7 +84,7 @@
                 route,
                 keys,
                 queue: Queue::new(QueueLimits::default(), per_s),
-                ejector: Ejector::new(EjectLimits::default()),
+                detector: OutlierDetector::new(OutlierLimits::default()),
                 budget: budget(),
             }
         };
@@ -300,7 +300,7 @@
         let of = &mut self.instances[instance];
         of.budget.succeeded();
         let wait = self.now.saturating_sub(sent) as f64 - self.jobs[job].service;
-        of.ejector.succeeded(of.keys[at], wait.max(1.0));
+        of.detector.record_success(of.keys[at], wait.max(1.0));
         let target = of.view.target(of.keys[at]);
         target
             .into_iter()
@@ -353,7 +353,7 @@
         let verdict = failure.verdict();
         let of = &mut self.instances[self.jobs[job].instance];
         if self.way.decides && failure != Failure::Timeout {
-            of.ejector.failed(of.keys[at]);
+            of.detector.record_failure(of.keys[at]);
         }
         self.jobs[job].avoid.push(at);
         let elsewhere = verdict == Verdict::Elsewhere && self.jobs[job].avoid.len() <= ELSEWHERE;
@@ -402,14 +402,14 @@
         let Some(pool) = of.view.pool(of.route) else {
             return;
         };
-        for effect in of.ejector.step(pool, self.now) {
+        for effect in of.detector.step(pool, self.now) {
             match effect {
-                EjectEffect::Weight(key, weight) => pool.set_weight(key, weight),
-                EjectEffect::Panic(on) => pool.set_panic(on),
-                EjectEffect::Probe(key) => {
+                OutlierEffect::Weight(key, weight) => pool.set_weight(key, weight),
+                OutlierEffect::Panic(on) => pool.set_panic(on),
+                OutlierEffect::Probe(key) => {
                     let engine = of.keys.iter().position(|one| *one == key);
                     let alive = engine.is_some_and(|engine| !self.engines[engine].dead);
-                    of.ejector.probed(key, alive, self.now);
+                    of.detector.record_probe(key, alive, self.now);
                 }
             }
         }
--- a/crates/route/src/ejector.rs
+++ b/crates/route/src/ejector.rs
@@ -17,7 +17,7 @@
 
 /// When targets are ejected and how they return.
 #[derive(Clone, Copy, Debug)]
-pub struct EjectLimits {
+pub struct OutlierLimits {
     /// So many failures in a row eject a target.
     pub failures: u32,
     /// A mean latency of so many times the median of its peers ejects a target.
@@ -38,7 +38,7 @@
     pub ramp_ms: u64,
 }
 
-impl Default for EjectLimits {
+impl Default for OutlierLimits {
     fn default() -> Self {
         Self {
             failures: 5,
@@ -54,12 +54,12 @@
     }
 }
 
-/// What the caller has to do for an [`Ejector`].
+/// What the caller has to do for an [`OutlierDetector`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EjectEffect {
+pub enum OutlierEffect {
     /// Set the part of the work that a target gets.
     Weight(TargetKey, u32),
-    /// Ask a target for its health on a new connection, then call [`Ejector::probed`].
+    /// Ask a target for its health on a new connection, then call [`OutlierDetector::record_probe`].
     Probe(TargetKey),
     /// Use targets that seem bad, or stop to.
     Panic(bool),
@@ -70,17 +70,17 @@
 /// One ejector serves one pool. A bad version fails on most of its engines, and then the panic
 /// share keeps the ejector from blaming them; the engines stay in for other versions.
 #[derive(Debug, Default)]
-pub struct Ejector {
-    limits: EjectLimits,
+pub struct OutlierDetector {
+    limits: OutlierLimits,
     health: SecondaryMap<TargetKey, Health>,
     panic: bool,
     /// When the next step is due, in milliseconds.
     due: u64,
 }
 
-impl Ejector {
+impl OutlierDetector {
     /// Makes an ejector.
-    pub fn new(limits: EjectLimits) -> Self {
+    pub fn new(limits: OutlierLimits) -> Self {
         Self {
             limits,
             ..Self::default()
@@ -88,17 +88,17 @@
     }
 
     /// Takes a success and its latency: the time to the first token, or to a service's response.
-    pub fn succeeded(&mut self, target: TargetKey, latency_ms: f64) {
+    pub fn record_success(&mut self, target: TargetKey, latency_ms: f64) {
         self.change(target, |health| health.succeeded(latency_ms));
     }
 
     /// Takes a failure that speaks against the target; see [`crate::Blame`].
-    pub fn failed(&mut self, target: TargetKey) {
+    pub fn record_failure(&mut self, target: TargetKey) {
         self.change(target, Health::failed);
     }
 
     /// Takes the result of a probe.
-    pub fn probed(&mut self, target: TargetKey, alive: bool, now_ms: u64) {
+    pub fn record_probe(&mut self, target: TargetKey, alive: bool, now_ms: u64) {
         let limits = self.limits;
         self.change(target, |health| {
             if alive {
@@ -111,7 +111,7 @@
 
     /// Decides for the targets of `pool`; call it about every 100 ms. Of many targets, not every
     /// call is a step, so that the time it takes stays small.
-    pub fn step(&mut self, pool: &Pool, now_ms: u64) -> Vec<EjectEffect> {
+    pub fn step(&mut self, pool: &Pool, now_ms: u64) -> Vec<OutlierEffect> {
         if now_ms < self.due {
             return Vec::new();
         }
@@ -147,10 +147,10 @@
         effects
     }
 
-    fn set_panic(&mut self, panic: bool, effects: &mut Vec<EjectEffect>) {
+    fn set_panic(&mut self, panic: bool, effects: &mut Vec<OutlierEffect>) {
         if panic != self.panic {
             self.panic = panic;
-            effects.push(EjectEffect::Panic(panic));
+            effects.push(OutlierEffect::Panic(panic));
         }
     }
 
@@ -159,12 +159,12 @@
         bad: &[TargetKey],
         slow: bool,
         now_ms: u64,
-        effects: &mut Vec<EjectEffect>,
+        effects: &mut Vec<OutlierEffect>,
     ) {
         let limits = self.limits;
         for key in bad {
             self.change(*key, |health| health.out(now_ms, slow, &limits));
-            effects.push(EjectEffect::Weight(*key, 0));
+            effects.push(OutlierEffect::Weight(*key, 0));
         }
     }
 
@@ -185,18 +185,18 @@
     }
 
     /// Moves a target that is out or returning on.
-    fn advance(&mut self, key: TargetKey, now_ms: u64) -> Option<EjectEffect> {
+    fn advance(&mut self, key: TargetKey, now_ms: u64) -> Option<OutlierEffect> {
         let health = self.health.get(key).copied()?;
         let wait_ms = self.limits.base_ms;
         match health.state {
             State::Out { until } if now_ms >= until => {
                 self.change(key, |health| health.probing(now_ms, wait_ms));
-                Some(EjectEffect::Probe(key))
+                Some(OutlierEffect::Probe(key))
             }
             // A probe without an answer is sent again.
             State::Probing { until } if now_ms >= until => {
                 self.change(key, |health| health.probing(now_ms, wait_ms));
-                Some(EjectEffect::Probe(key))
+                Some(OutlierEffect::Probe(key))
             }
             State::Ramping { since } => {
                 let passed = now_ms.saturating_sub(since);
@@ -204,7 +204,7 @@
                 if part >= 1.0 {
                     self.change(key, Health::back);
                 }
-                Some(EjectEffect::Weight(key, ramp(part)))
+                Some(OutlierEffect::Weight(key, ramp(part)))
             }
             _ => None,
         }
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -1,6 +1,6 @@
 //! What is known of the health of one target in one pool.
 
-use crate::EjectLimits;
+use crate::OutlierLimits;
 
 /// How much a new latency counts against the mean of those before it.
 const LATENCY_PART: f64 = 0.1;
@@ -56,7 +56,7 @@
         }
     }
 
-    pub(crate) fn out(self, now_ms: u64, slow: bool, limits: &EjectLimits) -> Self {
+    pub(crate) fn out(self, now_ms: u64, slow: bool, limits: &OutlierLimits) -> Self {
         let doubled = limits.base_ms.saturating_mul(1 << self.times.min(16));
         Self {
             state: State::Out {
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -39,7 +39,7 @@
 pub use drain::{
     Drain, DrainEffect, DrainStage, IDLE_CLOSE_MS, KEEP_ALIVE_MS, LEAVING_PROPAGATION_MS,
 };
-pub use ejector::{EjectEffect, EjectLimits, Ejector};
+pub use ejector::{OutlierDetector, OutlierEffect, OutlierLimits};
 pub use entries::{entries, Entry, ENTRIES_TTL};
 pub use failure::{Blame, Failure, Verdict};
 pub use gauge::{InFlight, PoolAverages, TargetState, LIVENESS_TTL_MS};
--- a/crates/route/tests/test_scripts.rs
+++ b/crates/route/tests/test_scripts.rs
@@ -3,8 +3,8 @@
 use std::error::Error;
 
 use celerypond_route::{
-    Availability, DepartureNotice, DepartureState, EjectEffect, EjectLimits, Ejector, Pool, Route,
-    View,
+    Availability, DepartureNotice, DepartureState, OutlierDetector, OutlierEffect, OutlierLimits,
+    Pool, Route, View,
 };
 use celerypond_types::TargetKey;
 use rstest::rstest;
@@ -57,7 +57,7 @@
     view: View,
     route: Route,
     keys: Vec<TargetKey>,
-    ejector: Ejector,
+    detector: OutlierDetector,
     departure: DepartureState,
     now: u64,
 }
@@ -69,7 +69,7 @@
             view,
             route,
             keys,
-            ejector: Ejector::new(EjectLimits::default()),
+            detector: OutlierDetector::new(OutlierLimits::default()),
             departure: DepartureState::default(),
             now: 0,
         }
@@ -85,10 +85,10 @@
         while self.now < end {
             self.now += 100;
             let pool = std::sync::Arc::clone(self.view.pool(self.route).unwrap());
-            for effect in self.ejector.step(&pool, self.now) {
+            for effect in self.detector.step(&pool, self.now) {
                 let name = |key| self.keys.iter().position(|one| *one == key).unwrap();
                 match effect {
-                    EjectEffect::Weight(key, weight) => {
+                    OutlierEffect::Weight(key, weight) => {
                         pool.set_weight(key, weight);
                         // A ramp has a step each 100 ms; its ends are enough.
                         if [0, 102, celerypond_route::FULL_WEIGHT].contains(&weight) {
@@ -96,10 +96,10 @@
                                 &format!("{} ms: engine {} weight {weight}\n", self.now, name(key));
                         }
                     }
-                    EjectEffect::Probe(key) => {
+                    OutlierEffect::Probe(key) => {
                         lines += &format!("{} ms: probe engine {}\n", self.now, name(key))
                     }
-                    EjectEffect::Panic(on) => lines += &format!("{} ms: panic {on}\n", self.now),
+                    OutlierEffect::Panic(on) => lines += &format!("{} ms: panic {on}\n", self.now),
                 }
             }
         }
@@ -142,7 +142,7 @@
                     .iter()
                     .flat_map(|one| (0..*times).map(move |_| *one))
                 {
-                    self.ejector.succeeded(self.keys[engine], *ms);
+                    self.detector.record_success(self.keys[engine], *ms);
                 }
                 String::new()
             }
@@ -151,12 +151,13 @@
                     .iter()
                     .flat_map(|one| (0..*times).map(move |_| *one))
                 {
-                    self.ejector.failed(self.keys[engine]);
+                    self.detector.record_failure(self.keys[engine]);
                 }
                 String::new()
             }
             Command::Probed { engine, alive } => {
-                self.ejector.probed(self.keys[*engine], *alive, self.now);
+                self.detector
+                    .record_probe(self.keys[*engine], *alive, self.now);
                 String::new()
             }
             Command::Target {
--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -6,8 +6,8 @@
 use celerypond_fleet::EntryKind;
 use celerypond_platform::Presence;
 use celerypond_route::{
-    Availability, CacheEvent, Caches, DepartureNotice, DepartureState, EjectEffect, EjectLimits,
-    Ejector, Route, Target, View,
+    Availability, CacheEvent, Caches, DepartureNotice, DepartureState, OutlierDetector,
+    OutlierEffect, OutlierLimits, Route, Target, View,
 };
 use celerypond_telemetry::{Counter, Gauge};
 use celerypond_types::{TargetKey, TargetName, VersionName};
@@ -69,8 +69,8 @@
     rng: SmallRng,
     departures: SecondaryMap<TargetKey, DepartureState>,
     due: SecondaryMap<TargetKey, u64>,
-    ejectors: HashMap<Route, Ejector>,
-    /// Pools in which a target was asked for its health on behalf of their ejectors.
+    detectors: HashMap<Route, OutlierDetector>,
+    /// Pools in which a target was asked for its health on behalf of their detectors.
     probed: SecondaryMap<TargetKey, Vec<Route>>,
     polls: JoinSet<Polled>,
     caches: Caches,
@@ -83,7 +83,7 @@
         rng: node.rng(),
         departures: SecondaryMap::new(),
         due: SecondaryMap::new(),
-        ejectors: HashMap::new(),
+        detectors: HashMap::new(),
         probed: SecondaryMap::new(),
         polls: JoinSet::new(),
         caches: Caches::default(),
@@ -128,8 +128,8 @@
                 route,
                 target,
                 latency_ms,
-            } => self.ejector(route).succeeded(target, latency_ms),
-            TargetEvent::Failed { route, target } => self.ejector(route).failed(target),
+            } => self.detector(route).record_success(target, latency_ms),
+            TargetEvent::Failed { route, target } => self.detector(route).record_failure(target),
         }
     }
 
@@ -162,7 +162,8 @@
         }
         for route in self.probed.remove(polled.target).unwrap_or_default() {
             let alive = polled.word.is_some();
-            self.ejector(route).probed(polled.target, alive, now_ms);
+            self.detector(route)
+                .record_probe(polled.target, alive, now_ms);
         }
     }
 
@@ -263,23 +264,24 @@
             is_kept
         });
         self.due.retain(|key, _| view.target(key).is_some());
-        self.ejectors.retain(|route, _| view.pool(*route).is_some());
+        self.detectors
+            .retain(|route, _| view.pool(*route).is_some());
     }
 
     fn eject(&mut self, view: &View, now_ms: u64) {
         let mut probes = Vec::new();
-        for (route, ejector) in &mut self.ejectors {
+        for (route, detector) in &mut self.detectors {
             let Some(pool) = view.pool(*route) else {
                 continue;
             };
-            for effect in ejector.step(pool, now_ms) {
+            for effect in detector.step(pool, now_ms) {
                 match effect {
-                    EjectEffect::Weight(target, weight) => {
+                    OutlierEffect::Weight(target, weight) => {
                         note(&self.node, view, target, weight);
                         pool.set_weight(target, weight);
                     }
-                    EjectEffect::Panic(panic) => pool.set_panic(panic),
-                    EjectEffect::Probe(target) => probes.push((*route, target)),
+                    OutlierEffect::Panic(panic) => pool.set_panic(panic),
+                    OutlierEffect::Probe(target) => probes.push((*route, target)),
                 }
             }
         }
@@ -306,9 +308,9 @@
         }
     }
 
-    fn ejector(&mut self, route: Route) -> &mut Ejector {
-        let ejector = self.ejectors.entry(route);
-        ejector.or_insert_with(|| Ejector::new(EjectLimits::default()))
+    fn detector(&mut self, route: Route) -> &mut OutlierDetector {
+        let detector = self.detectors.entry(route);
+        detector.or_insert_with(|| OutlierDetector::new(OutlierLimits::default()))
     }
 }
 
