--- a/crates/route/tests/test_scripts.rs
+++ b/crates/route/tests/test_scripts.rs
@@ -3,7 +3,8 @@
 use std::error::Error;
 
 use celerypond_route::{
-    Departure, EjectEffect, EjectLimits, Ejector, Pool, Relay, Route, View, Word,
+    Availability, DepartureNotice, DepartureState, OutlierDetector, OutlierEffect, OutlierLimits,
+    Pool, Route, View,
 };
 use celerypond_types::TargetKey;
 use rstest::rstest;
@@ -56,8 +57,8 @@
     view: View,
     route: Route,
     keys: Vec<TargetKey>,
-    ejector: Ejector,
-    departure: Departure,
+    detector: OutlierDetector,
+    departure: DepartureState,
     now: u64,
 }
 
@@ -68,8 +69,8 @@
             view,
             route,
             keys,
-            ejector: Ejector::new(EjectLimits::default()),
-            departure: Departure::default(),
+            detector: OutlierDetector::new(OutlierLimits::default()),
+            departure: DepartureState::default(),
             now: 0,
         }
     }
@@ -84,10 +85,10 @@
         while self.now < end {
             self.now += 100;
             let pool = std::sync::Arc::clone(self.view.pool(self.route).unwrap());
-            for effect in self.ejector.step(&pool, self.now) {
+            for effect in self.detector.step(&pool, self.now) {
                 let name = |key| self.keys.iter().position(|one| *one == key).unwrap();
                 match effect {
-                    EjectEffect::Weight(key, weight) => {
+                    OutlierEffect::Weight(key, weight) => {
                         pool.set_weight(key, weight);
                         // A ramp has a step each 100 ms; its ends are enough.
                         if [0, 102, celerypond_route::FULL_WEIGHT].contains(&weight) {
@@ -95,17 +96,17 @@
                                 &format!("{} ms: engine {} weight {weight}\n", self.now, name(key));
                         }
                     }
-                    EjectEffect::Probe(key) => {
+                    OutlierEffect::Probe(key) => {
                         lines += &format!("{} ms: probe engine {}\n", self.now, name(key))
                     }
-                    EjectEffect::Panic(on) => lines += &format!("{} ms: panic {on}\n", self.now),
+                    OutlierEffect::Panic(on) => lines += &format!("{} ms: panic {on}\n", self.now),
                 }
             }
         }
         lines
     }
 
-    fn say(&mut self, next: Departure) -> String {
+    fn say(&mut self, next: DepartureState) -> String {
         self.departure = next;
         match next.is_leaving() {
             true => "leaving\n".into(),
@@ -114,10 +115,10 @@
     }
 }
 
-fn word(text: &str) -> Word {
+fn word(text: &str) -> Availability {
     match text {
-        "leaving" => Word::Leaving,
-        _ => Word::Live,
+        "leaving" => Availability::Leaving,
+        _ => Availability::Live,
     }
 }
 
@@ -141,7 +142,7 @@
                     .iter()
                     .flat_map(|one| (0..*times).map(move |_| *one))
                 {
-                    self.ejector.succeeded(self.keys[engine], *ms);
+                    self.detector.record_success(self.keys[engine], *ms);
                 }
                 String::new()
             }
@@ -150,12 +151,13 @@
                     .iter()
                     .flat_map(|one| (0..*times).map(move |_| *one))
                 {
-                    self.ejector.failed(self.keys[engine]);
+                    self.detector.record_failure(self.keys[engine]);
                 }
                 String::new()
             }
             Command::Probed { engine, alive } => {
-                self.ejector.probed(self.keys[*engine], *alive, self.now);
+                self.detector
+                    .record_probe(self.keys[*engine], *alive, self.now);
                 String::new()
             }
             Command::Target {
@@ -163,13 +165,13 @@
                 asked_ms_ago,
             } => {
                 let sent = self.now - asked_ms_ago;
-                self.say(last.target_says(word(text), sent, self.now))
+                self.say(last.observe_target(word(text), sent, self.now))
             }
-            Command::List(text) => self.say(last.list_says(word(text), self.now)),
+            Command::List(text) => self.say(last.observe_list(word(text), self.now)),
             Command::Peer { age_ms } => {
                 let origin = celerypond_route::Origin::Target;
-                self.say(last.peer_says(
-                    Relay {
+                self.say(last.observe_notice(
+                    DepartureNotice {
                         origin,
                         age_ms: *age_ms,
                     },
--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -6,8 +6,8 @@
 use celerypond_fleet::EntryKind;
 use celerypond_platform::Presence;
 use celerypond_route::{
-    CacheEvent, Caches, Departure, EjectEffect, EjectLimits, Ejector, Relay, Route, Target, View,
-    Word,
+    Availability, CacheEvent, Caches, DepartureNotice, DepartureState, OutlierDetector,
+    OutlierEffect, OutlierLimits, Route, Target, View,
 };
 use celerypond_telemetry::{Counter, Gauge};
 use celerypond_types::{TargetKey, TargetName, VersionName};
@@ -57,7 +57,7 @@
 struct Polled {
     target: TargetKey,
     sent_ms: u64,
-    word: Option<Word>,
+    word: Option<Availability>,
     versions: Option<Vec<VersionName>>,
     load: Option<engine::Load>,
     /// What its cache tells; `None` when it was not heard.
@@ -67,10 +67,10 @@
 struct Watch {
     node: Arc<Node>,
     rng: SmallRng,
-    departures: SecondaryMap<TargetKey, Departure>,
+    departures: SecondaryMap<TargetKey, DepartureState>,
     due: SecondaryMap<TargetKey, u64>,
-    ejectors: HashMap<Route, Ejector>,
-    /// Pools in which a target was asked for its health on behalf of their ejectors.
+    detectors: HashMap<Route, OutlierDetector>,
+    /// Pools in which a target was asked for its health on behalf of their detectors.
     probed: SecondaryMap<TargetKey, Vec<Route>>,
     polls: JoinSet<Polled>,
     caches: Caches,
@@ -83,7 +83,7 @@
         rng: node.rng(),
         departures: SecondaryMap::new(),
         due: SecondaryMap::new(),
-        ejectors: HashMap::new(),
+        detectors: HashMap::new(),
         probed: SecondaryMap::new(),
         polls: JoinSet::new(),
         caches: Caches::default(),
@@ -116,7 +116,7 @@
         self.poll(&view, now_ms);
         let live = view
             .targets()
-            .filter(|(_, target)| !target.gauge.is_closed());
+            .filter(|(_, target)| !target.state.is_closed());
         self.node
             .metrics
             .set(Gauge::LiveTargets, live.count() as u64);
@@ -128,8 +128,8 @@
                 route,
                 target,
                 latency_ms,
-            } => self.ejector(route).succeeded(target, latency_ms),
-            TargetEvent::Failed { route, target } => self.ejector(route).failed(target),
+            } => self.detector(route).record_success(target, latency_ms),
+            TargetEvent::Failed { route, target } => self.detector(route).record_failure(target),
         }
     }
 
@@ -141,10 +141,10 @@
         let now_ms = view.clock().millis(Instant::now());
         if let Some(word) = polled.word {
             self.say(polled.target, target, |departure| {
-                departure.target_says(word, polled.sent_ms, now_ms)
+                departure.observe_target(word, polled.sent_ms, now_ms)
             });
-            if word == Word::Live {
-                target.gauge.confirm(polled.sent_ms);
+            if word == Availability::Live {
+                target.state.record_live(polled.sent_ms);
             }
         }
         if let Some(versions) = &polled.versions {
@@ -152,7 +152,9 @@
         }
         if let Some(load) = polled.load {
             let sampled_ms = polled.sent_ms.saturating_sub(load.age_ms);
-            target.gauge.report(sampled_ms, load.running + load.queued);
+            target
+                .state
+                .record_load(sampled_ms, load.running + load.queued);
         }
         if let Some(changes) = &polled.cache {
             let events: Vec<(u64, CacheEvent)> = changes.iter().map(cache_event).collect();
@@ -160,7 +162,8 @@
         }
         for route in self.probed.remove(polled.target).unwrap_or_default() {
             let alive = polled.word.is_some();
-            self.ejector(route).probed(polled.target, alive, now_ms);
+            self.detector(route)
+                .record_probe(polled.target, alive, now_ms);
         }
     }
 
@@ -176,7 +179,7 @@
     fn hear_peers(&mut self) {
         let view = self.node.view.load_full();
         let now_ms = view.clock().millis(Instant::now());
-        let words: Vec<(TargetName, Vec<Relay>)> = {
+        let words: Vec<(TargetName, Vec<DepartureNotice>)> = {
             let gossip = self.node.gossip();
             let items = gossip.state().items(EntryKind::TargetLeaving);
             items
@@ -194,7 +197,9 @@
                 continue;
             };
             for relay in relays {
-                self.say(key, target, |departure| departure.peer_says(relay, now_ms));
+                self.say(key, target, |departure| {
+                    departure.observe_notice(relay, now_ms)
+                });
             }
         }
     }
@@ -207,16 +212,23 @@
             };
             let word = word(listed.state);
             if let Some(target) = view.target(key) {
-                self.say(key, target, |departure| departure.list_says(word, now_ms));
+                self.say(key, target, |departure| {
+                    departure.observe_list(word, now_ms)
+                });
             }
         }
     }
 
-    fn say(&mut self, key: TargetKey, target: &Target, say: impl FnOnce(Departure) -> Departure) {
+    fn say(
+        &mut self,
+        key: TargetKey,
+        target: &Target,
+        say: impl FnOnce(DepartureState) -> DepartureState,
+    ) {
         let before = self.departures.get(key).copied().unwrap_or_default();
         let after = say(before);
         self.departures.insert(key, after);
-        target.gauge.set_closed(after.is_leaving());
+        target.state.set_closed(after.is_leaving());
         if before.is_leaving() != after.is_leaving() {
             let state = if after.is_leaving() {
                 "leaving"
@@ -229,9 +241,9 @@
     }
 
     /// Tells the other instances that a target leaves; they may be cut off from it and the list.
-    fn pass_on(&self, target: &Target, departure: Departure) {
+    fn pass_on(&self, target: &Target, departure: DepartureState) {
         let name = target.name.as_str();
-        let relays: Vec<Relay> = departure.relays(self.node.now_ms()).collect();
+        let relays: Vec<DepartureNotice> = departure.notices(self.node.now_ms()).collect();
         if relays.is_empty() {
             self.node.gossip().clear(EntryKind::TargetLeaving, name);
             return;
@@ -252,23 +264,24 @@
             is_kept
         });
         self.due.retain(|key, _| view.target(key).is_some());
-        self.ejectors.retain(|route, _| view.pool(*route).is_some());
+        self.detectors
+            .retain(|route, _| view.pool(*route).is_some());
     }
 
     fn eject(&mut self, view: &View, now_ms: u64) {
         let mut probes = Vec::new();
-        for (route, ejector) in &mut self.ejectors {
+        for (route, detector) in &mut self.detectors {
             let Some(pool) = view.pool(*route) else {
                 continue;
             };
-            for effect in ejector.step(pool, now_ms) {
+            for effect in detector.step(pool, now_ms) {
                 match effect {
-                    EjectEffect::Weight(target, weight) => {
+                    OutlierEffect::Weight(target, weight) => {
                         note(&self.node, view, target, weight);
                         pool.set_weight(target, weight);
                     }
-                    EjectEffect::Panic(panic) => pool.set_panic(panic),
-                    EjectEffect::Probe(target) => probes.push((*route, target)),
+                    OutlierEffect::Panic(panic) => pool.set_panic(panic),
+                    OutlierEffect::Probe(target) => probes.push((*route, target)),
                 }
             }
         }
@@ -295,9 +308,9 @@
         }
     }
 
-    fn ejector(&mut self, route: Route) -> &mut Ejector {
-        let ejector = self.ejectors.entry(route);
-        ejector.or_insert_with(|| Ejector::new(EjectLimits::default()))
+    fn detector(&mut self, route: Route) -> &mut OutlierDetector {
+        let detector = self.detectors.entry(route);
+        detector.or_insert_with(|| OutlierDetector::new(OutlierLimits::default()))
     }
 }
 
@@ -328,13 +341,13 @@
 /// that says itself that it is live gets any; one that does not is missed for a moment by all.
 pub async fn is_live(node: &Node, key: TargetKey, target: &Target) -> bool {
     let sent_ms = node.now_ms();
-    if !target.gauge.is_stale(sent_ms) {
+    if !target.state.needs_health_check(sent_ms) {
         return true;
     }
     let health = engine::health(target.address, health_path(target.kind)).await;
     let is_live = matches!(health, Ok(Some(health)) if health.state == Presence::Live);
     match is_live {
-        true => target.gauge.confirm(sent_ms),
+        true => target.state.record_live(sent_ms),
         false => node.suspects.add(key, Instant::now()),
     }
     is_live
@@ -385,9 +398,9 @@
 }
 
 /// Returns what a target's state means for new work.
-pub fn word(state: Presence) -> Word {
+pub fn word(state: Presence) -> Availability {
     match state {
-        Presence::Live => Word::Live,
-        Presence::Leaving => Word::Leaving,
+        Presence::Live => Availability::Live,
+        Presence::Leaving => Availability::Leaving,
     }
 }
