--- a/crates/relay/src/address_book.rs
+++ b/crates/relay/src/address_index.rs
@@ -9,11 +9,11 @@
 /// Each entry of the store's list settles who owns its address. With a walk over all targets for each one a list
 /// of 12,000 took 305 ms to take in, and takes 20 ms so (one core, release build).
 #[derive(Clone, Debug, Default)]
-pub(crate) struct AddressBook {
+pub(crate) struct AddressIndex {
     at: HashMap<SocketAddr, Vec<TargetKey>>,
 }
 
-impl AddressBook {
+impl AddressIndex {
     /// Notes that a target has an address.
     pub(crate) fn add(&mut self, address: SocketAddr, key: TargetKey) {
         let keys = self.at.entry(address).or_default();
--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -5,7 +5,7 @@
 use celerypond_types::TargetKey;
 use tokio::time::Instant;
 
-use crate::{place::rank, PromptLocation, PromptPart, Target, TargetQuery, Targets};
+use crate::{selection::rendezvous_rank, PromptLocation, PromptPart, Target, TargetQuery, Targets};
 
 /// What a stream asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,23 +56,23 @@
 
 impl HeldPart {
     fn is_fresh(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) < HELD_TTL
+        now.saturating_duration_since(self.at) < HELD_PART_TTL
     }
 
     fn is_whole(&self, part: PromptPart, now: Instant) -> bool {
-        self.is_fresh(now) && self.tokens as f64 >= part.tokens as f64 * WHOLE
+        self.is_fresh(now) && self.tokens as f64 >= part.tokens as f64 * WHOLE_PART_SHARE
     }
 }
 
 /// How long a report of an engine is valid. It evicts what was used least recently.
-const HELD_TTL: Duration = Duration::from_secs(3);
+const HELD_PART_TTL: Duration = Duration::from_secs(3);
 /// The part of a prompt's tokens that makes it as good as read.
-const WHOLE: f64 = 0.9;
+const WHOLE_PART_SHARE: f64 = 0.9;
 /// The most engines that are asked for one prompt. A prompt is read at one of the first dozen in its order,
 /// unless more engines than that are lost or full.
-const ASKED_MOST: usize = 16;
+const MAX_QUERIED_ENGINES: usize = 16;
 /// How long a report of what an engine holds is valid.
-const LISTED: Duration = Duration::from_secs(1);
+const QUERY_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Targets {
     /// Returns the engines to be asked whether they hold a prompt: the first in its order, but for those
@@ -84,16 +84,16 @@
     pub fn engines_to_query(&mut self, want: &TargetQuery<'_>, now: Instant) -> Vec<TargetKey> {
         let affinity = want.affinity.unwrap_or_default();
         let engines = self.iter().filter(|(key, target)| {
-            let is_asked = |at: Instant| now.saturating_duration_since(at) < LISTED;
+            let is_asked = |at: Instant| now.saturating_duration_since(at) < QUERY_INTERVAL;
             target.entry.service == *want.service
                 && self.is_usable(*key)
                 && !target.is_avoided(now)
                 && !target.last_queried.is_some_and(is_asked)
         });
-        let ranked = engines.map(|(key, target)| (rank(affinity, target), key));
+        let ranked = engines.map(|(key, target)| (rendezvous_rank(affinity, target), key));
         let mut ranked: Vec<(u64, TargetKey)> = ranked.collect();
         ranked.sort_unstable();
-        ranked.truncate(ASKED_MOST);
+        ranked.truncate(MAX_QUERIED_ENGINES);
         let keys: Vec<TargetKey> = ranked.into_iter().map(|(_, key)| key).collect();
         for key in &keys {
             if let Some(target) = self.get_mut(*key) {
--- a/crates/relay/src/ended.rs
+++ b/crates/relay/src/attempt_failure.rs
@@ -90,16 +90,16 @@
 }
 
 /// The least time for which another attempt is worth a send.
-const LEAST_LEFT: Duration = Duration::from_millis(20);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 /// Refusals after which a caller is told to come back. Each refusal costs the target work, and a
 /// service whose targets refuse this often in a row is full.
-const REFUSALS_LIMIT: u32 = 6;
+const MAX_REFUSALS: u32 = 6;
 /// Targets without a connection after which a caller is answered. They cost no target any work, but up
 /// to a tenth of a second of the caller's time each.
 ///
 /// The failure: 60 of 180 engines fall silent, nobody knows yet which, and a stream tries six of them
 /// in a row within half a second. As refusals they would end it, though most engines are idle.
-const UNREACHED_LIMIT: u32 = 20;
+const MAX_UNREACHED: u32 = 20;
 
 impl AttemptState {
     /// Decides what follows an attempt that ended so; `budget` says whether one more send is
@@ -126,7 +126,7 @@
     /// ```
     pub fn next_step(&self, ended: AttemptFailure, budget: impl FnOnce() -> bool) -> NextStep {
         let may_have_run = self.runs > 0;
-        if self.time_left < LEAST_LEFT {
+        if self.time_left < MIN_TIME_LEFT {
             return if may_have_run {
                 NextStep::Expired
             } else {
@@ -134,7 +134,7 @@
             };
         }
         let may_send = !may_have_run || self.kind.may_repeat();
-        let is_full = self.refusals >= REFUSALS_LIMIT || self.unreached >= UNREACHED_LIMIT;
+        let is_full = self.refusals >= MAX_REFUSALS || self.unreached >= MAX_UNREACHED;
         let has_room = self.runs < self.attempts && !is_full;
         // The budget bounds what reaches targets. Where all targets of a data centre are dead, most
         // sends reach none, and streams would break for want of budget.
--- a/crates/relay/src/contact.rs
+++ b/crates/relay/src/contact.rs
@@ -6,7 +6,7 @@
 
 /// How long it takes after a gap until peers have reported what was missed: a round of gossip and an interval
 /// between two notices. Shorter gaps are usual.
-const CATCH_UP: Duration = Duration::from_millis(800);
+const CATCH_UP_TIME: Duration = Duration::from_millis(800);
 
 /// A time without contact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Contact {
     last: Instant,
-    /// The longest gap of those that ended within [`CATCH_UP`] of each other; nothing where there was none.
+    /// The longest gap of those that ended within [`CATCH_UP_TIME`] of each other; nothing where there was none.
     gap: Option<Gap>,
 }
 
@@ -56,8 +56,8 @@
     /// Records a contact.
     pub fn record(&mut self, at: Instant) {
         let length = at.saturating_duration_since(self.last);
-        let is_longest = |known: Gap| length >= known.length || known.end + CATCH_UP <= at;
-        if length > CATCH_UP && self.gap.is_none_or(is_longest) {
+        let is_longest = |known: Gap| length >= known.length || known.end + CATCH_UP_TIME <= at;
+        if length > CATCH_UP_TIME && self.gap.is_none_or(is_longest) {
             self.gap = Some(Gap { length, end: at });
         }
         self.last = self.last.max(at);
@@ -70,8 +70,8 @@
 
     /// Returns when no change that was missed in a gap can be older than the limit and unread; nothing if that holds now.
     pub fn current_at(&self, limit: Duration, now: Instant) -> Option<Instant> {
-        let gap = self.gap.filter(|gap| gap.length + CATCH_UP > limit)?;
-        let at = gap.end + CATCH_UP;
+        let gap = self.gap.filter(|gap| gap.length + CATCH_UP_TIME > limit)?;
+        let at = gap.end + CATCH_UP_TIME;
         (now < at).then_some(at)
     }
 }
--- a/crates/relay/src/revival.rs
+++ b/crates/relay/src/dead_engines.rs
@@ -13,9 +13,9 @@
 };
 
 /// How long after its death an engine is looked for first: it takes about a second to start.
-const REVIVE_FROM: Duration = Duration::from_millis(900);
+const FIRST_PROBE_AFTER: Duration = Duration::from_millis(900);
 /// How long after its death an engine is looked for at most.
-const REVIVE_UNTIL: Duration = Duration::from_secs(10);
+const LAST_PROBE_AFTER: Duration = Duration::from_secs(10);
 
 /// An engine that was found dead.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,12 +37,12 @@
         if !self.is_unverified(now) {
             return Vec::new();
         }
-        let late = stagger.mul_f64(self.stagger_share);
+        let late = stagger.mul_f64(self.lateness);
         let is_due = |target: &Target| {
             let died = target
                 .dead_since
                 .map(|died| now.saturating_duration_since(died));
-            died.is_some_and(|since| (REVIVE_FROM + late..REVIVE_UNTIL).contains(&since))
+            died.is_some_and(|since| (FIRST_PROBE_AFTER + late..LAST_PROBE_AFTER).contains(&since))
         };
         let dead = self.arena.iter();
         dead.filter(|(key, target)| is_due(target) && self.owns_address(*key))
@@ -108,10 +108,10 @@
         found.unlisted = Some(Unlisted { seen, absent: None });
         self.insert(found);
         self.restarts.push(Restart {
-            before,
+            previous_hash: before,
             name: name.clone(),
             seen,
-            heard: now,
+            received_at: now,
         });
         true
     }
--- a/crates/relay/src/pace.rs
+++ b/crates/relay/src/event_times.rs
@@ -6,11 +6,11 @@
 
 /// Events over which a pace is taken: a quarter of a second, so that the gaps between single events,
 /// which come in groups, do not count.
-const EVENTS: u32 = 8;
+const EVENTS_PER_MEASUREMENT: u32 = 8;
 /// How long a pace holds against a slower one. An engine that turns slow is known to be so after it.
-const FRESH: Duration = Duration::from_secs(2);
+const FASTEST_TTL: Duration = Duration::from_secs(2);
 /// How long a pace is remembered without a new one. Engines keep their hardware when they start again.
-const KEPT: Duration = Duration::from_secs(120);
+const RETENTION: Duration = Duration::from_secs(120);
 
 /// How fast each engine makes events when it does nothing else.
 ///
@@ -34,15 +34,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct EventTimes {
     /// By the hash of the engine's address.
-    known: HashMap<u64, Known>,
+    measurements: HashMap<u64, Measurement>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct Measurement {
     event_ms: f32,
     at: Instant,
     /// When this instance saw it itself.
-    own: Option<Instant>,
+    observed_here_at: Option<Instant>,
 }
 
 impl EventTimes {
@@ -53,17 +53,24 @@
 
     /// Returns how many milliseconds an engine takes for each event; nothing where that is not known.
     pub fn get(&self, spot: u64) -> Option<f32> {
-        self.known.get(&spot).map(|known| known.event_ms)
+        self.measurements
+            .get(&spot)
+            .map(|measurements| measurements.event_ms)
     }
 
     /// Returns what this instance saw lately, for the others.
     pub fn own_times(&self, now: Instant) -> Vec<(u64, f32)> {
-        let is_own = |known: &Known| {
-            let own = known.own;
-            own.is_some_and(|at| now.saturating_duration_since(at) < FRESH)
+        let is_own = |measurements: &Measurement| {
+            let observed_here_at = measurements.observed_here_at;
+            observed_here_at.is_some_and(|at| now.saturating_duration_since(at) < FASTEST_TTL)
         };
-        let own = self.known.iter().filter(|(_, known)| is_own(known));
-        own.map(|(spot, known)| (*spot, known.event_ms)).collect()
+        let observed_here_at = self
+            .measurements
+            .iter()
+            .filter(|(_, measurements)| is_own(measurements));
+        observed_here_at
+            .map(|(spot, measurements)| (*spot, measurements.event_ms))
+            .collect()
     }
 
     /// Takes in what another instance saw.
@@ -75,23 +82,29 @@
 
     /// Drops what is too old to count.
     pub fn sweep(&mut self, now: Instant) {
-        self.known
-            .retain(|_, known| now.saturating_duration_since(known.at) < KEPT);
+        self.measurements
+            .retain(|_, measurements| now.saturating_duration_since(measurements.at) < RETENTION);
     }
 
-    fn insert(&mut self, spot: u64, event_ms: f32, own: Option<Instant>, now: Instant) {
+    fn insert(
+        &mut self,
+        spot: u64,
+        event_ms: f32,
+        observed_here_at: Option<Instant>,
+        now: Instant,
+    ) {
         if !event_ms.is_finite() || event_ms <= 0.0 {
             return;
         }
-        let fresh = Known {
+        let fresh = Measurement {
             event_ms,
             at: now,
-            own,
+            observed_here_at,
         };
-        let known = self.known.entry(spot).or_insert(fresh);
-        let is_old = now.saturating_duration_since(known.at) >= FRESH;
-        if event_ms <= known.event_ms || is_old {
-            *known = fresh;
+        let measurements = self.measurements.entry(spot).or_insert(fresh);
+        let is_old = now.saturating_duration_since(measurements.at) >= FASTEST_TTL;
+        if event_ms <= measurements.event_ms || is_old {
+            *measurements = fresh;
         }
     }
 }
@@ -129,7 +142,7 @@
     /// Takes in events; returns the milliseconds for each of the last ones when there are enough.
     pub fn record(&mut self, events: u32, now: Instant) -> Option<f32> {
         self.events += events;
-        if self.events < EVENTS {
+        if self.events < EVENTS_PER_MEASUREMENT {
             return None;
         }
         let took = now.saturating_duration_since(self.since);
--- a/crates/relay/src/evidence.rs
+++ b/crates/relay/src/evidence.rs
@@ -12,17 +12,17 @@
 
 /// The odds at which a version is called bad; lower ones take back good versions when all targets
 /// fail for a moment.
-const ODDS: f64 = 1e4;
+const BAD_ODDS: f64 = 1e4;
 /// The odds from which a version is not called good.
-const DOUBT: f64 = 30.0;
+const DOUBTFUL_ODDS: f64 = 30.0;
 /// Failures up to this rate are never held against a version.
-const FLOOR: f64 = 0.005;
+const TOLERATED_RATE: f64 = 0.005;
 /// An answer is slow that takes so many times as long as the old version usually does on its route.
-const SLOW: f64 = 3.0;
+const SLOW_FACTOR: f64 = 3.0;
 /// Answers of the old version by which its usual time is known.
-const USUAL_LEAST: u32 = 8;
+const MIN_USUAL_COUNT: u32 = 8;
 /// The weight of one answer in the usual time.
-const USUAL_WEIGHT: f64 = 0.05;
+const USUAL_TIME_WEIGHT: f64 = 0.05;
 /// How long what an instance reported counts without a new report; then it is gone, and what it saw
 /// is kept by nobody.
 const REPORT_TTL: Duration = Duration::from_secs(60);
@@ -77,7 +77,7 @@
 
     /// Returns the odds that the new version is bad, by failures or by slowness.
     fn odds(&self) -> f64 {
-        let worse = |new: Seen, old: Seen| odds(new, old, old, FLOOR);
+        let worse = |new: Seen, old: Seen| odds(new, old, old, TOLERATED_RATE);
         let failures = worse(self.new.failed(), self.old.failed());
         failures.max(worse(self.new.slowed(), self.old.slowed()))
     }
@@ -97,10 +97,10 @@
 /// What became of requests at the old and the new version of a service, as all instances saw it.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    own: BTreeMap<u64, VersionCounts>,
+    local: BTreeMap<u64, VersionCounts>,
     /// The usual time of the old version by route, in seconds, and of how many answers.
     usual: HashMap<u64, (f64, u32)>,
-    told: HashMap<u64, (EvidenceReport, Instant)>,
+    peers: HashMap<u64, (EvidenceReport, Instant)>,
 }
 
 impl Evidence {
@@ -108,12 +108,12 @@
     pub fn record(&mut self, route: u64, is_new: bool, is_bad: bool, time: Duration) {
         let took = time.as_secs_f64();
         let (usual, count) = self.usual.entry(route).or_insert((took, 0));
-        let is_slow = *count >= USUAL_LEAST && took > *usual * SLOW;
+        let is_slow = *count >= MIN_USUAL_COUNT && took > *usual * SLOW_FACTOR;
         if !is_new && !is_bad {
-            *usual += (took - *usual) * USUAL_WEIGHT.max(1.0 / f64::from(*count + 1));
+            *usual += (took - *usual) * USUAL_TIME_WEIGHT.max(1.0 / f64::from(*count + 1));
             *count += 1;
         }
-        let pair = self.own.entry(route).or_default();
+        let pair = self.local.entry(route).or_default();
         let answers = if is_new { &mut pair.new } else { &mut pair.old };
         answers.add(Answers {
             all: 1,
@@ -128,7 +128,7 @@
             origin,
             version: version.clone(),
             routes: self
-                .own
+                .local
                 .iter()
                 .map(|(route, pair)| (*route, *pair))
                 .collect(),
@@ -137,8 +137,8 @@
 
     /// Takes in what another instance saw; it replaces what that instance told before.
     pub fn merge(&mut self, report: EvidenceReport, now: Instant) {
-        self.told.insert(report.origin, (report, now));
-        self.told
+        self.peers.insert(report.origin, (report, now));
+        self.peers
             .retain(|_, (_, at)| now.saturating_duration_since(*at) < REPORT_TTL);
     }
 
@@ -151,12 +151,12 @@
 
     /// Returns whether the new version is very likely bad on one route or over all of them.
     pub fn is_bad(&self) -> bool {
-        self.odds() > ODDS
+        self.odds() > BAD_ODDS
     }
 
     /// Returns whether the new version is likelier bad than good, though not for sure.
     pub fn is_doubtful(&self) -> bool {
-        self.odds() > DOUBT
+        self.odds() > DOUBTFUL_ODDS
     }
 
     fn odds(&self) -> f64 {
@@ -166,9 +166,9 @@
     }
 
     fn routes(&self) -> BTreeMap<u64, VersionCounts> {
-        let mut all = self.own.clone();
-        let told = self.told.values().flat_map(|(report, _)| &report.routes);
-        for (route, pair) in told {
+        let mut all = self.local.clone();
+        let peers = self.peers.values().flat_map(|(report, _)| &report.routes);
+        for (route, pair) in peers {
             all.entry(*route).or_default().add(*pair);
         }
         all
--- a/crates/relay/src/first_wait.rs
+++ b/crates/relay/src/first_event_wait.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 /// The time between two looks at what an engine reads.
-const LOOK: Duration = Duration::from_millis(300);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// The wait for a first event at an engine that may read other prompts before this one.
 ///
@@ -22,32 +22,32 @@
 /// use celerypond_relay::FirstEventWait;
 /// use tokio::time::Instant;
 ///
-/// let begun = Instant::now();
-/// let mut wait = FirstEventWait::new(begun);
+/// let started_at = Instant::now();
+/// let mut wait = FirstEventWait::new(started_at);
 /// let (short, long) = (Duration::from_secs(3), Duration::from_secs(5));
-/// assert!(wait.update(long, begun).is_some());
-/// assert!(wait.update(short, begun + Duration::from_secs(4)).is_some());
-/// assert!(wait.update(short, begun + long).is_none());
+/// assert!(wait.update(long, started_at).is_some());
+/// assert!(wait.update(short, started_at + Duration::from_secs(4)).is_some());
+/// assert!(wait.update(short, started_at + long).is_none());
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct FirstEventWait {
-    begun: Instant,
+    started_at: Instant,
     until: Instant,
 }
 
 impl FirstEventWait {
     /// Begins to wait.
-    pub const fn new(begun: Instant) -> Self {
+    pub const fn new(started_at: Instant) -> Self {
         Self {
-            begun,
-            until: begun,
+            started_at,
+            until: started_at,
         }
     }
 
     /// Takes in how long the engine may need for all that it reads now; returns when to look again, or
     /// nothing when it has had the time that it needed.
     pub fn update(&mut self, most: Duration, now: Instant) -> Option<Instant> {
-        self.until = self.until.max(self.begun + most);
-        (now < self.until).then(|| self.until.min(now + LOOK))
+        self.until = self.until.max(self.started_at + most);
+        (now < self.until).then(|| self.until.min(now + RECHECK_INTERVAL))
     }
 }
--- a/crates/relay/src/freshness.rs
+++ b/crates/relay/src/freshness.rs
@@ -7,7 +7,7 @@
 use crate::{Contact, Observation, Stale};
 
 /// How many of the newest versions are remembered.
-const VERSIONS: usize = 16;
+const MAX_VERSIONS: usize = 16;
 
 /// How long a transfer counts as under way after it was last reported.
 const TRANSFER_TTL: Duration = Duration::from_secs(1);
@@ -96,7 +96,7 @@
             }
             Err(at) => self.observations.insert(at, seen),
         }
-        if self.observations.len() > VERSIONS {
+        if self.observations.len() > MAX_VERSIONS {
             self.observations.remove(0);
         }
     }
@@ -112,7 +112,7 @@
             Some(known) => known.1 = known.1.max(at),
             None => self.reports.push((version, at)),
         }
-        if self.reports.len() > VERSIONS {
+        if self.reports.len() > MAX_VERSIONS {
             self.reports.remove(0);
         }
     }
@@ -132,7 +132,7 @@
     }
 
     /// Returns whether a version is being transferred that is not in force.
-    fn is_newer_begun(&self, now: Instant) -> bool {
+    fn is_transfer_recent(&self, now: Instant) -> bool {
         let is_recent = |at| now.saturating_duration_since(at) <= TRANSFER_TTL;
         let newer = self.transfer.filter(|newer| newer.above >= self.current);
         newer.is_some_and(|newer| is_recent(newer.at))
@@ -158,7 +158,7 @@
     pub fn newest(&self, now: Instant) -> u64 {
         let observed = self.observations.last().map_or(0, |newest| newest.version);
         let reported = self.reports.iter().map(|known| known.0).max();
-        let begun = self.current + u64::from(self.is_newer_begun(now));
+        let begun = self.current + u64::from(self.is_transfer_recent(now));
         observed.max(begun).max(reported.unwrap_or_default())
     }
 
@@ -200,7 +200,7 @@
         if self.reports.iter().any(|known| is_recent(known.1)) {
             return Some(Stale::Superseded);
         }
-        if self.is_newer_begun(now) {
+        if self.is_transfer_recent(now) {
             return Some(Stale::Pending);
         }
         let current = self.current_at(limit, now);
--- a/crates/relay/src/held.rs
+++ b/crates/relay/src/held_versions.rs
@@ -8,7 +8,7 @@
 
 /// How long a version that is new at its service gets no request without an order. Its targets are
 /// there before its order is known, which takes about a second and a quarter.
-const HOLD: Duration = Duration::from_secs(3);
+const HOLD_TIME: Duration = Duration::from_secs(3);
 
 impl Targets {
     /// Holds a version back that comes to a service beside others.
@@ -23,7 +23,7 @@
             return;
         }
         let key = (entry.service.clone(), entry.version.clone());
-        self.held_versions.insert(key, now + HOLD);
+        self.held_versions.insert(key, now + HOLD_TIME);
     }
 
     /// Returns whether a target's version gets no request without an order.
--- a/crates/relay/src/history.rs
+++ b/crates/relay/src/history.rs
@@ -5,16 +5,16 @@
 use celerypond_types::ServiceName;
 
 /// The streams of a service that are remembered.
-const REMEMBERED: usize = 64;
+const MAX_VALUES: usize = 64;
 /// So many must be known before anything is concluded.
-const LEAST_KNOWN: usize = 5;
+const MIN_VALUES: usize = 5;
 /// The part of answers that are shorter than what counts as short.
-const SHORT: f64 = 0.1;
+const SHORT_QUANTILE: f64 = 0.1;
 /// The part of readings that are slower than what counts as usual. Some are much faster, as a part of
 /// their prompt was read before.
-const USUAL: f64 = 0.5;
+const USUAL_QUANTILE: f64 = 0.5;
 /// The part of readings that are slower than what counts as fast. Others may have had prompts there that are not known of.
-const FAST: f64 = 0.75;
+const FAST_QUANTILE: f64 = 0.75;
 
 /// What the streams of each service were like lately: how many events they had, and how fast prompts
 /// were read.
@@ -38,36 +38,38 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    services: HashMap<ServiceName, Past>,
+    services: HashMap<ServiceName, ServiceHistory>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Past {
+struct ServiceHistory {
     /// Events of whole answers.
-    lengths: Recent,
+    event_counts: RecentValues,
     /// Prompt tokens that were read in a millisecond, the wait for the engine included.
-    rates: Recent,
+    rates: RecentValues,
     /// The same where other prompts were read first, with their tokens.
-    queued: Recent,
+    queued_rates: RecentValues,
 }
 
 impl History {
     /// Takes in that an answer is complete.
     pub fn record_event_count(&mut self, service: &ServiceName, events: u64) {
-        self.past(service).lengths.add(events as f64);
+        self.service_mut(service).event_counts.add(events as f64);
     }
 
     /// Takes in that a prompt was read at an engine that read nothing else.
     pub fn record_reading(&mut self, service: &ServiceName, tokens: u64, took_ms: f64) {
         if took_ms > 0.0 {
-            self.past(service).rates.add(tokens as f64 / took_ms);
+            self.service_mut(service).rates.add(tokens as f64 / took_ms);
         }
     }
 
     /// Takes in that a prompt was read after others, with the tokens of all.
     pub fn record_queued_reading(&mut self, service: &ServiceName, tokens: u64, took_ms: f64) {
         if took_ms > 0.0 {
-            self.past(service).queued.add(tokens as f64 / took_ms);
+            self.service_mut(service)
+                .queued_rates
+                .add(tokens as f64 / took_ms);
         }
     }
 
@@ -79,12 +81,15 @@
 
     /// Returns how many events a short answer has after its event `last`.
     pub fn min_events_left(&self, service: &ServiceName, last: u64) -> Option<f64> {
-        self.left(service, last, SHORT)
+        self.left(service, last, SHORT_QUANTILE)
     }
 
     /// Returns how many prompt tokens an engine usually reads in a millisecond.
     pub fn read_rate(&self, service: &ServiceName) -> Option<f64> {
-        self.services.get(service)?.rates.quantile(USUAL, 0.0)
+        self.services
+            .get(service)?
+            .rates
+            .quantile(USUAL_QUANTILE, 0.0)
     }
 
     /// Returns how many tokens of queued prompts an engine reads in a millisecond when it reads fast; nothing where too few
@@ -93,48 +98,48 @@
     /// What each request takes besides its reading counts once for a whole queue, so this is more than
     /// [`History::read_rate`].
     pub fn queue_rate(&self, service: &ServiceName) -> Option<f64> {
-        let past = self.services.get(service)?;
-        let queued = past.queued.quantile(FAST, 0.0);
-        queued.or_else(|| past.rates.quantile(FAST, 0.0))
+        let service_mut = self.services.get(service)?;
+        let queued_rates = service_mut.queued_rates.quantile(FAST_QUANTILE, 0.0);
+        queued_rates.or_else(|| service_mut.rates.quantile(FAST_QUANTILE, 0.0))
     }
 
     fn left(&self, service: &ServiceName, last: u64, part: f64) -> Option<f64> {
-        let lengths = &self.services.get(service)?.lengths;
+        let event_counts = &self.services.get(service)?.event_counts;
         let last = last as f64;
-        if !lengths.is_known() {
+        if !event_counts.has_enough() {
             return None;
         }
-        let whole = lengths.quantile(part, last);
+        let whole = event_counts.quantile(part, last);
         Some(whole.map_or(0.0, |whole| whole - last))
     }
 
-    fn past(&mut self, service: &ServiceName) -> &mut Past {
+    fn service_mut(&mut self, service: &ServiceName) -> &mut ServiceHistory {
         self.services.entry(service.clone()).or_default()
     }
 }
 
 /// The last values of a measure.
 #[derive(Clone, Debug, Default)]
-struct Recent {
+struct RecentValues {
     values: VecDeque<f64>,
 }
 
-impl Recent {
+impl RecentValues {
     fn add(&mut self, value: f64) {
-        if self.values.len() == REMEMBERED {
+        if self.values.len() == MAX_VALUES {
             self.values.pop_front();
         }
         self.values.push_back(value);
     }
 
-    fn is_known(&self) -> bool {
-        self.values.len() >= LEAST_KNOWN
+    fn has_enough(&self) -> bool {
+        self.values.len() >= MIN_VALUES
     }
 
     /// Returns the value that a part of those above `over` are below; nothing where none is above or too
     /// few are known.
     fn quantile(&self, part: f64, over: f64) -> Option<f64> {
-        if !self.is_known() {
+        if !self.has_enough() {
             return None;
         }
         let above = self.values.iter().copied().filter(|value| *value > over);
--- a/crates/relay/src/rests.rs
+++ b/crates/relay/src/idle_limits.rs
@@ -6,10 +6,10 @@
 use tokio::time::Instant;
 
 /// The part of the shortest rest after which a connection was lost that others may still rest.
-const SHARE: f64 = 0.5;
+const LIMIT_SHARE: f64 = 0.5;
 /// The shortest rest by which anything is learned. A connection that rested less was most likely lost
 /// with its target.
-const LEAST: Duration = Duration::from_millis(20);
+const MIN_IDLE_TIME: Duration = Duration::from_millis(20);
 /// How long what was learned holds. Each time it is forgotten a request is lost to learn it again, and
 /// a new connection takes a millisecond or two.
 const TTL: Duration = Duration::from_secs(60);
@@ -58,7 +58,7 @@
     /// Takes in that what was sent on a connection was reset at once, after the connection had rested for
     /// so long; returns whether that is news.
     pub fn record_reset(&mut self, service: u64, rested: Duration, now: Instant) -> bool {
-        rested >= LEAST && self.learn(service, rested.mul_f64(SHARE), now)
+        rested >= MIN_IDLE_TIME && self.learn(service, rested.mul_f64(LIMIT_SHARE), now)
     }
 
     /// Returns the longest rest of connections to a service; nothing where none was lost by resting.
--- a/crates/relay/src/board.rs
+++ b/crates/relay/src/peer_streams.rs
@@ -10,11 +10,11 @@
 
 /// How long an instance's list holds without a new one. Lists are sent again each second, so three
 /// of them were lost, or the instance is gone and its streams with it.
-const LIST_TTL: Duration = Duration::from_millis(3_500);
+const PLACEMENTS_TTL: Duration = Duration::from_millis(3_500);
 
 /// How long a prompt part is looked for where it was read. Engines drop what was used least
 /// recently, and most callers come back within seconds.
-const PART_TTL: Duration = Duration::from_secs(20);
+const PROMPT_LOCATION_TTL: Duration = Duration::from_secs(20);
 
 /// A stream of one instance and the engine where it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RestartReport {
     /// The hash of the name before.
-    pub before: u64,
+    pub previous_hash: u64,
     /// The name.
     pub name: TargetName,
     /// The time since the engine answered under the name, in milliseconds.
@@ -83,7 +83,7 @@
     ///
     /// use celerypond_relay::{RestartReport, Placements};
     ///
-    /// let adopted = vec![RestartReport { before: 7, name: "e-1".into(), age_ms: 100 }];
+    /// let adopted = vec![RestartReport { previous_hash: 7, name: "e-1".into(), age_ms: 100 }];
     /// let mut list = Placements { adopted, ..Placements::default() };
     /// list.add_age(Duration::from_millis(250));
     /// assert_eq!(list.adopted[0].age_ms, 350);
@@ -131,16 +131,16 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct PeerStreams {
-    lists: HashMap<u64, Heard>,
+    lists: HashMap<u64, ReceivedPlacements>,
     /// What the streams of all lists take. Kept beside them, as each placement asks for it three times
     /// and a sum of all lists takes most of a placement's time.
-    sums: HashMap<u64, EngineUsage>,
+    usage_sums: HashMap<u64, EngineUsage>,
     /// Where prompt parts were read last, and when that was heard.
     parts: HashMap<u64, (u64, Instant)>,
 }
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct ReceivedPlacements {
     sequence: u64,
     at: Instant,
     streams: Vec<Placement>,
@@ -155,24 +155,27 @@
         }
         for stream in &list.streams {
             self.record_prompt_location(stream.part, stream.target, now);
-            self.sums.entry(stream.target).or_default().add(stream);
+            self.usage_sums
+                .entry(stream.target)
+                .or_default()
+                .add(stream);
         }
-        let heard = Heard {
+        let heard = ReceivedPlacements {
             sequence: list.sequence,
             at: now,
             streams: list.streams,
         };
-        if let Some(before) = self.lists.insert(list.origin, heard) {
-            self.subtract(&before.streams);
+        if let Some(previous) = self.lists.insert(list.origin, heard) {
+            self.subtract(&previous.streams);
         }
     }
 
     fn subtract(&mut self, streams: &[Placement]) {
         for stream in streams {
-            if let Some(taken) = self.sums.get_mut(&stream.target) {
+            if let Some(taken) = self.usage_sums.get_mut(&stream.target) {
                 taken.remove(stream);
                 if taken.streams == 0 {
-                    self.sums.remove(&stream.target);
+                    self.usage_sums.remove(&stream.target);
                 }
             }
         }
@@ -199,14 +202,14 @@
     /// were just read. Where they were read, they need not be read again.
     pub fn holder(&self, part: u64, now: Instant) -> Option<u64> {
         let (target, at) = self.parts.get(&part)?;
-        let is_kept = now.saturating_duration_since(*at) < PART_TTL;
+        let is_kept = now.saturating_duration_since(*at) < PROMPT_LOCATION_TTL;
         is_kept.then_some(*target)
     }
 
     /// Drops the lists of instances that have been silent for long, and what is known of parts that
     /// engines have likely dropped.
     pub fn sweep(&mut self, now: Instant) {
-        let is_kept = |at: Instant| now.saturating_duration_since(at) < PART_TTL;
+        let is_kept = |at: Instant| now.saturating_duration_since(at) < PROMPT_LOCATION_TTL;
         self.parts.retain(|_, (_, at)| is_kept(*at));
         let stale = self.lists.extract_if(|_, heard| !is_fresh(heard, now));
         for (_, heard) in stale.collect::<Vec<_>>() {
@@ -217,7 +220,7 @@
     /// Returns what the streams of other instances take of each engine.
     pub fn usage(&self, now: Instant) -> Cow<'_, HashMap<u64, EngineUsage>> {
         if self.lists.values().all(|heard| is_fresh(heard, now)) {
-            return Cow::Borrowed(&self.sums);
+            return Cow::Borrowed(&self.usage_sums);
         }
         let mut all: HashMap<u64, EngineUsage> = HashMap::new();
         let lists = self.lists.values().filter(|heard| is_fresh(heard, now));
@@ -251,6 +254,6 @@
     }
 }
 
-fn is_fresh(heard: &Heard, now: Instant) -> bool {
-    now.saturating_duration_since(heard.at) < LIST_TTL
+fn is_fresh(heard: &ReceivedPlacements, now: Instant) -> bool {
+    now.saturating_duration_since(heard.at) < PLACEMENTS_TTL
 }
--- a/crates/relay/src/lists.rs
+++ b/crates/relay/src/placement_schedule.rs
@@ -5,19 +5,19 @@
 use tokio::time::Instant;
 
 /// The longest time between two whole lists; a lost one is made good by then.
-pub(crate) const REPEAT: Duration = Duration::from_secs(1);
+pub(crate) const FULL_LIST_INTERVAL: Duration = Duration::from_secs(1);
 /// The least time between two lists for each instance that gets them. A list takes some 200 bytes, so
 /// that lists take at most a sixth of a link of 10 Mbit/s each way.
-pub(crate) const GAP: Duration = Duration::from_millis(1);
+pub(crate) const INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
 /// The longest of these gaps. What is placed by an older list may meet another prompt.
-const GAP_MOST: Duration = Duration::from_millis(250);
+const MAX_INTERVAL: Duration = Duration::from_millis(250);
 /// The time over which streams are placed again, in gaps between lists.
-const SPREAD: f64 = 3.0;
+const SPREAD_INTERVALS: f64 = 3.0;
 /// The shortest such time. A list takes about a millisecond and a half to the other instances.
-const SPREAD_LEAST: Duration = Duration::from_millis(20);
+const MIN_SPREAD: Duration = Duration::from_millis(20);
 /// The least time between two whole lists for each instance that gets them; a whole one takes up to a
 /// kilobyte while engines die.
-const WHOLE_GAP: Duration = Duration::from_millis(15);
+const FULL_INTERVAL_PER_PEER: Duration = Duration::from_millis(15);
 
 /// When an instance tells the others where its streams run.
 ///
@@ -62,16 +62,18 @@
     /// Returns the time over which streams are placed again that lost their engines at the same moment:
     /// about three times as long as lists take to tell of each.
     pub fn retry_spread(instances: usize) -> Duration {
-        times(GAP, instances)
-            .mul_f64(SPREAD)
-            .clamp(SPREAD_LEAST, GAP_MOST)
+        scale_by_peers(INTERVAL_PER_PEER, instances)
+            .mul_f64(SPREAD_INTERVALS)
+            .clamp(MIN_SPREAD, MAX_INTERVAL)
     }
 
     /// Returns when the next list is due, where so many instances live.
     pub fn due(&self, instances: usize) -> Instant {
-        let repeat = self.last_whole + REPEAT;
+        let repeat = self.last_whole + FULL_LIST_INTERVAL;
         match self.has_changes {
-            true => repeat.min(self.last_sent + times(GAP, instances).min(GAP_MOST)),
+            true => repeat.min(
+                self.last_sent + scale_by_peers(INTERVAL_PER_PEER, instances).min(MAX_INTERVAL),
+            ),
             false => repeat,
         }
     }
@@ -80,7 +82,7 @@
     /// is to be told.
     pub fn record_sent(&mut self, instances: usize, now: Instant) -> Option<Instant> {
         let since = self.last_sent;
-        let gap = times(WHOLE_GAP, instances).min(REPEAT);
+        let gap = scale_by_peers(FULL_INTERVAL_PER_PEER, instances).min(FULL_LIST_INTERVAL);
         let is_whole = now.saturating_duration_since(self.last_whole) >= gap;
         self.has_changes = false;
         self.last_sent = now;
@@ -91,6 +93,6 @@
     }
 }
 
-pub(crate) fn times(time: Duration, instances: usize) -> Duration {
+pub(crate) fn scale_by_peers(time: Duration, instances: usize) -> Duration {
     time.saturating_mul(u32::try_from(instances).unwrap_or(u32::MAX))
 }
--- a/crates/relay/src/stop.rs
+++ b/crates/relay/src/planned_stop.rs
@@ -6,12 +6,12 @@
 
 /// The part of the grace for which all new callers are taken: callers keep an answer of the directory for
 /// a while, and what they begin then must end within the grace.
-const ACCEPT_SHARE: u32 = 5;
+const ACCEPT_DIVISOR: u32 = 5;
 /// How long before the end of the grace callers are cut off: background work has to end and lines
 /// have to be written, or the process is killed with them.
-const BEFORE_KILL: Duration = Duration::from_millis(350);
+const KILL_MARGIN: Duration = Duration::from_millis(350);
 /// How many times its usual load an instance may get when others leave.
-const LOAD_MOST: usize = 3;
+const MAX_LOAD_FACTOR: usize = 3;
 
 /// The other instances of a fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -25,7 +25,7 @@
 impl PeerCounts {
     /// Returns whether those that take callers can take those of all that leave, this instance among them.
     pub const fn can_absorb_callers(self) -> bool {
-        self.live * (LOAD_MOST - 1) > self.leaving
+        self.live * (MAX_LOAD_FACTOR - 1) > self.leaving
     }
 }
 
@@ -44,9 +44,9 @@
 /// use celerypond_relay::{PeerCounts, PlannedStop};
 /// use tokio::time::Instant;
 ///
-/// let begun = Instant::now();
-/// let stop = PlannedStop::new(begun, Duration::from_secs(8));
-/// let later = begun + Duration::from_secs(3);
+/// let started_at = Instant::now();
+/// let stop = PlannedStop::new(started_at, Duration::from_secs(8));
+/// let later = started_at + Duration::from_secs(3);
 /// assert!(!stop.accepts_callers(PeerCounts { live: 6, leaving: 0 }, later));
 /// assert!(stop.accepts_callers(PeerCounts { live: 0, leaving: 6 }, later));
 /// assert!(stop.admits(Duration::from_secs(1), later));
@@ -54,19 +54,19 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedStop {
-    begun: Instant,
+    started_at: Instant,
     grace: Duration,
 }
 
 impl PlannedStop {
     /// Begins to stop.
-    pub const fn new(begun: Instant, grace: Duration) -> Self {
-        Self { begun, grace }
+    pub const fn new(started_at: Instant, grace: Duration) -> Self {
+        Self { started_at, grace }
     }
 
     /// Returns when callers that are still served are cut off.
     pub fn cutoff(&self) -> Instant {
-        self.begun + self.grace.saturating_sub(BEFORE_KILL)
+        self.started_at + self.grace.saturating_sub(KILL_MARGIN)
     }
 
     /// Returns when a caller that is not admitted may come back; nothing where others take callers now. An
@@ -78,7 +78,7 @@
 
     /// Returns whether all new callers are taken, whoever else is there.
     pub fn accepts_all(&self, now: Instant) -> bool {
-        now < self.begun + self.grace / ACCEPT_SHARE
+        now < self.started_at + self.grace / ACCEPT_DIVISOR
     }
 
     /// Returns whether new callers are taken.
--- a/crates/relay/src/notes.rs
+++ b/crates/relay/src/prompt_locations.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::Instant;
 
-use crate::lists::{times, GAP, REPEAT};
+use crate::placement_schedule::{scale_by_peers, FULL_LIST_INTERVAL, INTERVAL_PER_PEER};
 
 /// When an instance tells those of other groups which prompts it sent where.
 ///
@@ -38,7 +38,7 @@
 
     /// Returns whether what was gathered is told now to so many others, and takes that in.
     pub fn take_due(&mut self, others: usize, now: Instant) -> bool {
-        let gap = times(GAP, others).min(REPEAT);
+        let gap = scale_by_peers(INTERVAL_PER_PEER, others).min(FULL_LIST_INTERVAL);
         let is_due = others > 0 && now.saturating_duration_since(self.last_sent) >= gap;
         if is_due {
             self.last_sent = now;
--- a/crates/relay/src/quality.rs
+++ b/crates/relay/src/quality.rs
@@ -8,15 +8,15 @@
 /// The time after which a result counts half.
 const HALF_LIFE: Duration = Duration::from_millis(1_500);
 /// So many failures, at least, make a target sick; fewer are chance.
-const LEAST_FAILURES: f64 = 3.0;
+const MIN_FAILURES: f64 = 3.0;
 /// So many results, at least, make a target slow.
-const LEAST_RESULTS: f64 = 6.0;
+const MIN_RESULTS: f64 = 6.0;
 /// A target is sick when it fails so many times as often as its peers.
-const WORSE: f64 = 2.5;
+const FAILURE_FACTOR: f64 = 2.5;
 /// The failure rate below which nobody is blamed, as peers may have none at all.
 const RATE_FLOOR: f64 = 0.05;
 /// A target is slow when it takes so many times as long as its peers.
-const SLOWER: f64 = 2.5;
+const SLOW_FACTOR: f64 = 2.5;
 /// The mean time below which no target is slow, in milliseconds.
 const SLOW_FLOOR_MS: f64 = 20.0;
 
@@ -83,15 +83,15 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Quality {
-    own: HashMap<u64, (Tally, Instant)>,
+    local: HashMap<u64, (Tally, Instant)>,
     /// What other instances told, by their run.
-    told: HashMap<u64, (Vec<(u64, Tally)>, Instant)>,
+    peers: HashMap<u64, (Vec<(u64, Tally)>, Instant)>,
 }
 
 impl Quality {
     /// Adds the result of a request at a target.
     pub fn record(&mut self, target: u64, is_good: bool, time: Duration, now: Instant) {
-        let (tally, at) = self.own.entry(target).or_insert((Tally::default(), now));
+        let (tally, at) = self.local.entry(target).or_insert((Tally::default(), now));
         *tally = tally.scaled(decay(*at, now));
         *at = now;
         tally.add(&Tally {
@@ -103,21 +103,21 @@
 
     /// Returns what this instance saw lately, for the others.
     pub fn tallies(&self, now: Instant) -> Vec<(u64, Tally)> {
-        let own = self.own.iter();
-        let own = own.map(|(target, (tally, at))| (*target, tally.scaled(decay(*at, now))));
-        own.filter(|(_, tally)| tally.count() > 0.5).collect()
+        let local = self.local.iter();
+        let local = local.map(|(target, (tally, at))| (*target, tally.scaled(decay(*at, now))));
+        local.filter(|(_, tally)| tally.count() > 0.5).collect()
     }
 
     /// Takes in what another instance saw.
     pub fn merge(&mut self, origin: u64, tallies: Vec<(u64, Tally)>, now: Instant) {
-        self.told.insert(origin, (tallies, now));
+        self.peers.insert(origin, (tallies, now));
     }
 
     /// Drops what is too old to count.
     pub fn sweep(&mut self, now: Instant) {
         let is_kept = |at: Instant| now.saturating_duration_since(at) < HALF_LIFE * 8;
-        self.own.retain(|_, (_, at)| is_kept(*at));
-        self.told.retain(|_, (_, at)| is_kept(*at));
+        self.local.retain(|_, (_, at)| is_kept(*at));
+        self.peers.retain(|_, (_, at)| is_kept(*at));
     }
 
     /// Returns those of a service's targets that do much worse than their peers.
@@ -125,36 +125,36 @@
     /// Never all of them: the rest must be able to stand in.
     pub fn outliers(&self, targets: &[u64], now: Instant) -> Vec<u64> {
         let tallies = self.sums(targets, now);
-        let is_sick = |(target, tally): &(u64, Tally)| {
+        let is_outlier = |(target, tally): &(u64, Tally)| {
             let mut peers = Tally::default();
             let others = tallies.iter().filter(|(other, _)| other != target);
             others.for_each(|(_, other)| peers.add(other));
             is_failing(tally, &peers) || is_slow(tally, &peers)
         };
-        let sick: Vec<u64> = tallies
+        let outliers: Vec<u64> = tallies
             .iter()
-            .filter(|one| is_sick(one))
+            .filter(|one| is_outlier(one))
             .map(|(target, _)| *target)
             .collect();
-        if sick.len() * 2 > targets.len() {
+        if outliers.len() * 2 > targets.len() {
             return Vec::new();
         }
-        sick
+        outliers
     }
 
     fn sums(&self, targets: &[u64], now: Instant) -> Vec<(u64, Tally)> {
-        let own = |target: &u64| match self.own.get(target) {
+        let local = |target: &u64| match self.local.get(target) {
             Some((tally, at)) => tally.scaled(decay(*at, now)),
             None => Tally::default(),
         };
         let mut sums: Vec<(u64, Tally)> = targets
             .iter()
-            .map(|target| (*target, own(target)))
+            .map(|target| (*target, local(target)))
             .collect();
-        for (tallies, at) in self.told.values() {
+        for (tallies, at) in self.peers.values() {
             let share = decay(*at, now);
-            for (told, tally) in tallies {
-                if let Some((_, sum)) = sums.iter_mut().find(|(target, _)| target == told) {
+            for (peers, tally) in tallies {
+                if let Some((_, sum)) = sums.iter_mut().find(|(target, _)| target == peers) {
                     sum.add(&tally.scaled(share));
                 }
             }
@@ -164,13 +164,13 @@
 }
 
 fn is_failing(tally: &Tally, peers: &Tally) -> bool {
-    let limit = WORSE * peers.rate().max(RATE_FLOOR);
-    f64::from(tally.bad) >= LEAST_FAILURES && tally.rate() > limit
+    let limit = FAILURE_FACTOR * peers.rate().max(RATE_FLOOR);
+    f64::from(tally.bad) >= MIN_FAILURES && tally.rate() > limit
 }
 
 fn is_slow(tally: &Tally, peers: &Tally) -> bool {
-    let is_known = tally.count() >= LEAST_RESULTS && peers.count() >= LEAST_RESULTS;
-    is_known && tally.mean_ms() > SLOWER * peers.mean_ms().max(SLOW_FLOOR_MS)
+    let is_known = tally.count() >= MIN_RESULTS && peers.count() >= MIN_RESULTS;
+    is_known && tally.mean_ms() > SLOW_FACTOR * peers.mean_ms().max(SLOW_FLOOR_MS)
 }
 
 fn decay(since: Instant, now: Instant) -> f32 {
--- a/crates/relay/src/left.rs
+++ b/crates/relay/src/request_deadline.rs
@@ -6,9 +6,9 @@
 
 /// How long before a caller gives up it is answered at the latest. The way there takes about a
 /// millisecond; the rest is for an instance that is held up for a moment.
-const MARGIN: Duration = Duration::from_millis(40);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(40);
 /// The part of a caller's time that the margin takes at most.
-const MARGIN_SHARE: u32 = 20;
+const MAX_MARGIN_DIVISOR: u32 = 20;
 
 /// When a request came and by when it must be answered.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,8 @@
     pub fn new(start: Instant, deadline: Option<Duration>, timeout: Duration) -> Self {
         // A caller that hears nothing before its own time is over cannot tell a failure from a lost
         // response, so it hears of the failure just before.
-        let heard = |deadline: Duration| deadline - MARGIN.min(deadline / MARGIN_SHARE);
+        let heard =
+            |deadline: Duration| deadline - RESPONSE_MARGIN.min(deadline / MAX_MARGIN_DIVISOR);
         let limit = deadline.map_or(timeout, |deadline| heard(deadline).min(timeout));
         Self {
             start,
--- a/crates/relay/src/restart.rs
+++ b/crates/relay/src/restart.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Restart {
     /// The hash of the name before.
-    pub(crate) before: u64,
+    pub(crate) previous_hash: u64,
     /// The name.
     pub(crate) name: TargetName,
     /// When the engine answered an instance.
     pub(crate) seen: Instant,
     /// When this instance learned of it.
-    pub(crate) heard: Instant,
+    pub(crate) received_at: Instant,
 }
 
 impl Restart {
@@ -29,7 +29,7 @@
     /// Returns it as other instances receive it.
     pub(crate) fn adoption(&self, now: Instant) -> RestartReport {
         RestartReport {
-            before: self.before,
+            previous_hash: self.previous_hash,
             name: self.name.clone(),
             age_ms: age_ms(self.seen, now),
         }
--- a/crates/relay/src/retries.rs
+++ b/crates/relay/src/retry_budget.rs
@@ -13,14 +13,14 @@
 
 /// The part of the allowed share and slack that is used. Instances that have just started know too
 /// few others, and divide the slack among too few.
-const MARGIN: f64 = 0.85;
+const BUDGET_SHARE: f64 = 0.85;
 /// The instances among which the slack is divided at least; one that has just started knows of none.
-const INSTANCES_LEAST: usize = 8;
+const MIN_INSTANCES: usize = 8;
 /// The parts of a window that are counted on their own.
-const SLICES: u32 = 20;
+const SLICES_PER_WINDOW: u32 = 20;
 /// How long an instance takes no more than its part of what is left: what others took meanwhile may not
 /// be known yet. Counts go with the lists of streams, which come within a quarter of a second.
-const UNKNOWN: Duration = Duration::from_millis(500);
+const REPORT_DELAY: Duration = Duration::from_millis(500);
 
 /// What an instance sent to a service within the window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -69,7 +69,7 @@
     services: HashMap<ServiceName, Counts>,
     /// What other instances told, by their run. It counts for a whole window, also when its instance is
     /// gone: what it sent was sent.
-    told: HashMap<u64, (Vec<SendCounts>, Instant)>,
+    peers: HashMap<u64, (Vec<SendCounts>, Instant)>,
 }
 
 /// What was sent to a service, oldest first.
@@ -87,11 +87,11 @@
     /// Has sent nothing yet.
     pub fn new(bounds: &Bounds) -> Self {
         Self {
-            ratio: bounds.retry_ratio * MARGIN,
-            slack: bounds.retry_slack * MARGIN,
+            ratio: bounds.retry_ratio * BUDGET_SHARE,
+            slack: bounds.retry_slack * BUDGET_SHARE,
             window: bounds.retry_window,
             services: HashMap::new(),
-            told: HashMap::new(),
+            peers: HashMap::new(),
         }
     }
 
@@ -113,8 +113,8 @@
     /// Takes in what another instance sent within the window.
     pub fn merge(&mut self, origin: u64, sends: Vec<SendCounts>, now: Instant) {
         let window = self.window;
-        self.told.insert(origin, (sends, now));
-        self.told
+        self.peers.insert(origin, (sends, now));
+        self.peers
             .retain(|_, (_, at)| now.saturating_duration_since(*at) < window);
     }
 
@@ -132,8 +132,8 @@
     pub fn allows(&mut self, service: &ServiceName, instances: usize, now: Instant) -> bool {
         self.slice(service, now);
         let own = self.own(service);
-        let instances = instances.max(INSTANCES_LEAST);
-        let known = (self.told.len() + 1).min(instances);
+        let instances = instances.max(MIN_INSTANCES);
+        let known = (self.peers.len() + 1).min(instances);
         let slack = self.slack * known as f64 / instances as f64;
         let (requests, repeats) = self.all(own);
         let left = f64::from(requests) * self.ratio + slack - f64::from(repeats);
@@ -141,7 +141,7 @@
             return false;
         };
         // A part counts while any of it is so late.
-        let late = UNKNOWN + self.window / SLICES;
+        let late = REPORT_DELAY + self.window / SLICES_PER_WINDOW;
         let is_late = |slice: &&Slice| now.saturating_duration_since(slice.start) < late;
         let unknown = counts.iter().filter(is_late);
         let unknown = f64::from(unknown.map(|slice| slice.repeats).sum::<u32>());
@@ -164,16 +164,16 @@
 
     /// Returns the requests and repeats of all instances that are known.
     fn all(&self, own: SendCounts) -> (u32, u32) {
-        let told = self.told.values().flat_map(|(sends, _)| sends);
-        let told = told.filter(|sends| sends.service == own.service);
-        told.fold((own.requests, own.repeats), |(requests, repeats), sends| {
+        let peers = self.peers.values().flat_map(|(sends, _)| sends);
+        let peers = peers.filter(|sends| sends.service == own.service);
+        peers.fold((own.requests, own.repeats), |(requests, repeats), sends| {
             (requests + sends.requests, repeats + sends.repeats)
         })
     }
 
     /// Returns the part of the window that `now` is in, and drops those that have left it.
     fn slice(&mut self, service: &ServiceName, now: Instant) -> &mut Slice {
-        let step = self.window / SLICES;
+        let step = self.window / SLICES_PER_WINDOW;
         // What was sent last in a part leaves the window a step after what was sent first.
         let kept = self.window + step;
         let counts = self.services.entry(service.clone()).or_default();
--- a/crates/relay/src/rollout.rs
+++ b/crates/relay/src/rollout.rs
@@ -7,20 +7,20 @@
 use crate::{evidence::Evidence, Bounds, Order, Phase};
 
 /// A whole share, in parts per million.
-const WHOLE: f64 = 1e6;
+const PARTS_PER_MILLION: f64 = 1e6;
 /// The part of the allowed exposure that is used. Answers on their way are not counted yet, and a share
 /// that was changed reaches the others a moment later.
-const MARGIN: f64 = 0.75;
+const EXPOSURE_MARGIN: f64 = 0.75;
 /// The part of the order's time after which a version may be called good. The rest is for an order
 /// that was seen late and for a store that answers late.
-const COMPLETE: f64 = 0.75;
+const COMPLETION_SHARE: f64 = 0.75;
 /// The part of the order's time in which the version gets a small share only. What fails at once fails
 /// then, and the larger share of the second part is not wasted on it.
-const TRIAL: f64 = 0.5;
+const TRIAL_TIME_SHARE: f64 = 0.5;
 /// The share of the allowed exposure that the trial uses.
-const TRIAL_SHARE: f64 = 0.4;
+const TRIAL_EXPOSURE_SHARE: f64 = 0.4;
 /// Answers without which a version is not called good.
-const LEAST: u32 = 20;
+const MIN_ANSWERS: u32 = 20;
 
 /// One order on its way, as the instance that drives it sees it.
 ///
@@ -75,7 +75,7 @@
             return Phase::TakenBack;
         }
         let age = self.age(now);
-        if age >= self.order.time.mul_f64(COMPLETE) && self.is_proved(fleet) {
+        if age >= self.order.time.mul_f64(COMPLETION_SHARE) && self.is_proven(fleet) {
             return Phase::Completed;
         }
         if age >= self.order.time {
@@ -86,14 +86,14 @@
             return Phase::Running { share: 0 };
         }
         Phase::Running {
-            share: (self.share(bounds, age) * WHOLE) as u32,
+            share: (self.share(bounds, age) * PARTS_PER_MILLION) as u32,
         }
     }
 
     /// Returns whether the version has shown itself and can take all requests.
-    fn is_proved(&self, fleet: Fleet) -> bool {
+    fn is_proven(&self, fleet: Fleet) -> bool {
         let seen = self.evidence.total();
-        let enough = LEAST.min((seen.old.all + seen.new.all) / 20).max(1);
+        let enough = MIN_ANSWERS.min((seen.old.all + seen.new.all) / 20).max(1);
         let has_room = fleet.new * 2 > fleet.old;
         seen.new.all >= enough && has_room && !self.evidence.is_doubtful()
     }
@@ -110,9 +110,9 @@
         // The rate of the first moments says little.
         let rate = all / age.max(1.0);
         let requests = all + rate * (time - age).max(0.0);
-        let allowed = (requests * bounds.expose_share + bounds.expose_slack) * MARGIN;
-        let (part, end) = match age < time * TRIAL {
-            true => (allowed * TRIAL_SHARE, time * TRIAL),
+        let allowed = (requests * bounds.expose_share + bounds.expose_slack) * EXPOSURE_MARGIN;
+        let (part, end) = match age < time * TRIAL_TIME_SHARE {
+            true => (allowed * TRIAL_EXPOSURE_SHARE, time * TRIAL_TIME_SHARE),
             false => (allowed, time),
         };
         let expected = rate.max(1.0) * (end - age).max(0.5);
--- a/crates/relay/src/place.rs
+++ b/crates/relay/src/selection.rs
@@ -9,28 +9,28 @@
 
 /// The part of an engine's slots or memory beyond which it takes streams only when all are so full:
 /// the copies of others' runs need room as well, and where memory runs out streams are preempted.
-const CROWDED: f64 = 0.6;
+const CROWDED_SHARE: f64 = 0.6;
 
 /// The part of an engine's slots or memory up to which running streams are moved to it. The fuller these engines are, the
 /// more others are left to read prompts; copies find room at those.
-const PACKED: f64 = 0.85;
+const MAX_RELOCATION_SHARE: f64 = 0.85;
 
 /// How much more the time of streams that are held up weighs than the wait of a prompt: they pause, or move.
-const RUNNING_WEIGHT: u64 = 2;
+const DELAYED_STREAM_WEIGHT: u64 = 2;
 /// The engines, first in the order that all instances share, of which a stream takes the least loaded.
 ///
 /// The failure: 60 of 180 engines die, 32 streams are placed anew within a third of a second, and the one
 /// engine without streams gets eight of them from as many instances, which have not heard of each other yet.
 /// The last one begins after ten seconds. Each prompt has its own order, so among a few engines of it
 /// two streams seldom find the same one, and the least loaded of a few is nearly as good as that of all.
-const CHOICES: usize = 12;
+const CANDIDATES: usize = 12;
 /// One in so many targets of a data centre avoided make it sick.
-const SICK: usize = 3;
+const UNHEALTHY_DIVISOR: usize = 3;
 /// Fewer avoided targets never make a data centre sick.
-const SICK_LEAST: usize = 2;
+const MIN_UNHEALTHY: usize = 2;
 /// So many avoided targets always do. A third of 60 engines would take as many lost streams to find
 /// out; that four of them die within a second each on its own is rare.
-const SICK_MOST: usize = 4;
+const MAX_UNHEALTHY: usize = 4;
 
 /// What is wanted of a target.
 #[derive(Clone, Debug)]
@@ -79,13 +79,14 @@
         };
         let loads = Loads::of(self, want, now);
         let all = self.iter().filter(|target| fits(&target));
-        let all: Vec<(TargetKey, &Target)> =
-            all.filter(|(_, target)| !loads.is_behind(target)).collect();
+        let all: Vec<(TargetKey, &Target)> = all
+            .filter(|(_, target)| !loads.has_long_backlog(target))
+            .collect();
         let sound = all.iter().copied();
         let is_ordered = matches!(want.choice, VersionChoice::Only(_));
         let is_held = |target: &Target| !is_ordered && self.is_held(target, now);
         let sound = sound.filter(|(_, target)| !target.is_avoided(now) && !is_held(target));
-        if let Some(key) = loads.best(sound) {
+        if let Some(key) = loads.most_preferred(sound) {
             return Some(Selection {
                 key,
                 is_doubtful: false,
@@ -101,7 +102,7 @@
     /// Returns whether many targets of a target's data centre are avoided, though it may not be.
     pub fn is_doubtful(&self, key: TargetKey, want: &TargetQuery<'_>, now: Instant) -> bool {
         let home = self.get(key).map(|target| &target.entry.data_centre);
-        home.is_some_and(|home| sick(self, want, now).contains(&home))
+        home.is_some_and(|home| unhealthy_zones(self, want, now).contains(&home))
     }
 
     /// Chooses the engine that holds a copy of the memory of a run at `main`.
@@ -123,8 +124,8 @@
                 && target.entry.data_centre != home.data_centre
         });
         let loads = Loads::of(self, want, now);
-        let best = others.min_by_key(|(_, target)| loads.order_for_copy(target));
-        best.map(|(key, _)| key)
+        let most_preferred = others.min_by_key(|(_, target)| loads.backup_preference(target));
+        most_preferred.map(|(key, _)| key)
     }
 }
 
@@ -136,9 +137,9 @@
     /// The hash of the target that has read the request's own prompt part.
     holder: Option<u64>,
     /// Targets that do much worse than their peers; for requests in one piece only.
-    worse: Vec<u64>,
+    outliers: Vec<u64>,
     /// Data centres where many of the service's targets are avoided.
-    sick: Vec<&'a DataCentre>,
+    unhealthy_zones: Vec<&'a DataCentre>,
     group: Group,
     now: Instant,
 }
@@ -149,72 +150,75 @@
             Some(_) => targets.peer_usage(now),
             None => Cow::Owned(HashMap::new()),
         };
-        let worse = match want.affinity {
+        let outliers = match want.affinity {
             Some(_) => Vec::new(),
-            None => worse(targets, want, now),
+            None => outliers(targets, want, now),
         };
         Self {
             want,
             peer_usage: taken,
-            worse,
+            outliers,
             holder: want.affinity.and_then(|part| targets.holder(part, now)),
-            sick: sick(targets, want, now),
+            unhealthy_zones: unhealthy_zones(targets, want, now),
             group: targets.group,
             now,
         }
     }
 
     /// Returns the target that goes first.
-    fn best<'t>(
+    fn most_preferred<'t>(
         &self,
         targets: impl Iterator<Item = (TargetKey, &'t Target)>,
     ) -> Option<TargetKey> {
-        let best = match self.want.affinity {
-            Some(affinity) => self.best_engine(affinity, targets),
+        let most_preferred = match self.want.affinity {
+            Some(affinity) => self.least_loaded_engine(affinity, targets),
             None => targets.min_by(|a, b| self.compare_load(a.1, b.1)),
         };
-        best.map(|(key, _)| key)
+        most_preferred.map(|(key, _)| key)
     }
 
     /// Returns the engine that goes first for a stream: the least loaded of the first few in their order.
-    fn best_engine<'t>(
+    fn least_loaded_engine<'t>(
         &self,
         affinity: u64,
         engines: impl Iterator<Item = (TargetKey, &'t Target)>,
     ) -> Option<(TargetKey, &'t Target)> {
-        let ordered = engines.map(|(key, engine)| (self.order(affinity, engine), key, engine));
+        let ordered = engines.map(|(key, engine)| (self.preference(affinity, engine), key, engine));
         let mut first: Vec<_> = ordered.collect();
-        if first.len() > CHOICES {
-            first.select_nth_unstable_by_key(CHOICES - 1, |(order, ..)| *order);
-            first.truncate(CHOICES);
+        if first.len() > CANDIDATES {
+            first.select_nth_unstable_by_key(CANDIDATES - 1, |(preference, ..)| *preference);
+            first.truncate(CANDIDATES);
         }
-        let best = first
-            .into_iter()
-            .min_by_key(|((class, rank), _, engine)| (*class, self.load(engine), *rank));
-        best.map(|(_, key, engine)| (key, engine))
+        let most_preferred =
+            first
+                .into_iter()
+                .min_by_key(|((class, rendezvous_rank), _, engine)| {
+                    (*class, self.prompt_cost(engine), *rendezvous_rank)
+                });
+        most_preferred.map(|(_, key, engine)| (key, engine))
     }
 
     /// Orders engines for a stream: by their class, those with room outside of sick data centres, then the one
     /// that has read the prompt, then those of the own group; within a class by the rank that all instances
     /// share.
-    fn order(&self, affinity: u64, target: &Target) -> ((bool, bool, bool, bool), u64) {
+    fn preference(&self, affinity: u64, target: &Target) -> ((bool, bool, bool, bool), u64) {
         let others = self
             .peer_usage
             .get(&target.name_hash)
             .copied()
             .unwrap_or_default();
-        let is_full = self.crowding(target, &others) > CROWDED;
+        let is_full = self.used_share(target, &others) > CROWDED_SHARE;
         let class = (
             is_full,
-            self.is_sick(target),
+            self.is_in_unhealthy_zone(target),
             self.holder != Some(target.name_hash),
             !self.group.contains(target.address_hash),
         );
-        (class, rank(affinity, target))
+        (class, rendezvous_rank(affinity, target))
     }
 
     /// Returns all that instances have at an engine.
-    pub(crate) fn work(&self, target: &Target) -> EngineUsage {
+    pub(crate) fn total_usage(&self, target: &Target) -> EngineUsage {
         let others = self
             .peer_usage
             .get(&target.name_hash)
@@ -231,11 +235,15 @@
     /// Returns what a prompt costs at an engine, in steps of half a prompt: the wait for what is read
     /// before it, and for each stream that runs there the time of its own reading, which holds the
     /// stream up.
-    fn load(&self, target: &Target) -> u64 {
-        let work = self.work(target);
-        let running = u64::from(work.streams.saturating_sub(work.reading_prompts));
+    fn prompt_cost(&self, target: &Target) -> u64 {
+        let total_usage = self.total_usage(target);
+        let running = u64::from(
+            total_usage
+                .streams
+                .saturating_sub(total_usage.reading_prompts),
+        );
         let step = (self.want.tokens / 2).max(1);
-        (work.reading_tokens + running * self.want.tokens * RUNNING_WEIGHT) / step
+        (total_usage.reading_tokens + running * self.want.tokens * DELAYED_STREAM_WEIGHT) / step
     }
 
     /// Returns whether an engine has room for one more stream beside the copies of others' runs.
@@ -245,25 +253,25 @@
             .get(&target.name_hash)
             .copied()
             .unwrap_or_default();
-        self.crowding(target, &others) <= PACKED
+        self.used_share(target, &others) <= MAX_RELOCATION_SHARE
     }
 
     /// Orders engines for a copy: those with room outside of sick data centres, those of the own group, then
     /// by the order that all instances share. Copies are not told of, so by the least load all that begin at a moment
     /// would be at the one engine that is empty, and resume there together.
-    fn order_for_copy(&self, target: &Target) -> (bool, bool, bool, u64) {
+    fn backup_preference(&self, target: &Target) -> (bool, bool, bool, u64) {
         let others = self
             .peer_usage
             .get(&target.name_hash)
             .copied()
             .unwrap_or_default();
-        let is_full = self.crowding(target, &others) > CROWDED;
+        let is_full = self.used_share(target, &others) > CROWDED_SHARE;
         let affinity = self.want.affinity.unwrap_or_default();
         (
             is_full,
-            self.is_sick(target),
+            self.is_in_unhealthy_zone(target),
             !self.group.contains(target.address_hash),
-            rank(affinity, target),
+            rendezvous_rank(affinity, target),
         )
     }
 
@@ -271,7 +279,7 @@
     ///
     /// The failure: all engines are lost, one is back before the others, and every stream that waits
     /// goes there. It reads for a minute, and the others are idle.
-    fn is_behind(&self, target: &Target) -> bool {
+    fn has_long_backlog(&self, target: &Target) -> bool {
         let others = self
             .peer_usage
             .get(&target.name_hash)
@@ -281,7 +289,7 @@
     }
 
     /// Returns the larger of the parts of an engine's slots and of its memory that are taken.
-    fn crowding(&self, target: &Target, others: &EngineUsage) -> f64 {
+    fn used_share(&self, target: &Target, others: &EngineUsage) -> f64 {
         let tokens = target.stream_tokens + others.tokens + self.want.tokens;
         let memory = self
             .want
@@ -292,8 +300,8 @@
         memory.max(slots)
     }
 
-    pub(crate) fn is_sick(&self, target: &Target) -> bool {
-        self.sick.contains(&&target.entry.data_centre)
+    pub(crate) fn is_in_unhealthy_zone(&self, target: &Target) -> bool {
+        self.unhealthy_zones.contains(&&target.entry.data_centre)
     }
 
     fn compare_load(&self, a: &Target, b: &Target) -> Ordering {
@@ -302,16 +310,16 @@
         let lot = |target: &Target| {
             celerypond_route::hash(&(self.want.tie_breaker ^ target.name_hash).to_le_bytes())
         };
-        let is_worse = |target: &Target| self.worse.contains(&target.name_hash);
-        is_worse(a)
-            .cmp(&is_worse(b))
+        let is_outlier = |target: &Target| self.outliers.contains(&target.name_hash);
+        is_outlier(a)
+            .cmp(&is_outlier(b))
             .then(left.total_cmp(&right))
             .then(is_far(a).cmp(&is_far(b)))
             .then_with(|| lot(a).cmp(&lot(b)))
     }
 }
 
-fn worse(targets: &Targets, want: &TargetQuery<'_>, now: Instant) -> Vec<u64> {
+fn outliers(targets: &Targets, want: &TargetQuery<'_>, now: Instant) -> Vec<u64> {
     let of_service = targets
         .iter()
         .filter(|(key, target)| target.entry.service == *want.service && targets.is_usable(*key));
@@ -320,15 +328,18 @@
 }
 
 /// The targets of a service in one data centre.
-struct Count<'a> {
+struct ZoneCount<'a> {
     home: &'a DataCentre,
     all: usize,
     avoided: usize,
 }
 
-impl Count<'_> {
-    fn is_sick(&self) -> bool {
-        let enough = self.all.div_ceil(SICK).clamp(SICK_LEAST, SICK_MOST);
+impl ZoneCount<'_> {
+    fn is_in_unhealthy_zone(&self) -> bool {
+        let enough = self
+            .all
+            .div_ceil(UNHEALTHY_DIVISOR)
+            .clamp(MIN_UNHEALTHY, MAX_UNHEALTHY);
         self.avoided >= enough
     }
 }
@@ -340,31 +351,37 @@
 /// look idle and would get all that is placed anew. Where two of six do not answer, or four of
 /// sixty, the others of the data centre are asked last. Where each data centre has so many, it
 /// changes nothing.
-fn sick<'a>(targets: &'a Targets, want: &TargetQuery<'_>, now: Instant) -> Vec<&'a DataCentre> {
-    let mut counts: Vec<Count<'a>> = Vec::new();
+fn unhealthy_zones<'a>(
+    targets: &'a Targets,
+    want: &TargetQuery<'_>,
+    now: Instant,
+) -> Vec<&'a DataCentre> {
+    let mut zone_counts: Vec<ZoneCount<'a>> = Vec::new();
     for (key, target) in targets.iter() {
         if target.entry.service != *want.service || !targets.is_usable(key) {
             continue;
         }
         let home = &target.entry.data_centre;
-        let at = counts.iter().position(|count| count.home == home);
+        let at = zone_counts.iter().position(|count| count.home == home);
         let at = at.unwrap_or_else(|| {
-            counts.push(Count {
+            zone_counts.push(ZoneCount {
                 home,
                 all: 0,
                 avoided: 0,
             });
-            counts.len() - 1
+            zone_counts.len() - 1
         });
-        counts[at].all += 1;
-        counts[at].avoided += usize::from(target.is_avoided(now));
+        zone_counts[at].all += 1;
+        zone_counts[at].avoided += usize::from(target.is_avoided(now));
     }
-    let sick = counts.into_iter().filter(Count::is_sick);
-    sick.map(|count| count.home).collect()
+    let unhealthy_zones = zone_counts
+        .into_iter()
+        .filter(ZoneCount::is_in_unhealthy_zone);
+    unhealthy_zones.map(|count| count.home).collect()
 }
 
 /// An engine that starts again keeps its address, and with it the prompts that go to it first.
-pub(crate) fn rank(affinity: u64, target: &Target) -> u64 {
+pub(crate) fn rendezvous_rank(affinity: u64, target: &Target) -> u64 {
     let bytes = [affinity.to_le_bytes(), target.address_hash.to_le_bytes()];
     celerypond_route::hash(bytes.as_flattened())
 }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -83,17 +83,18 @@
 
 /// The part of the shortest bound for which a watch of the store waits. After two of them in a row,
 /// and the calls between, an instance whose watchers are cut off still knows in time.
-const WATCH_SHARE: f64 = 0.4;
+const WATCH_WAIT_SHARE: f64 = 0.4;
 /// The bounds of that wait: shorter ones cost calls, longer ones leave a silent watch unnoticed.
-const WATCH_BOUNDS: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(2));
+const WATCH_WAIT_LIMITS: (Duration, Duration) =
+    (Duration::from_millis(200), Duration::from_secs(2));
 /// The part of the bound of a drain for which entries may be missing after the store's return. What
 /// is left of it is for noticing the end.
-const BACK_SHARE: f64 = 0.85;
+const MISSING_GRACE_SHARE: f64 = 0.85;
 /// The part of the bound of a configuration or of a drain after which what was superseded is no longer served by; the
 /// remaining part is for notices in transit.
-const STALE_SHARE: f64 = 0.9;
+const STALE_LIMIT_SHARE: f64 = 0.9;
 /// The time that targets take to write their entries again after the store's return.
-const BACK_MOST: Duration = Duration::from_secs(2);
+const MAX_MISSING_GRACE: Duration = Duration::from_secs(2);
 
 impl Bounds {
     /// Returns how long a watch of the store waits for a change.
@@ -113,9 +114,9 @@
     /// assert_eq!(bounds.watch_wait(), Duration::from_millis(800));
     /// ```
     pub fn watch_wait(&self) -> Duration {
-        let (least, most) = WATCH_BOUNDS;
+        let (least, most) = WATCH_WAIT_LIMITS;
         let shortest = self.drain.min(self.config_apply);
-        shortest.mul_f64(WATCH_SHARE).clamp(least, most)
+        shortest.mul_f64(WATCH_WAIT_SHARE).clamp(least, most)
     }
 
     /// Returns for how long requests are served by a configuration after it was last known to be the newest one, where
@@ -132,7 +133,7 @@
     /// assert_eq!(bounds.stale_limit(), Duration::from_millis(1_800));
     /// ```
     pub fn stale_limit(&self) -> Duration {
-        self.config_apply.mul_f64(STALE_SHARE)
+        self.config_apply.mul_f64(STALE_LIMIT_SHARE)
     }
 
     /// Returns for how long requests are sent by a list of targets after it was last known to be the newest one, where a
@@ -149,12 +150,14 @@
     /// assert_eq!(bounds.targets_stale_limit(), Duration::from_millis(2_700));
     /// ```
     pub fn targets_stale_limit(&self) -> Duration {
-        self.drain.mul_f64(STALE_SHARE)
+        self.drain.mul_f64(STALE_LIMIT_SHARE)
     }
 
     /// Returns how long entries of targets may be missing after the store's return.
     pub fn missing_entry_grace(&self) -> Duration {
-        self.drain.mul_f64(BACK_SHARE).min(BACK_MOST)
+        self.drain
+            .mul_f64(MISSING_GRACE_SHARE)
+            .min(MAX_MISSING_GRACE)
     }
 }
 
--- a/crates/relay/src/patience.rs
+++ b/crates/relay/src/silence.rs
@@ -22,20 +22,20 @@
 
 /// The part of the longest pause on time that an engine may be silent though it lives. The rest is
 /// for the connection, the wait for a step and the first step at the other engine.
-const GAP_SHARE: f64 = 0.6;
+const SILENCE_SHARE: f64 = 0.6;
 /// The part of the longest pause on time after which an engine is asked. Pauses reach a fifth of it
 /// beside the reading of others' prompts.
-const ASK_SHARE: f64 = 0.22;
+const PROBE_SHARE: f64 = 0.22;
 /// The longest time between two events where the route names none.
-const GAP_DEFAULT: Duration = Duration::from_secs(2);
+const DEFAULT_GAP_AIM: Duration = Duration::from_secs(2);
 /// How many tokens an engine is taken to read in a millisecond beside others' steps.
-const READ_TOKENS: f64 = 5.0;
+const READ_TOKENS_PER_MS: f64 = 5.0;
 /// What an engine needs for a first event beside its reading.
-const FIRST_SLACK: Duration = Duration::from_millis(800);
+const FIRST_EVENT_SLACK: Duration = Duration::from_millis(800);
 /// How many times the aim for the first event an engine may need for the prompts before a stream's.
-const BACKLOG_AIMS: f64 = 2.0;
+const MAX_BACKLOG_AIMS: f64 = 2.0;
 /// The time between two questions during the reading of a prompt.
-const ASK_FIRST: Duration = Duration::from_millis(350);
+const READING_PROBE_INTERVAL: Duration = Duration::from_millis(350);
 
 impl SilenceLimits {
     /// Returns the patience with a stream at an engine that reads so many tokens, its own prompt
@@ -54,25 +54,25 @@
     /// ```
     pub fn for_stream(reading: u64, gap_aim: Option<Duration>) -> Self {
         let reading = Self::reading_time(reading);
-        let gap_aim = gap_aim.unwrap_or(GAP_DEFAULT);
+        let gap_aim = gap_aim.unwrap_or(DEFAULT_GAP_AIM);
         Self {
-            first: reading + FIRST_SLACK,
-            gap: gap_aim.mul_f64(GAP_SHARE),
-            probe_first: ASK_FIRST,
-            probe_gap: gap_aim.mul_f64(ASK_SHARE),
+            first: reading + FIRST_EVENT_SLACK,
+            gap: gap_aim.mul_f64(SILENCE_SHARE),
+            probe_first: READING_PROBE_INTERVAL,
+            probe_gap: gap_aim.mul_f64(PROBE_SHARE),
         }
     }
 
     /// Returns how long an engine takes to read so many tokens.
     pub fn reading_time(tokens: u64) -> Duration {
-        Duration::from_secs_f64(tokens as f64 / READ_TOKENS / 1_000.0)
+        Duration::from_secs_f64(tokens as f64 / READ_TOKENS_PER_MS / 1_000.0)
     }
 
     /// Returns the most tokens of other prompts that an engine may have to read before a stream whose
     /// first event is to come within `aim`. Behind more it would be late by twice its aim, and its
     /// prompt would be read for nothing.
     pub fn max_backlog(aim: Duration) -> u64 {
-        (aim.as_secs_f64() * BACKLOG_AIMS * READ_TOKENS * 1_000.0) as u64
+        (aim.as_secs_f64() * MAX_BACKLOG_AIMS * READ_TOKENS_PER_MS * 1_000.0) as u64
     }
 
     /// Returns the patience with an idempotent request whose response is one piece: the time in
@@ -100,20 +100,20 @@
 
 /// The part of the aim for the first event that may be spent on waiting for an engine; the rest is for
 /// reading the prompt.
-const RETURN_SHARE: f64 = 0.4;
+const ENGINE_WAIT_SHARE: f64 = 0.4;
 /// How long a begun stream waits. Callers leave a stream after a longer pause, and engines start
 /// within a second or two.
-const RETURN_BEGUN: Duration = Duration::from_secs(6);
+const RESUMED_STREAM_WAIT: Duration = Duration::from_secs(6);
 /// The time between two looks for an engine.
-const RETURN_LOOK: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 impl EngineWait {
     /// Returns the wait for a route whose first event is to come within `aim`.
     pub fn for_route(aim: Duration) -> Self {
         Self {
-            before_first_event: aim.mul_f64(RETURN_SHARE),
-            after_first_event: RETURN_BEGUN,
-            poll_interval: RETURN_LOOK,
+            before_first_event: aim.mul_f64(ENGINE_WAIT_SHARE),
+            after_first_event: RESUMED_STREAM_WAIT,
+            poll_interval: POLL_INTERVAL,
         }
     }
 
--- a/crates/relay/src/stale.rs
+++ b/crates/relay/src/stale.rs
@@ -18,9 +18,9 @@
 }
 
 /// The part of a caller's time for which its request waits at most, in quarters; the work needs the remaining one.
-const WAIT_QUARTERS: u32 = 3;
+const MAX_WAIT_QUARTERS: u32 = 3;
 /// How long changes of targets may take to arrive after another instance has reported them.
-const CHANGES_TIME: Duration = Duration::from_millis(500);
+const MAX_CHANGE_DELAY: Duration = Duration::from_millis(500);
 
 /// How long a request waits until what is known can serve it.
 ///
@@ -44,15 +44,15 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StaleWait {
-    begun: Instant,
-    end: Instant,
+    started_at: Instant,
+    latest: Instant,
 }
 
 impl StaleWait {
     /// Makes the wait of a request whose caller has so much time left.
-    pub fn new(begun: Instant, left: Duration) -> Self {
-        let end = begun + left * WAIT_QUARTERS / 4;
-        Self { begun, end }
+    pub fn new(started_at: Instant, left: Duration) -> Self {
+        let latest = started_at + left * MAX_WAIT_QUARTERS / 4;
+        Self { started_at, latest }
     }
 
     /// Returns until when a request waits for a configuration; nothing if it is refused. `current` is when missed changes
@@ -66,8 +66,8 @@
         match stale {
             // Others have what is missing here.
             Stale::Superseded | Stale::Isolated => None,
-            Stale::Pending => (now < self.end).then_some(self.end),
-            Stale::Resuming => Some(current.unwrap_or(now)).filter(|at| *at <= self.end),
+            Stale::Pending => (now < self.latest).then_some(self.latest),
+            Stale::Resuming => Some(current.unwrap_or(now)).filter(|at| *at <= self.latest),
         }
     }
 
@@ -78,7 +78,7 @@
         current: Option<Instant>,
         now: Instant,
     ) -> Option<Instant> {
-        let changed = self.end.min(self.begun + CHANGES_TIME);
+        let changed = self.latest.min(self.started_at + MAX_CHANGE_DELAY);
         match stale {
             Stale::Superseded => (now < changed).then_some(changed),
             _ => self.for_config(stale, current, now),
--- a/crates/relay/src/target.rs
+++ b/crates/relay/src/target.rs
@@ -8,14 +8,14 @@
 
 /// How long a target is avoided after a connection to it broke; it doubles with each further
 /// failure. Connections are reset for other reasons than a target's death as well.
-const AVOID: Duration = Duration::from_millis(400);
+const AVOID_TIME: Duration = Duration::from_millis(400);
 /// How long a target is avoided that takes no connection. A restart takes about a second, and then
 /// comes back under another name.
-const AVOID_DEAD: Duration = Duration::from_millis(1_500);
+const DEAD_AVOID_TIME: Duration = Duration::from_millis(1_500);
 /// The longest time for which a target is avoided.
-const AVOID_MOST: Duration = Duration::from_secs(4);
+const MAX_AVOID_TIME: Duration = Duration::from_secs(4);
 /// How long a load that a target reported is believed.
-const LOAD_FRESH: Duration = Duration::from_millis(500);
+const LOAD_TTL: Duration = Duration::from_millis(500);
 
 /// That a target is used although the store does not list it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -114,9 +114,13 @@
             self.dead_since.get_or_insert(now);
             self.found_dead_at = Some(now);
         }
-        let base = if self.is_dead { AVOID_DEAD } else { AVOID };
+        let base = if self.is_dead {
+            DEAD_AVOID_TIME
+        } else {
+            AVOID_TIME
+        };
         let times = 1 << self.failures.min(4).saturating_sub(1);
-        self.avoid_until(now + (base * times).min(AVOID_MOST));
+        self.avoid_until(now + (base * times).min(MAX_AVOID_TIME));
     }
 
     /// Takes in that another instance found it dead.
@@ -125,7 +129,7 @@
     /// by a copy that is not there when it is needed.
     pub fn record_peer_failure(&mut self, now: Instant) {
         self.dead_since.get_or_insert(now);
-        self.avoid_until(now + AVOID_DEAD);
+        self.avoid_until(now + DEAD_AVOID_TIME);
     }
 
     fn avoid_until(&mut self, until: Instant) {
@@ -148,7 +152,7 @@
     pub fn fullness(&self, now: Instant) -> f64 {
         let reported = self
             .load
-            .filter(|(_, at)| now.saturating_duration_since(*at) < LOAD_FRESH)
+            .filter(|(_, at)| now.saturating_duration_since(*at) < LOAD_TTL)
             .map_or(0, |(load, _)| load.running + load.waiting);
         let slots = self.entry.slots.max(1);
         f64::from(reported.max(self.open_requests)) / f64::from(slots)
--- a/crates/relay/src/targets.rs
+++ b/crates/relay/src/targets.rs
@@ -12,11 +12,11 @@
 use tokio::time::Instant;
 
 use crate::{
-    address_book::AddressBook,
+    address_index::AddressIndex,
     admission::HeldPart,
     change_log::ChangeLog,
+    own_streams::Streams,
     restart::{age_ms, Restart},
-    streams::Streams,
     target::Unlisted,
     EngineUsage, EventTimes, Group, History, IdleLimits, PeerStreams, PlacementKey, Placements,
     PromptLocation, Quality, Target, TargetEntry, TargetUpdate,
@@ -35,7 +35,7 @@
 const MAX_ADOPTIONS: usize = 128;
 /// The most notes that wait to be told; they fit into one datagram. Older ones are left out: their prompts were
 /// most likely read.
-const NOTES_MOST: usize = 64;
+const MAX_PROMPT_LOCATIONS: usize = 64;
 
 /// A change in the list of targets.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -61,7 +61,7 @@
 pub struct Targets {
     pub(crate) arena: SlotMap<TargetKey, Target>,
     pub(crate) names: HashMap<TargetName, TargetKey>,
-    addresses: AddressBook,
+    addresses: AddressIndex,
     /// Streams of this instance.
     streams: Streams,
     /// Where prompts went that others were not told of yet.
@@ -89,7 +89,7 @@
     /// The engines that this instance uses first.
     pub group: Group,
     /// The part of a stagger by which this instance is later than others.
-    pub stagger_share: f64,
+    pub lateness: f64,
 }
 
 impl Targets {
@@ -183,7 +183,7 @@
 
     /// Notes that the whole list of a revision was taken in.
     pub fn record_full_list(&mut self, revision: u64) {
-        self.log.restart(revision);
+        self.log.reset(revision);
     }
 
     /// Returns what changed after a revision up to another one, or all when that is not known. Ages are not filled in.
@@ -335,7 +335,7 @@
         let target = self.arena.get_mut(key)?;
         self.peer_streams
             .record_prompt_location(part, target.name_hash, now);
-        if self.prompt_locations.len() == NOTES_MOST {
+        if self.prompt_locations.len() == MAX_PROMPT_LOCATIONS {
             self.prompt_locations.pop_front();
         }
         self.prompt_locations.push_back(PromptLocation {
@@ -385,7 +385,7 @@
     ) -> Placements {
         let is_told = |at: Instant| since.is_some_and(|since| at < since);
         let adopted = self.restarts.iter().rev().take(MAX_ADOPTIONS);
-        let adopted = adopted.filter(|restart| !is_told(restart.heard));
+        let adopted = adopted.filter(|restart| !is_told(restart.received_at));
         Placements {
             origin,
             sequence,
@@ -422,7 +422,7 @@
         for adoption in &list.adopted {
             let age = Duration::from_millis(adoption.age_ms.into());
             if let Some(seen) = now.checked_sub(age) {
-                self.add_restarted_engine_seen(adoption.before, &adoption.name, seen, now);
+                self.add_restarted_engine_seen(adoption.previous_hash, &adoption.name, seen, now);
             }
         }
         self.peer_streams.merge(list, now);
--- a/crates/relay/src/versions.rs
+++ b/crates/relay/src/version_routing.rs
@@ -70,13 +70,13 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct VersionRouting {
-    services: HashMap<ServiceName, Acting>,
+    services: HashMap<ServiceName, ServiceOrder>,
 }
 
 #[derive(Clone, Debug)]
-struct Acting {
+struct ServiceOrder {
     stage: Stage,
-    heard: Instant,
+    received_at: Instant,
     splitter: Splitter,
     evidence: Evidence,
 }
@@ -88,19 +88,19 @@
         let known = self.services.get_mut(&service);
         match known.filter(|known| known.stage.order.version == stage.order.version) {
             Some(known) => {
-                known.heard = known.heard.max(at);
+                known.received_at = known.received_at.max(at);
                 if !known.stage.phase.is_ended() {
                     known.stage = stage;
                 }
             }
             None => {
-                let acting = Acting {
+                let order_state = ServiceOrder {
                     stage,
-                    heard: at,
+                    received_at: at,
                     splitter: Splitter::default(),
                     evidence: Evidence::default(),
                 };
-                self.services.insert(service, acting);
+                self.services.insert(service, order_state);
             }
         }
     }
@@ -110,14 +110,14 @@
     /// The failure: the instance that drives an order dies while a bad version has a share. Without a
     /// word of it the old versions take all requests, until the next instance drives the order.
     pub fn choose(&mut self, service: &ServiceName, now: Instant) -> VersionChoice {
-        let Some(acting) = self.services.get_mut(service) else {
+        let Some(order_state) = self.services.get_mut(service) else {
             return VersionChoice::Any;
         };
-        let version = acting.stage.order.version.clone();
-        let is_fresh = now.saturating_duration_since(acting.heard) < STAGE_TTL;
-        match acting.stage.phase {
+        let version = order_state.stage.order.version.clone();
+        let is_fresh = now.saturating_duration_since(order_state.received_at) < STAGE_TTL;
+        match order_state.stage.phase {
             Phase::Completed => VersionChoice::Only(version),
-            Phase::Running { share } if is_fresh && acting.splitter.take(share) => {
+            Phase::Running { share } if is_fresh && order_state.splitter.take(share) => {
                 VersionChoice::Only(version)
             }
             Phase::Running { .. } | Phase::TakenBack => VersionChoice::Not(version),
@@ -127,11 +127,11 @@
     /// Chooses the versions that may take a request once more. One that failed at a version on trial
     /// goes back to the others.
     pub fn choose_for_retry(&self, service: &ServiceName) -> VersionChoice {
-        let Some(acting) = self.services.get(service) else {
+        let Some(order_state) = self.services.get(service) else {
             return VersionChoice::Any;
         };
-        let version = acting.stage.order.version.clone();
-        match acting.stage.phase {
+        let version = order_state.stage.order.version.clone();
+        match order_state.stage.phase {
             Phase::Completed => VersionChoice::Only(version),
             Phase::Running { .. } | Phase::TakenBack => VersionChoice::Not(version),
         }
@@ -146,26 +146,29 @@
         is_bad: bool,
         time: Duration,
     ) {
-        if let Some(acting) = self.services.get_mut(service) {
-            let is_new = *version == acting.stage.order.version;
-            acting.evidence.record(route, is_new, is_bad, time);
+        if let Some(order_state) = self.services.get_mut(service) {
+            let is_new = *version == order_state.stage.order.version;
+            order_state.evidence.record(route, is_new, is_bad, time);
         }
     }
 
     /// Returns what this instance saw of orders that run.
     pub fn reports(&self, origin: u64) -> Vec<(ServiceName, EvidenceReport)> {
         let running = self.services.iter();
-        let running = running.filter(|(_, acting)| !acting.stage.phase.is_ended());
+        let running = running.filter(|(_, order_state)| !order_state.stage.phase.is_ended());
         running
-            .map(|(service, acting)| {
-                let version = &acting.stage.order.version;
-                (service.clone(), acting.evidence.report(origin, version))
+            .map(|(service, order_state)| {
+                let version = &order_state.stage.order.version;
+                (
+                    service.clone(),
+                    order_state.evidence.report(origin, version),
+                )
             })
             .collect()
     }
 
     /// Returns the stages that are known, for an instance that begins to drive orders.
     pub fn stages(&self) -> impl Iterator<Item = &Stage> {
-        self.services.values().map(|acting| &acting.stage)
+        self.services.values().map(|order_state| &order_state.stage)
     }
 }
--- a/crates/relay/src/watchers.rs
+++ b/crates/relay/src/watchers.rs
@@ -9,13 +9,13 @@
 
 /// How much longer ago than a whole wait of a watch a watcher's last answer of the store may be: the
 /// time between two of its notices.
-const SLACK: Duration = Duration::from_millis(300);
+const NOTICE_INTERVAL: Duration = Duration::from_millis(300);
 /// How long a watcher's link is taken by the questions of one other instance after a notice: 2.5 KB of
 /// notice, question, answer and their packets, at 10 Mbit/s.
-const LINK_TIME: Duration = Duration::from_millis(2);
+const LINK_TIME_PER_PEER: Duration = Duration::from_millis(2);
 /// The longest time between a change and the notice of it; it is a part of the bounds for new
 /// configurations and leaving targets.
-const GAP_MOST: Duration = Duration::from_millis(250);
+const MAX_NOTICE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What an instance that watches the store reports to the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -120,7 +120,7 @@
 
     /// Returns how long ago the store's last answer to a watcher may be for others to rely on it.
     fn relied(&self) -> Duration {
-        self.wait + SLACK * self.hops
+        self.wait + NOTICE_INTERVAL * self.hops
     }
 
     /// Returns how long ago the store last answered a watcher that knew no more than this revision and this
@@ -142,7 +142,9 @@
     /// the watcher's link for seconds, and nothing else reaches the watcher or leaves it.
     pub fn notice_gap(told: usize) -> Duration {
         let told = u32::try_from(told).unwrap_or(u32::MAX);
-        LINK_TIME.saturating_mul(told).min(GAP_MOST)
+        LINK_TIME_PER_PEER
+            .saturating_mul(told)
+            .min(MAX_NOTICE_INTERVAL)
     }
 
     /// Records the notice of another instance.
--- a/daemon/src/relay/knowledge.rs
+++ b/daemon/src/relay/knowledge.rs
@@ -56,7 +56,7 @@
     /// Knows nothing; entries may be missing for so long after the store's return.
     pub(super) fn new(entries_back: Duration) -> Self {
         let mut targets = Targets::default();
-        targets.stagger_share = rand::rng().random();
+        targets.lateness = rand::rng().random();
         Self {
             table: ArcSwap::default(),
             freshness: Mutex::new(Freshness::new(Instant::now())),
