--- a/crates/relay/src/targets.rs
+++ b/crates/relay/src/targets.rs
@@ -1,4 +1,4 @@
-//! All targets that are known.
+//! The set of known targets.
 
 use std::{
     borrow::Cow,
@@ -22,27 +22,28 @@
     PromptLocation, Quality, Target, TargetEntry, TargetUpdate,
 };
 
-/// How long after a restarted engine has answered that is passed on, and may be acted on.
-pub(crate) const ADOPTION_TTL: Duration = Duration::from_secs(5);
+/// How long the answer of a restarted engine may be reported and acted on.
+pub(crate) const RESTART_TTL: Duration = Duration::from_secs(5);
 
-/// How long the store takes at most to list an engine that has started, or that it lost the entry of.
+/// The maximum time until the store lists an engine that has started or whose entry was lost.
 pub(crate) const LISTING_TIME: Duration = Duration::from_secs(2);
 
-/// How long a target that left is remembered; longer than [`ADOPTION_TTL`].
+/// How long a target that left is remembered; longer than [`RESTART_TTL`].
 const DEPARTED_TTL: Duration = Duration::from_secs(60);
 
-/// The most restarted engines that one list names, the last ones. A longer list exceeds a datagram.
-const MAX_ADOPTIONS: usize = 128;
-/// The most notes that wait to be told; they fit into one datagram. Older ones are left out: their prompts were
-/// most likely read.
+/// The maximum number of restarted engines in one list, of which the latest are included. A longer
+/// list would not fit into a datagram.
+const MAX_RESTARTS: usize = 128;
+/// The maximum number of prompt locations that wait to be reported, which fit into one datagram.
+/// Older ones are dropped, as their prompts were probably read.
 const MAX_PROMPT_LOCATIONS: usize = 64;
 
 /// A change in the list of targets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The target is there, or says something else than before.
+    /// The target was added or its entry changed.
     Is(TargetEntry),
-    /// The target is gone.
+    /// The target was removed.
     Gone(TargetName),
 }
 
@@ -56,7 +57,7 @@
     }
 }
 
-/// All targets that are known.
+/// The set of known targets.
 #[derive(Clone, Debug, Default)]
 pub struct Targets {
     pub(crate) arena: SlotMap<TargetKey, Target>,
@@ -64,45 +65,47 @@
     addresses: AddressIndex,
     /// Streams of this instance.
     streams: Streams,
-    /// Where prompts went that others were not told of yet.
+    /// Locations of prompts that were not reported to other groups yet.
     prompt_locations: VecDeque<PromptLocation>,
     peer_streams: PeerStreams,
     quality: Quality,
     idle_limits: IdleLimits,
     event_times: EventTimes,
-    /// What engines told that they hold.
+    /// Prompt parts that engines reported to hold.
     pub(crate) held_parts: HashMap<u64, HeldPart>,
-    /// What streams were like lately.
+    /// Recent measurements of streams.
     pub history: History,
-    /// Until when versions that came to a service beside others get no request without an order.
+    /// New versions that get no requests without an order, and until when.
     pub(crate) held_versions: HashMap<(ServiceName, VersionName), Instant>,
-    /// Restarted engines that the store does not list, to be passed on.
+    /// Restarted engines that the store does not list, to be reported to other instances.
     pub(crate) restarts: Vec<Restart>,
     /// When the list was last known to be the store's newest one.
     pub(crate) verified: Option<Instant>,
     /// Targets that the store no longer lists, and since when.
     pub(crate) departed: HashMap<TargetName, Instant>,
-    /// Until when entries that are missing may come back.
+    /// Until when missing entries may come back.
     missing_until: Option<Instant>,
-    /// The changes since a revision of the store, in order.
+    /// Recent changes by revision of the store.
     log: ChangeLog,
-    /// The engines that this instance uses first.
+    /// The group of this instance, whose engines it uses first.
     pub group: Group,
-    /// The part of a stagger by which this instance is later than others.
+    /// The share of a stagger by which this instance acts later than others.
     pub lateness: f64,
 }
 
 impl Targets {
-    /// Takes in the whole list that the store has now; targets that it leaves out are gone. Returns what changed.
+    /// Replaces the list with the store's current one and removes targets that it lacks. Returns
+    /// the changes.
     ///
-    /// Within the grace that [`Targets::await_entries`] gives, they are only missing.
+    /// During the time given by [`Targets::await_entries`], these targets are only marked as
+    /// missing.
     pub fn replace(&mut self, entries: Vec<TargetEntry>, now: Instant) -> Vec<Change> {
         let changes = self.replace_unverified(entries, now);
         self.verify(now);
         changes
     }
 
-    /// Does the same with a list of which it is not known when the store had it.
+    /// Replaces the list with one of unknown age.
     pub fn replace_unverified(&mut self, entries: Vec<TargetEntry>, now: Instant) -> Vec<Change> {
         let kept: HashSet<&TargetName> = entries.iter().map(|entry| &entry.name).collect();
         let gone: Vec<TargetName> = self
@@ -121,13 +124,13 @@
             .filter(|change| self.apply(change, now))
             .collect();
         if is_first {
-            // Which of several versions is the new one cannot be told from the first list.
+            // The first list does not show which of several versions is the new one.
             self.held_versions.clear();
         }
         changes
     }
 
-    /// Takes in one change; returns whether it told anything new.
+    /// Applies a change; returns whether it changed anything.
     pub fn apply(&mut self, change: &Change, now: Instant) -> bool {
         match change {
             Change::Is(entry) => {
@@ -142,8 +145,8 @@
         }
     }
 
-    /// Records that the list was the store's newest one at a moment; returns the targets that are dropped, since the
-    /// store has not listed them for two seconds.
+    /// Records that the list was the store's newest one at a moment. Returns the targets that are
+    /// removed, as the store has not listed them for two seconds.
     pub fn verify(&mut self, at: Instant) -> Vec<TargetName> {
         self.verified = self.verified.max(Some(at));
         let mut dropped = Vec::new();
@@ -162,7 +165,8 @@
         dropped
     }
 
-    /// Records which targets of a whole list the store does not list, and when each last answered.
+    /// Records the targets of a full list that the store does not list, and when each last
+    /// answered.
     pub fn set_unlisted(&mut self, observed: &[(TargetName, Instant)]) {
         for (name, seen) in observed {
             let key = self.names.get(name).copied();
@@ -176,17 +180,18 @@
         }
     }
 
-    /// Notes that a target changed at a revision of the store.
+    /// Records that a target changed at a revision of the store.
     pub fn record_change(&mut self, revision: u64, name: &TargetName) {
         self.log.push(revision, name);
     }
 
-    /// Notes that the whole list of a revision was taken in.
+    /// Records that the full list of a revision was taken in.
     pub fn record_full_list(&mut self, revision: u64) {
         self.log.reset(revision);
     }
 
-    /// Returns what changed after a revision up to another one, or all when that is not known. Ages are not filled in.
+    /// Returns the changes between two revisions, or the full list if they are not known. Ages are
+    /// left empty.
     pub fn update_since(&self, since: u64, revision: u64) -> TargetUpdate {
         let names = self.log.since(since);
         let is_whole = names.is_none();
@@ -208,7 +213,8 @@
         }
     }
 
-    /// Returns the targets that the store does not list, and the time since each one answered, in milliseconds.
+    /// Returns the targets that the store does not list, and the time since each last answered, in
+    /// milliseconds.
     pub fn unlisted_targets(&self, now: Instant) -> Vec<(TargetName, u32)> {
         let unlisted = self.arena.values();
         let unlisted = unlisted.filter_map(|target| Some((target, target.unlisted?)));
@@ -217,7 +223,7 @@
             .collect()
     }
 
-    /// Takes in which targets another instance misses after an outage.
+    /// Marks targets as missing that another instance misses after an outage of the store.
     pub fn mark_all_missing(&mut self, names: &[TargetName], time: Duration, now: Instant) {
         if names.is_empty() {
             return;
@@ -228,18 +234,18 @@
         names.iter().for_each(|name| self.mark_missing(name));
     }
 
-    /// Takes in that the store is back after a time in which entries may have lapsed.
+    /// Records that the store is back after an outage during which entries may have expired.
     ///
-    /// The failure: the store was away for longer than entries live without a heartbeat. It comes
-    /// back with an empty list, and every request would be refused until the targets that live have
-    /// written their entries again, which takes them about two seconds. What is missing after that
-    /// is gone. The time begins with the return and not with a removal: a target may also leave by
-    /// removing its entry, and must get nothing new two seconds later.
+    /// If an outage lasts longer than entries live without a heartbeat, the store returns with an
+    /// empty list. Every request would be refused until the live targets have written their entries
+    /// again, which takes about two seconds. Targets whose entries are still missing after that are
+    /// removed. The time starts at the store's return rather than at the removal of an entry: a
+    /// target may also leave by removing its entry, and must get no new requests two seconds later.
     pub fn await_entries(&mut self, time: Duration, now: Instant) {
         self.missing_until = Some(now + time);
     }
 
-    /// Removes targets whose entries did not come back in time; returns their names.
+    /// Removes the targets whose entries did not come back in time; returns their names.
     pub fn drop_missing(&mut self, now: Instant) -> Vec<TargetName> {
         if self.missing_until.is_none_or(|until| now < until) {
             return Vec::new();
@@ -288,7 +294,7 @@
             return false;
         }
         let before = target.entry.address;
-        // When an unlisted engine started is known from its entry only.
+        // The start time of an unlisted engine is only known once it is listed.
         let is_same_start = was_unlisted || target.entry.born == entry.born;
         let is_same_run = is_same_start && target.entry.address == entry.address;
         if is_same_run {
@@ -305,7 +311,7 @@
         true
     }
 
-    /// Adds a target whose name is not known.
+    /// Adds a target with a name that is not known yet.
     pub(crate) fn insert(&mut self, target: Target) {
         let (name, address) = (target.entry.name.clone(), target.entry.address);
         let key = self.arena.insert(target);
@@ -319,12 +325,12 @@
         self.arena.get(key)
     }
 
-    /// Returns a target to be changed.
+    /// Returns a mutable reference to a target.
     pub fn get_mut(&mut self, key: TargetKey) -> Option<&mut Target> {
         self.arena.get_mut(key)
     }
 
-    /// Adds a stream of this instance at a target; nothing when the target is gone.
+    /// Adds a stream of this instance at a target; returns `None` if the target is gone.
     pub fn add_stream(
         &mut self,
         key: TargetKey,
@@ -348,7 +354,7 @@
         Some(self.streams.add(target.name_hash, part, tokens))
     }
 
-    /// Takes in that a target has not read a prompt part that was sent there.
+    /// Forgets that a prompt part is at a target, which has not read it.
     pub fn forget_prompt_location(&mut self, key: TargetKey, part: u64) {
         if let Some(target) = self.arena.get(key) {
             self.peer_streams
@@ -356,7 +362,7 @@
         }
     }
 
-    /// Takes in that the prompt of a stream was read.
+    /// Records that the prompt of a stream was read.
     pub fn record_prompt_read(&mut self, key: TargetKey, stream: PlacementKey) {
         let read = self.streams.has_read(stream);
         if let (Some(tokens), Some(target)) = (read, self.arena.get_mut(key)) {
@@ -374,8 +380,8 @@
         }
     }
 
-    /// Returns the list of this instance's streams for the others, with all else that they are to
-    /// know, or with what was found since a moment.
+    /// Returns the message for other instances: the list of this instance's streams, and either
+    /// everything else that they should know, or only what was found since a moment.
     pub fn placements(
         &self,
         origin: u64,
@@ -384,14 +390,14 @@
         now: Instant,
     ) -> Placements {
         let is_told = |at: Instant| since.is_some_and(|since| at < since);
-        let adopted = self.restarts.iter().rev().take(MAX_ADOPTIONS);
+        let adopted = self.restarts.iter().rev().take(MAX_RESTARTS);
         let adopted = adopted.filter(|restart| !is_told(restart.received_at));
         Placements {
             origin,
             sequence,
             streams: self.streams.all().collect(),
             dead: self.dead(now, is_told).collect(),
-            adopted: adopted.map(|restart| restart.adoption(now)).collect(),
+            adopted: adopted.map(|restart| restart.report(now)).collect(),
             tallies: match since {
                 Some(_) => Vec::new(),
                 None => self.quality.tallies(now),
@@ -408,7 +414,7 @@
         }
     }
 
-    /// Takes in the list of another instance.
+    /// Merges the message of another instance.
     pub fn merge_placements(&mut self, mut list: Placements, now: Instant) {
         let tallies = std::mem::take(&mut list.tallies);
         if !tallies.is_empty() {
@@ -419,21 +425,21 @@
         let is_told = |target: &Target| list.dead.contains(&target.name_hash);
         let told = self.arena.values_mut().filter(|target| is_told(target));
         told.for_each(|target| target.record_peer_failure(now));
-        for adoption in &list.adopted {
-            let age = Duration::from_millis(adoption.age_ms.into());
+        for report in &list.adopted {
+            let age = Duration::from_millis(report.age_ms.into());
             if let Some(seen) = now.checked_sub(age) {
-                self.add_restarted_engine_seen(adoption.previous_hash, &adoption.name, seen, now);
+                self.add_restarted_engine_seen(report.previous_hash, &report.name, seen, now);
             }
         }
         self.peer_streams.merge(list, now);
     }
 
-    /// Takes the notes of where prompts went that others were not told of yet.
+    /// Returns and clears the prompt locations to be reported to other groups.
     pub fn take_prompt_locations(&mut self) -> Vec<PromptLocation> {
         self.prompt_locations.drain(..).collect()
     }
 
-    /// Takes in where another instance sent prompts.
+    /// Merges the prompt locations of another instance.
     pub fn merge_prompt_locations(&mut self, notes: &[PromptLocation], now: Instant) {
         for note in notes {
             self.peer_streams
@@ -441,18 +447,18 @@
         }
     }
 
-    /// Returns whether no later target has taken the address over.
+    /// Returns whether no later target has the same address.
     pub(crate) fn owns_address(&self, key: TargetKey) -> bool {
         self.arena
             .get(key)
             .is_some_and(|target| target.owns_address)
     }
 
-    /// Gives an address to the latest target that has it.
+    /// Assigns an address to the latest target that has it.
     ///
-    /// The failure: an engine dies and starts again under another name. Its old entry stays in the
-    /// store for some heartbeats, and what is sent to it is refused; a copy that was to be found there
-    /// is lost.
+    /// When an engine restarts under another name, its old entry stays in the store for some
+    /// heartbeats. Requests that are sent to the old name are refused, and backups that the old
+    /// name should hold are lost.
     fn settle_address(&mut self, address: SocketAddr) {
         let at = self.addresses.at(address);
         let born = |key: &&TargetKey| self.arena.get(**key).and_then(|target| target.entry.born);
@@ -464,7 +470,7 @@
         }
     }
 
-    /// Drops the lists of instances that have been silent for long.
+    /// Removes everything that has expired.
     pub fn sweep(&mut self, now: Instant) {
         self.peer_streams.sweep(now);
         self.quality.sweep(now);
@@ -476,28 +482,28 @@
         self.departed.retain(|_, at| is_kept(*at));
     }
 
-    /// Takes in the result of a request in one piece at a target.
+    /// Records the result of a request in one piece at a target.
     pub fn record_result(&mut self, key: TargetKey, is_good: bool, time: Duration, now: Instant) {
         if let Some(target) = self.arena.get(key) {
             self.quality.record(target.name_hash, is_good, time, now);
         }
     }
 
-    /// Takes in that what was sent to a target was reset at once, on a connection that had rested for so
-    /// long; returns whether that is news.
+    /// Records that a request to a target was reset at once, on a connection that had been idle for
+    /// some time; returns whether this changes the idle limit.
     pub fn record_idle_reset(&mut self, key: TargetKey, rested: Duration, now: Instant) -> bool {
         let service = self.arena.get(key).map(Target::service_hash);
         service.is_some_and(|service| self.idle_limits.record_reset(service, rested, now))
     }
 
-    /// Returns how long a connection to a target may rest before something is sent on it; nothing where
-    /// none was lost by resting.
+    /// Returns how long a connection to a target may be idle before a request is sent on it; `None`
+    /// if none was lost while idle.
     pub fn idle_limit(&self, key: TargetKey, now: Instant) -> Option<Duration> {
         let target = self.arena.get(key)?;
         self.idle_limits.limit(target.service_hash(), now)
     }
 
-    /// Takes in how long an engine took for each event of a stream lately, in milliseconds.
+    /// Records the time per event of a recent stream at an engine, in milliseconds.
     pub fn record_event_time(&mut self, key: TargetKey, event_ms: f32, now: Instant) {
         if let Some(target) = self.arena.get(key) {
             self.event_times.record(target.address_hash, event_ms, now);
@@ -512,7 +518,7 @@
         &self.quality
     }
 
-    /// Returns the hash of the engine that has read a prompt part a while ago.
+    /// Returns the name hash of the engine that has recently read a prompt part.
     pub fn holder(&self, part: u64, now: Instant) -> Option<u64> {
         self.peer_streams.holder(part, now)
     }
@@ -521,7 +527,7 @@
         self.peer_streams.usage(now)
     }
 
-    /// Returns the tokens of all prompts that a target is reading, as far as is known.
+    /// Returns the known number of tokens that a target has to read, for prompts of all instances.
     pub fn reading(&self, key: TargetKey, now: Instant) -> u64 {
         let Some(target) = self.arena.get(key) else {
             return 0;
@@ -533,8 +539,8 @@
         target.reading_tokens + others
     }
 
-    /// Returns how long it takes until a target of a service is no longer avoided; nothing while one is
-    /// not, or while there is none.
+    /// Returns the time until a target of a service is no longer avoided; `None` if one is not
+    /// avoided now, or there is none.
     pub fn time_until_usable(&self, service: &ServiceName, now: Instant) -> Option<Duration> {
         let of_service = self.arena.iter();
         let of_service = of_service.filter(|(_, target)| target.entry.service == *service);
@@ -544,7 +550,7 @@
         (!left.is_zero()).then_some(left)
     }
 
-    /// Returns whether new work may go to a target.
+    /// Returns whether a target may get new requests.
     pub fn is_usable(&self, key: TargetKey) -> bool {
         let is_ready = self.arena.get(key).is_some_and(Target::is_ready);
         is_ready && self.owns_address(key)
@@ -555,12 +561,12 @@
         self.arena.iter()
     }
 
-    /// Returns how many targets are known.
+    /// Returns the number of known targets.
     pub fn len(&self) -> usize {
         self.arena.len()
     }
 
-    /// Returns whether no target is known.
+    /// Returns whether there are no known targets.
     pub fn is_empty(&self) -> bool {
         self.arena.is_empty()
     }
--- a/crates/relay/src/version_routing.rs
+++ b/crates/relay/src/version_routing.rs
@@ -1,4 +1,4 @@
-//! Which versions of each service take requests.
+//! The versions of each service that get requests.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -8,23 +8,24 @@
 
 use crate::{Evidence, EvidenceReport, Phase, Stage};
 
-/// How long a share holds without a report of the instance that drives the order, which sends four a second.
+/// How long a share is valid without a report of the instance that drives the order, which sends
+/// four per second.
 const STAGE_TTL: Duration = Duration::from_millis(1_500);
 
-/// The versions that may take a request.
+/// The versions that may get a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum VersionChoice {
     /// Any version.
     #[default]
     Any,
-    /// This version, or another one where it has no target left.
+    /// This version, or another one if it has no target left.
     Only(VersionName),
-    /// Any but this version.
+    /// Any version except this one.
     Not(VersionName),
 }
 
 impl VersionChoice {
-    /// Returns whether a version may take the request.
+    /// Returns whether a version may get the request.
     ///
     /// # Examples
     ///
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Returns what may take the request when no target of the choice is left.
+    /// Returns the versions that may get the request if no target of these is left.
     pub fn fallback(&self) -> Option<Self> {
         match self {
             Self::Only(version) => Some(Self::Not(version.clone())),
@@ -51,7 +52,8 @@
     }
 }
 
-/// Which versions of each service take requests, as this instance was told.
+/// The versions of each service that get requests, as reported by the instance that drives the
+/// order.
 ///
 /// # Examples
 ///
@@ -82,7 +84,7 @@
 }
 
 impl VersionRouting {
-    /// Takes in how far an order had come at a moment; an order that has ended stays so.
+    /// Updates the progress of an order as of some moment; a final phase stays.
     pub fn update(&mut self, stage: Stage, at: Instant) {
         let service = stage.order.service.clone();
         let known = self.services.get_mut(&service);
@@ -105,10 +107,10 @@
         }
     }
 
-    /// Chooses the versions that may take the next request for a service.
+    /// Chooses the versions that may get the next request for a service.
     ///
-    /// The failure: the instance that drives an order dies while a bad version has a share. Without a
-    /// word of it the old versions take all requests, until the next instance drives the order.
+    /// If the instance that drives an order dies while a bad version has a share, the old versions
+    /// get all requests until another instance drives the order.
     pub fn choose(&mut self, service: &ServiceName, now: Instant) -> VersionChoice {
         let Some(order_state) = self.services.get_mut(service) else {
             return VersionChoice::Any;
@@ -124,8 +126,8 @@
         }
     }
 
-    /// Chooses the versions that may take a request once more. One that failed at a version on trial
-    /// goes back to the others.
+    /// Chooses the versions that may get a request that is sent again. A request that failed at a
+    /// version on trial goes back to the others.
     pub fn choose_for_retry(&self, service: &ServiceName) -> VersionChoice {
         let Some(order_state) = self.services.get(service) else {
             return VersionChoice::Any;
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Adds an answer of a version on a route, while an order runs.
+    /// Records a response of a version on a route while there is an order.
     pub fn record_response(
         &mut self,
         service: &ServiceName,
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Returns what this instance saw of orders that run.
+    /// Returns what this instance observed of running orders.
     pub fn reports(&self, origin: u64) -> Vec<(ServiceName, EvidenceReport)> {
         let running = self.services.iter();
         let running = running.filter(|(_, order_state)| !order_state.stage.phase.is_ended());
@@ -167,7 +169,7 @@
             .collect()
     }
 
-    /// Returns the stages that are known, for an instance that begins to drive orders.
+    /// Returns the known progress of orders, for an instance that starts to drive them.
     pub fn stages(&self) -> impl Iterator<Item = &Stage> {
         self.services.values().map(|order_state| &order_state.stage)
     }
--- a/crates/relay/src/watchers.rs
+++ b/crates/relay/src/watchers.rs
@@ -1,4 +1,4 @@
-//! Who watches the store for all.
+//! Instances that watch the store on behalf of all.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,40 +7,42 @@
 
 use crate::Observation;
 
-/// How much longer ago than a whole wait of a watch a watcher's last answer of the store may be: the
-/// time between two of its notices.
+/// The time between two notices of a watcher, by which the store's last response to it may be older
+/// than a full wait of a watch.
 const NOTICE_INTERVAL: Duration = Duration::from_millis(300);
-/// How long a watcher's link is taken by the questions of one other instance after a notice: 2.5 KB of
-/// notice, question, answer and their packets, at 10 Mbit/s.
+/// How long the queries of one other instance after a notice occupy a watcher's link: 2.5 KB for
+/// notice, query and response, including packet headers, at 10 Mbit/s.
 const LINK_TIME_PER_PEER: Duration = Duration::from_millis(2);
-/// The longest time between a change and the notice of it; it is a part of the bounds for new
+/// The maximum time between a change and the notice of it, which is part of the bounds for new
 /// configurations and leaving targets.
 const MAX_NOTICE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What an instance that watches the store reports to the others.
+/// The notice that an instance which watches the store sends to the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
-    /// The run of the instance.
+    /// The id of the instance's process.
     pub origin: u64,
-    /// The store's revision up to which it knows the targets.
+    /// The store's revision of its list of targets.
     pub revision: u64,
-    /// The version of the configuration that it knows.
+    /// The version of its configuration.
     pub config: u64,
-    /// A revision of the store at which that was the newest version; 0 where none is known.
+    /// A revision of the store at which that was the newest version; 0 if none is known.
     pub config_revision: u64,
-    /// The time since that was last seen to be the newest version, in milliseconds; nothing if it never was.
-    pub config_age_ms: Option<u32>,
-    /// The time since the revision of the targets was last known to be the newest one, in milliseconds; nothing if it
+    /// The time since that was last known to be the newest version, in milliseconds; `None` if it
     /// never was.
+    pub config_age_ms: Option<u32>,
+    /// The time since its revision of the targets was last known to be the newest one, in
+    /// milliseconds; `None` if it never was.
     pub targets_age_ms: Option<u32>,
-    /// Whether a newer version is being transferred to it.
+    /// Whether a newer version is being transferred to the instance.
     pub is_superseded: bool,
-    /// The time since the store's last answer to it, in milliseconds.
+    /// The time since the store's last response to it, in milliseconds.
     pub age_ms: u32,
 }
 
 impl Notice {
-    /// Returns which configuration the store was seen to hold; nothing where the sender does not know that.
+    /// Returns the configuration that the store was observed to hold; `None` if the sender does not
+    /// know it.
     pub fn observation(&self, now: Instant) -> Option<Observation> {
         let age = Duration::from_millis(self.config_age_ms?.into());
         Some(Observation {
@@ -50,7 +52,8 @@
         })
     }
 
-    /// Returns which revision of the targets the store was seen to hold; nothing where the sender does not know that.
+    /// Returns the revision of the targets that the store was observed to hold; `None` if the
+    /// sender does not know it.
     pub fn targets_observation(&self, now: Instant) -> Option<Observation> {
         let age = Duration::from_millis(self.targets_age_ms?.into());
         Some(Observation {
@@ -61,11 +64,12 @@
     }
 }
 
-/// What instances that watch the store have reported.
+/// The notices of instances that watch the store.
 ///
-/// The load it answers: each watch reports each change of a target, and costs calls while nothing changes. Two
-/// instances watch for all, in different data centres; the others query them for changes, in a large fleet over some
-/// in each data centre. An instance without a recent notice watches for itself, so nothing depends on who was elected.
+/// Each watch reports each change of a target, and costs calls even if nothing changes. Therefore
+/// two instances in different data centres watch for all. The others query them for changes, in a
+/// large fleet through some instances in each data centre. An instance without a recent notice
+/// watches for itself, so that nothing depends on the elected ones.
 ///
 /// # Examples
 ///
@@ -98,12 +102,13 @@
     notices: HashMap<u64, (Notice, Instant)>,
     /// How long a watch of the store waits for a change.
     wait: Duration,
-    /// Over how many instances notices come from the one that watches the store.
+    /// The number of instances that notices have passed through, including the watcher.
     hops: u32,
 }
 
 impl Watchers {
-    /// Knows of no watcher; a watch of the store waits so long for a change.
+    /// Creates the state of an instance that knows of no watcher; `watch_wait` is how long a watch
+    /// of the store waits for a change.
     pub fn new(watch_wait: Duration) -> Self {
         Self {
             notices: HashMap::new(),
@@ -112,21 +117,21 @@
         }
     }
 
-    /// Sets over how many instances notices come from the one that watches the store; each one adds the time
-    /// between two of its notices.
+    /// Sets the number of instances that notices have passed through, including the watcher. Each
+    /// one adds its interval between notices.
     pub fn set_hops(&mut self, hops: u32) {
         self.hops = hops;
     }
 
-    /// Returns how long ago the store's last answer to a watcher may be for others to rely on it.
+    /// Returns the maximum age of the store's last response to a watcher for others to rely on it.
     fn relied(&self) -> Duration {
         self.wait + NOTICE_INTERVAL * self.hops
     }
 
-    /// Returns how long ago the store last answered a watcher that knew no more than this revision and this
-    /// configuration; nothing where no notice of one is relied on.
+    /// Returns how long ago the store responded to a watcher that knew no more than this revision
+    /// and this configuration; `None` if there is no such notice that is relied on.
     ///
-    /// An instance that tells others of its data centre says what it was told with the age that it had.
+    /// An instance that forwards notices in its data centre passes on the age that it received.
     pub fn age(&self, revision: u64, config: u64, now: Instant) -> Option<Duration> {
         let notices = self.notices.values();
         let relied = notices.filter(|notice| is_relied_on(notice, self.relied(), now));
@@ -135,11 +140,12 @@
         covered.map(|notice| age(notice, now)).min()
     }
 
-    /// Returns the least time between two notices of an instance that tells so many others.
+    /// Returns the minimum interval between two notices of an instance that sends them to this
+    /// number of others.
     ///
-    /// The failure: the engines of a data centre die and start again, and their entries change each few
-    /// milliseconds. If each change is told at once, all instances ask for it, their questions fill
-    /// the watcher's link for seconds, and nothing else reaches the watcher or leaves it.
+    /// When the engines of a data centre die and restart, their entries change every few
+    /// milliseconds. If each change were announced immediately, the queries of all instances would
+    /// saturate the watcher's link for seconds, and no other traffic would reach or leave it.
     pub fn notice_gap(told: usize) -> Duration {
         let told = u32::try_from(told).unwrap_or(u32::MAX);
         LINK_TIME_PER_PEER
@@ -155,16 +161,17 @@
             .retain(|_, notice| is_relied_on(notice, relied, now));
     }
 
-    /// Drops the notice of an instance that did not answer; it is relied on again after its next one.
+    /// Forgets the notice of an instance that did not answer; it is relied on again after its next
+    /// one.
     ///
-    /// The failure: a watcher says that there is something new, and is cut off. Whoever asked it would
-    /// wait for its answer, and ask it again, while another watcher could tell.
+    /// A watcher may announce a change and then be disconnected. Other instances would wait for its
+    /// response and query it again, although another watcher could respond.
     pub fn forget(&mut self, origin: u64) {
         self.notices.remove(&origin);
     }
 
-    /// Returns whether this instance watches the store: it was chosen, or it hears of no other one
-    /// that does.
+    /// Returns whether this instance has to watch the store: it was elected, or it receives no
+    /// notices.
     pub fn must_watch(&self, is_chosen: bool, now: Instant) -> bool {
         is_chosen
             || !self
@@ -173,7 +180,7 @@
                 .any(|notice| is_relied_on(notice, self.relied(), now))
     }
 
-    /// Returns the notice with the highest revision of the targets, if that is above this one.
+    /// Returns the notice with the highest revision of the targets, if it is above this one.
     pub fn newer(&self, revision: u64, now: Instant) -> Option<Notice> {
         let notices = self.notices.values();
         let relied = notices.filter(|notice| is_relied_on(notice, self.relied(), now));
@@ -188,7 +195,7 @@
     age(notice, now) < relied
 }
 
-/// Returns how long ago the store answered the watcher whose notice this is.
+/// Returns how long ago the store responded to the sender of a notice.
 fn age((notice, heard): &(Notice, Instant), now: Instant) -> Duration {
     let age = Duration::from_millis(u64::from(notice.age_ms));
     now.saturating_duration_since(*heard) + age
