--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -81,14 +81,14 @@
     /// If all instances lose power at once, they no longer know which engine has read which prompt,
     /// but the engines still hold the prompts in their caches. Callers then come back with too
     /// little time for reading the prompt again, but with enough to continue from the cache.
-    pub fn engines_to_query(&mut self, want: &TargetQuery<'_>, now: Instant) -> Vec<TargetKey> {
-        let affinity = want.affinity.unwrap_or_default();
+    pub fn engines_to_query(&mut self, query: &TargetQuery<'_>, now: Instant) -> Vec<TargetKey> {
+        let affinity = query.affinity.unwrap_or_default();
         let engines = self.iter().filter(|(key, target)| {
-            let is_asked = |at: Instant| now.saturating_duration_since(at) < QUERY_INTERVAL;
-            target.entry.service == *want.service
+            let was_queried = |at: Instant| now.saturating_duration_since(at) < QUERY_INTERVAL;
+            target.entry.service == *query.service
                 && self.is_usable(*key)
                 && !target.is_avoided(now)
-                && !target.last_queried.is_some_and(is_asked)
+                && !target.last_queried.is_some_and(was_queried)
         });
         let ranked = engines.map(|(key, target)| (rendezvous_rank(affinity, target), key));
         let mut ranked: Vec<(u64, TargetKey)> = ranked.collect();
@@ -132,11 +132,11 @@
         let Some(held) = held.filter(|held| held.is_whole(part, now)) else {
             return false;
         };
-        let note = PromptLocation {
+        let location = PromptLocation {
             part: part.id,
             target: held.target,
         };
-        self.merge_prompt_locations(&[note], now);
+        self.merge_prompt_locations(&[location], now);
         true
     }
 
@@ -153,24 +153,24 @@
     /// prompts, and no time for reading if an engine has already read the prompt.
     pub fn time_needed(
         &self,
-        want: &TargetQuery<'_>,
-        asks: &StreamRequest,
+        query: &TargetQuery<'_>,
+        request: &StreamRequest,
         now: Instant,
     ) -> Option<TimeNeeded> {
         let events = self
             .history
-            .min_events_left(want.service, asks.last_event)?;
+            .min_events_left(query.service, request.last_event)?;
         let of_service = self
             .iter()
-            .filter(|(_, target)| target.entry.service == *want.service);
+            .filter(|(_, target)| target.entry.service == *query.service);
         let pace = |(_, target): (_, &Target)| self.event_times().get(target.address_hash);
         let fastest = of_service.filter_map(pace).min_by(f32::total_cmp)?;
-        let is_read = want
+        let is_read = query
             .affinity
             .is_some_and(|part| self.holder(part, now).is_some());
         let read_ms = match is_read {
             true => 0.0,
-            false => asks.prompt_tokens as f64 / self.history.read_rate(want.service)?,
+            false => request.prompt_tokens as f64 / self.history.read_rate(query.service)?,
         };
         let run_ms = events * f64::from(fastest);
         Some(TimeNeeded {
--- a/crates/relay/src/attempt_failure.rs
+++ b/crates/relay/src/attempt_failure.rs
@@ -127,7 +127,7 @@
     /// let unsent = AttemptState { runs: 0, ..reservation };
     /// assert_eq!(unsent.next_step(AttemptFailure::Unsent, || true), NextStep::Elsewhere);
     /// ```
-    pub fn next_step(&self, ended: AttemptFailure, budget: impl FnOnce() -> bool) -> NextStep {
+    pub fn next_step(&self, failure: AttemptFailure, budget: impl FnOnce() -> bool) -> NextStep {
         let may_have_run = self.runs > 0;
         if self.time_left < MIN_TIME_LEFT {
             return if may_have_run {
@@ -142,7 +142,7 @@
         // The budget limits the requests that reach targets. If all targets of a data centre are
         // dead, most sends reach none, and streams would fail for lack of budget.
         if may_send && has_room {
-            if ended.proves_unsent() || budget() {
+            if failure.proves_unsent() || budget() {
                 return NextStep::Elsewhere;
             }
             // If a stream fails now, its caller has to start over, so it waits some hundred
@@ -152,7 +152,7 @@
                 return NextStep::Later;
             }
         }
-        match ended {
+        match failure {
             _ if !may_have_run => NextStep::NotRun,
             AttemptFailure::Silent => NextStep::Expired,
             _ => NextStep::Failed,
--- a/crates/relay/src/dead_engines.rs
+++ b/crates/relay/src/dead_engines.rs
@@ -39,10 +39,11 @@
         }
         let late = stagger.mul_f64(self.lateness);
         let is_due = |target: &Target| {
-            let died = target
+            let dead_since = target
                 .dead_since
-                .map(|died| now.saturating_duration_since(died));
-            died.is_some_and(|since| (FIRST_PROBE_AFTER + late..LAST_PROBE_AFTER).contains(&since))
+                .map(|dead_since| now.saturating_duration_since(dead_since));
+            dead_since
+                .is_some_and(|since| (FIRST_PROBE_AFTER + late..LAST_PROBE_AFTER).contains(&since))
         };
         let dead = self.arena.iter();
         dead.filter(|(key, target)| is_due(target) && self.owns_address(*key))
@@ -63,8 +64,13 @@
 
     /// Records that the engine whose name had this hash answers under a name, which may be the
     /// same. Returns whether the name is used and was not known.
-    pub fn add_restarted_engine(&mut self, before: u64, name: &TargetName, now: Instant) -> bool {
-        self.add_restarted_engine_seen(before, name, now, now)
+    pub fn add_restarted_engine(
+        &mut self,
+        previous_hash: u64,
+        name: &TargetName,
+        now: Instant,
+    ) -> bool {
+        self.add_restarted_engine_seen(previous_hash, name, now, now)
     }
 
     /// Records an answer from an earlier time.
@@ -73,7 +79,7 @@
     /// same time may have been removed from it, and still answers for a while.
     pub(crate) fn add_restarted_engine_seen(
         &mut self,
-        before: u64,
+        previous_hash: u64,
         name: &TargetName,
         seen: Instant,
         now: Instant,
@@ -85,7 +91,7 @@
         let old = self
             .arena
             .iter()
-            .find(|(_, target)| target.name_hash == before);
+            .find(|(_, target)| target.name_hash == previous_hash);
         let Some((key, old)) = old else {
             return false;
         };
@@ -105,11 +111,11 @@
             born: old.entry.born.map(|born| born + 1),
             ..old.entry.clone()
         };
-        let mut found = Target::new(entry);
-        found.unlisted = Some(Unlisted { seen, absent: None });
-        self.insert(found);
+        let mut restarted = Target::new(entry);
+        restarted.unlisted = Some(Unlisted { seen, absent: None });
+        self.insert(restarted);
         self.restarts.push(Restart {
-            previous_hash: before,
+            previous_hash,
             name: name.clone(),
             seen,
             received_at: now,
@@ -118,15 +124,15 @@
     }
 
     /// Returns the name hashes of engines that this instance found dead, without those for which
-    /// `is_told` is true.
+    /// `was_reported` is true.
     pub(crate) fn dead(
         &self,
         now: Instant,
-        is_told: impl Fn(Instant) -> bool,
+        was_reported: impl Fn(Instant) -> bool,
     ) -> impl Iterator<Item = u64> {
         let dead = self.arena.values();
         let dead = dead.filter(move |target| target.is_dead && target.is_avoided(now));
-        dead.filter(move |target| !target.found_dead_at.is_some_and(&is_told))
+        dead.filter(move |target| !target.found_dead_at.is_some_and(&was_reported))
             .map(|target| target.name_hash)
     }
 }
--- a/crates/relay/src/event_times.rs
+++ b/crates/relay/src/event_times.rs
@@ -49,48 +49,47 @@
 
 impl EventTimes {
     /// Records the milliseconds per event of a stream.
-    pub fn record(&mut self, spot: u64, event_ms: f32, now: Instant) {
-        self.insert(spot, event_ms, Some(now), now);
+    pub fn record(&mut self, address_hash: u64, event_ms: f32, now: Instant) {
+        self.insert(address_hash, event_ms, Some(now), now);
     }
 
     /// Returns the milliseconds per event of an engine; `None` if unknown.
-    pub fn get(&self, spot: u64) -> Option<f32> {
+    pub fn get(&self, address_hash: u64) -> Option<f32> {
         self.measurements
-            .get(&spot)
-            .map(|measurements| measurements.event_ms)
+            .get(&address_hash)
+            .map(|measurement| measurement.event_ms)
     }
 
     /// Returns this instance's recent measurements, for other instances.
     pub fn own_times(&self, now: Instant) -> Vec<(u64, f32)> {
-        let is_own = |measurements: &Measurement| {
-            let observed_here_at = measurements.observed_here_at;
-            observed_here_at.is_some_and(|at| now.saturating_duration_since(at) < FASTEST_TTL)
+        let is_own = |measurement: &Measurement| {
+            let observed_at = measurement.observed_here_at;
+            observed_at.is_some_and(|at| now.saturating_duration_since(at) < FASTEST_TTL)
         };
-        let observed_here_at = self
+        let own = self
             .measurements
             .iter()
-            .filter(|(_, measurements)| is_own(measurements));
-        observed_here_at
-            .map(|(spot, measurements)| (*spot, measurements.event_ms))
+            .filter(|(_, measurement)| is_own(measurement));
+        own.map(|(address_hash, measurement)| (*address_hash, measurement.event_ms))
             .collect()
     }
 
     /// Merges the measurements of another instance.
-    pub fn merge(&mut self, told: &[(u64, f32)], now: Instant) {
-        for (spot, event_ms) in told {
-            self.insert(*spot, *event_ms, None, now);
+    pub fn merge(&mut self, times: &[(u64, f32)], now: Instant) {
+        for (address_hash, event_ms) in times {
+            self.insert(*address_hash, *event_ms, None, now);
         }
     }
 
     /// Removes measurements that are too old.
     pub fn sweep(&mut self, now: Instant) {
         self.measurements
-            .retain(|_, measurements| now.saturating_duration_since(measurements.at) < RETENTION);
+            .retain(|_, measurement| now.saturating_duration_since(measurement.at) < RETENTION);
     }
 
     fn insert(
         &mut self,
-        spot: u64,
+        address_hash: u64,
         event_ms: f32,
         observed_here_at: Option<Instant>,
         now: Instant,
@@ -98,15 +97,15 @@
         if !event_ms.is_finite() || event_ms <= 0.0 {
             return;
         }
-        let fresh = Measurement {
+        let measurement = Measurement {
             event_ms,
             at: now,
             observed_here_at,
         };
-        let measurements = self.measurements.entry(spot).or_insert(fresh);
-        let is_old = now.saturating_duration_since(measurements.at) >= FASTEST_TTL;
-        if event_ms <= measurements.event_ms || is_old {
-            *measurements = fresh;
+        let known = self.measurements.entry(address_hash).or_insert(measurement);
+        let is_old = now.saturating_duration_since(known.at) >= FASTEST_TTL;
+        if event_ms <= known.event_ms || is_old {
+            *known = measurement;
         }
     }
 }
--- a/crates/relay/src/evidence.rs
+++ b/crates/relay/src/evidence.rs
@@ -115,8 +115,12 @@
             *usual += (took - *usual) * USUAL_TIME_WEIGHT.max(1.0 / f64::from(*count + 1));
             *count += 1;
         }
-        let pair = self.local.entry(route).or_default();
-        let answers = if is_new { &mut pair.new } else { &mut pair.old };
+        let counts = self.local.entry(route).or_default();
+        let answers = if is_new {
+            &mut counts.new
+        } else {
+            &mut counts.old
+        };
         answers.add(Answers {
             all: 1,
             bad: u32::from(is_bad),
@@ -132,7 +136,7 @@
             routes: self
                 .local
                 .iter()
-                .map(|(route, pair)| (*route, *pair))
+                .map(|(route, counts)| (*route, *counts))
                 .collect(),
         }
     }
@@ -147,7 +151,7 @@
     /// Returns the responses on all routes.
     pub fn total(&self) -> VersionCounts {
         let mut sum = VersionCounts::default();
-        self.routes().values().for_each(|pair| sum.add(*pair));
+        self.routes().values().for_each(|counts| sum.add(*counts));
         sum
     }
 
@@ -156,7 +160,7 @@
         self.odds() > BAD_ODDS
     }
 
-    /// Returns whether the new version is more likely bad than good.
+    /// Returns whether the new version is more likely bad than good, if not almost certainly.
     pub fn is_doubtful(&self) -> bool {
         self.odds() > DOUBTFUL_ODDS
     }
@@ -169,9 +173,9 @@
 
     fn routes(&self) -> BTreeMap<u64, VersionCounts> {
         let mut all = self.local.clone();
-        let peers = self.peers.values().flat_map(|(report, _)| &report.routes);
-        for (route, pair) in peers {
-            all.entry(*route).or_default().add(*pair);
+        let reported = self.peers.values().flat_map(|(report, _)| &report.routes);
+        for (route, counts) in reported {
+            all.entry(*route).or_default().add(*counts);
         }
         all
     }
--- a/crates/relay/src/first_event_wait.rs
+++ b/crates/relay/src/first_event_wait.rs
@@ -47,8 +47,8 @@
 
     /// Updates the wait with the time that the engine may need for all that it reads now. Returns
     /// when to check again; `None` if the engine has had the time that it needed.
-    pub fn update(&mut self, most: Duration, now: Instant) -> Option<Instant> {
-        self.until = self.until.max(self.started_at + most);
+    pub fn update(&mut self, time_needed: Duration, now: Instant) -> Option<Instant> {
+        self.until = self.until.max(self.started_at + time_needed);
         (now < self.until).then(|| self.until.min(now + RECHECK_INTERVAL))
     }
 }
--- a/crates/relay/src/group.rs
+++ b/crates/relay/src/group.rs
@@ -14,8 +14,8 @@
 /// use celerypond_relay::Group;
 ///
 /// let groups = [Group { index: 0, count: 2 }, Group { index: 1, count: 2 }];
-/// let spot = 0x9e37_79b9_7f4a_7c15;
-/// assert_eq!(groups.iter().filter(|group| group.contains(spot)).count(), 1);
+/// let address_hash = 0x9e37_79b9_7f4a_7c15;
+/// assert_eq!(groups.iter().filter(|group| group.contains(address_hash)).count(), 1);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Group {
@@ -28,9 +28,9 @@
 impl Group {
     /// Returns whether the group prefers the engine whose address has this hash. An engine that
     /// restarts keeps its address, and thus its group.
-    pub const fn contains(&self, spot: u64) -> bool {
+    pub const fn contains(&self, address_hash: u64) -> bool {
         // The upper bits of the product divide the range of hashes equally.
-        ((spot as u128 * self.count as u128) >> u64::BITS) as usize == self.index
+        ((address_hash as u128 * self.count as u128) >> u64::BITS) as usize == self.index
     }
 }
 
--- a/crates/relay/src/history.rs
+++ b/crates/relay/src/history.rs
@@ -78,12 +78,12 @@
     /// Returns the median number of events after event `last` of a response; `None` if too few
     /// responses are known.
     pub fn typical_events_left(&self, service: &ServiceName, last: u64) -> Option<f64> {
-        self.left(service, last, 0.5)
+        self.events_after(service, last, 0.5)
     }
 
     /// Returns the number of events after event `last` of a short response.
     pub fn min_events_left(&self, service: &ServiceName, last: u64) -> Option<f64> {
-        self.left(service, last, SHORT_QUANTILE)
+        self.events_after(service, last, SHORT_QUANTILE)
     }
 
     /// Returns the number of prompt tokens that an engine usually reads per millisecond.
@@ -105,14 +105,14 @@
         queued_rates.or_else(|| service_mut.rates.quantile(FAST_QUANTILE, 0.0))
     }
 
-    fn left(&self, service: &ServiceName, last: u64, part: f64) -> Option<f64> {
+    fn events_after(&self, service: &ServiceName, last: u64, quantile: f64) -> Option<f64> {
         let event_counts = &self.services.get(service)?.event_counts;
         let last = last as f64;
         if !event_counts.has_enough() {
             return None;
         }
-        let whole = event_counts.quantile(part, last);
-        Some(whole.map_or(0.0, |whole| whole - last))
+        let length = event_counts.quantile(quantile, last);
+        Some(length.map_or(0.0, |length| length - last))
     }
 
     fn service_mut(&mut self, service: &ServiceName) -> &mut ServiceHistory {
@@ -138,16 +138,16 @@
         self.values.len() >= MIN_VALUES
     }
 
-    /// Returns a quantile of the values above `over`; `None` if there are none or too few values
+    /// Returns a quantile of the values above `floor`; `None` if there are none or too few values
     /// are known.
-    fn quantile(&self, part: f64, over: f64) -> Option<f64> {
+    fn quantile(&self, quantile: f64, floor: f64) -> Option<f64> {
         if !self.has_enough() {
             return None;
         }
-        let above = self.values.iter().copied().filter(|value| *value > over);
+        let above = self.values.iter().copied().filter(|value| *value > floor);
         let mut above: Vec<f64> = above.collect();
         above.sort_by(f64::total_cmp);
-        let at = (above.len() as f64 * part) as usize;
+        let at = (above.len() as f64 * quantile) as usize;
         above.get(at.min(above.len().saturating_sub(1))).copied()
     }
 }
--- a/crates/relay/src/idle_limits.rs
+++ b/crates/relay/src/idle_limits.rs
@@ -57,14 +57,14 @@
 impl IdleLimits {
     /// Records that a request was reset at once, on a connection that had been idle for some time;
     /// returns whether this changes the limit.
-    pub fn record_reset(&mut self, service: u64, rested: Duration, now: Instant) -> bool {
-        rested >= MIN_IDLE_TIME && self.learn(service, rested.mul_f64(LIMIT_SHARE), now)
+    pub fn record_reset(&mut self, service: u64, idle_time: Duration, now: Instant) -> bool {
+        idle_time >= MIN_IDLE_TIME && self.learn(service, idle_time.mul_f64(LIMIT_SHARE), now)
     }
 
     /// Returns the limit for a service; `None` if no connection was lost while idle.
     pub fn limit(&self, service: u64, now: Instant) -> Option<Duration> {
-        let (most, at) = self.learned.get(&service)?;
-        is_fresh(*at, now).then_some(*most)
+        let (limit, at) = self.learned.get(&service)?;
+        is_fresh(*at, now).then_some(*limit)
     }
 
     /// Returns the limits to report to other instances.
@@ -73,25 +73,25 @@
             .learned
             .iter()
             .filter(|(_, (_, at))| is_fresh(*at, now));
-        let told = fresh.map(|(service, (most, at))| IdleLimit {
+        let reported = fresh.map(|(service, (limit, at))| IdleLimit {
             service: *service,
-            most_ms: millis(*most),
+            most_ms: millis(*limit),
             age_ms: millis(now.saturating_duration_since(*at)),
         });
-        told.collect()
+        reported.collect()
     }
 
     /// Merges the limits of another instance.
-    pub fn merge(&mut self, told: &[IdleLimit], now: Instant) {
-        for rest in told {
-            let age = Duration::from_millis(u64::from(rest.age_ms));
+    pub fn merge(&mut self, reported: &[IdleLimit], now: Instant) {
+        for limit in reported {
+            let age = Duration::from_millis(u64::from(limit.age_ms));
             let Some(at) = now.checked_sub(age) else {
                 continue;
             };
             if is_fresh(at, now) {
                 self.learn(
-                    rest.service,
-                    Duration::from_millis(u64::from(rest.most_ms)),
+                    limit.service,
+                    Duration::from_millis(u64::from(limit.most_ms)),
                     at,
                 );
             }
@@ -100,13 +100,13 @@
 
     /// Sets a limit, unless a shorter one is valid. A longer one does not extend a shorter one's
     /// validity, as connections that are idle for longer are no longer used.
-    fn learn(&mut self, service: u64, most: Duration, at: Instant) -> bool {
+    fn learn(&mut self, service: u64, limit: Duration, at: Instant) -> bool {
         let known = self.learned.get(&service);
         let known = known.filter(|(_, known)| is_fresh(*known, at));
-        if known.is_some_and(|(known, _)| *known <= most) {
+        if known.is_some_and(|(known, _)| *known <= limit) {
             return false;
         }
-        self.learned.insert(service, (most, at));
+        self.learned.insert(service, (limit, at));
         true
     }
 }
--- a/crates/relay/src/own_streams.rs
+++ b/crates/relay/src/own_streams.rs
@@ -29,7 +29,7 @@
 
     /// Records that the prompt of a stream was read; returns the tokens of the stream if this was
     /// not known.
-    pub(crate) fn has_read(&mut self, key: PlacementKey) -> Option<u64> {
+    pub(crate) fn mark_read(&mut self, key: PlacementKey) -> Option<u64> {
         let stream = self.arena.get_mut(key)?;
         let was_reading = std::mem::take(&mut stream.is_reading);
         was_reading.then_some(u64::from(stream.tokens))
--- a/crates/relay/src/peer_streams.rs
+++ b/crates/relay/src/peer_streams.rs
@@ -161,21 +161,21 @@
                 .or_default()
                 .add(stream);
         }
-        let heard = ReceivedPlacements {
+        let received = ReceivedPlacements {
             sequence: list.sequence,
             at: now,
             streams: list.streams,
         };
-        if let Some(previous) = self.lists.insert(list.origin, heard) {
+        if let Some(previous) = self.lists.insert(list.origin, received) {
             self.subtract(&previous.streams);
         }
     }
 
     fn subtract(&mut self, streams: &[Placement]) {
         for stream in streams {
-            if let Some(taken) = self.usage_sums.get_mut(&stream.target) {
-                taken.remove(stream);
-                if taken.streams == 0 {
+            if let Some(usage) = self.usage_sums.get_mut(&stream.target) {
+                usage.remove(stream);
+                if usage.streams == 0 {
                     self.usage_sums.remove(&stream.target);
                 }
             }
@@ -212,20 +212,25 @@
     pub fn sweep(&mut self, now: Instant) {
         let is_kept = |at: Instant| now.saturating_duration_since(at) < PROMPT_LOCATION_TTL;
         self.parts.retain(|_, (_, at)| is_kept(*at));
-        let stale = self.lists.extract_if(|_, heard| !is_fresh(heard, now));
-        for (_, heard) in stale.collect::<Vec<_>>() {
-            self.subtract(&heard.streams);
+        let stale = self
+            .lists
+            .extract_if(|_, received| !is_fresh(received, now));
+        for (_, received) in stale.collect::<Vec<_>>() {
+            self.subtract(&received.streams);
         }
     }
 
     /// Returns the usage of each engine by streams of other instances, by name hash.
     pub fn usage(&self, now: Instant) -> Cow<'_, HashMap<u64, EngineUsage>> {
-        if self.lists.values().all(|heard| is_fresh(heard, now)) {
+        if self.lists.values().all(|received| is_fresh(received, now)) {
             return Cow::Borrowed(&self.usage_sums);
         }
         let mut all: HashMap<u64, EngineUsage> = HashMap::new();
-        let lists = self.lists.values().filter(|heard| is_fresh(heard, now));
-        for stream in lists.flat_map(|heard| &heard.streams) {
+        let lists = self
+            .lists
+            .values()
+            .filter(|received| is_fresh(received, now));
+        for stream in lists.flat_map(|received| &received.streams) {
             all.entry(stream.target).or_default().add(stream);
         }
         Cow::Owned(all)
@@ -255,6 +260,6 @@
     }
 }
 
-fn is_fresh(heard: &ReceivedPlacements, now: Instant) -> bool {
-    now.saturating_duration_since(heard.at) < PLACEMENTS_TTL
+fn is_fresh(received: &ReceivedPlacements, now: Instant) -> bool {
+    now.saturating_duration_since(received.at) < PLACEMENTS_TTL
 }
--- a/crates/relay/src/quality.rs
+++ b/crates/relay/src/quality.rs
@@ -135,7 +135,7 @@
         };
         let outliers: Vec<u64> = tallies
             .iter()
-            .filter(|one| is_outlier(one))
+            .filter(|entry| is_outlier(entry))
             .map(|(target, _)| *target)
             .collect();
         if outliers.len() * 2 > targets.len() {
@@ -155,8 +155,8 @@
             .collect();
         for (tallies, at) in self.peers.values() {
             let share = decay(*at, now);
-            for (peers, tally) in tallies {
-                if let Some((_, sum)) = sums.iter_mut().find(|(target, _)| target == peers) {
+            for (reported, tally) in tallies {
+                if let Some((_, sum)) = sums.iter_mut().find(|(target, _)| target == reported) {
                     sum.add(&tally.scaled(share));
                 }
             }
--- a/crates/relay/src/queue_estimate.rs
+++ b/crates/relay/src/queue_estimate.rs
@@ -56,17 +56,17 @@
     pub fn estimate_queue(
         &self,
         key: TargetKey,
-        want: &TargetQuery<'_>,
+        query: &TargetQuery<'_>,
         prompt: u64,
         now: Instant,
     ) -> Option<QueueEstimate> {
-        let rate = self.history.queue_rate(want.service)?;
+        let rate = self.history.queue_rate(query.service)?;
         let time = |tokens: f64| Duration::from_secs_f64(tokens / rate / 1_000.0);
         let target = self.get(key).map(|target| target.name_hash);
-        let holder = want.affinity.and_then(|part| self.holder(part, now));
+        let holder = query.affinity.and_then(|part| self.holder(part, now));
         let is_read = holder.is_some() && holder == target;
         // The tokens that are being read include those of the maximum response.
-        let prompt_share = prompt as f64 / want.tokens.max(1) as f64;
+        let prompt_share = prompt as f64 / query.tokens.max(1) as f64;
         let before = self.reading(key, now) as f64 * prompt_share;
         Some(QueueEstimate {
             wait: time(before),
--- a/crates/relay/src/relocation.rs
+++ b/crates/relay/src/relocation.rs
@@ -82,44 +82,44 @@
     /// one for itself.
     pub fn better_engine(
         &self,
-        at: TargetKey,
-        want: &TargetQuery<'_>,
-        ahead: RemainingEvents,
+        current: TargetKey,
+        query: &TargetQuery<'_>,
+        remaining: RemainingEvents,
         now: Instant,
     ) -> Option<BetterEngine> {
-        let home = self.get(at)?;
-        let loads = Loads::of(self, want, now);
-        let view = CostModel::new(self, &loads, at, want, ahead);
+        let current_target = self.get(current)?;
+        let loads = Loads::of(self, query, now);
+        let model = CostModel::new(self, &loads, current, query, remaining);
         let fits = |key: TargetKey, target: &Target| {
-            key != at
+            key != current
                 && self.is_usable(key)
-                && target.entry.service == *want.service
-                && target.entry.version == home.entry.version
-                && !want.tried.contains(&key)
+                && target.entry.service == *query.service
+                && target.entry.version == current_target.entry.version
+                && !query.tried.contains(&key)
                 && !target.is_avoided(now)
                 && !loads.is_in_unhealthy_zone(target)
                 && loads.has_room(target)
         };
         let others = self.iter().filter(|(key, target)| fits(*key, target));
-        let costs = others.map(|(key, target)| (view.cost_ms(target, false), key, target));
+        let costs = others.map(|(key, target)| (model.cost_ms(target, false), key, target));
         let costs: Vec<(f64, TargetKey, &Target)> = costs.collect();
         let least = costs
             .iter()
             .map(|(cost, ..)| *cost)
             .min_by(f64::total_cmp)?;
-        let is_near = |(cost, ..): &&(f64, TargetKey, &Target)| *cost <= least + EQUAL_COST_MS;
-        let affinity = want.affinity.unwrap_or_default();
-        let nearly = costs.iter().filter(is_near);
+        let is_equal = |(cost, ..): &&(f64, TargetKey, &Target)| *cost <= least + EQUAL_COST_MS;
+        let affinity = query.affinity.unwrap_or_default();
+        let candidates = costs.iter().filter(is_equal);
         let (cost, key, _) =
-            *nearly.min_by_key(|(_, _, target)| rendezvous_rank(affinity, target))?;
-        let here_ms = view.cost_ms(home, true);
-        let work = loads.total_usage(home);
+            *candidates.min_by_key(|(_, _, target)| rendezvous_rank(affinity, target))?;
+        let here_ms = model.cost_ms(current_target, true);
+        let usage = loads.total_usage(current_target);
         (cost + MIN_GAIN_MS < here_ms).then_some(BetterEngine {
             key,
             here_ms,
             there_ms: cost,
-            reading_tokens: work.reading_tokens,
-            other_streams: work.streams.saturating_sub(1),
+            reading_tokens: usage.reading_tokens,
+            other_streams: usage.streams.saturating_sub(1),
         })
     }
 }
@@ -127,75 +127,75 @@
 /// The data from which the cost of running a stream at an engine is computed.
 struct CostModel<'a> {
     loads: &'a Loads<'a>,
-    paces: HashMap<u64, f64>,
+    event_times: HashMap<u64, f64>,
     /// The time for an event at engines for which it is not known.
     usual_ms: f64,
-    ahead: RemainingEvents,
-    near: &'a DataCentre,
+    remaining: RemainingEvents,
+    local_data_centre: &'a DataCentre,
     /// Whether there are too few idle engines for those that read.
-    is_scarce: bool,
+    is_idle_scarce: bool,
 }
 
 impl<'a> CostModel<'a> {
     fn new(
         targets: &Targets,
         loads: &'a Loads<'a>,
-        at: TargetKey,
-        want: &'a TargetQuery<'_>,
-        ahead: RemainingEvents,
+        current: TargetKey,
+        query: &'a TargetQuery<'_>,
+        remaining: RemainingEvents,
     ) -> Self {
         let of_service = targets.iter().filter(|(key, target)| {
-            target.entry.service == *want.service && targets.is_usable(*key)
+            target.entry.service == *query.service && targets.is_usable(*key)
         });
-        let (mut free, mut reading) = (0, 0);
-        let mut paces = HashMap::new();
+        let (mut idle_engines, mut reading_engines) = (0, 0);
+        let mut event_times = HashMap::new();
         for (key, target) in of_service {
-            let work = loads.total_usage(target);
-            let own = u32::from(key == at);
-            free += u32::from(work.streams <= own);
-            reading += u32::from(work.reading_prompts > 0);
-            if let Some(pace) = targets.event_times().get(target.address_hash) {
-                paces.insert(target.address_hash, f64::from(pace));
+            let usage = loads.total_usage(target);
+            let own = u32::from(key == current);
+            idle_engines += u32::from(usage.streams <= own);
+            reading_engines += u32::from(usage.reading_prompts > 0);
+            if let Some(event_ms) = targets.event_times().get(target.address_hash) {
+                event_times.insert(target.address_hash, f64::from(event_ms));
             }
         }
-        let mut known: Vec<f64> = paces.values().copied().collect();
-        known.sort_by(f64::total_cmp);
-        let usual_ms = known
-            .get(known.len() / 2)
+        let mut sorted: Vec<f64> = event_times.values().copied().collect();
+        sorted.sort_by(f64::total_cmp);
+        let usual_ms = sorted
+            .get(sorted.len() / 2)
             .copied()
             .unwrap_or(DEFAULT_EVENT_MS);
         Self {
             loads,
-            paces,
+            event_times,
             usual_ms,
-            ahead,
-            near: want.local_data_centre,
-            is_scarce: free <= reading * FREE_ENGINES_PER_READER,
+            remaining,
+            local_data_centre: query.local_data_centre,
+            is_idle_scarce: idle_engines <= reading_engines * FREE_ENGINES_PER_READER,
         }
     }
 
     /// Returns the cost of running the stream at an engine: the time it needs, and the time by
     /// which it delays future prompts.
-    fn cost_ms(&self, engine: &Target, is_here: bool) -> f64 {
-        let work = self.loads.total_usage(engine);
-        let running = work
+    fn cost_ms(&self, engine: &Target, is_current: bool) -> f64 {
+        let usage = self.loads.total_usage(engine);
+        let running = usage
             .streams
-            .saturating_sub(work.reading_prompts + u32::from(is_here));
-        let event_ms = self.paces.get(&engine.address_hash).copied();
+            .saturating_sub(usage.reading_prompts + u32::from(is_current));
+        let event_ms = self.event_times.get(&engine.address_hash).copied();
         let event_ms = event_ms.unwrap_or(self.usual_ms);
         let run_ms =
-            self.ahead.events * event_ms * (1.0 + SLOWDOWN_PER_STREAM * f64::from(running));
-        let wait = SilenceLimits::reading_time(work.reading_tokens).as_secs_f64() * 1_000.0;
-        let beside_ms = (wait * UNREAD_SHARE).min(run_ms * (SLOWDOWN_BY_READING - 1.0));
+            self.remaining.events * event_ms * (1.0 + SLOWDOWN_PER_STREAM * f64::from(running));
+        let wait = SilenceLimits::reading_time(usage.reading_tokens).as_secs_f64() * 1_000.0;
+        let reading_delay_ms = (wait * UNREAD_SHARE).min(run_ms * (SLOWDOWN_BY_READING - 1.0));
         // The last idle engines are left to prompts, which would otherwise delay running streams.
         let idle_engine_ms = match running {
-            0 if self.is_scarce => run_ms * IDLE_ENGINE_COST_SHARE,
+            0 if self.is_idle_scarce => run_ms * IDLE_ENGINE_COST_SHARE,
             _ => 0.0,
         };
-        let far_ms = match engine.entry.data_centre == *self.near {
+        let remote_ms = match engine.entry.data_centre == *self.local_data_centre {
             true => 0.0,
             false => REMOTE_COST_MS,
         };
-        run_ms + beside_ms + idle_engine_ms + far_ms
+        run_ms + reading_delay_ms + idle_engine_ms + remote_ms
     }
 }
--- a/crates/relay/src/retry_budget.rs
+++ b/crates/relay/src/retry_budget.rs
@@ -107,7 +107,7 @@
         let services: Vec<ServiceName> = self.services.keys().cloned().collect();
         let sends = services.iter().map(|service| {
             self.slice(service, now);
-            self.own(service)
+            self.own_counts(service)
         });
         sends.collect()
     }
@@ -133,44 +133,45 @@
     /// Returns whether the budget allows one more repeat now.
     pub fn allows(&mut self, service: &ServiceName, instances: usize, now: Instant) -> bool {
         self.slice(service, now);
-        let own = self.own(service);
+        let own_counts = self.own_counts(service);
         let instances = instances.max(MIN_INSTANCES);
         let known = (self.peers.len() + 1).min(instances);
         let slack = self.slack * known as f64 / instances as f64;
-        let (requests, repeats) = self.all(own);
-        let left = f64::from(requests) * self.ratio + slack - f64::from(repeats);
+        let (requests, repeats) = self.total(own_counts);
+        let remaining = f64::from(requests) * self.ratio + slack - f64::from(repeats);
         let Some(counts) = self.services.get(service) else {
             return false;
         };
         // A slice counts as unreported as long as any part of it may be.
-        let late = REPORT_DELAY + self.window / SLICES_PER_WINDOW;
-        let is_late = |slice: &&Slice| now.saturating_duration_since(slice.start) < late;
-        let unknown = counts.iter().filter(is_late);
-        let unknown = f64::from(unknown.map(|slice| slice.repeats).sum::<u32>());
-        let part = (left + unknown) / known as f64;
-        left >= 1.0 && unknown + 1.0 <= part
+        let delay = REPORT_DELAY + self.window / SLICES_PER_WINDOW;
+        let may_be_unreported = |slice: &&Slice| now.saturating_duration_since(slice.start) < delay;
+        let unreported = counts.iter().filter(may_be_unreported);
+        let unreported = f64::from(unreported.map(|slice| slice.repeats).sum::<u32>());
+        let share = (remaining + unreported) / known as f64;
+        remaining >= 1.0 && unreported + 1.0 <= share
     }
 
-    fn own(&self, service: &ServiceName) -> SendCounts {
+    fn own_counts(&self, service: &ServiceName) -> SendCounts {
         let slices = self.services.get(service).into_iter().flatten();
-        let mut own = SendCounts {
+        let mut own_counts = SendCounts {
             service: celerypond_route::hash(service.as_str().as_bytes()),
             ..SendCounts::default()
         };
         for slice in slices {
-            own.requests += slice.requests;
-            own.repeats += slice.repeats;
+            own_counts.requests += slice.requests;
+            own_counts.repeats += slice.repeats;
         }
-        own
+        own_counts
     }
 
     /// Returns the requests and repeats of all known instances.
-    fn all(&self, own: SendCounts) -> (u32, u32) {
+    fn total(&self, own_counts: SendCounts) -> (u32, u32) {
         let peers = self.peers.values().flat_map(|(sends, _)| sends);
-        let peers = peers.filter(|sends| sends.service == own.service);
-        peers.fold((own.requests, own.repeats), |(requests, repeats), sends| {
-            (requests + sends.requests, repeats + sends.repeats)
-        })
+        let peers = peers.filter(|sends| sends.service == own_counts.service);
+        peers.fold(
+            (own_counts.requests, own_counts.repeats),
+            |(requests, repeats), sends| (requests + sends.requests, repeats + sends.repeats),
+        )
     }
 
     /// Returns the slice that contains `now`, and removes those that have left the window.
--- a/crates/relay/src/selection.rs
+++ b/crates/relay/src/selection.rs
@@ -75,23 +75,23 @@
     /// For a request with an affinity, all instances prefer the same targets in the same order, so
     /// that a caller's retry reaches the engine that has read its prompt. Otherwise the least
     /// loaded target is selected.
-    pub fn select(&self, want: &TargetQuery<'_>, now: Instant) -> Option<Selection> {
+    pub fn select(&self, query: &TargetQuery<'_>, now: Instant) -> Option<Selection> {
         let fits = |target: &&(TargetKey, &Target)| {
             self.is_usable(target.0)
-                && target.1.entry.service == *want.service
-                && want.choice.allows(&target.1.entry.version)
-                && !want.tried.contains(&target.0)
+                && target.1.entry.service == *query.service
+                && query.choice.allows(&target.1.entry.version)
+                && !query.tried.contains(&target.0)
         };
-        let loads = Loads::of(self, want, now);
+        let loads = Loads::of(self, query, now);
         let all = self.iter().filter(|target| fits(&target));
         let all: Vec<(TargetKey, &Target)> = all
             .filter(|(_, target)| !loads.has_long_backlog(target))
             .collect();
-        let sound = all.iter().copied();
-        let is_ordered = matches!(want.choice, VersionChoice::Only(_));
+        let available = all.iter().copied();
+        let is_ordered = matches!(query.choice, VersionChoice::Only(_));
         let is_held = |target: &Target| !is_ordered && self.is_held(target, now);
-        let sound = sound.filter(|(_, target)| !target.is_avoided(now) && !is_held(target));
-        if let Some(key) = loads.most_preferred(sound) {
+        let available = available.filter(|(_, target)| !target.is_avoided(now) && !is_held(target));
+        if let Some(key) = loads.most_preferred(available) {
             return Some(Selection {
                 key,
                 is_doubtful: false,
@@ -105,9 +105,10 @@
     }
 
     /// Returns whether a target is in an unhealthy data centre, even if it is not avoided itself.
-    pub fn is_doubtful(&self, key: TargetKey, want: &TargetQuery<'_>, now: Instant) -> bool {
-        let home = self.get(key).map(|target| &target.entry.data_centre);
-        home.is_some_and(|home| unhealthy_zones(self, want, now).contains(&home))
+    pub fn is_doubtful(&self, key: TargetKey, query: &TargetQuery<'_>, now: Instant) -> bool {
+        let data_centre = self.get(key).map(|target| &target.entry.data_centre);
+        data_centre
+            .is_some_and(|data_centre| unhealthy_zones(self, query, now).contains(&data_centre))
     }
 
     /// Selects the engine that keeps a backup of the KV cache of a request at `main`.
@@ -116,27 +117,27 @@
     pub fn select_backup(
         &self,
         main: TargetKey,
-        want: &TargetQuery<'_>,
+        query: &TargetQuery<'_>,
         now: Instant,
     ) -> Option<TargetKey> {
-        let home = &self.get(main)?.entry;
+        let main_entry = &self.get(main)?.entry;
         let others = self.iter().filter(|(key, target)| {
             *key != main
                 && self.is_usable(*key)
                 && !target.is_avoided(now)
-                && target.entry.service == *want.service
-                && target.entry.version == home.version
-                && target.entry.data_centre != home.data_centre
+                && target.entry.service == *query.service
+                && target.entry.version == main_entry.version
+                && target.entry.data_centre != main_entry.data_centre
         });
-        let loads = Loads::of(self, want, now);
-        let most_preferred = others.min_by_key(|(_, target)| loads.backup_preference(target));
-        most_preferred.map(|(key, _)| key)
+        let loads = Loads::of(self, query, now);
+        let best = others.min_by_key(|(_, target)| loads.backup_preference(target));
+        best.map(|(key, _)| key)
     }
 }
 
 /// The loads of targets at one moment.
 pub(crate) struct Loads<'a> {
-    want: &'a TargetQuery<'a>,
+    query: &'a TargetQuery<'a>,
     /// The usage of engines by streams of other instances; empty if there is no affinity.
     peer_usage: Cow<'a, HashMap<u64, EngineUsage>>,
     /// The name hash of the engine that has read the request's own prompt part.
@@ -150,21 +151,21 @@
 }
 
 impl<'a> Loads<'a> {
-    pub(crate) fn of(targets: &'a Targets, want: &'a TargetQuery<'a>, now: Instant) -> Self {
-        let taken = match want.affinity {
+    pub(crate) fn of(targets: &'a Targets, query: &'a TargetQuery<'a>, now: Instant) -> Self {
+        let usage = match query.affinity {
             Some(_) => targets.peer_usage(now),
             None => Cow::Owned(HashMap::new()),
         };
-        let outliers = match want.affinity {
+        let outliers = match query.affinity {
             Some(_) => Vec::new(),
-            None => outliers(targets, want, now),
+            None => outliers(targets, query, now),
         };
         Self {
-            want,
-            peer_usage: taken,
+            query,
+            peer_usage: usage,
             outliers,
-            holder: want.affinity.and_then(|part| targets.holder(part, now)),
-            unhealthy_zones: unhealthy_zones(targets, want, now),
+            holder: query.affinity.and_then(|part| targets.holder(part, now)),
+            unhealthy_zones: unhealthy_zones(targets, query, now),
             group: targets.group,
             now,
         }
@@ -175,11 +176,11 @@
         &self,
         targets: impl Iterator<Item = (TargetKey, &'t Target)>,
     ) -> Option<TargetKey> {
-        let most_preferred = match self.want.affinity {
+        let best = match self.query.affinity {
             Some(affinity) => self.least_loaded_engine(affinity, targets),
             None => targets.min_by(|a, b| self.compare_load(a.1, b.1)),
         };
-        most_preferred.map(|(key, _)| key)
+        best.map(|(key, _)| key)
     }
 
     /// Returns the least loaded of the most preferred engines for a stream.
@@ -194,13 +195,10 @@
             first.select_nth_unstable_by_key(CANDIDATES - 1, |(preference, ..)| *preference);
             first.truncate(CANDIDATES);
         }
-        let most_preferred =
-            first
-                .into_iter()
-                .min_by_key(|((class, rendezvous_rank), _, engine)| {
-                    (*class, self.prompt_cost(engine), *rendezvous_rank)
-                });
-        most_preferred.map(|(_, key, engine)| (key, engine))
+        let best = first
+            .into_iter()
+            .min_by_key(|((class, rank), _, engine)| (*class, self.prompt_cost(engine), *rank));
+        best.map(|(_, key, engine)| (key, engine))
     }
 
     /// Returns the key by which engines are ordered for a stream: engines with room and outside of
@@ -241,14 +239,10 @@
     /// that are read before it, plus its own tokens for each running stream, which is delayed while
     /// they are read.
     fn prompt_cost(&self, target: &Target) -> u64 {
-        let total_usage = self.total_usage(target);
-        let running = u64::from(
-            total_usage
-                .streams
-                .saturating_sub(total_usage.reading_prompts),
-        );
-        let step = (self.want.tokens / 2).max(1);
-        (total_usage.reading_tokens + running * self.want.tokens * DELAYED_STREAM_WEIGHT) / step
+        let usage = self.total_usage(target);
+        let running = u64::from(usage.streams.saturating_sub(usage.reading_prompts));
+        let step = (self.query.tokens / 2).max(1);
+        (usage.reading_tokens + running * self.query.tokens * DELAYED_STREAM_WEIGHT) / step
     }
 
     /// Returns whether an engine has room for another stream alongside the backups of other
@@ -274,7 +268,7 @@
             .copied()
             .unwrap_or_default();
         let is_full = self.used_share(target, &others) > CROWDED_SHARE;
-        let affinity = self.want.affinity.unwrap_or_default();
+        let affinity = self.query.affinity.unwrap_or_default();
         (
             is_full,
             self.is_in_unhealthy_zone(target),
@@ -291,16 +285,16 @@
         let others = self
             .peer_usage
             .get(&target.name_hash)
-            .map_or(0, |taken| taken.reading_tokens);
+            .map_or(0, |usage| usage.reading_tokens);
         let reading = target.reading_tokens + others;
-        self.want.max_backlog.is_some_and(|most| reading > most)
+        self.query.max_backlog.is_some_and(|most| reading > most)
     }
 
     /// Returns the used share of an engine's slots or of its memory, whichever is larger.
     fn used_share(&self, target: &Target, others: &EngineUsage) -> f64 {
-        let tokens = target.stream_tokens + others.tokens + self.want.tokens;
+        let tokens = target.stream_tokens + others.tokens + self.query.tokens;
         let memory = self
-            .want
+            .query
             .capacity
             .map_or(0.0, |capacity| tokens as f64 / capacity.max(1) as f64);
         let slots =
@@ -314,41 +308,41 @@
 
     fn compare_load(&self, a: &Target, b: &Target) -> Ordering {
         let (left, right) = (a.fullness(self.now), b.fullness(self.now));
-        let is_far = |target: &Target| target.entry.data_centre != *self.want.local_data_centre;
-        let lot = |target: &Target| {
-            celerypond_route::hash(&(self.want.tie_breaker ^ target.name_hash).to_le_bytes())
+        let is_remote = |target: &Target| target.entry.data_centre != *self.query.local_data_centre;
+        let tie_break = |target: &Target| {
+            celerypond_route::hash(&(self.query.tie_breaker ^ target.name_hash).to_le_bytes())
         };
         let is_outlier = |target: &Target| self.outliers.contains(&target.name_hash);
         is_outlier(a)
             .cmp(&is_outlier(b))
             .then(left.total_cmp(&right))
-            .then(is_far(a).cmp(&is_far(b)))
-            .then_with(|| lot(a).cmp(&lot(b)))
+            .then(is_remote(a).cmp(&is_remote(b)))
+            .then_with(|| tie_break(a).cmp(&tie_break(b)))
     }
 }
 
-fn outliers(targets: &Targets, want: &TargetQuery<'_>, now: Instant) -> Vec<u64> {
+fn outliers(targets: &Targets, query: &TargetQuery<'_>, now: Instant) -> Vec<u64> {
     let of_service = targets
         .iter()
-        .filter(|(key, target)| target.entry.service == *want.service && targets.is_usable(*key));
+        .filter(|(key, target)| target.entry.service == *query.service && targets.is_usable(*key));
     let hashes: Vec<u64> = of_service.map(|(_, target)| target.name_hash).collect();
     targets.quality().outliers(&hashes, now)
 }
 
 /// Counts of a service's targets in one data centre.
 struct ZoneCount<'a> {
-    home: &'a DataCentre,
+    data_centre: &'a DataCentre,
     all: usize,
     avoided: usize,
 }
 
 impl ZoneCount<'_> {
-    fn is_in_unhealthy_zone(&self) -> bool {
-        let enough = self
+    fn is_unhealthy(&self) -> bool {
+        let threshold = self
             .all
             .div_ceil(UNHEALTHY_DIVISOR)
             .clamp(MIN_UNHEALTHY, MAX_UNHEALTHY);
-        self.avoided >= enough
+        self.avoided >= threshold
     }
 }
 
@@ -362,19 +356,21 @@
 /// it has no effect.
 fn unhealthy_zones<'a>(
     targets: &'a Targets,
-    want: &TargetQuery<'_>,
+    query: &TargetQuery<'_>,
     now: Instant,
 ) -> Vec<&'a DataCentre> {
     let mut zone_counts: Vec<ZoneCount<'a>> = Vec::new();
     for (key, target) in targets.iter() {
-        if target.entry.service != *want.service || !targets.is_usable(key) {
+        if target.entry.service != *query.service || !targets.is_usable(key) {
             continue;
         }
-        let home = &target.entry.data_centre;
-        let at = zone_counts.iter().position(|count| count.home == home);
+        let data_centre = &target.entry.data_centre;
+        let at = zone_counts
+            .iter()
+            .position(|count| count.data_centre == data_centre);
         let at = at.unwrap_or_else(|| {
             zone_counts.push(ZoneCount {
-                home,
+                data_centre,
                 all: 0,
                 avoided: 0,
             });
@@ -383,10 +379,8 @@
         zone_counts[at].all += 1;
         zone_counts[at].avoided += usize::from(target.is_avoided(now));
     }
-    let unhealthy_zones = zone_counts
-        .into_iter()
-        .filter(ZoneCount::is_in_unhealthy_zone);
-    unhealthy_zones.map(|count| count.home).collect()
+    let unhealthy_zones = zone_counts.into_iter().filter(ZoneCount::is_unhealthy);
+    unhealthy_zones.map(|count| count.data_centre).collect()
 }
 
 /// An engine that restarts keeps its address, and thus its rank for prompts.
--- a/crates/relay/src/target.rs
+++ b/crates/relay/src/target.rs
@@ -104,12 +104,12 @@
     }
 
     /// Records a failed attempt.
-    pub fn record_failure(&mut self, ended: AttemptFailure, now: Instant) {
-        if !ended.suggests_target_down() {
+    pub fn record_failure(&mut self, failure: AttemptFailure, now: Instant) {
+        if !failure.suggests_target_down() {
             return;
         }
         self.failures += 1;
-        self.is_dead |= matches!(ended, AttemptFailure::Unsent | AttemptFailure::Dead);
+        self.is_dead |= matches!(failure, AttemptFailure::Unsent | AttemptFailure::Dead);
         if self.is_dead {
             self.dead_since.get_or_insert(now);
             self.found_dead_at = Some(now);
@@ -119,8 +119,8 @@
         } else {
             AVOID_TIME
         };
-        let times = 1 << self.failures.min(4).saturating_sub(1);
-        self.avoid_until(now + (base * times).min(MAX_AVOID_TIME));
+        let factor = 1 << self.failures.min(4).saturating_sub(1);
+        self.avoid_until(now + (base * factor).min(MAX_AVOID_TIME));
     }
 
     /// Records that another instance found it dead.
--- a/crates/relay/src/target_update.rs
+++ b/crates/relay/src/target_update.rs
@@ -39,9 +39,9 @@
 /// let news = TargetUpdate { revision: 7, ..TargetUpdate::default() };
 /// assert_eq!(decode::<TargetUpdate>(&encode(&news)).unwrap(), news);
 /// ```
-pub fn encode<T: Serialize>(told: &T) -> Vec<u8> {
+pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     // The types contain neither maps nor sequences of unknown length, so this does not fail.
-    bincode::serialize(told).unwrap_or_default()
+    bincode::serialize(message).unwrap_or_default()
 }
 
 /// Decodes a message of another instance.
--- a/crates/relay/src/targets.rs
+++ b/crates/relay/src/targets.rs
@@ -115,10 +115,10 @@
             .cloned()
             .collect();
         let gone = gone.into_iter().map(Change::Gone);
-        let there = entries.into_iter().map(Change::Is);
+        let listed = entries.into_iter().map(Change::Is);
         let is_first = self.names.is_empty();
         let changes: Vec<Change> = gone
-            .chain(there)
+            .chain(listed)
             .collect::<Vec<Change>>()
             .into_iter()
             .filter(|change| self.apply(change, now))
@@ -151,7 +151,11 @@
         self.verified = self.verified.max(Some(at));
         let mut dropped = Vec::new();
         for target in self.arena.values_mut() {
-            let Some(unlisted) = target.unlisted.as_mut().filter(|one| one.seen < at) else {
+            let Some(unlisted) = target
+                .unlisted
+                .as_mut()
+                .filter(|unlisted| unlisted.seen < at)
+            else {
                 continue;
             };
             let absent = *unlisted.absent.get_or_insert(at);
@@ -196,17 +200,17 @@
         let names = self.log.since(since);
         let is_whole = names.is_none();
         let names = names.unwrap_or_else(|| self.names.keys().collect());
-        let (there, gone): (Vec<&TargetName>, Vec<&TargetName>) = names
+        let (listed, gone): (Vec<&TargetName>, Vec<&TargetName>) = names
             .into_iter()
             .partition(|name| self.names.contains_key(*name));
         let target = |name: &&TargetName| self.arena.get(*self.names.get(*name)?);
-        let there: Vec<&Target> = there.iter().filter_map(target).collect();
+        let listed: Vec<&Target> = listed.iter().filter_map(target).collect();
         let missing = self.arena.values().filter(|target| target.is_missing);
         TargetUpdate {
             revision,
             age_ms: None,
             is_whole,
-            targets: there.iter().map(|target| target.entry.clone()).collect(),
+            targets: listed.iter().map(|target| target.entry.clone()).collect(),
             gone: gone.into_iter().cloned().collect(),
             missing: missing.map(|target| target.entry.name.clone()).collect(),
             observed: Vec::new(),
@@ -219,7 +223,7 @@
         let unlisted = self.arena.values();
         let unlisted = unlisted.filter_map(|target| Some((target, target.unlisted?)));
         unlisted
-            .map(|(target, one)| (target.entry.name.clone(), age_ms(one.seen, now)))
+            .map(|(target, unlisted)| (target.entry.name.clone(), age_ms(unlisted.seen, now)))
             .collect()
     }
 
@@ -364,7 +368,7 @@
 
     /// Records that the prompt of a stream was read.
     pub fn record_prompt_read(&mut self, key: TargetKey, stream: PlacementKey) {
-        let read = self.streams.has_read(stream);
+        let read = self.streams.mark_read(stream);
         if let (Some(tokens), Some(target)) = (read, self.arena.get_mut(key)) {
             target.reading_prompts = target.reading_prompts.saturating_sub(1);
             target.reading_tokens = target.reading_tokens.saturating_sub(tokens);
@@ -389,15 +393,15 @@
         since: Option<Instant>,
         now: Instant,
     ) -> Placements {
-        let is_told = |at: Instant| since.is_some_and(|since| at < since);
-        let adopted = self.restarts.iter().rev().take(MAX_RESTARTS);
-        let adopted = adopted.filter(|restart| !is_told(restart.received_at));
+        let was_reported = |at: Instant| since.is_some_and(|since| at < since);
+        let restarts = self.restarts.iter().rev().take(MAX_RESTARTS);
+        let restarts = restarts.filter(|restart| !was_reported(restart.received_at));
         Placements {
             origin,
             sequence,
             streams: self.streams.all().collect(),
-            dead: self.dead(now, is_told).collect(),
-            adopted: adopted.map(|restart| restart.report(now)).collect(),
+            dead: self.dead(now, was_reported).collect(),
+            adopted: restarts.map(|restart| restart.report(now)).collect(),
             tallies: match since {
                 Some(_) => Vec::new(),
                 None => self.quality.tallies(now),
@@ -422,9 +426,12 @@
         }
         self.idle_limits.merge(&list.rests, now);
         self.event_times.merge(&list.paces, now);
-        let is_told = |target: &Target| list.dead.contains(&target.name_hash);
-        let told = self.arena.values_mut().filter(|target| is_told(target));
-        told.for_each(|target| target.record_peer_failure(now));
+        let was_reported = |target: &Target| list.dead.contains(&target.name_hash);
+        let dead = self
+            .arena
+            .values_mut()
+            .filter(|target| was_reported(target));
+        dead.for_each(|target| target.record_peer_failure(now));
         for report in &list.adopted {
             let age = Duration::from_millis(report.age_ms.into());
             if let Some(seen) = now.checked_sub(age) {
@@ -440,10 +447,10 @@
     }
 
     /// Merges the prompt locations of another instance.
-    pub fn merge_prompt_locations(&mut self, notes: &[PromptLocation], now: Instant) {
-        for note in notes {
+    pub fn merge_prompt_locations(&mut self, locations: &[PromptLocation], now: Instant) {
+        for location in locations {
             self.peer_streams
-                .record_prompt_location(note.part, note.target, now);
+                .record_prompt_location(location.part, location.target, now);
         }
     }
 
@@ -491,9 +498,9 @@
 
     /// Records that a request to a target was reset at once, on a connection that had been idle for
     /// some time; returns whether this changes the idle limit.
-    pub fn record_idle_reset(&mut self, key: TargetKey, rested: Duration, now: Instant) -> bool {
+    pub fn record_idle_reset(&mut self, key: TargetKey, idle_time: Duration, now: Instant) -> bool {
         let service = self.arena.get(key).map(Target::service_hash);
-        service.is_some_and(|service| self.idle_limits.record_reset(service, rested, now))
+        service.is_some_and(|service| self.idle_limits.record_reset(service, idle_time, now))
     }
 
     /// Returns how long a connection to a target may be idle before a request is sent on it; `None`
@@ -532,10 +539,10 @@
         let Some(target) = self.arena.get(key) else {
             return 0;
         };
-        let taken = self.peer_usage(now);
-        let others = taken
+        let usage = self.peer_usage(now);
+        let others = usage
             .get(&target.name_hash)
-            .map_or(0, |taken| taken.reading_tokens);
+            .map_or(0, |usage| usage.reading_tokens);
         target.reading_tokens + others
     }
 
--- a/crates/relay/src/watchers.rs
+++ b/crates/relay/src/watchers.rs
@@ -124,7 +124,7 @@
     }
 
     /// Returns the maximum age of the store's last response to a watcher for others to rely on it.
-    fn relied(&self) -> Duration {
+    fn max_age(&self) -> Duration {
         self.wait + NOTICE_INTERVAL * self.hops
     }
 
@@ -134,9 +134,9 @@
     /// An instance that forwards notices in its data centre passes on the age that it received.
     pub fn age(&self, revision: u64, config: u64, now: Instant) -> Option<Duration> {
         let notices = self.notices.values();
-        let relied = notices.filter(|notice| is_relied_on(notice, self.relied(), now));
+        let relied_on = notices.filter(|notice| is_relied_on(notice, self.max_age(), now));
         let covered =
-            relied.filter(|(notice, _)| notice.revision <= revision && notice.config <= config);
+            relied_on.filter(|(notice, _)| notice.revision <= revision && notice.config <= config);
         covered.map(|notice| age(notice, now)).min()
     }
 
@@ -146,19 +146,19 @@
     /// When the engines of a data centre die and restart, their entries change every few
     /// milliseconds. If each change were announced immediately, the queries of all instances would
     /// saturate the watcher's link for seconds, and no other traffic would reach or leave it.
-    pub fn notice_gap(told: usize) -> Duration {
-        let told = u32::try_from(told).unwrap_or(u32::MAX);
+    pub fn notice_gap(recipients: usize) -> Duration {
+        let recipients = u32::try_from(recipients).unwrap_or(u32::MAX);
         LINK_TIME_PER_PEER
-            .saturating_mul(told)
+            .saturating_mul(recipients)
             .min(MAX_NOTICE_INTERVAL)
     }
 
     /// Records the notice of another instance.
     pub fn record(&mut self, notice: Notice, now: Instant) {
         self.notices.insert(notice.origin, (notice, now));
-        let relied = self.relied();
+        let max_age = self.max_age();
         self.notices
-            .retain(|_, notice| is_relied_on(notice, relied, now));
+            .retain(|_, notice| is_relied_on(notice, max_age, now));
     }
 
     /// Forgets the notice of an instance that did not answer; it is relied on again after its next
@@ -177,26 +177,26 @@
             || !self
                 .notices
                 .values()
-                .any(|notice| is_relied_on(notice, self.relied(), now))
+                .any(|notice| is_relied_on(notice, self.max_age(), now))
     }
 
     /// Returns the notice with the highest revision of the targets, if it is above this one.
     pub fn newer(&self, revision: u64, now: Instant) -> Option<Notice> {
         let notices = self.notices.values();
-        let relied = notices.filter(|notice| is_relied_on(notice, self.relied(), now));
-        let newer = relied.filter(|(notice, _)| notice.revision > revision);
+        let relied_on = notices.filter(|notice| is_relied_on(notice, self.max_age(), now));
+        let newer = relied_on.filter(|(notice, _)| notice.revision > revision);
         newer
             .max_by_key(|(notice, _)| notice.revision)
             .map(|(notice, _)| *notice)
     }
 }
 
-fn is_relied_on(notice: &(Notice, Instant), relied: Duration, now: Instant) -> bool {
-    age(notice, now) < relied
+fn is_relied_on(notice: &(Notice, Instant), max_age: Duration, now: Instant) -> bool {
+    age(notice, now) < max_age
 }
 
 /// Returns how long ago the store responded to the sender of a notice.
-fn age((notice, heard): &(Notice, Instant), now: Instant) -> Duration {
+fn age((notice, received_at): &(Notice, Instant), now: Instant) -> Duration {
     let age = Duration::from_millis(u64::from(notice.age_ms));
-    now.saturating_duration_since(*heard) + age
+    now.saturating_duration_since(*received_at) + age
 }
