--- a/crates/relay/tests/fixture.rs
+++ b/crates/relay/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! Targets and requests for tests.
+//! Targets and queries for tests.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,12 +6,12 @@
 use celerypond_types::{DataCentre, ServiceName, TargetKey, TargetName, VersionName};
 use tokio::time::Instant;
 
-/// A prompt of the usual length, with its answer.
+/// Tokens of a typical prompt and its response.
 pub(crate) const TOKENS: u64 = 9_000;
-/// The memory of an engine.
+/// The memory of an engine, in tokens.
 pub(crate) const CAPACITY: u64 = 88_000;
 
-/// Makes the entry of an engine `n` of a data centre, started at `born`.
+/// Returns the entry of engine `n` of a data centre that started at `born`.
 pub(crate) fn engine(data_centre: &str, n: u8, born: u64) -> TargetEntry {
     TargetEntry {
         name: TargetName::new(format!("{data_centre}-{n}-{born}")),
@@ -31,7 +31,7 @@
     format!("10.{second}.0.{n}:80").parse().unwrap()
 }
 
-/// Makes three data centres with so many engines each.
+/// Returns the targets of three data centres with `each` engines in each.
 pub(crate) fn three_data_centres(each: u8) -> Targets {
     let mut targets = Targets::default();
     for data_centre in ["east", "mid", "west"] {
@@ -57,18 +57,18 @@
 }
 
 /// Returns the data centre of a target.
-pub(crate) fn home(targets: &Targets, key: TargetKey) -> String {
+pub(crate) fn data_centre_of(targets: &Targets, key: TargetKey) -> String {
     let target = targets.get(key).unwrap();
     target.entry.data_centre.as_str().to_owned()
 }
 
-/// What requests of one service want.
-pub(crate) struct Wanted {
+/// Makes queries for targets of one service.
+pub(crate) struct Queries {
     service: ServiceName,
     near: DataCentre,
 }
 
-impl Wanted {
+impl Queries {
     pub(crate) fn new() -> Self {
         Self {
             service: ServiceName::new("writer"),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Wants an engine for a stream with this prompt part.
+    /// Returns the query of a stream with this prompt part.
     pub(crate) fn stream(&self, part: u64) -> TargetQuery<'_> {
         TargetQuery {
             affinity: Some(part),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Wants a target for a request in one piece.
+    /// Returns the query of a request in one piece.
     pub(crate) fn request<'a>(&'a self, tried: &'a [TargetKey]) -> TargetQuery<'a> {
         TargetQuery {
             service: &self.service,
--- a/crates/relay/tests/runner.rs
+++ b/crates/relay/tests/runner.rs
@@ -1,4 +1,4 @@
-//! The integration tests of the crate, in one binary.
+//! The integration tests of the crate in a single binary.
 
 mod fixture;
 mod overload;
--- a/crates/relay/tests/test_access.rs
+++ b/crates/relay/tests/test_access.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and who may ask.
+//! Routes and accounts of requests.
 
 use std::time::Duration;
 
@@ -99,10 +99,10 @@
     assert!(table.resolve("a.example", "/", None).is_ok());
 }
 
-/// An engine that starts again while the store is away is taken back by its own word, which is
-/// only safe where no other service has engines.
+/// An engine that restarts while the store is unavailable is used again based on its own answer,
+/// which is only safe if no other service has engines.
 #[test]
-fn two_services_with_engines_leave_no_only_one() {
+fn no_only_engine_service_if_two_have_engines() {
     let mut config = config();
     let only = RoutingTable::new(config.clone());
     assert_eq!(only.only_engine_service().unwrap().name.as_str(), "writer");
--- a/crates/relay/tests/test_attempt_failure.rs
+++ b/crates/relay/tests/test_attempt_failure.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt proves.
+//! Steps after failed attempts.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const FIXED: RouteKind = RouteKind::Stream { resumable: false };
 const RESUMABLE: RouteKind = RouteKind::Stream { resumable: true };
 
-fn situation(kind: RouteKind, runs: u32) -> AttemptState {
+fn state(kind: RouteKind, runs: u32) -> AttemptState {
     AttemptState {
         kind,
         runs,
@@ -21,11 +21,11 @@
     }
 }
 
-/// A reservation is sent, and then the connection breaks, or nothing comes, or another request's
-/// response does. It may have run, so no other target gets it, and its caller is not told that it
-/// has not run.
+/// The connection breaks after a reservation was sent, or there is no response, or that of another
+/// request. Guards against sending it again, as it may have run, and against telling the caller
+/// that it has not run.
 #[rstest]
-fn what_may_have_run_is_never_sent_again(
+fn request_that_may_have_run_is_never_sent_again(
     #[values(
         AttemptFailure::Broken,
         AttemptFailure::Silent,
@@ -33,11 +33,11 @@
         AttemptFailure::Foreign,
         AttemptFailure::Failed(503)
     )]
-    ended: AttemptFailure,
+    failure: AttemptFailure,
     #[values(UNSAFE, FIXED)] kind: RouteKind,
 ) {
-    assert!(!ended.proves_not_run());
-    let next = situation(kind, 1).next_step(ended, || panic!("no send is to be asked for"));
+    assert!(!failure.proves_not_run());
+    let next = state(kind, 1).next_step(failure, || panic!("the budget must not be queried"));
     assert!(
         matches!(next, NextStep::Failed | NextStep::Expired),
         "{next:?}"
@@ -45,18 +45,18 @@
 }
 
 #[rstest]
-fn what_has_not_run_goes_elsewhere_whatever_its_kind(
+fn request_that_has_not_run_is_sent_to_another_target(
     #[values(
         AttemptFailure::Unsent,
         AttemptFailure::NotRun,
         AttemptFailure::Misdirected
     )]
-    ended: AttemptFailure,
+    failure: AttemptFailure,
     #[values(SAFE, UNSAFE, FIXED, RESUMABLE)] kind: RouteKind,
 ) {
-    assert!(ended.proves_not_run());
+    assert!(failure.proves_not_run());
     assert_eq!(
-        situation(kind, 0).next_step(ended, || true),
+        state(kind, 0).next_step(failure, || true),
         NextStep::Elsewhere
     );
 }
@@ -64,20 +64,23 @@
 #[rstest]
 #[case::safe(SAFE, AttemptFailure::Broken)]
 #[case::stream(RESUMABLE, AttemptFailure::Silent)]
-fn what_may_be_repeated_goes_elsewhere(#[case] kind: RouteKind, #[case] ended: AttemptFailure) {
+fn repeatable_request_is_sent_to_another_target(
+    #[case] kind: RouteKind,
+    #[case] failure: AttemptFailure,
+) {
     assert_eq!(
-        situation(kind, 1).next_step(ended, || true),
+        state(kind, 1).next_step(failure, || true),
         NextStep::Elsewhere
     );
 }
 
-/// A third of 180 engines falls silent. A stream tries several of them in a row, which have refused
-/// nothing, before it finds one that lives. Where nobody can be reached at all, it ends.
+/// A third of 180 engines falls silent. Guards against ending a stream that tries several of them
+/// in a row, although these have refused nothing. If no engine can be reached, the stream ends.
 #[test]
-fn targets_that_take_no_connection_are_not_full() {
+fn unreachable_targets_are_not_full() {
     let after = |unreached| AttemptState {
         unreached,
-        ..situation(RESUMABLE, 1)
+        ..state(RESUMABLE, 1)
     };
     assert_eq!(
         after(12).next_step(AttemptFailure::Unsent, || true),
@@ -89,58 +92,58 @@
     );
 }
 
-/// All targets fail at once, and each failed request would be sent again. The budget ends that, and
-/// the caller hears at once.
+/// All targets fail at once. Guards against sending each failed request again: once the budget is
+/// spent, the caller gets a response immediately.
 #[rstest]
 #[case::not_run(0, AttemptFailure::NotRun, NextStep::NotRun)]
 #[case::run(1, AttemptFailure::Broken, NextStep::Failed)]
-fn without_budget_the_caller_hears_at_once(
+fn request_fails_at_once_without_budget(
     #[case] runs: u32,
-    #[case] ended: AttemptFailure,
+    #[case] failure: AttemptFailure,
     #[case] expected: NextStep,
 ) {
-    assert_eq!(situation(SAFE, runs).next_step(ended, || false), expected);
+    assert_eq!(state(SAFE, runs).next_step(failure, || false), expected);
 }
 
-/// Engines die, and for a moment the budget is used up. A stream waits for it; its caller would have to
-/// begin anew.
+/// Engines die and the budget is spent for a moment. Guards against failing a stream, which its
+/// caller would have to start over, instead of waiting for the budget.
 #[rstest]
 #[case::begun(1, NextStep::Later)]
 #[case::not_run(0, NextStep::NotRun)]
 #[case::asked_too_often(3, NextStep::Failed)]
 fn a_stream_waits_for_budget(#[case] runs: u32, #[case] expected: NextStep) {
-    let ended = if runs == 0 {
+    let failure = if runs == 0 {
         AttemptFailure::NotRun
     } else {
         AttemptFailure::Broken
     };
     assert_eq!(
-        situation(RESUMABLE, runs).next_step(ended, || false),
+        state(RESUMABLE, runs).next_step(failure, || false),
         expected
     );
 }
 
-/// Many targets take no connection at once. A send that reached none costs the targets nothing, so
-/// the next one needs no budget.
+/// Many targets accept no connection. Guards against spending budget on sends that reached no
+/// target and thus cost it nothing.
 #[test]
-fn a_send_that_reached_nobody_needs_no_budget() {
-    let next = situation(SAFE, 1).next_step(AttemptFailure::Unsent, || false);
+fn unsent_attempt_needs_no_budget() {
+    let next = state(SAFE, 1).next_step(AttemptFailure::Unsent, || false);
     assert_eq!(next, NextStep::Elsewhere);
 }
 
 #[test]
 fn no_more_targets_are_asked_than_the_route_allows() {
-    let next = situation(SAFE, 3).next_step(AttemptFailure::Broken, || true);
+    let next = state(SAFE, 3).next_step(AttemptFailure::Broken, || true);
     assert_eq!(next, NextStep::Failed);
 }
 
-/// A service is full: each of its targets refuses. The caller is told to come back instead of
-/// having every target refuse it in turn.
+/// Each target of a full service refuses requests. Guards against trying all of them before the
+/// caller is told to retry later.
 #[test]
-fn a_full_service_is_not_asked_for_ever() {
+fn full_service_is_not_tried_indefinitely() {
     let full = AttemptState {
         refusals: 6,
-        ..situation(SAFE, 0)
+        ..state(SAFE, 0)
     };
     assert_eq!(
         full.next_step(AttemptFailure::NotRun, || true),
@@ -151,16 +154,16 @@
 #[rstest]
 #[case::not_run(0, NextStep::NotRun)]
 #[case::may_have_run(1, NextStep::Expired)]
-fn when_the_time_is_over_nothing_is_sent(#[case] runs: u32, #[case] expected: NextStep) {
+fn nothing_is_sent_after_the_deadline(#[case] runs: u32, #[case] expected: NextStep) {
     let over = AttemptState {
         time_left: Duration::ZERO,
-        ..situation(SAFE, runs)
+        ..state(SAFE, runs)
     };
     assert_eq!(over.next_step(AttemptFailure::Unsent, || true), expected);
 }
 
-/// A request whose route allows one attempt was given up after half of its time, though nobody else
-/// could be asked; its target answered a moment later.
+/// Guards against giving up a request after half of its time although its route allows no other
+/// attempt; its target responded a moment later.
 #[test]
 fn the_last_attempt_gets_all_the_time_that_is_left() {
     let (aim, left) = (Duration::from_millis(100), Duration::from_millis(1_000));
@@ -168,24 +171,24 @@
     assert_eq!(SilenceLimits::for_request(aim, left, true), aim * 2);
 }
 
-/// Two prompts are read at one engine. The first event takes twice as long, and giving the engine
-/// up would have both prompts read once more.
+/// Two prompts are read at one engine, so that the first event takes twice as long. Guards against
+/// giving up the engine, after which both prompts would be read again.
 #[test]
-fn patience_grows_with_what_the_engine_has_to_read() {
+fn silence_limit_grows_with_the_tokens_to_read() {
     let gap = Some(Duration::from_millis(700));
     let one = SilenceLimits::for_stream(8_000, gap);
     let two = SilenceLimits::for_stream(16_000, gap);
     assert_eq!(two.first - one.first, Duration::from_millis(1_600));
 }
 
-/// A silent engine must be found while there is time to go on elsewhere within the pause that is
-/// still on time, and pauses beside the reading of others, 130 ms, must not look like silence.
+/// A silent engine must be detected in time for resuming elsewhere within the gap target. Guards
+/// against taking gaps of 130 ms, which occur while other prompts are read, for silence.
 #[test]
-fn silence_is_questioned_between_usual_pauses_and_the_aim() {
+fn engine_is_probed_between_usual_gaps_and_the_gap_target() {
     let aim = Duration::from_millis(700);
-    let patience = SilenceLimits::for_stream(8_000, Some(aim));
-    assert!(patience.probe_gap > Duration::from_millis(130));
-    assert!(patience.probe_gap < aim / 3);
-    assert!(patience.gap > patience.probe_gap * 2);
-    assert!(patience.gap + Duration::from_millis(200) < aim);
+    let limits = SilenceLimits::for_stream(8_000, Some(aim));
+    assert!(limits.probe_gap > Duration::from_millis(130));
+    assert!(limits.probe_gap < aim / 3);
+    assert!(limits.gap > limits.probe_gap * 2);
+    assert!(limits.gap + Duration::from_millis(200) < aim);
 }
--- a/crates/relay/tests/test_dead_engines.rs
+++ b/crates/relay/tests/test_dead_engines.rs
@@ -1,4 +1,4 @@
-//! Engines that die, and start again.
+//! Engines that die and restart.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-use crate::fixture::{engine, home, key, name, three_data_centres, Wanted, TOKENS};
+use crate::fixture::{data_centre_of, engine, key, name, three_data_centres, Queries, TOKENS};
 
 const AT_ONCE: Duration = Duration::ZERO;
 
-/// An engine dies. Another instance found out by a stream that it lost; this one has sent nothing
-/// there, and would send its next stream or a copy to it.
+/// Guards against sending streams or backups to an engine that another instance found dead by
+/// losing a stream, while this instance has sent nothing to it.
 #[test]
 fn an_engine_that_another_instance_found_dead_is_avoided() {
     let now = Instant::now();
     let mut here = three_data_centres(2);
     let mut there = three_data_centres(2);
-    let wanted = Wanted::new();
-    let first = here.select(&wanted.stream(1), now).unwrap().key;
+    let queries = Queries::new();
+    let first = here.select(&queries.stream(1), now).unwrap().key;
     let dead = name(&here, first);
     let at = key(&there, &dead);
     there
@@ -27,15 +27,15 @@
         .unwrap()
         .record_failure(AttemptFailure::Dead, now);
     here.merge_placements(there.placements(1, 1, None, now), now);
-    assert_ne!(here.select(&wanted.stream(1), now).unwrap().key, first);
+    assert_ne!(here.select(&queries.stream(1), now).unwrap().key, first);
     let later = now + Duration::from_secs(2);
-    assert_eq!(here.select(&wanted.stream(1), later).unwrap().key, first);
+    assert_eq!(here.select(&queries.stream(1), later).unwrap().key, first);
 }
 
-/// Nearly all engines of a data centre die at once. Two of them were found out; a copy made at a
-/// third one would be lost when it is needed.
+/// Nearly all engines of a data centre die and two of them were found dead. Guards against a backup
+/// at another of them, which would be lost when it is needed.
 #[test]
-fn a_copy_stays_away_from_a_data_centre_where_engines_die() {
+fn backup_avoids_a_data_centre_where_engines_die() {
     let now = Instant::now();
     let mut targets = three_data_centres(6);
     for n in 0..2 {
@@ -46,19 +46,19 @@
             .record_failure(AttemptFailure::Unsent, now);
     }
     let main = key(&targets, "east-0-1");
-    let wanted = Wanted::new();
+    let queries = Queries::new();
     for part in 0..50 {
         let copy = targets
-            .select_backup(main, &wanted.stream(part), now)
+            .select_backup(main, &queries.stream(part), now)
             .unwrap();
-        assert_eq!(home(&targets, copy), "mid");
+        assert_eq!(data_centre_of(&targets, copy), "mid");
     }
 }
 
-/// All 60 engines of a data centre fall silent, and four of them were found out. The others have lost
-/// their streams and look idle; what is placed now must not try them one after the other.
+/// All 60 engines of a data centre fall silent and four of them were found dead. The others look
+/// idle, as they have lost their streams. Guards against trying them one after the other.
 #[test]
-fn idle_engines_of_a_large_data_centre_that_died_get_nothing() {
+fn engines_of_a_large_dead_data_centre_get_no_streams() {
     let now = Instant::now();
     let mut targets = three_data_centres(60);
     for n in 0..60_u64 {
@@ -75,17 +75,17 @@
             .unwrap()
             .record_failure(AttemptFailure::Unsent, now);
     }
-    let wanted = Wanted::new();
+    let queries = Queries::new();
     for part in 0..50 {
-        let pick = targets.select(&wanted.stream(part), now).unwrap();
-        assert_ne!(home(&targets, pick.key), "west");
+        let selected = targets.select(&queries.stream(part), now).unwrap();
+        assert_ne!(data_centre_of(&targets, selected.key), "west");
     }
 }
 
-/// One engine is empty, and many streams begin elsewhere. If all their copies were there, they would
-/// resume there together when their engines die.
+/// One engine is idle, and many streams begin elsewhere. Guards against having all their backups at
+/// the idle engine, where they would all resume when their engines die.
 #[test]
-fn copies_do_not_meet_at_the_empty_engine() {
+fn backups_are_not_all_at_the_idle_engine() {
     let now = Instant::now();
     let mut targets = three_data_centres(6);
     for n in 0..6_u64 {
@@ -99,45 +99,49 @@
     }
     let main = key(&targets, "east-0-1");
     let empty = key(&targets, "mid-0-1");
-    let wanted = Wanted::new();
-    let copies = (0..60).map(|part| targets.select_backup(main, &wanted.stream(part), now));
+    let queries = Queries::new();
+    let copies = (0..60).map(|part| targets.select_backup(main, &queries.stream(part), now));
     let at_empty = copies.filter(|copy| *copy == Some(empty)).count();
     assert!((1..15).contains(&at_empty), "{at_empty}");
 }
 
-/// An engine refuses a stream. When it is placed again after a wait, its prompt was not read there.
+/// Guards against preferring an engine that refused a stream, as if it had read its prompt, when
+/// the stream is placed again.
 #[test]
 fn an_engine_that_refused_a_stream_is_not_preferred_for_it() {
     let now = Instant::now();
     let mut targets = three_data_centres(2);
-    let wanted = Wanted::new();
-    let first = targets.select(&wanted.stream(1), now).unwrap().key;
+    let queries = Queries::new();
+    let first = targets.select(&queries.stream(1), now).unwrap().key;
     let stream = targets.add_stream(first, 1, TOKENS, now).unwrap();
     targets.remove_stream(first, stream);
     let busy = targets.add_stream(first, 2, TOKENS, now).unwrap();
-    assert_eq!(targets.select(&wanted.stream(1), now).unwrap().key, first);
+    assert_eq!(targets.select(&queries.stream(1), now).unwrap().key, first);
     targets.forget_prompt_location(first, 1);
-    assert_ne!(targets.select(&wanted.stream(1), now).unwrap().key, first);
+    assert_ne!(targets.select(&queries.stream(1), now).unwrap().key, first);
     targets.remove_stream(first, busy);
 }
 
-/// All engines of a data centre can go at once, so a copy in the same one is lost with its run.
+/// Guards against a backup in the same data centre, all of whose engines may be lost at once.
 #[test]
-fn a_copy_is_in_another_data_centre() {
+fn backup_is_in_another_data_centre() {
     let now = Instant::now();
     let targets = three_data_centres(6);
-    let wanted = Wanted::new();
+    let queries = Queries::new();
     for part in 0..50 {
-        let main = targets.select(&wanted.stream(part), now).unwrap().key;
+        let main = targets.select(&queries.stream(part), now).unwrap().key;
         let copy = targets
-            .select_backup(main, &wanted.stream(part), now)
+            .select_backup(main, &queries.stream(part), now)
             .unwrap();
-        assert_ne!(home(&targets, copy), home(&targets, main));
+        assert_ne!(
+            data_centre_of(&targets, copy),
+            data_centre_of(&targets, main)
+        );
     }
 }
 
-/// An engine dies and starts again under another name, and its old entry stays for some
-/// heartbeats. What names the old entry is refused at the address.
+/// An engine restarts under another name, and its old entry stays for some heartbeats. Guards
+/// against using the old entry, whose requests are refused at the address.
 #[test]
 fn the_latest_start_owns_the_address() {
     let mut targets = three_data_centres(1);
@@ -148,7 +152,7 @@
     assert!(targets.is_usable(key(&targets, "east-0-1")));
 }
 
-/// The old entry is listed after the new one; it must not take the address back.
+/// Guards against an old entry that takes over the address because it is listed after the new one.
 #[test]
 fn the_order_of_entries_does_not_matter() {
     let mut targets = Targets::default();
@@ -160,10 +164,10 @@
     assert!(!targets.is_usable(key(&targets, "east-0-1")));
 }
 
-/// A run's engine dies, and the engine with the copy has said meanwhile that it leaves. It may not
-/// get the stream, however useful the copy is.
+/// Guards against resuming a stream at an engine that holds its backup, but has announced that it
+/// leaves.
 #[test]
-fn an_engine_that_leaves_is_not_used_for_its_copy() {
+fn engine_that_leaves_is_not_used_for_its_backup() {
     let mut targets = three_data_centres(1);
     let holder = key(&targets, "mid-0-1");
     assert!(targets.is_usable(holder));
@@ -175,8 +179,8 @@
     assert!(!targets.is_usable(holder));
 }
 
-/// While the store is away an engine dies and starts again. Its address answers with another name;
-/// it is used under that name, and other instances hear of it.
+/// While the store is unavailable, an engine restarts and answers under another name. Guards
+/// against not using it under that name, here and at other instances.
 #[test]
 fn an_engine_that_started_again_is_used_without_the_store() {
     let now = Instant::now();
@@ -196,7 +200,7 @@
     assert!(here.dead_engines(later, AT_ONCE).is_empty());
     there.merge_placements(here.placements(1, 1, None, later), later);
     assert!(there.is_usable(key(&there, "anew")));
-    // The store's own entry, which alone tells the start, does not end what runs there.
+    // The store's entry, which includes the start time, does not reset the requests at the engine.
     let new = key(&here, "anew");
     here.get_mut(new).unwrap().open_requests = 1;
     let entry = TargetEntry {
@@ -208,10 +212,10 @@
     assert!(here.is_usable(new));
 }
 
-/// An engine that was found by its own word dies again and starts once more, and this time the store
-/// tells. The entry of the later start is used, not the name that was found.
+/// An engine that was used under an observed name restarts again and is listed by the store. Guards
+/// against using the observed name instead of the later entry.
 #[test]
-fn the_stores_entry_of_a_later_start_goes_before_a_found_name() {
+fn entry_of_a_later_start_takes_precedence_over_an_observed_name() {
     let now = Instant::now();
     let mut targets = three_data_centres(1);
     let old = key(&targets, "east-0-1");
@@ -236,10 +240,10 @@
     assert!(!targets.get(at).unwrap().is_avoided(now));
 }
 
-/// An engine starts again under the name that it had. It holds and knows nothing of before, so what
-/// was counted there is over.
+/// Guards against counts of requests and streams that an engine lost as it restarted under the same
+/// name.
 #[test]
-fn a_start_under_the_same_name_counts_anew() {
+fn restart_under_the_same_name_resets_counts() {
     let mut targets = three_data_centres(1);
     let at = key(&targets, "east-0-1");
     targets.get_mut(at).unwrap().open_requests = 5;
@@ -251,7 +255,8 @@
     assert_eq!(targets.get(at).unwrap().open_requests, 0);
 }
 
-/// Each further failure doubles the time for which a target is avoided; one answer ends it.
+/// Guards against an avoided time that does not grow with further failures, or that is not ended by
+/// a response.
 #[test]
 fn a_target_that_keeps_failing_is_avoided_for_longer() {
     let now = Instant::now();
@@ -267,7 +272,7 @@
 }
 
 #[test]
-fn a_request_that_a_target_refused_says_nothing_against_it() {
+fn target_is_not_avoided_after_a_refusal() {
     let now = Instant::now();
     let mut targets = three_data_centres(1);
     let at = key(&targets, "east-0-1");
@@ -283,14 +288,15 @@
 }
 
 #[test]
-fn an_empty_list_tells_nothing() {
+fn empty_message_changes_nothing() {
     let now = Instant::now();
     let mut targets = three_data_centres(1);
     targets.merge_placements(Placements::default(), now);
     assert!(targets.iter().all(|(_, target)| !target.is_avoided(now)));
 }
 
-// Guards against requests to an engine that has left, as an instance without the store still tells that it was found.
+// Guards against requests to an engine that has left, because an instance without the store still
+// reports it.
 #[test]
 fn engine_that_left_is_not_found_again() {
     let now = Instant::now();
@@ -307,16 +313,16 @@
         now + Duration::from_secs(4),
     );
     assert!(here.iter().all(|(_, target)| target.entry.name != found));
-    // The store lists it anew, under the name that it had.
+    // The store lists it again, under the name that it had.
     assert!(here.apply(&Change::Is(engine("west", 0, 2)), now));
     here.merge_placements(cut_off.placements(1, 3, None, now), now);
     assert!(here.is_usable(key(&here, "west-0-2")));
 }
 
-// Guards against requests to an engine that has left, sent by an instance that read the store's list after a peer had
-// observed the engine.
+// Guards against requests to an engine that has left, sent by an instance that read the store's
+// list after a peer had observed the engine.
 #[test]
-fn list_of_the_store_goes_before_an_earlier_observation_of_a_peer() {
+fn list_of_the_store_takes_precedence_over_an_earlier_observation() {
     let now = Instant::now();
     let after = |ms| now + Duration::from_millis(ms);
     let mut cut_off = three_data_centres(2);
@@ -331,11 +337,11 @@
         .all(|(_, target)| target.entry.name != restarted));
 }
 
-// Guards against a removed engine that is adopted once more after its removal is forgotten.
+// Guards against adding a removed engine again after its removal was forgotten.
 #[rstest]
 #[case::one_peer(1)]
 #[case::two_peers(2)]
-fn old_observation_is_not_adopted_after_the_removal_is_forgotten(#[case] peers: u64) {
+fn old_observation_is_ignored_after_the_removal_is_forgotten(#[case] peers: u64) {
     let now = Instant::now();
     let after = |secs| now + Duration::from_secs(secs);
     let mut here = three_data_centres(2);
@@ -360,11 +366,12 @@
                 .all(|(_, target)| target.entry.name != restarted));
         }
     }
-    // Nor does it pass the observation on.
+    // It does not report the observation to others either.
     assert!(here.placements(9, 1, None, after(2)).adopted.is_empty());
 }
 
-/// An instance without the store that uses a restarted engine by the engine's own answer.
+/// Returns the targets of an instance without the store that uses a restarted engine based on the
+/// engine's own answer.
 fn without_store(seen: Instant) -> (Targets, TargetName) {
     let mut targets = three_data_centres(2);
     let before = targets.get(key(&targets, "west-0-1")).unwrap().name_hash;
@@ -373,7 +380,8 @@
     (targets, restarted)
 }
 
-// Guards against an engine that left while the store was away and is used by the instance that observed it ever since.
+// Guards against indefinite use of an engine that left while the store was unavailable, by the
+// instance that observed it.
 #[test]
 fn engine_that_the_returned_store_does_not_list_is_dropped() {
     let now = Instant::now();
@@ -398,7 +406,7 @@
         .all(|(_, target)| target.entry.name != restarted));
 }
 
-// Guards against a restarted engine that is dropped although the store lists it in time.
+// Guards against dropping a restarted engine although the store lists it in time.
 #[test]
 fn engine_that_the_returned_store_lists_stays() {
     let now = Instant::now();
@@ -410,7 +418,8 @@
     assert!(targets.is_usable(key(&targets, "west-0-2")));
 }
 
-// Guards against an engine that counts as listed by the store since a peer that observed it sent its whole list.
+// Guards against counting an engine as listed by the store because a peer that observed it sent its
+// full list.
 #[test]
 fn engine_that_a_peer_observed_stays_unlisted_in_a_copy_of_its_list() {
     let now = Instant::now();
@@ -426,7 +435,8 @@
     assert_eq!(started.verify(after(3_000)), [restarted]);
 }
 
-// Guards against an answer that waited unread in a paused process and counts as given when it is read.
+// Guards against dating an answer that waited unread in a paused process by the time at which it is
+// read.
 #[test]
 fn observation_that_waited_unread_is_as_old_as_it_may_be() {
     let now = Instant::now();
@@ -442,7 +452,8 @@
         .all(|(_, target)| target.entry.name != restarted));
 }
 
-// Guards against health checks of engines that the store would list, by an instance that is in contact with it.
+// Guards against health checks of engines that the store would list, by an instance in contact with
+// the store.
 #[test]
 fn dead_engines_are_not_queried_while_the_list_is_recent() {
     let now = Instant::now();
--- a/crates/relay/tests/test_directory.rs
+++ b/crates/relay/tests/test_directory.rs
@@ -1,4 +1,4 @@
-//! Which instances callers are told of.
+//! Addresses of instances that callers are given.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -22,29 +22,29 @@
     })
 }
 
-/// 600 callers ask a fleet of 300. If each answer names the first 64 that an instance knows, these get all
-/// callers; every instance must be told to about as many.
+/// 600 callers query a fleet of 300. Guards against giving all of them the first 64 instances; each
+/// instance must be given to about the same number.
 #[test]
 fn all_instances_of_a_large_fleet_get_callers() {
     let all = instances(300);
-    let mut told: HashMap<SocketAddr, usize> = HashMap::new();
+    let mut given: HashMap<SocketAddr, usize> = HashMap::new();
     for caller in callers(600) {
         for address in directory_addresses(caller, all.clone(), MOST) {
-            *told.entry(address).or_default() += 1;
+            *given.entry(address).or_default() += 1;
         }
     }
     // The mean is 128.
-    assert_eq!(told.len(), 300);
+    assert_eq!(given.len(), 300);
     assert!(
-        told.values().all(|count| (85..180).contains(count)),
-        "{told:?}"
+        given.values().all(|count| (85..180).contains(count)),
+        "{given:?}"
     );
 }
 
-/// An instance leaves. Callers drop connections to addresses that a new answer leaves out, so no other address
-/// may go with it.
+/// An instance leaves. Guards against a response that leaves out other addresses as well, to which
+/// callers would drop their connections.
 #[test]
-fn an_answer_changes_by_the_instance_that_left() {
+fn response_changes_only_by_the_instance_that_left() {
     let before = instances(300);
     let gone = before[17];
     let after: Vec<SocketAddr> = before.iter().copied().filter(|one| *one != gone).collect();
--- a/crates/relay/tests/test_events.rs
+++ b/crates/relay/tests/test_events.rs
@@ -1,4 +1,4 @@
-//! Events out of received bytes.
+//! Splitting of received bytes into events.
 
 use celerypond_relay::EventSplitter;
 use rstest::rstest;
@@ -9,7 +9,7 @@
 #[case::in_the_end(&["id: 1\ndata: a\n", "\n"])]
 #[case::byte_by_byte(&["i", "d", ":", " ", "1", "\n", "data: a", "\n", "\n"])]
 #[case::long_ends(&["id: 1\r\ndata: a\r\n\r", "\n"])]
-fn an_event_is_found_however_its_bytes_are_cut(#[case] pieces: &[&str]) {
+fn event_is_found_regardless_of_chunk_boundaries(#[case] pieces: &[&str]) {
     let mut events = EventSplitter::default();
     let mut found = Vec::new();
     for piece in pieces {
@@ -21,10 +21,10 @@
     assert!(!events.has_partial());
 }
 
-/// An engine dies in the middle of its third event. The caller must get two events, and nothing of
-/// the third, which another run sends again from its start.
+/// An engine dies in the middle of its third event. Guards against passing on a part of it, as
+/// another engine sends this event again from its start.
 #[test]
-fn the_half_of_an_event_is_never_passed_on() {
+fn incomplete_event_is_never_passed_on() {
     let mut events = EventSplitter::default();
     events.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
     let ids: Vec<_> = events.by_ref().map(|event| event.id).collect();
--- a/crates/relay/tests/test_freshness.rs
+++ b/crates/relay/tests/test_freshness.rs
@@ -1,4 +1,4 @@
-//! How recent what is known of the store's content is.
+//! The freshness of the configuration and the list of targets.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-/// For how long a superseded version may be served by.
+/// How long a superseded version may be used.
 const LIMIT: Duration = Duration::from_secs(2);
 
 fn seen(version: u64, revision: u64, at: Instant) -> Observation {
@@ -17,7 +17,8 @@
     }
 }
 
-// Guards against a watch from a revision of long ago, whose history is gone, and a transfer of what is known already.
+// Guards against a watch from an old revision, whose history is gone, and against transferring a
+// known version again.
 #[test]
 fn watch_goes_on_where_the_version_in_force_was_last_seen() {
     let now = Instant::now();
@@ -30,7 +31,7 @@
     assert_eq!(freshness.revision(), Some(59));
 }
 
-// Guards against a watch that begins after the change that it has to tell.
+// Guards against a watch that starts after the change that it should report.
 #[test]
 fn watch_begins_before_a_version_that_is_not_in_force() {
     let now = Instant::now();
@@ -69,7 +70,7 @@
     assert_eq!(freshness.revision(), Some(70));
 }
 
-/// Holds a version that was the newest one at `now`, and knows other instances.
+/// Returns the state of an instance with peers whose version was the newest one at `now`.
 fn current(now: Instant) -> Freshness {
     let mut freshness = Freshness::new(now);
     freshness.observe(seen(2, 40, now));
@@ -78,7 +79,7 @@
     freshness
 }
 
-/// Records a contact each half a second up to a moment.
+/// Records contact every half second until a moment.
 fn keep_contact(freshness: &mut Freshness, from: Instant, until: Instant) {
     let mut at = from;
     while at < until {
@@ -88,9 +89,9 @@
     freshness.record_contact(until);
 }
 
-// Guards against an instance whose transfer of a newer version does not end, and that serves by the old one meanwhile.
+// Guards against using an old version for as long as the transfer of a newer one does not end.
 #[test]
-fn superseded_version_is_served_by_until_the_limit_only() {
+fn superseded_version_is_used_until_the_limit_only() {
     let now = Instant::now();
     let mut freshness = current(now);
     let mut stale = Vec::new();
@@ -108,15 +109,16 @@
     assert_eq!(freshness.stale(LIMIT, now + Duration::from_secs(3)), None);
 }
 
-// Guards against an instance that always lags one version behind and serves by each for longer than the limit.
+// Guards against using each version for longer than the limit by an instance that always lags one
+// version behind.
 #[test]
-fn each_of_many_versions_is_served_by_until_the_limit_only() {
+fn each_of_many_versions_is_used_until_the_limit_only() {
     let now = Instant::now();
     let mut freshness = current(now);
     for step in 1..40_u64 {
         let at = now + Duration::from_millis(300) * step as u32;
         freshness.record_contact(at);
-        // The version before is in force by now, and was the newest one until a moment ago.
+        // The previous version is in force now, and was the newest one until a moment ago.
         freshness.set_current(1 + step);
         freshness.observe(seen(1 + step, 39 + step, at));
         freshness.observe(seen(2 + step, 40 + step, at));
@@ -128,9 +130,9 @@
     }
 }
 
-// Guards against a restarted instance that takes an old version from a peer that is behind itself.
+// Guards against using an old version that a restarted instance got from an outdated peer.
 #[test]
-fn version_that_was_never_seen_as_the_newest_is_not_served_by_once_a_newer_one_is_known() {
+fn unverified_version_is_not_used_once_a_newer_one_is_known() {
     let now = Instant::now();
     let mut freshness = Freshness::new(now);
     freshness.set_current(2);
@@ -139,7 +141,8 @@
     assert_eq!(freshness.stale(LIMIT, now), Some(Stale::Superseded));
 }
 
-// Guards against a fleet that refuses all callers since one instance saw a version and is gone with the store.
+// Guards against a fleet that refuses all callers because of a version that one instance saw before
+// it was lost along with the store.
 #[test]
 fn version_that_is_no_longer_reported_is_not_waited_for() {
     let now = Instant::now();
@@ -153,7 +156,8 @@
     assert_eq!(freshness.stale(LIMIT, later), None);
 }
 
-// Guards against an instance that is partitioned from all and cannot learn of a newer version.
+// Guards against serving by an instance that is partitioned from all others and cannot learn of a
+// newer version.
 #[test]
 fn instance_without_contact_does_not_serve() {
     let now = Instant::now();
@@ -164,16 +168,18 @@
     assert_eq!(freshness.stale(LIMIT, later), None);
 }
 
-// Guards against a process that goes on after a pause and serves by what it knew before, until it has read the changes.
+// Guards against using known state after a process was paused, before it has read the changes
+// since.
 #[test]
-fn resumed_process_does_not_serve_by_what_it_knew_before() {
+fn resumed_process_does_not_use_its_previous_state() {
     let now = Instant::now();
     let mut freshness = current(now);
     let resumed = now + Duration::from_secs(4);
     assert_eq!(freshness.stale(LIMIT, resumed), Some(Stale::Isolated));
     freshness.record_contact(resumed);
     assert_eq!(freshness.stale(LIMIT, resumed), Some(Stale::Resuming));
-    // A report that waited meanwhile is too old to verify a version, and tells that there is a newer one.
+    // A report that waited unread is too old to verify a version, but shows that there is a newer
+    // one.
     freshness.observe(seen(3, 52, now));
     freshness.report(3, resumed);
     assert_eq!(freshness.stale(LIMIT, resumed), Some(Stale::Superseded));
@@ -183,7 +189,7 @@
     assert_eq!(freshness.stale(LIMIT, resumed), None);
 }
 
-// Guards against a resumed instance that refuses all callers for as long as the store is unavailable.
+// Guards against refusals by a resumed instance for as long as the store is unavailable.
 #[test]
 fn resumed_process_serves_without_the_store_once_peers_could_report_changes() {
     let now = Instant::now();
@@ -194,7 +200,7 @@
     assert_eq!(freshness.stale(LIMIT, later), None);
 }
 
-// Guards against an instance that hears of a newer version from a peer, though of no watcher, and serves by its own.
+// Guards against using a version although a peer, rather than a watcher, reports a newer one.
 #[test]
 fn version_that_a_peer_acts_on_supersedes_for_as_long_as_it_is_reported() {
     let now = Instant::now();
@@ -210,7 +216,7 @@
     assert_eq!(freshness.stale(LIMIT, now + Duration::from_secs(10)), None);
 }
 
-// Guards against a report of a version of long ago that makes a newer one in force look superseded.
+// Guards against a late report of an old version that makes the newer one in force look superseded.
 #[test]
 fn report_of_an_older_version_supersedes_nothing() {
     let now = Instant::now();
@@ -225,7 +231,8 @@
     );
 }
 
-// Guards against a list of targets that was fetched from a peer and counts as never verified.
+// Guards against a list of targets that counts as never verified because it was fetched from a
+// peer.
 #[test]
 fn newer_version_than_the_one_seen_last_is_as_recent() {
     let now = Instant::now();
@@ -234,7 +241,7 @@
     assert_eq!(freshness.age(now), Some(Duration::ZERO));
 }
 
-// Guards against instances that stop serving since the store is away for all of them.
+// Guards against instances that stop serving because the store is unavailable to all of them.
 #[test]
 fn instance_in_contact_with_peers_serves_without_the_store() {
     let now = Instant::now();
@@ -244,8 +251,8 @@
     assert_eq!(freshness.stale(LIMIT, later), None);
 }
 
-// Guards against an instance that serves by a superseded version for as long as the transfer of the next one takes, and
-// sends its callers to others that have none either.
+// Guards against using a superseded version for as long as the transfer of the next one takes, and
+// against sending callers to other instances that do not have the next one either.
 #[test]
 fn version_that_is_being_transferred_supersedes() {
     let now = Instant::now();
@@ -263,7 +270,8 @@
     );
 }
 
-// Guards against a fleet that refuses, and fetches without end, after a long answer of the store without a newer version.
+// Guards against endless refusals and fetches after a long response of the store that contained no
+// newer version.
 #[test]
 fn transfer_that_brought_nothing_new_is_forgotten() {
     let now = Instant::now();
@@ -277,7 +285,8 @@
     assert_eq!(freshness.newest(now + Duration::from_secs(2)), 2);
 }
 
-// Guards against a late report that a superseded version is the newest one, by which it is served for longer.
+// Guards against using a superseded version for longer because of a late report that it is the
+// newest one.
 #[test]
 fn late_report_does_not_verify_a_superseded_version() {
     let now = Instant::now();
@@ -289,7 +298,8 @@
     assert_eq!(freshness.stale(LIMIT, later), Some(Stale::Superseded));
 }
 
-// Guards against a version that a restarted instance has from a peer being taken for one that it saw in the store.
+// Guards against counting a version that a restarted instance got from a peer as observed in the
+// store.
 #[test]
 fn notice_of_an_unverified_version_is_no_observation() {
     let now = Instant::now();
@@ -319,10 +329,10 @@
     assert_eq!(listed.targets_observation(now), Some(seen(7, 7, at)));
 }
 
-/// A limit that leaves more than two seconds for a gap.
+/// A limit that allows gaps of almost two seconds.
 const LONG_LIMIT: Duration = Duration::from_millis(2_700);
 
-// Guards against requests that are refused just before changes that were missed have been reported.
+// Guards against refusing requests just before missed changes have been reported.
 #[rstest]
 #[case::plain(2_000)]
 #[case::stream(25_000)]
@@ -340,7 +350,7 @@
     }
 }
 
-// Guards against callers that are kept waiting although it is known that they cannot be served in time.
+// Guards against waits of callers that are known to end too late.
 #[test]
 fn request_that_missed_changes_would_make_too_late_is_refused_at_once() {
     let now = Instant::now();
@@ -354,7 +364,7 @@
     assert_eq!(wait.for_targets(stale, current, resumed), None);
 }
 
-// Guards against callers that are refused for a gap in which no change can have become older than the limit.
+// Guards against refusals after a gap in which no change can have become older than the limit.
 #[test]
 fn gap_that_is_short_beside_the_limit_does_not_stop_service() {
     let now = Instant::now();
@@ -370,7 +380,8 @@
     assert_eq!(freshness.stale(LONG_LIMIT, at), Some(Stale::Resuming));
 }
 
-// Guards against a change in a gap that is served without for longer than the limit.
+// Guards against requests that are served without a change that is older than the limit, because it
+// was missed in a gap.
 #[rstest]
 #[case(LIMIT)]
 #[case(LONG_LIMIT)]
@@ -383,7 +394,7 @@
         keep_contact(&mut freshness, now, long_ago);
         let resumed = long_ago + gap;
         keep_contact(&mut freshness, resumed, resumed + reported);
-        // The change came right after the last contact before the gap.
+        // The change happened right after the last contact before the gap.
         for step in 0..8 {
             let at = resumed + Duration::from_millis(100) * step;
             let is_served = freshness.stale(limit, at).is_none();
@@ -392,7 +403,7 @@
     }
 }
 
-// Guards against a short gap that makes the longer one just before it forgotten.
+// Guards against forgetting a long gap because of a short one just after it.
 #[test]
 fn short_gap_after_a_long_one_does_not_end_the_catching_up() {
     let now = Instant::now();
@@ -404,7 +415,8 @@
     assert_eq!(freshness.stale(LIMIT, soon), Some(Stale::Resuming));
 }
 
-// Guards against callers that go from one instance to the next while all receive the version that they lack.
+// Guards against sending callers from one instance to the next while all of them are receiving the
+// missing version.
 #[test]
 fn request_waits_for_a_version_in_transfer_while_its_caller_has_time_for_the_work() {
     let now = Instant::now();
--- a/crates/relay/tests/test_groups.rs
+++ b/crates/relay/tests/test_groups.rs
@@ -1,38 +1,40 @@
-//! Engines divided among groups of instances.
+//! Groups of instances that divide the engines.
 
 use celerypond_relay::{Change, Group, Presence};
 use tokio::time::Instant;
 
-use crate::fixture::{engine, three_data_centres, Wanted, TOKENS};
+use crate::fixture::{engine, three_data_centres, Queries, TOKENS};
 
 const GROUPS: usize = 4;
 
-/// Streams of four groups arrive, and groups hear nothing of each other. If all used the same engines in one
-/// order, two prompts of different groups would meet while other engines are idle.
+/// Four groups do not exchange lists of streams. Guards against placing prompts of different groups
+/// at the same engine while others are idle, as would happen if all used the engines in the same
+/// order.
 #[test]
-fn prompts_of_groups_that_hear_nothing_of_each_other_do_not_meet() {
+fn groups_do_not_place_prompts_at_the_same_engines() {
     let now = Instant::now();
-    let wanted = Wanted::new();
+    let queries = Queries::new();
     let mut readings = std::collections::HashMap::new();
-    for own in 0..GROUPS {
+    for index in 0..GROUPS {
         let mut targets = three_data_centres(60);
         targets.group = Group {
-            index: own,
+            index,
             count: GROUPS,
         };
         for part in 0..20_u64 {
-            let pick = targets
-                .select(&wanted.stream(part * 4 + own as u64), now)
+            let selected = targets
+                .select(&queries.stream(part * 4 + index as u64), now)
                 .unwrap();
-            targets.add_stream(pick.key, part, TOKENS, now);
-            let spot = targets.get(pick.key).unwrap().address_hash;
-            *readings.entry(spot).or_insert(0) += 1;
+            targets.add_stream(selected.key, part, TOKENS, now);
+            let address_hash = targets.get(selected.key).unwrap().address_hash;
+            *readings.entry(address_hash).or_insert(0) += 1;
         }
     }
     assert_eq!(readings.len(), 20 * GROUPS);
 }
 
-/// Nearly all engines of a group leave. Its streams go to engines of other groups; they are not refused.
+/// Nearly all engines of a group leave. Guards against refusing its streams instead of using
+/// engines of other groups.
 #[test]
 fn a_group_without_engines_uses_those_of_others() {
     let now = Instant::now();
@@ -58,14 +60,14 @@
             now,
         );
     }
-    let wanted = Wanted::new();
-    let pick = targets.select(&wanted.stream(1), now).unwrap();
-    assert!(!group.contains(targets.get(pick.key).unwrap().address_hash));
-    assert!(!pick.is_doubtful);
+    let queries = Queries::new();
+    let selected = targets.select(&queries.stream(1), now).unwrap();
+    assert!(!group.contains(targets.get(selected.key).unwrap().address_hash));
+    assert!(!selected.is_doubtful);
 }
 
-/// An engine starts again under another name. It stays with its group, or its prompts would be sought by
-/// others than those who sent them.
+/// Guards against an engine that changes its group as it restarts under another name, so that its
+/// prompts would be looked for by other instances than those that sent them.
 #[test]
 fn an_engine_that_starts_again_stays_in_its_group() {
     let now = Instant::now();
@@ -76,39 +78,42 @@
         .collect();
     targets.apply(&Change::Is(engine("east", 3, 2)), now);
     let after = targets.iter().map(|(_, target)| target.address_hash);
-    assert!(after.into_iter().all(|spot| before.contains(&spot)));
+    assert!(after
+        .into_iter()
+        .all(|address_hash| before.contains(&address_hash)));
 }
 
-/// An instance dies, and its caller comes to one of another group with the same prompt. That one was told where
-/// the prompt was sent, so it is asked there, though the engine belongs to the other group.
+/// An instance dies, and its caller retries at one of another group that was told the location of
+/// the prompt. Guards against reading the prompt again at another engine because of the group.
 #[test]
 fn a_retry_at_another_group_goes_to_the_engine_that_has_read_its_prompt() {
     let now = Instant::now();
-    let wanted = Wanted::new();
+    let queries = Queries::new();
     let mut all: Vec<_> = (0..GROUPS).map(|_| three_data_centres(20)).collect();
-    for (own, targets) in all.iter_mut().enumerate() {
+    for (index, targets) in all.iter_mut().enumerate() {
         targets.group = Group {
-            index: own,
+            index,
             count: GROUPS,
         };
     }
-    let want = wanted.stream(77);
-    let first = all[0].select(&want, now).unwrap().key;
+    let query = queries.stream(77);
+    let first = all[0].select(&query, now).unwrap().key;
     all[0].add_stream(first, 77, TOKENS, now).unwrap();
-    let notes = all[0].take_prompt_locations();
+    let locations = all[0].take_prompt_locations();
     let hash = all[0].get(first).unwrap().name_hash;
     for other in &mut all[1..] {
-        other.merge_prompt_locations(&notes, now);
-        let pick = other.select(&want, now).unwrap();
-        assert_eq!(other.get(pick.key).unwrap().name_hash, hash);
+        other.merge_prompt_locations(&locations, now);
+        let selected = other.select(&query, now).unwrap();
+        assert_eq!(other.get(selected.key).unwrap().name_hash, hash);
     }
     assert!(all[0].take_prompt_locations().is_empty());
 }
 
-/// The store is away, and a thousand engines die and start again; one instance finds them all by their own word.
-/// A list that named them all would not fit into a datagram, and the instance's streams would seem ended.
+/// While the store is unavailable, a thousand engines restart and are observed by one instance.
+/// Guards against a message that names all of them, which would not fit into a datagram, so that
+/// the streams of the instance would seem to have ended.
 #[test]
-fn a_list_stays_short_where_a_thousand_engines_were_found_again() {
+fn message_fits_into_a_datagram_after_a_thousand_restarts() {
     let now = Instant::now();
     let mut targets = three_data_centres(250);
     let dead: Vec<u64> = targets.iter().map(|(_, target)| target.name_hash).collect();
--- a/crates/relay/tests/test_idle_limits.rs
+++ b/crates/relay/tests/test_idle_limits.rs
@@ -1,4 +1,4 @@
-//! How long connections may rest.
+//! Limits on the idle time of connections.
 
 use std::time::Duration;
 
@@ -8,38 +8,43 @@
 use crate::fixture::{key, three_data_centres};
 
 const SERVICE: u64 = 7;
-/// How long the targets of these tests let a connection rest.
-const FORGOTTEN: Duration = Duration::from_millis(300);
+/// How long a connection may be idle at the targets of these tests.
+const TARGET_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Seventy instances send each of six targets a reservation every two seconds, on kept connections. The
-/// targets forget connections after 300 ms, and what comes on one is reset. Each instance that kept
-/// them for the usual 2.5 s would lose nearly all its reservations for as long as this lasts; with what
-/// is learned and told each second, the first ones teach all.
+/// Seventy instances send each of six targets a reservation every two seconds. The targets drop
+/// connections that were idle for 300 ms and reset later requests. Guards against keeping idle
+/// connections for the usual 2.5 s, by which nearly all reservations would be lost: the first
+/// losses must set the limit for all instances.
 #[test]
-fn few_requests_are_lost_where_targets_forget_resting_connections() {
+fn few_requests_are_lost_on_idle_connections() {
     const INSTANCES: usize = 70;
     let start = Instant::now();
-    let mut rests = vec![IdleLimits::default(); INSTANCES];
+    let mut limits = vec![IdleLimits::default(); INSTANCES];
     let (mut lost, mut sent) = (0, 0);
     for tick in 0..600_u64 {
         let now = start + Duration::from_millis(tick * 50);
-        // An instance tells all others once a second.
-        let teller = (tick * 70 / 20) as usize % INSTANCES;
-        for teller in teller..(teller + 4).min(INSTANCES) {
-            let told = rests[teller].report(now);
-            rests.iter_mut().for_each(|rests| rests.merge(&told, now));
+        // An instance reports to all others once a second.
+        let reporter = (tick * 70 / 20) as usize % INSTANCES;
+        for reporter in reporter..(reporter + 4).min(INSTANCES) {
+            let reported = limits[reporter].report(now);
+            limits
+                .iter_mut()
+                .for_each(|limits| limits.merge(&reported, now));
         }
-        // Each instance sends three requests a second over all targets; a connection rests for two.
-        for (n, own) in rests.iter_mut().enumerate() {
+        // Each instance sends three requests per second over all targets, so that a connection is
+        // idle for two seconds.
+        for (n, own) in limits.iter_mut().enumerate() {
             if !(tick + n as u64).is_multiple_of(7) {
                 continue;
             }
             sent += 1;
-            let rested = Duration::from_millis(1_500 + (n as u64 * 37 + tick * 11) % 1_000);
-            let is_kept = own.limit(SERVICE, now).is_none_or(|most| rested < most);
-            if is_kept && rested > FORGOTTEN {
+            let idle_time = Duration::from_millis(1_500 + (n as u64 * 37 + tick * 11) % 1_000);
+            let is_kept = own
+                .limit(SERVICE, now)
+                .is_none_or(|limit| idle_time < limit);
+            if is_kept && idle_time > TARGET_IDLE_TIMEOUT {
                 lost += 1;
-                own.record_reset(SERVICE, rested, now);
+                own.record_reset(SERVICE, idle_time, now);
             }
         }
     }
@@ -48,28 +53,29 @@
 }
 
 #[test]
-fn a_connection_that_hardly_rested_teaches_nothing() {
+fn reset_after_a_short_idle_time_sets_no_limit() {
     let now = Instant::now();
-    let mut rests = IdleLimits::default();
-    assert!(!rests.record_reset(SERVICE, Duration::from_millis(3), now));
-    assert_eq!(rests.limit(SERVICE, now), None);
+    let mut limits = IdleLimits::default();
+    assert!(!limits.record_reset(SERVICE, Duration::from_millis(3), now));
+    assert_eq!(limits.limit(SERVICE, now), None);
 }
 
-/// A target forgets connections after a second, then after a tenth. The shorter rest holds, and one that
-/// is lost later after a longer rest does not lengthen it.
+/// A target drops connections after a second, and later after a tenth of a second. Guards against
+/// extending the limit because of a connection that is lost after a longer idle time.
 #[test]
-fn the_shortest_rest_holds() {
+fn shortest_idle_limit_applies() {
     let now = Instant::now();
-    let mut rests = IdleLimits::default();
-    assert!(rests.record_reset(SERVICE, Duration::from_millis(1_000), now));
-    assert!(rests.record_reset(SERVICE, Duration::from_millis(100), now));
-    assert!(!rests.record_reset(SERVICE, Duration::from_millis(900), now));
-    assert_eq!(rests.limit(SERVICE, now), Some(Duration::from_millis(50)));
+    let mut limits = IdleLimits::default();
+    assert!(limits.record_reset(SERVICE, Duration::from_millis(1_000), now));
+    assert!(limits.record_reset(SERVICE, Duration::from_millis(100), now));
+    assert!(!limits.record_reset(SERVICE, Duration::from_millis(900), now));
+    assert_eq!(limits.limit(SERVICE, now), Some(Duration::from_millis(50)));
 }
 
-/// What is told of others is told on, with its age; it must not hold for ever by going round.
+/// Guards against limits that never expire because instances report them to each other: reports
+/// include the age.
 #[test]
-fn what_goes_round_is_forgotten_all_the_same() {
+fn limits_that_instances_report_to_each_other_expire() {
     let start = Instant::now();
     let (mut one, mut other) = (IdleLimits::default(), IdleLimits::default());
     one.record_reset(SERVICE, Duration::from_millis(500), start);
@@ -84,7 +90,7 @@
 }
 
 #[test]
-fn a_whole_list_tells_others_how_long_connections_rest() {
+fn full_message_contains_idle_limits() {
     let now = Instant::now();
     let mut targets = three_data_centres(2);
     let engine = key(&targets, "east-0-1");
--- a/crates/relay/tests/test_planned_stop.rs
+++ b/crates/relay/tests/test_planned_stop.rs
@@ -1,4 +1,4 @@
-//! What stopping instances still take.
+//! Callers and requests that stopping instances accept.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use tokio::time::Instant;
 
 const GRACE: Duration = Duration::from_secs(8);
-/// How long the streams run that an instance has open when it stops.
+/// How long the open streams of a stopping instance run.
 const DRAIN: Duration = Duration::from_millis(6_500);
-/// How long an instance takes to start again.
+/// How long an instance takes to restart.
 const RESTART: Duration = Duration::from_millis(700);
-const LOOK: Duration = Duration::from_millis(50);
+const STEP: Duration = Duration::from_millis(50);
 
-/// One instance of the model: when it is told to stop.
+/// An instance of the model, by the time at which its stop begins.
 #[derive(Clone, Copy)]
-struct Told(Instant);
+struct StoppedInstance(Instant);
 
-impl Told {
+impl StoppedInstance {
     fn is_leaving(self, now: Instant) -> bool {
         now >= self.0 && now < self.0 + DRAIN
     }
@@ -27,65 +27,68 @@
     }
 }
 
-/// Returns for how long no instance of a fleet takes callers that is told to stop one after the other.
-fn closed_for(fleet: u32, gap: Duration, goes_on: bool) -> Duration {
+/// Returns for how long no instance of a fleet accepts callers, if all are stopped one after the
+/// other.
+fn time_without_callers(fleet: u32, gap: Duration, continues: bool) -> Duration {
     let begin = Instant::now();
-    let told: Vec<Told> = (0..fleet).map(|n| Told(begin + gap * n)).collect();
-    let mut closed = Duration::ZERO;
+    let instances: Vec<StoppedInstance> = (0..fleet)
+        .map(|n| StoppedInstance(begin + gap * n))
+        .collect();
+    let mut without_callers = Duration::ZERO;
     let mut now = begin;
     while now < begin + gap * fleet + GRACE * 2 {
         let takes = |at: usize| {
-            let one = told[at];
+            let one = instances[at];
             if one.is_live(now) {
                 return true;
             }
-            let others = || told.iter().enumerate().filter(|(n, _)| *n != at);
-            let count = |is: &dyn Fn(Told) -> bool| others().filter(|(_, one)| is(**one)).count();
+            let others = || instances.iter().enumerate().filter(|(n, _)| *n != at);
+            let count = |is: &dyn Fn(StoppedInstance) -> bool| {
+                others().filter(|(_, one)| is(**one)).count()
+            };
             let others = PeerCounts {
                 live: count(&|one| one.is_live(now)),
                 leaving: count(&|one| one.is_leaving(now)),
             };
             let stop = PlannedStop::new(one.0, GRACE);
-            let is_taken = match goes_on {
+            let is_taken = match continues {
                 true => stop.accepts_callers(others, now),
                 false => stop.accepts_all(now),
             };
             one.is_leaving(now) && is_taken
         };
-        if !(0..told.len()).any(takes) {
-            closed += LOOK;
+        if !(0..instances.len()).any(takes) {
+            without_callers += STEP;
         }
-        now += LOOK;
+        now += STEP;
     }
-    closed
+    without_callers
 }
 
-/// All instances of a fleet are told to stop, one after the other, faster than they drain, or at once. If each
-/// takes callers for the first part of its grace only, none does for seconds. As long as too few others do,
-/// those that drain go on to.
+/// All instances of a fleet are stopped at once, or one after the other faster than they drain.
+/// Guards against a fleet that accepts no callers for seconds, as each accepts them only for the
+/// first part of its grace: instances with too few live peers must continue to accept callers while
+/// they drain.
 #[rstest]
 #[case::three_in_two_seconds(7, 700)]
 #[case::two_a_second(7, 500)]
 #[case::at_once(7, 0)]
 #[case::alone(1, 0)]
-fn a_fleet_that_stops_is_never_closed_while_it_drains(#[case] fleet: u32, #[case] gap_ms: u64) {
+fn fleet_that_stops_accepts_callers_while_it_drains(#[case] fleet: u32, #[case] gap_ms: u64) {
     let gap = Duration::from_millis(gap_ms);
-    assert!(closed_for(fleet, gap, false) > Duration::from_secs(1));
-    let closed = closed_for(fleet, gap, true);
-    // All that were stopped at once start anew at once.
-    assert!(closed <= RESTART + LOOK, "{closed:?}");
+    assert!(time_without_callers(fleet, gap, false) > Duration::from_secs(1));
+    let without_callers = time_without_callers(fleet, gap, true);
+    // Instances that were stopped at the same time also restart at the same time.
+    assert!(without_callers <= RESTART + STEP, "{without_callers:?}");
 }
 
-/// One of seven instances stops, or two do. The others take their callers, so these close as soon as
-/// callers have heard of it, and start anew the sooner.
+/// One or two of seven instances stop. Guards against accepting callers for longer than necessary,
+/// which delays the restart, as the other instances can take them over.
 #[rstest]
 #[case(6, 0)]
 #[case(5, 1)]
 #[case(3, 3)]
-fn an_instance_with_enough_others_takes_no_more_callers(
-    #[case] live: usize,
-    #[case] leaving: usize,
-) {
+fn instance_with_enough_peers_accepts_no_more_callers(#[case] live: usize, #[case] leaving: usize) {
     let begun = Instant::now();
     let stop = PlannedStop::new(begun, GRACE);
     let others = PeerCounts { live, leaving };
@@ -93,9 +96,10 @@
     assert!(!stop.accepts_callers(others, begun + Duration::from_millis(1_700)));
 }
 
-/// Whatever is admitted after the first part of the grace ends before callers are cut off.
+/// Guards against admitting requests, after the first part of the grace, that would not end before
+/// callers are cut off.
 #[test]
-fn nothing_is_begun_that_would_be_cut_off() {
+fn requests_that_would_be_cut_off_are_refused() {
     let begun = Instant::now();
     let stop = PlannedStop::new(begun, GRACE);
     for after_ms in (1_600..8_000).step_by(100) {
@@ -107,10 +111,11 @@
     }
 }
 
-/// All instances stop. Who is not admitted comes back when this one may be there again, though so soon that
-/// the answer can still be on time; where others take callers, that is at once.
+/// All instances stop. Guards against retries before an instance may accept callers again, and
+/// against retries so late that the response would not be on time. If other instances accept
+/// callers, refused callers retry at once.
 #[test]
-fn callers_come_back_when_an_instance_may_be_there() {
+fn refused_callers_retry_when_an_instance_may_accept_them() {
     let begun = Instant::now();
     let stop = PlannedStop::new(begun, GRACE);
     let aim = Duration::from_millis(4_500);
--- a/crates/relay/tests/test_quality.rs
+++ b/crates/relay/tests/test_quality.rs
@@ -1,16 +1,17 @@
-//! Targets that do worse than their peers.
+//! Detection of targets that perform worse than their peers.
 
 use std::time::Duration;
 
 use celerypond_relay::{Quality, RequestDeadline};
 use tokio::time::Instant;
 
-use crate::fixture::{key, three_data_centres, Wanted};
+use crate::fixture::{key, three_data_centres, Queries};
 
 const TIME: Duration = Duration::from_millis(50);
 
-/// One of three targets fails half of its requests with good health. Reservations that may not be
-/// repeated are lost there; they go to the others until it does well again.
+/// One of three targets fails half of its requests although its health check succeeds. Guards
+/// against losing reservations there, which may not be repeated: other targets must be preferred
+/// until it recovers.
 #[test]
 fn a_target_that_fails_gets_requests_last() {
     let now = Instant::now();
@@ -23,16 +24,17 @@
             targets.record_result(at, is_good, TIME, now);
         }
     }
-    let wanted = Wanted::new();
-    let pick = |now| targets.select(&wanted.request(&[]), now).unwrap().key;
-    assert_ne!(pick(now), east);
-    // With nothing new known it is tried again; it is the nearest.
-    assert_eq!(pick(now + Duration::from_secs(10)), east);
+    let queries = Queries::new();
+    let selected = |now| targets.select(&queries.request(&[]), now).unwrap().key;
+    assert_ne!(selected(now), east);
+    // Without new results it is tried again, as it is the nearest.
+    assert_eq!(selected(now + Duration::from_secs(10)), east);
 }
 
-/// Each instance sees few requests. Together they have seen enough.
+/// Each instance sees few requests. Guards against not detecting a failing target although the
+/// results of all instances suffice.
 #[test]
-fn instances_find_a_failing_target_together() {
+fn instances_detect_a_failing_target_together() {
     let now = Instant::now();
     let mut all = Quality::default();
     for origin in 0..7 {
@@ -48,9 +50,9 @@
     assert_eq!(all.outliers(&[1, 2, 3], now), [1]);
 }
 
-/// A seventh of all requests fails, wherever it runs. No target is to blame.
+/// A seventh of all requests fails at any target. Guards against blaming a target for it.
 #[test]
-fn requests_that_fail_everywhere_blame_nobody() {
+fn failures_at_all_targets_make_no_outlier() {
     let now = Instant::now();
     let mut quality = Quality::default();
     for n in 0..140 {
@@ -61,9 +63,10 @@
     assert!(quality.outliers(&[1, 2, 3], now).is_empty());
 }
 
-/// Most targets fail. Sending all to the one that is left would end it as well.
+/// Most targets fail. Guards against sending all requests to the remaining one, which would be
+/// overloaded.
 #[test]
-fn most_targets_are_never_left_out() {
+fn majority_of_targets_is_never_excluded() {
     let now = Instant::now();
     let mut quality = Quality::default();
     for n in 0..40 {
@@ -86,8 +89,8 @@
     assert_eq!(quality.outliers(&[1, 2, 3], now), [1]);
 }
 
-/// A target takes a reservation and never answers. The caller gives up after a second and must have
-/// heard by then that it failed.
+/// A target accepts a reservation and never responds. Guards against a caller that gives up after a
+/// second before it is told of the failure.
 #[test]
 fn a_caller_is_answered_before_it_gives_up() {
     let now = Instant::now();
--- a/crates/relay/tests/test_relocation.rs
+++ b/crates/relay/tests/test_relocation.rs
@@ -1,4 +1,4 @@
-//! Where streams run on once their prompts were read.
+//! Relocation of running streams.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-use crate::fixture::{home, key, three_data_centres, Wanted, TOKENS};
+use crate::fixture::{data_centre_of, key, three_data_centres, Queries, TOKENS};
 
-/// A step of the model.
+/// The time step of the model.
 const STEP: Duration = Duration::from_millis(20);
 /// How long an engine reads a prompt.
 const READING_MS: f64 = 1_200.0;
-/// How long an answer takes at an engine that does nothing else.
+/// How long a response takes at an engine that does nothing else.
 const RUNNING_MS: f64 = 4_000.0;
-/// How many times as slow a stream is beside the reading of a prompt.
-const BESIDE: f64 = 8.0;
+/// The factor by which a stream is slowed down while a prompt is read.
+const SLOWDOWN_BY_READING: f64 = 8.0;
 
-/// Adds a stream as a request does that has its place there.
+/// Adds a stream with an open request.
 fn add(targets: &mut Targets, at: TargetKey, part: u64) -> PlacementKey {
     targets.get_mut(at).unwrap().open_requests += 1;
     targets
@@ -49,19 +49,20 @@
     moves: usize,
 }
 
-/// What came of the streams of a model.
+/// The outcome of the streams of a model.
 struct Outcome {
-    /// The mean time from arrival to end.
+    /// The mean time from the arrival of a stream to its end.
     mean_ms: f64,
-    /// Moves for each stream.
+    /// The mean number of moves per stream.
     moves: f64,
 }
 
-/// Replays prompts that arrive at the same gaps at `each` engines in each of three data centres. An
-/// engine reads one prompt at a time, and what runs beside it is eight times as slow.
+/// Replays prompts that arrive at equal intervals at three data centres with `each` engines in
+/// each. An engine reads one prompt at a time, and meanwhile runs other streams at an eighth of
+/// their speed.
 fn replay(each: u8, gap: Duration, does_move: bool) -> Outcome {
     let mut targets = three_data_centres(each);
-    let wanted = Wanted::new();
+    let queries = Queries::new();
     let begin = Instant::now();
     let mut open: Vec<Stream> = Vec::new();
     let mut done: Vec<(f64, usize)> = Vec::new();
@@ -71,7 +72,7 @@
         let now = begin + STEP * u32::try_from(step).unwrap();
         if step % every == 0 {
             let part = (step as u64 + 1) * 7_919;
-            let at = targets.select(&wanted.stream(part), now).unwrap().key;
+            let at = targets.select(&queries.stream(part), now).unwrap().key;
             let place = add(&mut targets, at, part);
             open.push(Stream {
                 at,
@@ -86,7 +87,7 @@
         advance(&mut targets, &mut open);
         if does_move {
             for stream in open.iter_mut().filter(|stream| stream.read_ms <= 0.0) {
-                relocate(&mut targets, &wanted, stream, now);
+                relocate(&mut targets, &queries, stream, now);
             }
         }
         open.retain(|stream| {
@@ -121,18 +122,22 @@
     for stream in open.iter_mut() {
         stream.took_ms += step_ms;
         if stream.read_ms <= 0.0 {
-            let is_beside = reading.contains(&stream.at);
-            stream.run_ms -= if is_beside { step_ms / BESIDE } else { step_ms };
+            let is_slowed_down = reading.contains(&stream.at);
+            stream.run_ms -= if is_slowed_down {
+                step_ms / SLOWDOWN_BY_READING
+            } else {
+                step_ms
+            };
         }
     }
 }
 
-fn relocate(targets: &mut Targets, wanted: &Wanted, stream: &mut Stream, now: Instant) {
-    let ahead = RemainingEvents {
+fn relocate(targets: &mut Targets, queries: &Queries, stream: &mut Stream, now: Instant) {
+    let remaining = RemainingEvents {
         events: stream.run_ms / 35.0,
     };
-    let want = wanted.stream(stream.part);
-    let Some(better) = targets.better_engine(stream.at, &want, ahead, now) else {
+    let query = queries.stream(stream.part);
+    let Some(better) = targets.better_engine(stream.at, &query, remaining, now) else {
         return;
     };
     remove(targets, stream.at, stream.place);
@@ -141,9 +146,9 @@
     stream.moves += 1;
 }
 
-/// Prompts arrive so fast that two fifths of 24 engines read at any moment, or, after a data centre was
-/// lost, three fifths of sixteen. Streams that stay where they were read meet other prompts; streams that move
-/// are nearly as fast as alone, and each moves about once.
+/// Two fifths of 24 engines read at any moment, or three fifths of sixteen after a data centre was
+/// lost. Guards against streams that stay where their prompts were read, and are delayed by other
+/// prompts. Streams that move must be nearly as fast as on an idle fleet, and move about once each.
 #[rstest]
 #[case::all_engines(8, 160)]
 #[case::a_third_lost(5, 160)]
@@ -157,8 +162,8 @@
     assert!(moves.moves < 1.6, "{}", moves.moves);
 }
 
-/// Few prompts arrive, so there are engines for all. A stream runs where it was read, and nothing is
-/// copied.
+/// There are engines for all prompts. Guards against moves, and thus copies of the KV cache,
+/// without need.
 #[test]
 fn streams_stay_where_engines_are_free() {
     let calm = replay(8, Duration::from_millis(900), true);
@@ -166,8 +171,8 @@
     assert!(calm.mean_ms < (READING_MS + RUNNING_MS) * 1.02);
 }
 
-/// Two engines, one with a stream at which a prompt arrives.
-fn beside_a_prompt() -> (Targets, TargetKey) {
+/// Returns three engines, one of which runs a stream and gets another prompt.
+fn stream_and_prompt_at_one_engine() -> (Targets, TargetKey) {
     let mut targets = three_data_centres(1);
     let at = key(&targets, "east-0-1");
     add_running(&mut targets, at, 1);
@@ -175,55 +180,56 @@
     (targets, at)
 }
 
-/// A prompt comes to the engine of a stream. The stream leaves, and does not come back when it is
-/// asked again where it is: two engines must not pass streams to and fro.
+/// A prompt is sent to the engine of a stream, which moves elsewhere. Guards against engines that
+/// pass streams back and forth.
 #[test]
-fn a_stream_leaves_a_prompt_and_stays_where_it_went() {
-    let (targets, at) = beside_a_prompt();
-    let (wanted, now) = (Wanted::new(), Instant::now());
-    let want = wanted.stream(1);
-    let better = targets.better_engine(at, &want, RemainingEvents::default(), now);
+fn stream_moves_away_from_a_prompt_and_stays_there() {
+    let (targets, at) = stream_and_prompt_at_one_engine();
+    let (queries, now) = (Queries::new(), Instant::now());
+    let query = queries.stream(1);
+    let better = targets.better_engine(at, &query, RemainingEvents::default(), now);
     let to = better.unwrap().key;
     assert_ne!(to, at);
-    let next = targets.better_engine(to, &want, RemainingEvents::default(), now);
+    let next = targets.better_engine(to, &query, RemainingEvents::default(), now);
     assert_eq!(next, None);
 }
 
-/// A stream is nearly done when a prompt comes. It would be done before a move pays.
+/// Guards against moving a stream that would complete before the move pays off.
 #[test]
 fn a_stream_that_is_nearly_done_stays() {
-    let (targets, at) = beside_a_prompt();
-    let ahead = RemainingEvents { events: 2.0 };
-    let wanted = Wanted::new();
-    let better = targets.better_engine(at, &wanted.stream(1), ahead, Instant::now());
+    let (targets, at) = stream_and_prompt_at_one_engine();
+    let remaining = RemainingEvents { events: 2.0 };
+    let queries = Queries::new();
+    let better = targets.better_engine(at, &queries.stream(1), remaining, Instant::now());
     assert_eq!(better, None);
 }
 
-/// An engine turns slow in the middle of streams. They leave it; where all are so slow, they stay.
+/// An engine becomes slow. Guards against streams that stay there, and against moves if all engines
+/// are equally slow.
 #[test]
 fn streams_leave_a_slow_engine() {
     let now = Instant::now();
     let mut targets = three_data_centres(1);
-    let wanted = Wanted::new();
+    let queries = Queries::new();
     let at = key(&targets, "east-0-1");
     add_running(&mut targets, at, 1);
     for name in ["east-0-1", "mid-0-1", "west-0-1"] {
         let key = key(&targets, name);
         targets.record_event_time(key, 100.0, now);
     }
-    let all_slow = targets.better_engine(at, &wanted.stream(1), RemainingEvents::default(), now);
+    let all_slow = targets.better_engine(at, &queries.stream(1), RemainingEvents::default(), now);
     assert_eq!(all_slow, None);
     let fast = key(&targets, "mid-0-1");
     targets.record_event_time(fast, 30.0, now);
-    let better = targets.better_engine(at, &wanted.stream(1), RemainingEvents::default(), now);
+    let better = targets.better_engine(at, &queries.stream(1), RemainingEvents::default(), now);
     assert_eq!(better.map(|better| better.key), Some(fast));
 }
 
-/// The only engines that read nothing have no memory left. A stream that moved there would have another one
-/// preempted.
+/// The only engines that read nothing are out of memory. Guards against moving a stream there, by
+/// which another one would be preempted.
 #[test]
 fn a_stream_does_not_move_where_memory_is_short() {
-    let (mut targets, at) = beside_a_prompt();
+    let (mut targets, at) = stream_and_prompt_at_one_engine();
     let now = Instant::now();
     for name in ["mid-0-1", "west-0-1"] {
         let full = key(&targets, name);
@@ -231,7 +237,10 @@
             add_running(&mut targets, full, part);
         }
     }
-    let wanted = Wanted::new();
-    let better = targets.better_engine(at, &wanted.stream(1), RemainingEvents::default(), now);
-    assert_eq!(better.map(|better| home(&targets, better.key)), None);
+    let queries = Queries::new();
+    let better = targets.better_engine(at, &queries.stream(1), RemainingEvents::default(), now);
+    assert_eq!(
+        better.map(|better| data_centre_of(&targets, better.key)),
+        None
+    );
 }
--- a/crates/relay/tests/test_retry_budget.rs
+++ b/crates/relay/tests/test_retry_budget.rs
@@ -1,4 +1,4 @@
-//! How many sends beyond the first all instances add together.
+//! The budget for sending requests more than once.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-/// The time between two steps of the replay.
+/// The time step of the replay.
 const STEP: Duration = Duration::from_millis(100);
 const WINDOW: Duration = Duration::from_secs(10);
 
@@ -20,10 +20,10 @@
     }
 }
 
-/// Engines of a service that gets few requests refuse all that is sent again, while a plain service
-/// gets five times as many. Operators bound what engines get again in any window of ten seconds.
-/// Each instance counts alone or hears of the others a quarter of a second later, and their sum must
-/// stay below the bound, at 7 as at 900 instances.
+/// Engines of a service with few requests refuse everything that is sent again, while a plain
+/// service gets five times as many requests. Guards against more repeats by all instances together
+/// than operators allow in any window of ten seconds, whether instances hear of each other after a
+/// quarter of a second or not at all, with 7 to 900 instances.
 #[rstest]
 #[case::small(7, 14.0, true)]
 #[case::small_alone(7, 14.0, false)]
@@ -33,17 +33,17 @@
 fn all_instances_together_stay_below_the_bound(
     #[case] instances: usize,
     #[case] rate: f64,
-    #[case] tells: bool,
+    #[case] exchange_reports: bool,
 ) {
     let (drafts, shop) = (ServiceName::new("writer"), ServiceName::new("shop"));
     let mut fleet = vec![RetryBudget::new(&bounds()); instances];
     let start = Instant::now();
     let mut sent: Vec<(f64, f64)> = Vec::new();
     let mut due = 0.0;
-    let mut told = Vec::new();
+    let mut reports = Vec::new();
     for step in 0..300 {
         let now = start + STEP * step;
-        // Requests come in turns to the instances, and stop for a while in the middle.
+        // Instances get requests in turn, and none for a while in the middle.
         due += if (120..160).contains(&step) {
             0.0
         } else {
@@ -57,12 +57,12 @@
             due -= 1.0;
             requests += 1.0;
         }
-        if tells && step % 2 == 0 {
-            tell(&mut fleet, &mut told, now);
+        if exchange_reports && step % 2 == 0 {
+            send_reports(&mut fleet, &mut reports, now);
         }
         let mut repeats = 0.0;
-        for retries in &mut fleet {
-            while retries.try_spend(&drafts, instances, now) {
+        for budget in &mut fleet {
+            while budget.try_spend(&drafts, instances, now) {
                 repeats += 1.0;
             }
         }
@@ -78,29 +78,29 @@
     }
 }
 
-/// Lets all instances hear what the others sent up to the last time.
-fn tell(fleet: &mut [RetryBudget], told: &mut Vec<Vec<SendCounts>>, now: Instant) {
-    for (origin, sends) in told.iter().enumerate() {
+/// Sends all instances what the others had sent at the previous call.
+fn send_reports(fleet: &mut [RetryBudget], reports: &mut Vec<Vec<SendCounts>>, now: Instant) {
+    for (origin, sends) in reports.iter().enumerate() {
         let others = fleet.iter_mut().enumerate();
         let others = others.filter(|(other, _)| *other != origin);
-        others.for_each(|(_, retries)| retries.merge(origin as u64, sends.clone(), now));
+        others.for_each(|(_, budget)| budget.merge(origin as u64, sends.clone(), now));
     }
-    *told = fleet.iter_mut().map(|retries| retries.sends(now)).collect();
+    *reports = fleet.iter_mut().map(|budget| budget.sends(now)).collect();
 }
 
-/// A third of the engines dies, and most of the lost streams are of a few instances. They may send them
-/// again, for the others have none to send.
+/// A third of the engines dies, and most lost streams belong to a few instances. Guards against
+/// failing these streams for lack of budget although the other instances need none.
 #[test]
-fn an_instance_with_many_lost_streams_has_the_others_part() {
+fn instance_with_many_lost_streams_uses_the_budget_of_others() {
     let service = ServiceName::new("writer");
     let start = Instant::now();
     let mut fleet = vec![RetryBudget::new(&bounds()); 71];
-    for retries in &mut fleet {
-        (0..6).for_each(|_| retries.record_request(&service, start));
+    for budget in &mut fleet {
+        (0..6).for_each(|_| budget.record_request(&service, start));
     }
-    let mut told = Vec::new();
+    let mut reports = Vec::new();
     for step in 0..3 {
-        tell(&mut fleet, &mut told, start + STEP * step);
+        send_reports(&mut fleet, &mut reports, start + STEP * step);
     }
     let now = start + Duration::from_secs(1);
     let mut sent = 0;
@@ -113,25 +113,26 @@
     assert!((12..60).contains(&sent), "{sent}");
 }
 
-/// A third of the engines dies, and each instance has two streams to send again. All get their send.
+/// A third of the engines dies. Guards against an instance without enough budget for its two lost
+/// streams.
 #[test]
 fn the_streams_of_dead_engines_are_sent_again() {
     let service = ServiceName::new("writer");
-    let mut retries = RetryBudget::new(&bounds());
+    let mut budget = RetryBudget::new(&bounds());
     let now = Instant::now();
-    (0..7).for_each(|_| retries.record_request(&service, now));
+    (0..7).for_each(|_| budget.record_request(&service, now));
     let later = now + Duration::from_secs(5);
-    assert!(retries.try_spend(&service, 71, later) && retries.try_spend(&service, 71, later));
+    assert!(budget.try_spend(&service, 71, later) && budget.try_spend(&service, 71, later));
     let past = now + WINDOW * 2;
-    assert!(retries.try_spend(&service, 71, past));
-    assert!(!retries.try_spend(&service, 900, past + WINDOW * 2));
+    assert!(budget.try_spend(&service, 71, past));
+    assert!(!budget.try_spend(&service, 900, past + WINDOW * 2));
 }
 
-/// Streams move whenever that pays, at all of seven instances, and then a third of the engines dies. The moves of
-/// all stay below the operator's bound, and each stream that lost its engine is sent
-/// again at once.
+/// Streams of seven instances move whenever this pays off, and then a third of the engines dies.
+/// Guards against more moves than operators allow, and against moves that use up the budget for
+/// sending lost streams again.
 #[test]
-fn moves_stay_below_the_bound_and_take_nothing_from_repeats() {
+fn moves_stay_below_the_bound_and_leave_the_retry_budget() {
     const INSTANCES: u32 = 7;
     let bounds = Bounds {
         retry_ratio: 0.8,
--- a/crates/relay/tests/test_rollouts.rs
+++ b/crates/relay/tests/test_rollouts.rs
@@ -1,4 +1,4 @@
-//! Orders to move a service to another version, good and bad ones.
+//! Orders of good and bad versions.
 
 use std::time::Duration;
 
@@ -16,25 +16,25 @@
 const TIME: Duration = Duration::from_secs(12);
 const ENOUGH: Fleet = Fleet { new: 6, old: 6 };
 
-/// What is wrong with a version.
+/// The fault of a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// A part of its answers are failures from a part of the order's time on.
+    /// A part of its responses are failures, from a part of the order's time on.
     Fails {
         rate: f64,
         from: f64,
     },
-    /// It fails on the rarest route only.
+    /// It fails on the least used route only.
     OneRoute,
-    /// It takes five times as long.
+    /// Its responses take five times as long.
     Slow,
-    /// It fails once it gets more than so large a share.
+    /// It fails if it gets more than this share.
     UnderLoad(f64),
 }
 
 impl Fault {
-    fn strikes(self, route: u64, at: f64, share: f64, rng: &mut SmallRng) -> bool {
+    fn affects(self, route: u64, at: f64, share: f64, rng: &mut SmallRng) -> bool {
         match self {
             Self::None | Self::Slow => false,
             Self::Fails { rate, from } => at >= from && rng.random_bool(rate),
@@ -56,7 +56,7 @@
     evidence.report(origin, &VersionName::new("v2"))
 }
 
-/// What a replay came to.
+/// The outcome of a replay.
 struct Outcome {
     phase: Phase,
     /// Requests during the order's time, and those of them that the version got.
@@ -64,17 +64,17 @@
     new: u32,
 }
 
-/// Plays an order at so many requests a second.
-fn play(rate: f64, fault: Fault, seed: u64) -> Outcome {
+/// Replays an order at a rate of requests per second.
+fn replay(rate: f64, fault: Fault, seed: u64) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(seed);
     let start = Instant::now();
     let mut rollout = Rollout::new(order(), Duration::ZERO, start);
-    let mut seen = Evidence::default();
+    let mut evidence = Evidence::default();
     let mut versions = VersionRouting::default();
     let (mut all, mut new, mut due) = (0, 0, 0.0);
     for turn in 0..TIME.as_millis() / TURN.as_millis() {
         let now = start + TURN * turn as u32;
-        rollout.evidence.merge(report(&seen, 1), now);
+        rollout.evidence.merge(report(&evidence, 1), now);
         rollout.phase = rollout.next_phase(&Bounds::default(), ENOUGH, now);
         let stage = Stage {
             order: order(),
@@ -95,7 +95,7 @@
             let is_new = versions.choose(&order().service, now) == VersionChoice::Only("v2".into());
             let at = now.duration_since(start).as_secs_f64() / TIME.as_secs_f64();
             let is_bad = match is_new {
-                true => fault.strikes(route, at, share, &mut rng),
+                true => fault.affects(route, at, share, &mut rng),
                 false => rng.random_bool(0.004),
             };
             let usual = rng.random_range(0.03..0.1);
@@ -104,7 +104,7 @@
             } else {
                 1.0
             };
-            seen.record(
+            evidence.record(
                 route,
                 is_new,
                 is_bad,
@@ -120,19 +120,19 @@
     }
 }
 
-/// Operators order a version that is good. It must have all requests within the order's time, with few
-/// and with many requests.
+/// Guards against a good version that does not get all requests within the order's time, at low and
+/// high rates.
 #[rstest]
 fn a_good_version_is_completed_in_time(#[values(5.0, 14.0, 100.0, 300.0)] rate: f64) {
     for seed in 0..40 {
-        let outcome = play(rate, Fault::None, seed);
+        let outcome = replay(rate, Fault::None, seed);
         assert_eq!(outcome.phase, Phase::Completed, "seed {seed}");
     }
 }
 
-/// Operators order a version that is bad: at once, later, on one route, by slowness, or under load. It
-/// is taken back, and however late its fault shows, it got no more than a tenth of the requests
-/// and the slack.
+/// A version fails at once, later, on one route, by slowness or under load. Guards against
+/// completing it, and against giving it more than a tenth of the requests plus the slack before its
+/// fault shows.
 #[rstest]
 #[case::at_once(Fault::Fails { rate: 0.3, from: 0.0 })]
 #[case::seldom(Fault::Fails { rate: 0.15, from: 0.0 })]
@@ -145,7 +145,7 @@
     #[values(100.0, 300.0)] rate: f64,
 ) {
     for seed in 0..40 {
-        let outcome = play(rate, fault, seed);
+        let outcome = replay(rate, fault, seed);
         assert_eq!(outcome.phase, Phase::TakenBack, "seed {seed}");
         let allowed = f64::from(outcome.all) * 0.1 + 50.0;
         assert!(
@@ -156,20 +156,20 @@
     }
 }
 
-/// The version's targets never come, or too few of them. The old targets would stop at the word that it
-/// is done, so it is not said.
+/// The version has no targets, or too few. Guards against completing it, upon which the old targets
+/// would stop.
 #[rstest]
 #[case::none(Fleet { new: 0, old: 6 })]
 #[case::few(Fleet { new: 2, old: 6 })]
 fn a_version_without_targets_for_all_requests_is_not_completed(#[case] fleet: Fleet) {
     let start = Instant::now();
     let mut rollout = Rollout::new(order(), Duration::ZERO, start);
-    let mut seen = Evidence::default();
+    let mut evidence = Evidence::default();
     for _ in 0..200 {
-        seen.record(0, true, false, Duration::from_millis(50));
-        seen.record(0, false, false, Duration::from_millis(50));
+        evidence.record(0, true, false, Duration::from_millis(50));
+        evidence.record(0, false, false, Duration::from_millis(50));
     }
-    rollout.evidence.merge(report(&seen, 1), start);
+    rollout.evidence.merge(report(&evidence, 1), start);
     let late = start + TIME.mul_f64(0.9);
     let phase = rollout.next_phase(&Bounds::default(), fleet, late);
     assert!(matches!(phase, Phase::Running { .. }), "{phase:?}");
@@ -177,10 +177,10 @@
     assert_eq!(over, Phase::TakenBack);
 }
 
-/// The instance that drives an order dies while the version has a share, and the others hear nothing.
-/// The version gets nothing more until they do; an end that was told stays.
+/// The instance that drives an order dies while the version has a share. Guards against giving the
+/// version requests without recent reports, and against forgetting a final phase.
 #[test]
-fn without_a_word_of_the_driver_the_old_versions_serve() {
+fn old_versions_serve_without_reports_of_the_driver() {
     let now = Instant::now();
     let service = ServiceName::new("shop");
     let mut versions = VersionRouting::default();
@@ -208,10 +208,10 @@
     );
 }
 
-/// A request failed at the version on trial. It is sent again, and a second failure there would be the
-/// trial's fault alone.
+/// A request fails at the version on trial. Guards against sending it there again, where a second
+/// failure would be caused by the trial alone.
 #[test]
-fn what_failed_at_a_version_on_trial_goes_back_to_the_others() {
+fn request_that_failed_at_a_version_on_trial_is_retried_at_others() {
     let now = Instant::now();
     let service = ServiceName::new("shop");
     let mut versions = VersionRouting::default();
@@ -230,8 +230,8 @@
     );
 }
 
-/// Reports are sums of one instance each. A later one replaces the one before, and those of several
-/// instances add up.
+/// Reports are totals of one instance each. Guards against adding up reports of the same instance,
+/// or dropping those of others.
 #[test]
 fn reports_of_all_instances_add_up() {
     let now = Instant::now();
@@ -245,9 +245,10 @@
     assert_eq!((all.total().new.all, all.total().new.bad), (6, 6));
 }
 
-// Guards against a paused process that gives a version its share by a report of before the pause.
+// Guards against a paused process that gives a version its share based on a report from before the
+// pause.
 #[test]
-fn share_of_a_report_that_waited_unread_is_not_taken() {
+fn share_of_a_report_that_waited_unread_is_ignored() {
     let now = Instant::now();
     let resumed = now + Duration::from_secs(4);
     let mut versions = VersionRouting::default();
@@ -266,7 +267,7 @@
         versions.choose(&order().service, resumed),
         VersionChoice::Only(order().version)
     );
-    // One that arrives out of order does not make the later one older.
+    // A report that arrives late does not make the latest one older.
     versions.update(stage(1_000_000), now);
     assert_eq!(
         versions.choose(&order().service, resumed),
--- a/crates/relay/tests/test_shared_state.rs
+++ b/crates/relay/tests/test_shared_state.rs
@@ -1,4 +1,4 @@
-//! Lists of targets and of streams.
+//! Lists of targets and streams that instances exchange.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::fixture::{engine, key, three_data_centres, TOKENS};
 
 /// How long entries may be missing after the store's return.
-const BACK: Duration = Duration::from_millis(1_700);
+const ENTRY_GRACE: Duration = Duration::from_millis(1_700);
 
 fn origin(notice: Option<Notice>) -> Option<u64> {
     notice.map(|notice| notice.origin)
@@ -33,49 +33,50 @@
     }
 }
 
-/// Datagrams may be lost or overtake each other. The latest list holds, whatever came before.
+/// Guards against an older list that replaces the latest one, as datagrams may be reordered.
 #[test]
 fn an_older_list_changes_nothing() {
     let now = Instant::now();
-    let mut board = PeerStreams::default();
-    board.merge(list(1, 2, &[7]), now);
-    board.merge(list(1, 1, &[8]), now);
-    assert_eq!(board.usage(now).keys().collect::<Vec<_>>(), [&7]);
+    let mut streams = PeerStreams::default();
+    streams.merge(list(1, 2, &[7]), now);
+    streams.merge(list(1, 1, &[8]), now);
+    assert_eq!(streams.usage(now).keys().collect::<Vec<_>>(), [&7]);
 }
 
-/// An instance dies with streams open. Its engines must not look taken for ever.
+/// An instance dies with open streams. Guards against engines that seem used by these streams
+/// forever.
 #[test]
-fn the_list_of_an_instance_that_fell_silent_is_dropped() {
+fn list_of_a_silent_instance_is_removed() {
     let now = Instant::now();
-    let mut board = PeerStreams::default();
-    board.merge(list(1, 1, &[7]), now);
+    let mut streams = PeerStreams::default();
+    streams.merge(list(1, 1, &[7]), now);
     let later = now + Duration::from_secs(4);
-    assert!(board.usage(later).is_empty());
-    board.sweep(later);
-    assert!(board.usage(now).is_empty());
+    assert!(streams.usage(later).is_empty());
+    streams.sweep(later);
+    assert!(streams.usage(now).is_empty());
 }
 
 #[test]
 fn streams_of_several_instances_add_up() {
     let now = Instant::now();
-    let mut board = PeerStreams::default();
-    board.merge(list(1, 1, &[7, 8]), now);
-    board.merge(list(2, 1, &[7]), now);
-    let taken = board.usage(now)[&7];
-    assert_eq!((taken.streams, taken.reading_tokens), (2, 2_000));
+    let mut streams = PeerStreams::default();
+    streams.merge(list(1, 1, &[7, 8]), now);
+    streams.merge(list(2, 1, &[7]), now);
+    let usage = streams.usage(now)[&7];
+    assert_eq!((usage.streams, usage.reading_tokens), (2, 2_000));
 }
 
 #[test]
-fn the_engine_of_a_part_is_forgotten_after_a_while() {
+fn location_of_a_prompt_part_expires() {
     let now = Instant::now();
-    let mut board = PeerStreams::default();
-    board.merge(list(1, 1, &[7]), now);
-    assert_eq!(board.holder(107, now), Some(7));
-    assert_eq!(board.holder(107, now + Duration::from_secs(30)), None);
+    let mut streams = PeerStreams::default();
+    streams.merge(list(1, 1, &[7]), now);
+    assert_eq!(streams.holder(107, now), Some(7));
+    assert_eq!(streams.holder(107, now + Duration::from_secs(30)), None);
 }
 
 #[test]
-fn a_whole_list_names_what_changed() {
+fn replacing_the_list_returns_the_changes() {
     let mut targets = three_data_centres(1);
     let list = vec![
         engine("east", 0, 1),
@@ -106,10 +107,10 @@
     assert!(targets.placements(1, 1, None, now).streams.is_empty());
 }
 
-/// Another instance knows the targets up to a revision. It gets what changed since, or all when that
-/// is not known any more.
+/// Another instance knows the targets up to a revision. Guards against an update that lacks changes
+/// since then; if they are no longer known it must be the full list.
 #[test]
-fn news_are_what_changed_since() {
+fn update_contains_the_changes_since_a_revision() {
     let now = Instant::now();
     let mut targets = three_data_centres(1);
     assert!(targets.update_since(0, 3).is_whole);
@@ -120,20 +121,22 @@
     let new = engine("mid", 7, 1);
     targets.record_change(6, &new.name);
     targets.apply(&Change::Is(new.clone()), now);
-    let news = targets.update_since(3, 6);
-    assert!(!news.is_whole);
-    assert_eq!((news.targets, news.gone), (vec![new], vec![gone]));
+    let update = targets.update_since(3, 6);
+    assert!(!update.is_whole);
+    assert_eq!((update.targets, update.gone), (vec![new], vec![gone]));
     let later = targets.update_since(4, 6);
     assert!(later.gone.is_empty());
     assert!(targets.update_since(2, 6).is_whole);
 }
 
-/// The engines of a data centre die and start again within two seconds, and all 71 instances follow a
-/// watcher with a link of 10 Mbit/s. Told of each change, they would ask for megabytes and fill the link;
-/// gathered, the notices, questions and answers take less than two thirds of it.
+/// The engines of a data centre die and restart within two seconds, and all 71 instances follow a
+/// watcher with a link of 10 Mbit/s. Guards against announcing each change, upon which queries for
+/// megabytes would saturate the link: batched notices, queries and responses must take less than
+/// two thirds of it.
 #[test]
-fn a_watcher_gathers_changes_before_it_tells_of_them() {
-    /// Notice, question and answer of one instance with their packets, and what each change adds.
+fn watcher_batches_changes_before_it_announces_them() {
+    /// Bytes of a notice, query and response of one instance including packet headers, and of each
+    /// change.
     const BYTES: (usize, usize) = (700, 90);
     let (instances, changes, time) = (71, 120, Duration::from_millis(2_400));
     let gap = Watchers::notice_gap(instances);
@@ -146,19 +149,20 @@
 }
 
 #[test]
-fn news_are_read_as_they_were_written() {
+fn update_is_the_same_after_encoding_and_decoding() {
     let targets = three_data_centres(1);
-    let news = targets.update_since(0, 9);
-    assert_eq!(decode::<TargetUpdate>(&encode(&news)).unwrap(), news);
+    let update = targets.update_since(0, 9);
+    assert_eq!(decode::<TargetUpdate>(&encode(&update)).unwrap(), update);
     assert!(decode::<TargetUpdate>(b"{").is_err());
     let config = Config::default();
     assert_eq!(decode::<Config>(&encode(&config)).unwrap(), config);
 }
 
-/// A target's engine dies, and lists follow each other quickly. Each dead engine is told once at once,
-/// and again with all else in the next whole list, by which a lost one is made good.
+/// An engine dies, and messages follow each other quickly. Guards against repeating the dead engine
+/// in each of them, and against not repeating it in the next full one, which makes up for a lost
+/// message.
 #[test]
-fn what_was_told_is_not_told_again_at_once() {
+fn reported_state_is_repeated_in_full_messages_only() {
     let now = Instant::now();
     let mut targets = three_data_centres(1);
     let at = key(&targets, "east-0-1");
@@ -175,14 +179,14 @@
     assert_eq!((whole.dead.len(), whole.tallies.len()), (1, 1));
 }
 
-/// The engines of a data centre die, and the streams of an instance change each two milliseconds for a
-/// second. Among 71 instances each list goes to 70, so they are gathered; among 7 they are hardly
-/// late. A change after a quiet while is told at once.
+/// The engines of a data centre die, and the streams of an instance change every two milliseconds
+/// for a second. Guards against sending each change to 70 other instances; with seven instances
+/// there must be little delay. A change after a quiet period is sent at once.
 #[rstest]
 #[case::small(7, 100, 150, 8)]
 #[case::grown(71, 12, 15, 1)]
 #[case::large(900, 3, 5, 1)]
-fn lists_are_gathered_where_many_get_them(
+fn lists_are_batched_for_many_recipients(
     #[case] instances: usize,
     #[case] least: usize,
     #[case] most: usize,
@@ -209,20 +213,20 @@
     assert!(lists.due(instances) <= quiet);
 }
 
-/// Streams are placed anew when engines die. They wait for a part of the time in which a caller is still
-/// served on time, and long enough to hear where others were placed.
+/// Engines die, and their streams are placed again. Guards against waits in which callers are no
+/// longer served on time, or in which instances do not hear of each other's placements.
 #[test]
-fn streams_are_placed_anew_over_a_time_in_which_lists_arrive() {
+fn streams_are_placed_again_over_a_time_in_which_lists_arrive() {
     let spread = PlacementSchedule::retry_spread;
     assert!((15..30).contains(&spread(7).as_millis()));
     assert!((140..250).contains(&spread(71).as_millis()));
     assert!(spread(900) <= Duration::from_millis(250));
 }
 
-/// A watcher of the store falls silent, or has no answer of the store any more. The others must find
-/// out, and watch for themselves, before two seconds are over.
+/// A watcher falls silent, or gets no more responses of the store. Guards against relying on it for
+/// more than two seconds, instead of watching the store.
 #[test]
-fn a_watcher_that_hears_nothing_is_not_relied_on() {
+fn watcher_without_recent_responses_is_not_relied_on() {
     let now = Instant::now();
     let mut watchers = Watchers::new(Duration::from_millis(800));
     let notice = |age_ms| Notice {
@@ -244,8 +248,8 @@
     assert_eq!(watchers.newer(0, now), None);
 }
 
-/// A watcher says that targets have changed, and is cut off before it is asked. The other watcher is
-/// asked next, and where there is none, the store.
+/// A watcher announces a change and is then disconnected. Guards against waiting for it instead of
+/// querying the other watcher or, if there is none, the store.
 #[test]
 fn a_watcher_that_does_not_answer_is_not_waited_for() {
     let now = Instant::now();
@@ -272,7 +276,7 @@
 }
 
 #[test]
-fn only_whoever_knows_more_is_asked() {
+fn only_watchers_with_a_newer_revision_are_queried() {
     let now = Instant::now();
     let mut watchers = Watchers::new(Duration::from_millis(800));
     for (origin, revision) in [(1, 5), (2, 7), (3, 4)] {
@@ -293,14 +297,14 @@
     assert_eq!(watchers.newer(7, now), None);
 }
 
-/// The store was away for long and comes back with an empty list, as all entries have lapsed. The
-/// targets live and write their entries again within two seconds; until then requests go on. The
-/// one that does not come back is gone.
+/// After a long outage the store returns with an empty list, as all entries have expired. Guards
+/// against refusing requests until the targets have written their entries again within two seconds,
+/// and against keeping targets that do not come back.
 #[test]
-fn entries_that_lapsed_with_the_store_have_time_to_come_back() {
+fn expired_entries_may_come_back_after_an_outage() {
     let now = Instant::now();
     let mut targets = three_data_centres(1);
-    targets.await_entries(BACK, now);
+    targets.await_entries(ENTRY_GRACE, now);
     assert!(targets.replace(Vec::new(), now).is_empty());
     assert_eq!(targets.len(), 3);
     let soon = now + Duration::from_secs(1);
@@ -312,19 +316,19 @@
     gone.sort();
     assert_eq!(gone, [engine("mid", 0, 1).name, engine("west", 0, 1).name]);
     assert_eq!(targets.len(), 1);
-    // From then on a removal holds at once.
+    // From then on removals are effective immediately.
     targets.apply(&Change::Gone(engine("east", 0, 1).name), later);
     assert!(targets.is_empty());
 }
 
-/// The store was away for this instance alone. A second and a half after its return a target leaves
-/// by removing its entry. It must not be used two seconds later, as it would be if the time to come
-/// back began with the removal.
+/// The store was unavailable to this instance only, and 1.5 s after its return a target removes its
+/// entry. Guards against using the target two seconds later, as would happen if the grace started
+/// with the removal.
 #[test]
-fn an_entry_that_is_removed_after_the_return_is_not_kept_for_longer() {
+fn removal_after_the_return_does_not_extend_the_grace() {
     let now = Instant::now();
     let mut targets = three_data_centres(1);
-    targets.await_entries(BACK, now);
+    targets.await_entries(ENTRY_GRACE, now);
     let removed = now + Duration::from_millis(1_500);
     let east = engine("east", 0, 1).name;
     targets.apply(&Change::Gone(east.clone()), removed);
@@ -332,17 +336,17 @@
     assert_eq!(targets.drop_missing(later), [east]);
 }
 
-/// A deployment obeys leaving targets within half a second. A silent watch must be found out sooner
-/// there, and missing entries have less time.
+/// In this deployment targets that leave get no requests after half a second. Guards against a
+/// silent watch that is detected too late, and a grace for missing entries that is too long.
 #[test]
-fn waits_follow_the_bounds_of_the_deployment() {
+fn waits_depend_on_the_bounds_of_the_deployment() {
     let strict = Bounds {
         drain: Duration::from_millis(500),
         ..Bounds::default()
     };
     assert_eq!(strict.watch_wait(), Duration::from_millis(200));
     assert!(strict.missing_entry_grace() < strict.drain);
-    assert_eq!(Bounds::default().missing_entry_grace(), BACK);
+    assert_eq!(Bounds::default().missing_entry_grace(), ENTRY_GRACE);
     let loose = Bounds {
         drain: Duration::from_secs(60),
         config_apply: Duration::from_secs(17),
--- a/crates/relay/tests/test_store_backoff.rs
+++ b/crates/relay/tests/test_store_backoff.rs
@@ -1,4 +1,4 @@
-//! Calls of a store that is away.
+//! Calls to an unavailable store.
 
 use std::time::Duration;
 
@@ -9,23 +9,24 @@
 const WATCHERS: usize = 2;
 const OUTAGE: Duration = Duration::from_secs(8);
 
-/// Returns when an instance calls during an outage, and when it first calls after it.
+/// Returns how often an instance calls during an outage, and when it first calls after it.
 fn calls(is_watcher: bool, seed: u64) -> (usize, Duration) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut rest = StoreBackoff::default();
+    let mut backoff = StoreBackoff::default();
     let (mut at, mut count) = (Duration::ZERO, 0);
     while at < OUTAGE {
         count += 1;
-        at += rng.random_range(rest.failed(is_watcher));
+        at += rng.random_range(backoff.failed(is_watcher));
     }
     (count, at - OUTAGE)
 }
 
-/// The store refuses all calls for eight seconds. Each of 71 instances watches for itself meanwhile, the
-/// configuration and the targets. Each call is paid for; the watchers find out soon that the store is
-/// back, and whoever hears of no watcher two seconds later.
+/// The store refuses all calls for eight seconds, and each of 71 instances watches the
+/// configuration and the targets itself. Guards against too many calls, each of which has a cost.
+/// Watchers must notice the store's return soon, and other instances without a watcher two seconds
+/// later.
 #[test]
-fn a_store_that_is_away_is_called_seldom_but_by_the_watchers() {
+fn unavailable_store_is_called_rarely_except_by_watchers() {
     let mut count = 0;
     for instance in 0..INSTANCES {
         let is_watcher = instance < WATCHERS;
