--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -19,10 +19,10 @@
 /// let all: Vec<SocketAddr> = (1..=100).map(|n| format!("10.0.0.{n}:80").parse().unwrap()).collect();
 /// let caller = "10.9.0.1".parse().unwrap();
 /// assert_eq!(directory_addresses(caller, all.clone(), 100), all);
-/// let told = directory_addresses(caller, all.clone(), 64);
-/// assert_eq!(told.len(), 64);
+/// let given = directory_addresses(caller, all.clone(), 64);
+/// assert_eq!(given.len(), 64);
 /// let reversed = all.into_iter().rev().collect();
-/// assert_eq!(directory_addresses(caller, reversed, 64), told);
+/// assert_eq!(directory_addresses(caller, reversed, 64), given);
 /// ```
 pub fn directory_addresses(
     caller: IpAddr,
--- a/crates/relay/src/request_deadline.rs
+++ b/crates/relay/src/request_deadline.rs
@@ -24,9 +24,9 @@
     pub fn new(start: Instant, deadline: Option<Duration>, timeout: Duration) -> Self {
         // A caller that gets no response before its own deadline cannot tell a failure from a lost
         // response, so it is told of the failure just before.
-        let heard =
+        let respond_by =
             |deadline: Duration| deadline - RESPONSE_MARGIN.min(deadline / MAX_MARGIN_DIVISOR);
-        let limit = deadline.map_or(timeout, |deadline| heard(deadline).min(timeout));
+        let limit = deadline.map_or(timeout, |deadline| respond_by(deadline).min(timeout));
         Self {
             start,
             end: start + limit,
--- a/crates/relay/tests/test_dead_engines.rs
+++ b/crates/relay/tests/test_dead_engines.rs
@@ -16,20 +16,19 @@
 #[test]
 fn an_engine_that_another_instance_found_dead_is_avoided() {
     let now = Instant::now();
-    let mut here = three_data_centres(2);
-    let mut there = three_data_centres(2);
+    let mut local = three_data_centres(2);
+    let mut peer = three_data_centres(2);
     let queries = Queries::new();
-    let first = here.select(&queries.stream(1), now).unwrap().key;
-    let dead = name(&here, first);
-    let at = key(&there, &dead);
-    there
-        .get_mut(at)
+    let first = local.select(&queries.stream(1), now).unwrap().key;
+    let dead = name(&local, first);
+    let at = key(&peer, &dead);
+    peer.get_mut(at)
         .unwrap()
         .record_failure(AttemptFailure::Dead, now);
-    here.merge_placements(there.placements(1, 1, None, now), now);
-    assert_ne!(here.select(&queries.stream(1), now).unwrap().key, first);
+    local.merge_placements(peer.placements(1, 1, None, now), now);
+    assert_ne!(local.select(&queries.stream(1), now).unwrap().key, first);
     let later = now + Duration::from_secs(2);
-    assert_eq!(here.select(&queries.stream(1), later).unwrap().key, first);
+    assert_eq!(local.select(&queries.stream(1), later).unwrap().key, first);
 }
 
 /// Nearly all engines of a data centre die and two of them were found dead. Guards against a backup
@@ -184,32 +183,33 @@
 #[test]
 fn an_engine_that_started_again_is_used_without_the_store() {
     let now = Instant::now();
-    let mut here = three_data_centres(1);
-    let mut there = three_data_centres(1);
-    let old = key(&here, "east-0-1");
-    here.get_mut(old)
+    let mut local = three_data_centres(1);
+    let mut peer = three_data_centres(1);
+    let old = key(&local, "east-0-1");
+    local
+        .get_mut(old)
         .unwrap()
         .record_failure(AttemptFailure::Dead, now);
-    assert!(here.dead_engines(now, AT_ONCE).is_empty());
+    assert!(local.dead_engines(now, AT_ONCE).is_empty());
     let later = now + Duration::from_secs(1);
-    let dead = here.dead_engines(later, AT_ONCE);
+    let dead = local.dead_engines(later, AT_ONCE);
     assert_eq!(dead.len(), 1);
-    assert!(here.add_restarted_engine(dead[0].name_hash, &TargetName::new("anew"), later));
-    assert!(here.is_usable(key(&here, "anew")));
-    assert!(!here.is_usable(old));
-    assert!(here.dead_engines(later, AT_ONCE).is_empty());
-    there.merge_placements(here.placements(1, 1, None, later), later);
-    assert!(there.is_usable(key(&there, "anew")));
+    assert!(local.add_restarted_engine(dead[0].name_hash, &TargetName::new("restarted"), later));
+    assert!(local.is_usable(key(&local, "restarted")));
+    assert!(!local.is_usable(old));
+    assert!(local.dead_engines(later, AT_ONCE).is_empty());
+    peer.merge_placements(local.placements(1, 1, None, later), later);
+    assert!(peer.is_usable(key(&peer, "restarted")));
     // The store's entry, which includes the start time, does not reset the requests at the engine.
-    let new = key(&here, "anew");
-    here.get_mut(new).unwrap().open_requests = 1;
+    let new = key(&local, "restarted");
+    local.get_mut(new).unwrap().open_requests = 1;
     let entry = TargetEntry {
-        name: TargetName::new("anew"),
+        name: TargetName::new("restarted"),
         ..engine("east", 0, 9)
     };
-    here.apply(&Change::Is(entry), Instant::now());
-    assert_eq!(here.get(new).unwrap().open_requests, 1);
-    assert!(here.is_usable(new));
+    local.apply(&Change::Is(entry), Instant::now());
+    assert_eq!(local.get(new).unwrap().open_requests, 1);
+    assert!(local.is_usable(new));
 }
 
 /// An engine that was used under an observed name restarts again and is listed by the store. Guards
@@ -220,10 +220,10 @@
     let mut targets = three_data_centres(1);
     let old = key(&targets, "east-0-1");
     let hash = targets.get(old).unwrap().name_hash;
-    assert!(targets.add_restarted_engine(hash, &TargetName::new("anew"), now));
+    assert!(targets.add_restarted_engine(hash, &TargetName::new("restarted"), now));
     targets.apply(&Change::Is(engine("east", 0, 5_000)), now);
     assert!(targets.is_usable(key(&targets, "east-0-5000")));
-    assert!(!targets.is_usable(key(&targets, "anew")));
+    assert!(!targets.is_usable(key(&targets, "restarted")));
 }
 
 #[test]
@@ -300,23 +300,23 @@
 #[test]
 fn engine_that_left_is_not_found_again() {
     let now = Instant::now();
-    let (mut here, mut cut_off) = (three_data_centres(2), three_data_centres(2));
-    let before = cut_off.get(key(&cut_off, "west-0-1")).unwrap().name_hash;
+    let (mut local, mut peer) = (three_data_centres(2), three_data_centres(2));
+    let before = peer.get(key(&peer, "west-0-1")).unwrap().name_hash;
     let found = TargetName::new("west-0-2");
-    assert!(cut_off.add_restarted_engine(before, &found, now));
-    here.apply(&Change::Is(engine("west", 0, 2)), now);
-    here.apply(&Change::Gone(found.clone()), now);
-    here.merge_placements(cut_off.placements(1, 1, None, now), now);
-    here.sweep(now + Duration::from_secs(4));
-    here.merge_placements(
-        cut_off.placements(1, 2, None, now),
+    assert!(peer.add_restarted_engine(before, &found, now));
+    local.apply(&Change::Is(engine("west", 0, 2)), now);
+    local.apply(&Change::Gone(found.clone()), now);
+    local.merge_placements(peer.placements(1, 1, None, now), now);
+    local.sweep(now + Duration::from_secs(4));
+    local.merge_placements(
+        peer.placements(1, 2, None, now),
         now + Duration::from_secs(4),
     );
-    assert!(here.iter().all(|(_, target)| target.entry.name != found));
+    assert!(local.iter().all(|(_, target)| target.entry.name != found));
     // The store lists it again, under the name that it had.
-    assert!(here.apply(&Change::Is(engine("west", 0, 2)), now));
-    here.merge_placements(cut_off.placements(1, 3, None, now), now);
-    assert!(here.is_usable(key(&here, "west-0-2")));
+    assert!(local.apply(&Change::Is(engine("west", 0, 2)), now));
+    local.merge_placements(peer.placements(1, 3, None, now), now);
+    assert!(local.is_usable(key(&local, "west-0-2")));
 }
 
 // Guards against requests to an engine that has left, sent by an instance that read the store's
@@ -325,14 +325,14 @@
 fn list_of_the_store_takes_precedence_over_an_earlier_observation() {
     let now = Instant::now();
     let after = |ms| now + Duration::from_millis(ms);
-    let mut cut_off = three_data_centres(2);
-    let before = cut_off.get(key(&cut_off, "west-0-1")).unwrap().name_hash;
+    let mut peer = three_data_centres(2);
+    let before = peer.get(key(&peer, "west-0-1")).unwrap().name_hash;
     let restarted = TargetName::new("west-0-2");
-    assert!(cut_off.add_restarted_engine(before, &restarted, now));
-    let mut here = Targets::default();
-    here.replace(vec![engine("west", 0, 1), engine("west", 1, 1)], after(100));
-    here.merge_placements(cut_off.placements(1, 1, None, after(200)), after(200));
-    assert!(here
+    assert!(peer.add_restarted_engine(before, &restarted, now));
+    let mut local = Targets::default();
+    local.replace(vec![engine("west", 0, 1), engine("west", 1, 1)], after(100));
+    local.merge_placements(peer.placements(1, 1, None, after(200)), after(200));
+    assert!(local
         .iter()
         .all(|(_, target)| target.entry.name != restarted));
 }
@@ -344,30 +344,30 @@
 fn old_observation_is_ignored_after_the_removal_is_forgotten(#[case] peers: u64) {
     let now = Instant::now();
     let after = |secs| now + Duration::from_secs(secs);
-    let mut here = three_data_centres(2);
+    let mut local = three_data_centres(2);
     let restarted = TargetName::new("west-0-2");
-    let mut cut_off = Vec::new();
+    let mut all_peers = Vec::new();
     for peer in 0..peers {
         let mut targets = three_data_centres(2);
         let before = targets.get(key(&targets, "west-0-1")).unwrap().name_hash;
         assert!(targets.add_restarted_engine(before, &restarted, now));
-        here.merge_placements(targets.placements(peer, 1, None, now), now);
-        cut_off.push(targets);
+        local.merge_placements(targets.placements(peer, 1, None, now), now);
+        all_peers.push(targets);
     }
-    assert!(here.is_usable(key(&here, "west-0-2")));
-    here.apply(&Change::Gone(restarted.clone()), after(1));
+    assert!(local.is_usable(key(&local, "west-0-2")));
+    local.apply(&Change::Gone(restarted.clone()), after(1));
     for second in 2..70 {
-        here.sweep(after(second));
-        for (peer, targets) in (0..).zip(&cut_off) {
+        local.sweep(after(second));
+        for (peer, targets) in (0..).zip(&all_peers) {
             let list = targets.placements(peer, second, None, after(second));
-            here.merge_placements(list, after(second));
-            assert!(here
+            local.merge_placements(list, after(second));
+            assert!(local
                 .iter()
                 .all(|(_, target)| target.entry.name != restarted));
         }
     }
     // It does not report the observation to others either.
-    assert!(here.placements(9, 1, None, after(2)).adopted.is_empty());
+    assert!(local.placements(9, 1, None, after(2)).adopted.is_empty());
 }
 
 /// Returns the targets of an instance without the store that uses a restarted engine based on the
@@ -444,10 +444,10 @@
     let (peer, restarted) = without_store(after(3));
     let mut list = peer.placements(1, 1, None, after(3));
     list.add_age(Duration::from_secs(4));
-    let mut here = three_data_centres(2);
-    here.verify(after(2));
-    here.merge_placements(list, after(7));
-    assert!(here
+    let mut local = three_data_centres(2);
+    local.verify(after(2));
+    local.merge_placements(list, after(7));
+    assert!(local
         .iter()
         .all(|(_, target)| target.entry.name != restarted));
 }
--- a/crates/relay/tests/test_placement.rs
+++ b/crates/relay/tests/test_placement.rs
@@ -12,7 +12,7 @@
 
 /// Replays streams that arrive at several instances. Returns the maximum number of prompts that
 /// were read at one engine at the same time; reading a prompt takes `reading`.
-fn most_readings(
+fn max_concurrent_readings(
     instances: usize,
     gap: Duration,
     reading: Duration,
@@ -67,15 +67,15 @@
 #[test]
 fn instances_that_exchange_lists_place_one_prompt_per_engine() {
     let (gap, reading) = (Duration::from_millis(200), Duration::from_millis(1_200));
-    assert!(most_readings(7, gap, reading, false) >= 3);
-    assert_eq!(most_readings(7, gap, reading, true), 1);
+    assert!(max_concurrent_readings(7, gap, reading, false) >= 3);
+    assert_eq!(max_concurrent_readings(7, gap, reading, true), 1);
 }
 
 /// The same at twice the load that engines can read. Guards against uneven load.
 #[test]
 fn overload_is_spread_evenly() {
     let (gap, reading) = (Duration::from_millis(100), Duration::from_millis(2_400));
-    assert_eq!(most_readings(7, gap, reading, true), 2);
+    assert_eq!(max_concurrent_readings(7, gap, reading, true), 2);
 }
 
 /// An instance dies, and its caller retries at another one. Guards against reading the prompt again
--- a/crates/relay/tests/test_planned_stop.rs
+++ b/crates/relay/tests/test_planned_stop.rs
@@ -37,27 +37,27 @@
     let mut without_callers = Duration::ZERO;
     let mut now = begin;
     while now < begin + gap * fleet + GRACE * 2 {
-        let takes = |at: usize| {
-            let one = instances[at];
-            if one.is_live(now) {
+        let accepts_callers = |at: usize| {
+            let instance = instances[at];
+            if instance.is_live(now) {
                 return true;
             }
             let others = || instances.iter().enumerate().filter(|(n, _)| *n != at);
             let count = |is: &dyn Fn(StoppedInstance) -> bool| {
-                others().filter(|(_, one)| is(**one)).count()
+                others().filter(|(_, instance)| is(**instance)).count()
             };
             let others = PeerCounts {
-                live: count(&|one| one.is_live(now)),
-                leaving: count(&|one| one.is_leaving(now)),
+                live: count(&|instance| instance.is_live(now)),
+                leaving: count(&|instance| instance.is_leaving(now)),
             };
-            let stop = PlannedStop::new(one.0, GRACE);
-            let is_taken = match continues {
+            let stop = PlannedStop::new(instance.0, GRACE);
+            let is_accepted = match continues {
                 true => stop.accepts_callers(others, now),
                 false => stop.accepts_all(now),
             };
-            one.is_leaving(now) && is_taken
+            instance.is_leaving(now) && is_accepted
         };
-        if !(0..instances.len()).any(takes) {
+        if !(0..instances.len()).any(accepts_callers) {
             without_callers += STEP;
         }
         now += STEP;
--- a/crates/relay/tests/test_relocation.rs
+++ b/crates/relay/tests/test_relocation.rs
@@ -60,7 +60,7 @@
 /// Replays prompts that arrive at equal intervals at three data centres with `each` engines in
 /// each. An engine reads one prompt at a time, and meanwhile runs other streams at an eighth of
 /// their speed.
-fn replay(each: u8, gap: Duration, does_move: bool) -> Outcome {
+fn replay(each: u8, gap: Duration, moves_streams: bool) -> Outcome {
     let mut targets = three_data_centres(each);
     let queries = Queries::new();
     let begin = Instant::now();
@@ -85,18 +85,18 @@
             });
         }
         advance(&mut targets, &mut open);
-        if does_move {
+        if moves_streams {
             for stream in open.iter_mut().filter(|stream| stream.read_ms <= 0.0) {
                 relocate(&mut targets, &queries, stream, now);
             }
         }
         open.retain(|stream| {
-            let is_over = stream.run_ms <= 0.0;
-            if is_over {
+            let has_ended = stream.run_ms <= 0.0;
+            if has_ended {
                 remove(&mut targets, stream.at, stream.place);
                 done.push((stream.took_ms, stream.moves));
             }
-            !is_over
+            !has_ended
         });
     }
     let count = done.len() as f64;
@@ -155,11 +155,15 @@
 fn streams_that_leave_reading_engines_are_done_sooner(#[case] each: u8, #[case] gap_ms: u64) {
     let gap = Duration::from_millis(gap_ms);
     let alone = READING_MS + RUNNING_MS;
-    let stays = replay(each, gap, false);
-    let moves = replay(each, gap, true);
-    assert!(moves.mean_ms < stays.mean_ms * 0.95, "{}", stays.mean_ms);
-    assert!(moves.mean_ms < alone * 1.1, "{}", moves.mean_ms);
-    assert!(moves.moves < 1.6, "{}", moves.moves);
+    let without_moves = replay(each, gap, false);
+    let with_moves = replay(each, gap, true);
+    assert!(
+        with_moves.mean_ms < without_moves.mean_ms * 0.95,
+        "{}",
+        without_moves.mean_ms
+    );
+    assert!(with_moves.mean_ms < alone * 1.1, "{}", with_moves.mean_ms);
+    assert!(with_moves.moves < 1.6, "{}", with_moves.moves);
 }
 
 /// There are engines for all prompts. Guards against moves, and thus copies of the KV cache,
