--- /dev/null
+++ b/crates/relay/src/attempt_failure.rs
@@ -0,0 +1,161 @@
+//! Failures of attempts, and whether a request may be sent again.
+
+use std::time::Duration;
+
+use crate::RouteKind;
+
+/// How an attempt at a target failed without a response to pass on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptFailure {
+    /// No connection was made, or it was closed before a byte was written.
+    Unsent,
+    /// The target stopped accepting new requests, which became known before anything was sent.
+    Left,
+    /// The target reported that it has not run the request.
+    NotRun,
+    /// Another target now has the address, and has not run the request.
+    Misdirected,
+    /// The target responded with an error status.
+    Failed(u16),
+    /// The connection broke after the request may have arrived.
+    Broken,
+    /// There was no response for longer than the target should need.
+    Silent,
+    /// There was no response for a while, and the target accepts no new connection.
+    Dead,
+    /// The response does not belong to this request.
+    Foreign,
+}
+
+impl AttemptFailure {
+    /// Returns whether the failure proves that the request has not run at this target.
+    pub const fn proves_not_run(self) -> bool {
+        self.proves_unsent() || matches!(self, Self::NotRun | Self::Misdirected)
+    }
+
+    /// Returns whether the failure proves that no part of the request reached this target.
+    pub const fn proves_unsent(self) -> bool {
+        matches!(self, Self::Unsent | Self::Left)
+    }
+
+    /// Returns whether the failure may be caused by the version that the target runs. Targets die
+    /// and are disconnected regardless of their version.
+    pub const fn blames_version(self) -> bool {
+        matches!(self, Self::Failed(_) | Self::Foreign | Self::Silent)
+    }
+
+    /// Returns whether the target itself is probably down.
+    pub const fn suggests_target_down(self) -> bool {
+        matches!(
+            self,
+            Self::Unsent | Self::Misdirected | Self::Broken | Self::Silent | Self::Dead
+        )
+    }
+}
+
+/// The state of a request after a failed attempt.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptState {
+    /// Whether it may be repeated.
+    pub kind: RouteKind,
+    /// The number of targets at which it may have run.
+    pub runs: u32,
+    /// The maximum number of targets at which it may run.
+    pub attempts: u32,
+    /// The number of targets that refused it so far.
+    pub refusals: u32,
+    /// The number of targets that accepted no connection for it so far.
+    pub unreached: u32,
+    /// The time until its deadline.
+    pub time_left: Duration,
+}
+
+/// The step after a failed attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NextStep {
+    /// Send the request to another target.
+    Elsewhere,
+    /// Send the request to another target once the retry budget allows; it may have run, and may be
+    /// repeated.
+    Later,
+    /// Respond that it has not run, and when to retry.
+    NotRun,
+    /// Respond that it has not run, and when engines will have read the prompts that are queued
+    /// now.
+    Overloaded(Duration),
+    /// Respond that it has not run, and that it could not complete in the time left.
+    TooLate,
+    /// Respond that it failed, and may have run.
+    Failed,
+    /// Respond that its deadline has passed, and that it may have run.
+    Expired,
+}
+
+/// The minimum time left for which another attempt is worthwhile.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
+/// The number of refusals after which a caller is told to retry later. Each refusal is work for the
+/// target, and a service whose targets refuse this often in a row is full.
+const MAX_REFUSALS: u32 = 6;
+/// The number of unreachable targets after which a caller is answered. They cause no work at any
+/// target, but each costs the caller up to 100 ms.
+///
+/// When 60 of 180 engines fall silent and this is not yet known, a stream tries six of them in a
+/// row within half a second. If these counted as refusals the stream would end although most
+/// engines are idle.
+const MAX_UNREACHED: u32 = 20;
+
+impl AttemptState {
+    /// Returns the step after a failed attempt. `budget` returns whether one more send is allowed;
+    /// it is only called if one is wanted.
+    ///
+    /// # Examples
+    ///
+    /// ```
+    /// use std::time::Duration;
+    ///
+    /// use celerypond_relay::{AttemptFailure, NextStep, RouteKind, AttemptState};
+    ///
+    /// let reservation = AttemptState {
+    ///     kind: RouteKind::Unsafe,
+    ///     runs: 1,
+    ///     attempts: 1,
+    ///     refusals: 0,
+    ///     unreached: 0,
+    ///     time_left: Duration::from_secs(1),
+    /// };
+    /// assert_eq!(reservation.next_step(AttemptFailure::Broken, || true), NextStep::Failed);
+    /// let unsent = AttemptState { runs: 0, ..reservation };
+    /// assert_eq!(unsent.next_step(AttemptFailure::Unsent, || true), NextStep::Elsewhere);
+    /// ```
+    pub fn next_step(&self, failure: AttemptFailure, budget: impl FnOnce() -> bool) -> NextStep {
+        let may_have_run = self.runs > 0;
+        if self.time_left < MIN_TIME_LEFT {
+            return if may_have_run {
+                NextStep::Expired
+            } else {
+                NextStep::NotRun
+            };
+        }
+        let may_send = !may_have_run || self.kind.may_repeat();
+        let is_full = self.refusals >= MAX_REFUSALS || self.unreached >= MAX_UNREACHED;
+        let has_room = self.runs < self.attempts && !is_full;
+        // The budget limits the requests that reach targets. If all targets of a data centre are
+        // dead, most sends reach none, and streams would fail for lack of budget.
+        if may_send && has_room {
+            if failure.proves_unsent() || budget() {
+                return NextStep::Elsewhere;
+            }
+            // If a stream fails now, its caller has to start over, so it waits some hundred
+            // milliseconds for others to complete. With 71 instances and a third of the engines
+            // dying, an instance with four lost streams may have budget for three at that moment.
+            if may_have_run && matches!(self.kind, RouteKind::Stream { .. }) {
+                return NextStep::Later;
+            }
+        }
+        match failure {
+            _ if !may_have_run => NextStep::NotRun,
+            AttemptFailure::Silent => NextStep::Expired,
+            _ => NextStep::Failed,
+        }
+    }
+}
--- a/crates/relay/src/change_log.rs
+++ b/crates/relay/src/change_log.rs
@@ -1,40 +1,43 @@
-//! Which targets changed when.
+//! A log of recent changes of targets.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use celerypond_types::TargetName;
 
-/// The most changes that are kept. A data centre's engines that die and start again are two changes
-/// each; whoever is further behind gets the whole list.
-const KEPT: usize = 2_048;
+/// The maximum number of changes that are kept. If all engines of a data centre die and restart,
+/// that is two changes for each engine. An instance that is further behind gets the full list.
+const MAX_CHANGES: usize = 2_048;
 
-/// Which targets changed after a revision of the store.
+/// The targets that changed since a revision of the store.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ChangeLog {
-    /// The revision after which all changes are kept; nothing before the first list.
-    floor: Option<u64>,
+    /// The revision since which the log is complete; `None` before the first full list.
+    complete_after: Option<u64>,
     changes: VecDeque<(u64, TargetName)>,
 }
 
 impl ChangeLog {
-    /// Begins anew with a whole list of a revision.
-    pub(crate) fn restart(&mut self, revision: u64) {
-        self.floor = Some(revision);
+    /// Clears the log after the full list of a revision was taken in.
+    pub(crate) fn reset(&mut self, revision: u64) {
+        self.complete_after = Some(revision);
         self.changes.clear();
     }
 
-    /// Adds a change at a revision.
     pub(crate) fn push(&mut self, revision: u64, name: &TargetName) {
         self.changes.push_back((revision, name.clone()));
-        if self.changes.len() > KEPT {
+        if self.changes.len() > MAX_CHANGES {
             let oldest = self.changes.pop_front();
-            self.floor = oldest.map(|(revision, _)| revision);
+            self.complete_after = oldest.map(|(revision, _)| revision);
         }
     }
 
-    /// Returns the targets that changed after a revision; nothing when not all of them are known.
+    /// Returns the targets that changed after a revision; `None` if the log does not go back that
+    /// far.
     pub(crate) fn since(&self, revision: u64) -> Option<BTreeSet<&TargetName>> {
-        if self.floor.is_none_or(|floor| revision < floor) {
+        if self
+            .complete_after
+            .is_none_or(|complete_after| revision < complete_after)
+        {
             return None;
         }
         let later = self.changes.iter().filter(|(at, _)| *at > revision);
--- a/crates/relay/src/revival.rs
+++ b/crates/relay/src/dead_engines.rs
@@ -1,4 +1,4 @@
-//! Engines that die and start again.
+//! Engines that die and restart.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,14 +8,14 @@
 use crate::{
     restart::Restart,
     target::Unlisted,
-    targets::{ADOPTION_TTL, LISTING_TIME},
+    targets::{LISTING_TIME, RESTART_TTL},
     Target, TargetEntry, Targets,
 };
 
-/// How long after its death an engine is looked for first: it takes about a second to start.
-const REVIVE_FROM: Duration = Duration::from_millis(900);
-/// How long after its death an engine is looked for at most.
-const REVIVE_UNTIL: Duration = Duration::from_secs(10);
+/// How long after its death an engine is first probed: it takes about a second to start.
+const FIRST_PROBE_AFTER: Duration = Duration::from_millis(900);
+/// How long after its death an engine is no longer probed.
+const LAST_PROBE_AFTER: Duration = Duration::from_secs(10);
 
 /// An engine that was found dead.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,18 +31,19 @@
 }
 
 impl Targets {
-    /// Returns engines that were found dead and may have started again. Each instance gets them at
-    /// its own time, up to `stagger` after the others.
+    /// Returns the dead engines to probe, as they may have restarted. Instances probe at different
+    /// times, each up to `stagger` later than the earliest time.
     pub fn dead_engines(&self, now: Instant, stagger: Duration) -> Vec<DeadEngine> {
         if !self.is_unverified(now) {
             return Vec::new();
         }
-        let late = stagger.mul_f64(self.stagger_share);
+        let late = stagger.mul_f64(self.lateness);
         let is_due = |target: &Target| {
-            let died = target
+            let dead_since = target
                 .dead_since
-                .map(|died| now.saturating_duration_since(died));
-            died.is_some_and(|since| (REVIVE_FROM + late..REVIVE_UNTIL).contains(&since))
+                .map(|dead_since| now.saturating_duration_since(dead_since));
+            dead_since
+                .is_some_and(|since| (FIRST_PROBE_AFTER + late..LAST_PROBE_AFTER).contains(&since))
         };
         let dead = self.arena.iter();
         dead.filter(|(key, target)| is_due(target) && self.owns_address(*key))
@@ -55,36 +56,42 @@
             .collect()
     }
 
-    /// Returns whether the list is so old that an engine which answers now may have started after it.
+    /// Returns whether the list of targets is so old that an engine which answers now may have
+    /// started after it.
     fn is_unverified(&self, seen: Instant) -> bool {
         self.verified.is_none_or(|at| at + LISTING_TIME <= seen)
     }
 
-    /// Takes in that the engine that had a name, of this hash, answers now under another or the same name; returns
-    /// whether that is used and was not known.
-    pub fn add_restarted_engine(&mut self, before: u64, name: &TargetName, now: Instant) -> bool {
-        self.add_restarted_engine_seen(before, name, now, now)
+    /// Records that the engine whose name had this hash answers under a name, which may be the
+    /// same. Returns whether the name is used and was not known.
+    pub fn add_restarted_engine(
+        &mut self,
+        previous_hash: u64,
+        name: &TargetName,
+        now: Instant,
+    ) -> bool {
+        self.add_restarted_engine_seen(previous_hash, name, now, now)
     }
 
-    /// Takes in that it answered so at a moment.
+    /// Records an answer from an earlier time.
     ///
-    /// The store's list goes before an answer: an engine that is not on a list of the time may have been removed from
-    /// it, and serves on for a while.
+    /// The store's list takes precedence over an answer: an engine that is missing in a list of the
+    /// same time may have been removed from it, and still answers for a while.
     pub(crate) fn add_restarted_engine_seen(
         &mut self,
-        before: u64,
+        previous_hash: u64,
         name: &TargetName,
         seen: Instant,
         now: Instant,
     ) -> bool {
-        let is_recent = now.saturating_duration_since(seen) < ADOPTION_TTL;
+        let is_recent = now.saturating_duration_since(seen) < RESTART_TTL;
         if !is_recent || !self.is_unverified(seen) {
             return false;
         }
         let old = self
             .arena
             .iter()
-            .find(|(_, target)| target.name_hash == before);
+            .find(|(_, target)| target.name_hash == previous_hash);
         let Some((key, old)) = old else {
             return false;
         };
@@ -94,7 +101,7 @@
             }
             return true;
         }
-        // An engine may answer after its entry was removed.
+        // An engine may still answer after its entry was removed.
         if self.names.contains_key(name) || self.departed.contains_key(name) {
             return false;
         }
@@ -104,27 +111,28 @@
             born: old.entry.born.map(|born| born + 1),
             ..old.entry.clone()
         };
-        let mut found = Target::new(entry);
-        found.unlisted = Some(Unlisted { seen, absent: None });
-        self.insert(found);
+        let mut restarted = Target::new(entry);
+        restarted.unlisted = Some(Unlisted { seen, absent: None });
+        self.insert(restarted);
         self.restarts.push(Restart {
-            before,
+            previous_hash,
             name: name.clone(),
             seen,
-            heard: now,
+            received_at: now,
         });
         true
     }
 
-    /// Returns the hashes of engines that this instance found dead and that `is_told` does not leave out.
+    /// Returns the name hashes of engines that this instance found dead, without those for which
+    /// `was_reported` is true.
     pub(crate) fn dead(
         &self,
         now: Instant,
-        is_told: impl Fn(Instant) -> bool,
+        was_reported: impl Fn(Instant) -> bool,
     ) -> impl Iterator<Item = u64> {
         let dead = self.arena.values();
         let dead = dead.filter(move |target| target.is_dead && target.is_avoided(now));
-        dead.filter(move |target| !target.found_dead_at.is_some_and(&is_told))
+        dead.filter(move |target| !target.found_dead_at.is_some_and(&was_reported))
             .map(|target| target.name_hash)
     }
 }
--- a/crates/relay/src/evidence.rs
+++ b/crates/relay/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What became of requests at the old and the new version of a service.
+//! The outcome of requests at the old and the new version of a service.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -10,31 +10,31 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// The odds at which a version is called bad; lower ones take back good versions when all targets
-/// fail for a moment.
-const ODDS: f64 = 1e4;
-/// The odds from which a version is not called good.
-const DOUBT: f64 = 30.0;
-/// Failures up to this rate are never held against a version.
-const FLOOR: f64 = 0.005;
-/// An answer is slow that takes so many times as long as the old version usually does on its route.
-const SLOW: f64 = 3.0;
-/// Answers of the old version by which its usual time is known.
-const USUAL_LEAST: u32 = 8;
-/// The weight of one answer in the usual time.
-const USUAL_WEIGHT: f64 = 0.05;
-/// How long what an instance reported counts without a new report; then it is gone, and what it saw
-/// is kept by nobody.
+/// The odds from which a version counts as bad. With lower odds, good versions are rolled back when
+/// all targets fail for a moment.
+const BAD_ODDS: f64 = 1e4;
+/// The odds above which a version does not count as good.
+const DOUBTFUL_ODDS: f64 = 30.0;
+/// Failure rates up to this one are never attributed to a version.
+const TOLERATED_RATE: f64 = 0.005;
+/// A response is slow if it takes this many times as long as usual at the old version on its route.
+const SLOW_FACTOR: f64 = 3.0;
+/// The minimum number of responses of the old version from which its usual time is known.
+const MIN_USUAL_COUNT: u32 = 8;
+/// The weight of one response in the moving average of the usual time.
+const USUAL_TIME_WEIGHT: f64 = 0.05;
+/// How long the last report of an instance counts. After that the instance is gone, and nobody else
+/// has what it observed.
 const REPORT_TTL: Duration = Duration::from_secs(60);
 
-/// Answers of one version on one route.
+/// Counts of the responses of one version on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answers {
-    /// All answers.
+    /// All responses.
     pub all: u32,
-    /// Those that failed.
+    /// Failures.
     pub bad: u32,
-    /// Those that took much longer than usual.
+    /// Responses that took much longer than usual.
     pub slow: u32,
 }
 
@@ -60,12 +60,12 @@
     }
 }
 
-/// The answers of both versions on one route.
+/// The responses of both versions on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionCounts {
-    /// Of the versions before.
+    /// Responses of the previous versions.
     pub old: Answers,
-    /// Of the version that the order names.
+    /// Responses of the version that the order names.
     pub new: Answers,
 }
 
@@ -75,46 +75,52 @@
         self.new.add(other.new);
     }
 
-    /// Returns the odds that the new version is bad, by failures or by slowness.
+    /// Returns the odds that the new version is worse, by failures or by response time.
     fn odds(&self) -> f64 {
-        let worse = |new: Seen, old: Seen| odds(new, old, old, FLOOR);
+        let worse = |new: Seen, old: Seen| odds(new, old, old, TOLERATED_RATE);
         let failures = worse(self.new.failed(), self.old.failed());
         failures.max(worse(self.new.slowed(), self.old.slowed()))
     }
 }
 
-/// What one instance has seen of an order; all counts only grow.
+/// What one instance observed during an order. The counts only increase.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvidenceReport {
-    /// The run of the instance.
+    /// The id of the instance's process.
     pub origin: u64,
     /// The version that the order names.
     pub version: VersionName,
-    /// The answers by the hash of their route's name.
+    /// The responses by the hash of the route's name.
     pub routes: Vec<(u64, VersionCounts)>,
 }
 
-/// What became of requests at the old and the new version of a service, as all instances saw it.
+/// The outcome of requests at the old and the new version of a service, as observed by all
+/// instances.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    own: BTreeMap<u64, VersionCounts>,
-    /// The usual time of the old version by route, in seconds, and of how many answers.
+    local: BTreeMap<u64, VersionCounts>,
+    /// The usual response time of the old version by route, in seconds, and the number of
+    /// responses.
     usual: HashMap<u64, (f64, u32)>,
-    told: HashMap<u64, (EvidenceReport, Instant)>,
+    peers: HashMap<u64, (EvidenceReport, Instant)>,
 }
 
 impl Evidence {
-    /// Adds an answer on a route.
+    /// Records a response on a route.
     pub fn record(&mut self, route: u64, is_new: bool, is_bad: bool, time: Duration) {
         let took = time.as_secs_f64();
         let (usual, count) = self.usual.entry(route).or_insert((took, 0));
-        let is_slow = *count >= USUAL_LEAST && took > *usual * SLOW;
+        let is_slow = *count >= MIN_USUAL_COUNT && took > *usual * SLOW_FACTOR;
         if !is_new && !is_bad {
-            *usual += (took - *usual) * USUAL_WEIGHT.max(1.0 / f64::from(*count + 1));
+            *usual += (took - *usual) * USUAL_TIME_WEIGHT.max(1.0 / f64::from(*count + 1));
             *count += 1;
         }
-        let pair = self.own.entry(route).or_default();
-        let answers = if is_new { &mut pair.new } else { &mut pair.old };
+        let counts = self.local.entry(route).or_default();
+        let answers = if is_new {
+            &mut counts.new
+        } else {
+            &mut counts.old
+        };
         answers.add(Answers {
             all: 1,
             bad: u32::from(is_bad),
@@ -122,41 +128,41 @@
         });
     }
 
-    /// Returns what this instance saw.
+    /// Returns what this instance observed.
     pub fn report(&self, origin: u64, version: &VersionName) -> EvidenceReport {
         EvidenceReport {
             origin,
             version: version.clone(),
             routes: self
-                .own
+                .local
                 .iter()
-                .map(|(route, pair)| (*route, *pair))
+                .map(|(route, counts)| (*route, *counts))
                 .collect(),
         }
     }
 
-    /// Takes in what another instance saw; it replaces what that instance told before.
+    /// Merges the report of another instance, which replaces its previous one.
     pub fn merge(&mut self, report: EvidenceReport, now: Instant) {
-        self.told.insert(report.origin, (report, now));
-        self.told
+        self.peers.insert(report.origin, (report, now));
+        self.peers
             .retain(|_, (_, at)| now.saturating_duration_since(*at) < REPORT_TTL);
     }
 
-    /// Returns all answers, over all routes.
+    /// Returns the responses on all routes.
     pub fn total(&self) -> VersionCounts {
         let mut sum = VersionCounts::default();
-        self.routes().values().for_each(|pair| sum.add(*pair));
+        self.routes().values().for_each(|counts| sum.add(*counts));
         sum
     }
 
-    /// Returns whether the new version is very likely bad on one route or over all of them.
+    /// Returns whether the new version is almost certainly bad on one route or over all routes.
     pub fn is_bad(&self) -> bool {
-        self.odds() > ODDS
+        self.odds() > BAD_ODDS
     }
 
-    /// Returns whether the new version is likelier bad than good, though not for sure.
+    /// Returns whether the new version is more likely bad than good, if not almost certainly.
     pub fn is_doubtful(&self) -> bool {
-        self.odds() > DOUBT
+        self.odds() > DOUBTFUL_ODDS
     }
 
     fn odds(&self) -> f64 {
@@ -166,10 +172,10 @@
     }
 
     fn routes(&self) -> BTreeMap<u64, VersionCounts> {
-        let mut all = self.own.clone();
-        let told = self.told.values().flat_map(|(report, _)| &report.routes);
-        for (route, pair) in told {
-            all.entry(*route).or_default().add(*pair);
+        let mut all = self.local.clone();
+        let reported = self.peers.values().flat_map(|(report, _)| &report.routes);
+        for (route, counts) in reported {
+            all.entry(*route).or_default().add(*counts);
         }
         all
     }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,94 +1,108 @@
-//! Decisions of routed requests: which route a request takes, who may ask, which target runs it,
-//! what a failed attempt proves, and how a stream goes on at another target.
+//! Decisions about routed requests: the route and account of a request, the target that runs it,
+//! whether it is sent again after a failure, and where a stream is continued.
 //!
-//! Nothing here does I/O; the time is passed in.
+//! This crate does no I/O and reads no clock; callers pass in the current time.
+//!
+//! Terms:
+//!
+//! - A *target* runs requests. It is an *engine*, which generates streams of events from prompts,
+//!   or belongs to a *plain service*, whose responses are in one piece.
+//! - An engine *reads* a prompt (prefill) before it generates events. This slows down the streams
+//!   that it runs at the same time. Prompts consist of *parts*; engines cache parts that they have
+//!   read.
+//! - *Peers* are the other instances of the fleet. Each instance sends them a list of its streams
+//!   and what it observed (see [`Placements`]). The *origin* of a message is the id of the sending
+//!   process.
+//! - An *order* of an operator moves a service to another version in stages (see [`Order`]).
 
-mod access;
-mod address_book;
+mod address_index;
 mod admission;
-mod board;
+mod attempt_failure;
 mod change_log;
 mod config;
 mod contact;
-mod ended;
-mod entries;
-mod entry;
-mod event;
+mod dead_engines;
+mod denied;
+mod directory;
+mod event_splitter;
+mod event_times;
 mod evidence;
-mod first_wait;
+mod first_event_wait;
 mod freshness;
 mod group;
 mod head;
-mod held;
+mod held_versions;
 mod history;
-mod left;
-mod lists;
-mod news;
-mod notes;
+mod idle_limits;
 mod observation;
 mod order;
-mod pace;
-mod patience;
-mod place;
+mod own_streams;
+mod peer_streams;
+mod placement_schedule;
+mod planned_stop;
+mod prompt_locations;
 mod quality;
-mod queueing;
-mod relocate;
+mod queue_estimate;
+mod relocation;
+mod request_deadline;
 mod restart;
-mod rests;
-mod retries;
-mod revival;
+mod retry_budget;
 mod rollout;
+mod routing_table;
+mod selection;
 mod settings;
+mod silence;
 mod stale;
-mod stop;
 mod store_backoff;
-mod streams;
-mod table;
 mod target;
+mod target_entry;
+mod target_update;
 mod targets;
-mod versions;
+mod version_routing;
 mod watchers;
 
-pub use access::Denied;
 pub use admission::{StreamRequest, TimeNeeded};
-pub use board::{EngineUsage, PeerStreams, Placement, Placements, PromptLocation, RestartReport};
+pub use attempt_failure::{AttemptFailure, AttemptState, NextStep};
 pub use config::{Account, Backend, CallerLimits, Config, EngineLimits, Route, RouteKind, Service};
 pub use contact::Contact;
-pub use ended::{AttemptFailure, AttemptState, NextStep};
-pub use entries::directory_addresses;
-pub use entry::{Presence, TargetEntry};
-pub use event::{Event, EventSplitter};
+pub use dead_engines::DeadEngine;
+pub use denied::Denied;
+pub use directory::directory_addresses;
+pub use event_splitter::{Event, EventSplitter};
+pub use event_times::{EventTimer, EventTimes};
 pub use evidence::{Answers, Evidence, EvidenceReport, VersionCounts};
-pub use first_wait::FirstEventWait;
+pub use first_event_wait::FirstEventWait;
 pub use freshness::Freshness;
 pub use group::Group;
 pub use head::{
     CallerHead, CopyName, Load, Prompt, PromptPart, TargetRequestHead, TargetResponseHead,
 };
 pub use history::History;
-pub use left::RequestDeadline;
-pub use lists::PlacementSchedule;
-pub use news::{decode, encode, TargetUpdate};
-pub use notes::PromptLocationSchedule;
+pub use idle_limits::{IdleLimit, IdleLimits};
 pub use observation::Observation;
 pub use order::{Order, Phase, Stage};
-pub use pace::{EventTimer, EventTimes};
-pub use patience::{EngineWait, SilenceLimits};
-pub use place::{Selection, TargetQuery};
+pub use own_streams::PlacementKey;
+pub use peer_streams::{
+    EngineUsage, PeerStreams, Placement, Placements, PromptLocation, RestartReport,
+};
+pub use placement_schedule::PlacementSchedule;
+pub use planned_stop::{PeerCounts, PlannedStop};
+pub use prompt_locations::PromptLocationSchedule;
 pub use quality::{Quality, Tally};
-pub use queueing::QueueEstimate;
-pub use relocate::{BetterEngine, RemainingEvents};
-pub use rests::{IdleLimit, IdleLimits};
-pub use retries::{RetryBudget, SendCounts};
-pub use revival::DeadEngine;
+pub use queue_estimate::QueueEstimate;
+pub use relocation::{BetterEngine, RemainingEvents};
+pub use request_deadline::RequestDeadline;
+pub use retry_budget::{RetryBudget, SendCounts};
 pub use rollout::{Fleet, Rollout};
+pub use routing_table::RoutingTable;
+pub use selection::{Selection, TargetQuery};
 pub use settings::{Bounds, Listen, Seed, Settings, StoreSettings};
+pub use silence::{EngineWait, SilenceLimits};
 pub use stale::{Stale, StaleWait};
-pub use stop::{PeerCounts, PlannedStop};
 pub use store_backoff::StoreBackoff;
-pub use streams::PlacementKey;
-pub use table::RoutingTable;
 pub use target::Target;
+pub use target_entry::{Presence, TargetEntry};
+pub use target_update::{decode, encode, TargetUpdate};
 pub use targets::{Change, Targets};
-pub use versions::{VersionChoice, VersionRouting};
+pub use version_routing::{VersionChoice, VersionRouting};
 pub use watchers::{Notice, Watchers};
--- /dev/null
+++ b/crates/relay/src/selection.rs
@@ -0,0 +1,390 @@
+//! Selection of the target that runs a request.
+
+use std::{borrow::Cow, cmp::Ordering, collections::HashMap};
+
+use celerypond_types::{DataCentre, ServiceName, TargetKey};
+use tokio::time::Instant;
+
+use crate::{EngineUsage, Group, Target, Targets, VersionChoice};
+
+/// The used share of an engine's slots or memory above which it gets streams only if all engines
+/// exceed it. Backups of other requests need room as well, and engines preempt streams when they
+/// run out of memory.
+const CROWDED_SHARE: f64 = 0.6;
+
+/// The used share of an engine's slots or memory up to which running streams are moved to it. The
+/// fuller these engines are, the more engines remain for reading prompts; backups find room there.
+const MAX_RELOCATION_SHARE: f64 = 0.85;
+
+/// The weight of the time by which running streams are delayed, relative to the wait of a prompt.
+/// Delayed streams pause or have to move.
+const DELAYED_STREAM_WEIGHT: u64 = 2;
+/// The number of most preferred engines among which a stream takes the least loaded one.
+///
+/// When 60 of 180 engines die, 32 streams are placed again within a third of a second. If each
+/// chose the least loaded of all engines, the only one without streams would get eight of them from
+/// instances that have not heard of each other yet, and the last one would begin after ten seconds.
+/// As each prompt has its own order of preference, two streams rarely have the same engine among
+/// their first few, and the least loaded of those is nearly as good as that of all.
+const CANDIDATES: usize = 12;
+/// A data centre is unhealthy if one in this many of its targets is avoided.
+const UNHEALTHY_DIVISOR: usize = 3;
+/// The minimum number of avoided targets that make a data centre unhealthy.
+const MIN_UNHEALTHY: usize = 2;
+/// The number of avoided targets that always makes a data centre unhealthy. Detecting a third of 60
+/// engines would cost as many lost streams, and four engines rarely die independently within a
+/// second.
+const MAX_UNHEALTHY: usize = 4;
+
+/// The requirements of a request on its target.
+#[derive(Clone, Debug)]
+pub struct TargetQuery<'a> {
+    /// The service.
+    pub service: &'a ServiceName,
+    /// The acceptable versions of the service.
+    pub choice: &'a VersionChoice,
+    /// The data centre of this instance, which is preferred among equal targets.
+    pub local_data_centre: &'a DataCentre,
+    /// Targets that were already tried.
+    pub tried: &'a [TargetKey],
+    /// The id of the prompt part that belongs to this request alone.
+    pub affinity: Option<u64>,
+    /// A number specific to this request, by which one of several equal targets is selected.
+    pub tie_breaker: u64,
+    /// The maximum number of tokens of the request.
+    pub tokens: u64,
+    /// The memory of one engine, in tokens; `None` for plain services.
+    pub capacity: Option<u64>,
+    /// The maximum number of tokens of other prompts that an engine may have to read first; `None`
+    /// for plain services.
+    pub max_backlog: Option<u64>,
+}
+
+/// A selected target.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Selection {
+    /// Its key.
+    pub key: TargetKey,
+    /// Whether there were only targets that failed recently.
+    pub is_doubtful: bool,
+}
+
+impl Targets {
+    /// Selects the target that runs a request.
+    ///
+    /// For a request with an affinity, all instances prefer the same targets in the same order, so
+    /// that a caller's retry reaches the engine that has read its prompt. Otherwise the least
+    /// loaded target is selected.
+    pub fn select(&self, query: &TargetQuery<'_>, now: Instant) -> Option<Selection> {
+        let fits = |target: &&(TargetKey, &Target)| {
+            self.is_usable(target.0)
+                && target.1.entry.service == *query.service
+                && query.choice.allows(&target.1.entry.version)
+                && !query.tried.contains(&target.0)
+        };
+        let loads = Loads::of(self, query, now);
+        let all = self.iter().filter(|target| fits(&target));
+        let all: Vec<(TargetKey, &Target)> = all
+            .filter(|(_, target)| !loads.has_long_backlog(target))
+            .collect();
+        let available = all.iter().copied();
+        let is_ordered = matches!(query.choice, VersionChoice::Only(_));
+        let is_held = |target: &Target| !is_ordered && self.is_held(target, now);
+        let available = available.filter(|(_, target)| !target.is_avoided(now) && !is_held(target));
+        if let Some(key) = loads.most_preferred(available) {
+            return Some(Selection {
+                key,
+                is_doubtful: false,
+            });
+        }
+        let soonest = all.iter().min_by_key(|(_, target)| target.avoided_until);
+        soonest.map(|(key, _)| Selection {
+            key: *key,
+            is_doubtful: true,
+        })
+    }
+
+    /// Returns whether a target is in an unhealthy data centre, even if it is not avoided itself.
+    pub fn is_doubtful(&self, key: TargetKey, query: &TargetQuery<'_>, now: Instant) -> bool {
+        let data_centre = self.get(key).map(|target| &target.entry.data_centre);
+        data_centre
+            .is_some_and(|data_centre| unhealthy_zones(self, query, now).contains(&data_centre))
+    }
+
+    /// Selects the engine that keeps a backup of the KV cache of a request at `main`.
+    ///
+    /// The backup is in another data centre, as nearly all engines of one can be lost at once.
+    pub fn select_backup(
+        &self,
+        main: TargetKey,
+        query: &TargetQuery<'_>,
+        now: Instant,
+    ) -> Option<TargetKey> {
+        let main_entry = &self.get(main)?.entry;
+        let others = self.iter().filter(|(key, target)| {
+            *key != main
+                && self.is_usable(*key)
+                && !target.is_avoided(now)
+                && target.entry.service == *query.service
+                && target.entry.version == main_entry.version
+                && target.entry.data_centre != main_entry.data_centre
+        });
+        let loads = Loads::of(self, query, now);
+        let best = others.min_by_key(|(_, target)| loads.backup_preference(target));
+        best.map(|(key, _)| key)
+    }
+}
+
+/// The loads of targets at one moment.
+pub(crate) struct Loads<'a> {
+    query: &'a TargetQuery<'a>,
+    /// The usage of engines by streams of other instances; empty if there is no affinity.
+    peer_usage: Cow<'a, HashMap<u64, EngineUsage>>,
+    /// The name hash of the engine that has read the request's own prompt part.
+    holder: Option<u64>,
+    /// Targets that perform much worse than others; only for requests without an affinity.
+    outliers: Vec<u64>,
+    /// Data centres in which many of the service's targets are avoided.
+    unhealthy_zones: Vec<&'a DataCentre>,
+    group: Group,
+    now: Instant,
+}
+
+impl<'a> Loads<'a> {
+    pub(crate) fn of(targets: &'a Targets, query: &'a TargetQuery<'a>, now: Instant) -> Self {
+        let usage = match query.affinity {
+            Some(_) => targets.peer_usage(now),
+            None => Cow::Owned(HashMap::new()),
+        };
+        let outliers = match query.affinity {
+            Some(_) => Vec::new(),
+            None => outliers(targets, query, now),
+        };
+        Self {
+            query,
+            peer_usage: usage,
+            outliers,
+            holder: query.affinity.and_then(|part| targets.holder(part, now)),
+            unhealthy_zones: unhealthy_zones(targets, query, now),
+            group: targets.group,
+            now,
+        }
+    }
+
+    /// Returns the target to use.
+    fn most_preferred<'t>(
+        &self,
+        targets: impl Iterator<Item = (TargetKey, &'t Target)>,
+    ) -> Option<TargetKey> {
+        let best = match self.query.affinity {
+            Some(affinity) => self.least_loaded_engine(affinity, targets),
+            None => targets.min_by(|a, b| self.compare_load(a.1, b.1)),
+        };
+        best.map(|(key, _)| key)
+    }
+
+    /// Returns the least loaded of the most preferred engines for a stream.
+    fn least_loaded_engine<'t>(
+        &self,
+        affinity: u64,
+        engines: impl Iterator<Item = (TargetKey, &'t Target)>,
+    ) -> Option<(TargetKey, &'t Target)> {
+        let ordered = engines.map(|(key, engine)| (self.preference(affinity, engine), key, engine));
+        let mut first: Vec<_> = ordered.collect();
+        if first.len() > CANDIDATES {
+            first.select_nth_unstable_by_key(CANDIDATES - 1, |(preference, ..)| *preference);
+            first.truncate(CANDIDATES);
+        }
+        let best = first
+            .into_iter()
+            .min_by_key(|((class, rank), _, engine)| (*class, self.prompt_cost(engine), *rank));
+        best.map(|(_, key, engine)| (key, engine))
+    }
+
+    /// Returns the key by which engines are ordered for a stream: engines with room and outside of
+    /// unhealthy data centres first, then the engine that has read the prompt, then engines of the
+    /// instance's own group. Equal engines are ordered by a rank that is the same at all instances.
+    fn preference(&self, affinity: u64, target: &Target) -> ((bool, bool, bool, bool), u64) {
+        let others = self
+            .peer_usage
+            .get(&target.name_hash)
+            .copied()
+            .unwrap_or_default();
+        let is_full = self.used_share(target, &others) > CROWDED_SHARE;
+        let class = (
+            is_full,
+            self.is_in_unhealthy_zone(target),
+            self.holder != Some(target.name_hash),
+            !self.group.contains(target.address_hash),
+        );
+        (class, rendezvous_rank(affinity, target))
+    }
+
+    /// Returns the usage of an engine by the streams of all instances.
+    pub(crate) fn total_usage(&self, target: &Target) -> EngineUsage {
+        let others = self
+            .peer_usage
+            .get(&target.name_hash)
+            .copied()
+            .unwrap_or_default();
+        EngineUsage {
+            streams: target.open_requests + others.streams,
+            reading_prompts: target.reading_prompts + others.reading_prompts,
+            reading_tokens: target.reading_tokens + others.reading_tokens,
+            tokens: target.stream_tokens + others.tokens,
+        }
+    }
+
+    /// Returns the cost of placing a prompt at an engine, in units of half a prompt: the tokens
+    /// that are read before it, plus its own tokens for each running stream, which is delayed while
+    /// they are read.
+    fn prompt_cost(&self, target: &Target) -> u64 {
+        let usage = self.total_usage(target);
+        let running = u64::from(usage.streams.saturating_sub(usage.reading_prompts));
+        let step = (self.query.tokens / 2).max(1);
+        (usage.reading_tokens + running * self.query.tokens * DELAYED_STREAM_WEIGHT) / step
+    }
+
+    /// Returns whether an engine has room for another stream alongside the backups of other
+    /// requests.
+    pub(crate) fn has_room(&self, target: &Target) -> bool {
+        let others = self
+            .peer_usage
+            .get(&target.name_hash)
+            .copied()
+            .unwrap_or_default();
+        self.used_share(target, &others) <= MAX_RELOCATION_SHARE
+    }
+
+    /// Returns the key by which engines are ordered for a backup: engines with room and outside of
+    /// unhealthy data centres first, then engines of the instance's own group, then by a rank that
+    /// is the same at all instances. Instances do not tell each other of backups. If backups went
+    /// to the least loaded engine, all backups that begin at about the same time would be at the
+    /// one idle engine, and their streams would all resume there.
+    fn backup_preference(&self, target: &Target) -> (bool, bool, bool, u64) {
+        let others = self
+            .peer_usage
+            .get(&target.name_hash)
+            .copied()
+            .unwrap_or_default();
+        let is_full = self.used_share(target, &others) > CROWDED_SHARE;
+        let affinity = self.query.affinity.unwrap_or_default();
+        (
+            is_full,
+            self.is_in_unhealthy_zone(target),
+            !self.group.contains(target.address_hash),
+            rendezvous_rank(affinity, target),
+        )
+    }
+
+    /// Returns whether an engine has more to read than the stream can wait for.
+    ///
+    /// If all engines are lost and one returns before the others, all waiting streams would be sent
+    /// there, where reading their prompts takes a minute while the other engines are idle.
+    fn has_long_backlog(&self, target: &Target) -> bool {
+        let others = self
+            .peer_usage
+            .get(&target.name_hash)
+            .map_or(0, |usage| usage.reading_tokens);
+        let reading = target.reading_tokens + others;
+        self.query.max_backlog.is_some_and(|most| reading > most)
+    }
+
+    /// Returns the used share of an engine's slots or of its memory, whichever is larger.
+    fn used_share(&self, target: &Target, others: &EngineUsage) -> f64 {
+        let tokens = target.stream_tokens + others.tokens + self.query.tokens;
+        let memory = self
+            .query
+            .capacity
+            .map_or(0.0, |capacity| tokens as f64 / capacity.max(1) as f64);
+        let slots =
+            f64::from(target.open_requests + others.streams) / f64::from(target.entry.slots.max(1));
+        memory.max(slots)
+    }
+
+    pub(crate) fn is_in_unhealthy_zone(&self, target: &Target) -> bool {
+        self.unhealthy_zones.contains(&&target.entry.data_centre)
+    }
+
+    fn compare_load(&self, a: &Target, b: &Target) -> Ordering {
+        let (left, right) = (a.fullness(self.now), b.fullness(self.now));
+        let is_remote = |target: &Target| target.entry.data_centre != *self.query.local_data_centre;
+        let tie_break = |target: &Target| {
+            celerypond_route::hash(&(self.query.tie_breaker ^ target.name_hash).to_le_bytes())
+        };
+        let is_outlier = |target: &Target| self.outliers.contains(&target.name_hash);
+        is_outlier(a)
+            .cmp(&is_outlier(b))
+            .then(left.total_cmp(&right))
+            .then(is_remote(a).cmp(&is_remote(b)))
+            .then_with(|| tie_break(a).cmp(&tie_break(b)))
+    }
+}
+
+fn outliers(targets: &Targets, query: &TargetQuery<'_>, now: Instant) -> Vec<u64> {
+    let of_service = targets
+        .iter()
+        .filter(|(key, target)| target.entry.service == *query.service && targets.is_usable(*key));
+    let hashes: Vec<u64> = of_service.map(|(_, target)| target.name_hash).collect();
+    targets.quality().outliers(&hashes, now)
+}
+
+/// Counts of a service's targets in one data centre.
+struct ZoneCount<'a> {
+    data_centre: &'a DataCentre,
+    all: usize,
+    avoided: usize,
+}
+
+impl ZoneCount<'_> {
+    fn is_unhealthy(&self) -> bool {
+        let threshold = self
+            .all
+            .div_ceil(UNHEALTHY_DIVISOR)
+            .clamp(MIN_UNHEALTHY, MAX_UNHEALTHY);
+        self.avoided >= threshold
+    }
+}
+
+/// Returns the data centres in which a third of the service's targets, or at least a few of many,
+/// are avoided.
+///
+/// When nearly all engines of a data centre die at once, each is detected by losing a stream or a
+/// backup there. Engines that were not detected yet look idle, as they have lost their streams, and
+/// would attract all streams that are placed again. Once two of six engines or four of sixty are
+/// avoided, the other engines of the data centre are used last. If this applies to all data centres
+/// it has no effect.
+fn unhealthy_zones<'a>(
+    targets: &'a Targets,
+    query: &TargetQuery<'_>,
+    now: Instant,
+) -> Vec<&'a DataCentre> {
+    let mut zone_counts: Vec<ZoneCount<'a>> = Vec::new();
+    for (key, target) in targets.iter() {
+        if target.entry.service != *query.service || !targets.is_usable(key) {
+            continue;
+        }
+        let data_centre = &target.entry.data_centre;
+        let at = zone_counts
+            .iter()
+            .position(|count| count.data_centre == data_centre);
+        let at = at.unwrap_or_else(|| {
+            zone_counts.push(ZoneCount {
+                data_centre,
+                all: 0,
+                avoided: 0,
+            });
+            zone_counts.len() - 1
+        });
+        zone_counts[at].all += 1;
+        zone_counts[at].avoided += usize::from(target.is_avoided(now));
+    }
+    let unhealthy_zones = zone_counts.into_iter().filter(ZoneCount::is_unhealthy);
+    unhealthy_zones.map(|count| count.data_centre).collect()
+}
+
+/// An engine that restarts keeps its address, and thus its rank for prompts.
+pub(crate) fn rendezvous_rank(affinity: u64, target: &Target) -> u64 {
+    let bytes = [affinity.to_le_bytes(), target.address_hash.to_le_bytes()];
+    celerypond_route::hash(bytes.as_flattened())
+}
--- a/crates/relay/src/versions.rs
+++ b/crates/relay/src/version_routing.rs
@@ -1,4 +1,4 @@
-//! Which versions of each service take requests.
+//! The versions of each service that get requests.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -8,23 +8,24 @@
 
 use crate::{Evidence, EvidenceReport, Phase, Stage};
 
-/// How long a share holds without a report of the instance that drives the order, which sends four a second.
+/// How long a share is valid without a report of the instance that drives the order, which sends
+/// four per second.
 const STAGE_TTL: Duration = Duration::from_millis(1_500);
 
-/// The versions that may take a request.
+/// The versions that may get a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum VersionChoice {
     /// Any version.
     #[default]
     Any,
-    /// This version, or another one where it has no target left.
+    /// This version, or another one if it has no target left.
     Only(VersionName),
-    /// Any but this version.
+    /// Any version except this one.
     Not(VersionName),
 }
 
 impl VersionChoice {
-    /// Returns whether a version may take the request.
+    /// Returns whether a version may get the request.
     ///
     /// # Examples
     ///
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Returns what may take the request when no target of the choice is left.
+    /// Returns the versions that may get the request if no target of these is left.
     pub fn fallback(&self) -> Option<Self> {
         match self {
             Self::Only(version) => Some(Self::Not(version.clone())),
@@ -51,7 +52,8 @@
     }
 }
 
-/// Which versions of each service take requests, as this instance was told.
+/// The versions of each service that get requests, as reported by the instance that drives the
+/// order.
 ///
 /// # Examples
 ///
@@ -70,74 +72,74 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct VersionRouting {
-    services: HashMap<ServiceName, Acting>,
+    services: HashMap<ServiceName, ServiceOrder>,
 }
 
 #[derive(Clone, Debug)]
-struct Acting {
+struct ServiceOrder {
     stage: Stage,
-    heard: Instant,
+    received_at: Instant,
     splitter: Splitter,
     evidence: Evidence,
 }
 
 impl VersionRouting {
-    /// Takes in how far an order had come at a moment; an order that has ended stays so.
+    /// Updates the progress of an order as of some moment; a final phase stays.
     pub fn update(&mut self, stage: Stage, at: Instant) {
         let service = stage.order.service.clone();
         let known = self.services.get_mut(&service);
         match known.filter(|known| known.stage.order.version == stage.order.version) {
             Some(known) => {
-                known.heard = known.heard.max(at);
+                known.received_at = known.received_at.max(at);
                 if !known.stage.phase.is_ended() {
                     known.stage = stage;
                 }
             }
             None => {
-                let acting = Acting {
+                let order_state = ServiceOrder {
                     stage,
-                    heard: at,
+                    received_at: at,
                     splitter: Splitter::default(),
                     evidence: Evidence::default(),
                 };
-                self.services.insert(service, acting);
+                self.services.insert(service, order_state);
             }
         }
     }
 
-    /// Chooses the versions that may take the next request for a service.
+    /// Chooses the versions that may get the next request for a service.
     ///
-    /// The failure: the instance that drives an order dies while a bad version has a share. Without a
-    /// word of it the old versions take all requests, until the next instance drives the order.
+    /// If the instance that drives an order dies while a bad version has a share, the old versions
+    /// get all requests until another instance drives the order.
     pub fn choose(&mut self, service: &ServiceName, now: Instant) -> VersionChoice {
-        let Some(acting) = self.services.get_mut(service) else {
+        let Some(order_state) = self.services.get_mut(service) else {
             return VersionChoice::Any;
         };
-        let version = acting.stage.order.version.clone();
-        let is_fresh = now.saturating_duration_since(acting.heard) < STAGE_TTL;
-        match acting.stage.phase {
+        let version = order_state.stage.order.version.clone();
+        let is_fresh = now.saturating_duration_since(order_state.received_at) < STAGE_TTL;
+        match order_state.stage.phase {
             Phase::Completed => VersionChoice::Only(version),
-            Phase::Running { share } if is_fresh && acting.splitter.take(share) => {
+            Phase::Running { share } if is_fresh && order_state.splitter.take(share) => {
                 VersionChoice::Only(version)
             }
             Phase::Running { .. } | Phase::TakenBack => VersionChoice::Not(version),
         }
     }
 
-    /// Chooses the versions that may take a request once more. One that failed at a version on trial
-    /// goes back to the others.
+    /// Chooses the versions that may get a request that is sent again. A request that failed at a
+    /// version on trial goes back to the others.
     pub fn choose_for_retry(&self, service: &ServiceName) -> VersionChoice {
-        let Some(acting) = self.services.get(service) else {
+        let Some(order_state) = self.services.get(service) else {
             return VersionChoice::Any;
         };
-        let version = acting.stage.order.version.clone();
-        match acting.stage.phase {
+        let version = order_state.stage.order.version.clone();
+        match order_state.stage.phase {
             Phase::Completed => VersionChoice::Only(version),
             Phase::Running { .. } | Phase::TakenBack => VersionChoice::Not(version),
         }
     }
 
-    /// Adds an answer of a version on a route, while an order runs.
+    /// Records a response of a version on a route while there is an order.
     pub fn record_response(
         &mut self,
         service: &ServiceName,
@@ -146,26 +148,29 @@
         is_bad: bool,
         time: Duration,
     ) {
-        if let Some(acting) = self.services.get_mut(service) {
-            let is_new = *version == acting.stage.order.version;
-            acting.evidence.record(route, is_new, is_bad, time);
+        if let Some(order_state) = self.services.get_mut(service) {
+            let is_new = *version == order_state.stage.order.version;
+            order_state.evidence.record(route, is_new, is_bad, time);
         }
     }
 
-    /// Returns what this instance saw of orders that run.
+    /// Returns what this instance observed of running orders.
     pub fn reports(&self, origin: u64) -> Vec<(ServiceName, EvidenceReport)> {
         let running = self.services.iter();
-        let running = running.filter(|(_, acting)| !acting.stage.phase.is_ended());
+        let running = running.filter(|(_, order_state)| !order_state.stage.phase.is_ended());
         running
-            .map(|(service, acting)| {
-                let version = &acting.stage.order.version;
-                (service.clone(), acting.evidence.report(origin, version))
+            .map(|(service, order_state)| {
+                let version = &order_state.stage.order.version;
+                (
+                    service.clone(),
+                    order_state.evidence.report(origin, version),
+                )
             })
             .collect()
     }
 
-    /// Returns the stages that are known, for an instance that begins to drive orders.
+    /// Returns the known progress of orders, for an instance that starts to drive them.
     pub fn stages(&self) -> impl Iterator<Item = &Stage> {
-        self.services.values().map(|acting| &acting.stage)
+        self.services.values().map(|order_state| &order_state.stage)
     }
 }
