--- a/bench/src/answer/cost.rs
+++ b/bench/src/answer/cost.rs
@@ -4,7 +4,7 @@
 
 use celerypond_answer::{
     ChainDigest, ChosenTarget, ConnectionId, DeliveryMode, DriverId, Effect, Event, Frame,
-    Generation, GenerationLimits, Input, KeeperRecord, Origin, Request, ResumeTokenKey, Stream,
+    Generation, GenerationLimits, Input, KeeperRecord, Origin, Request, ResumeTokenKey, StreamId,
     TimeoutEstimator, TimeoutLimits, TokenSequence,
 };
 use celerypond_types::{Attempt, Digest, Position, TokenId};
@@ -188,7 +188,7 @@
         key: "order-1234567".into(),
         origin: Origin {
             attempt: Attempt(0),
-            stream: Stream {
+            stream: StreamId {
                 target: "engine-1".into(),
                 attempt: Attempt(0),
             },
--- a/bench/src/answer/model.rs
+++ b/bench/src/answer/model.rs
@@ -15,7 +15,8 @@
 use celerypond_answer::{
     ChosenTarget, ConnectionId, DeliveryMode, DriverId, Effect, Event, Frame, Generation,
     GenerationLimits, Input, KeeperRecord, Refusal, Request, ResumeScheduler, ResumeTokenCodec,
-    ResumeTokenKey, Start, Stream, TakeOver, TimeoutEstimator, TimeoutLimits, Timeouts, WaiterKey,
+    ResumeTokenKey, Start, StreamId, TakeOver, TimeoutEstimator, TimeoutLimits, Timeouts,
+    WaiterKey,
 };
 use celerypond_types::{Attempt, Digest, Position, TargetKey, TargetName, TokenId, VersionKey};
 use rand::{rngs::StdRng, Rng, SeedableRng};
--- a/bench/src/answer/model/engines.rs
+++ b/bench/src/answer/model/engines.rs
@@ -34,7 +34,7 @@
         &mut self,
         at: usize,
         link: ConnectionId,
-        stream: &Stream,
+        stream: &StreamId,
         from: Position,
     ) {
         let engine = number(&stream.target);
@@ -89,7 +89,7 @@
         }
     }
 
-    pub(super) fn cancel(&mut self, at: usize, stream: &Stream) {
+    pub(super) fn cancel(&mut self, at: usize, stream: &StreamId) {
         let engine = number(&stream.target);
         let now = self.now;
         let state = &mut self.engines[engine];
--- a/bench/src/answer/model/instances.rs
+++ b/bench/src/answer/model/instances.rs
@@ -236,7 +236,7 @@
             attempt: driver.first_attempt(),
             origin: celerypond_answer::Origin {
                 attempt: driver.first_attempt(),
-                stream: Stream {
+                stream: StreamId {
                     target: "0".into(),
                     attempt: driver.first_attempt(),
                 },
--- a/crates/answer/src/effect.rs
+++ b/crates/answer/src/effect.rs
@@ -5,7 +5,7 @@
 };
 use smol_str::SmolStr;
 
-use crate::{ConnectionId, FinishReason, Incomplete, KeeperRecord, RecordExtension, Stream};
+use crate::{ConnectionId, FinishReason, Incomplete, KeeperRecord, RecordExtension, StreamId};
 
 /// What an answer asks its instance to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
         /// The new connection.
         connection: ConnectionId,
         /// The stream.
-        stream: Stream,
+        stream: StreamId,
         /// The first position to read.
         from: Position,
     },
@@ -27,7 +27,7 @@
     Close(ConnectionId),
     /// Stop a stream at its engine, on a new connection. Try again while the engine does not
     /// answer, for as long as it may be paused.
-    Cancel(Stream),
+    Cancel(StreamId),
     /// Put the record at the keepers; answer with `Fenced` if one has a higher record.
     PutRecord(KeeperRecord),
     /// Add tokens to the record at the keepers.
@@ -63,7 +63,7 @@
     /// The new connection.
     pub connection: ConnectionId,
     /// The engine and the attempt number.
-    pub stream: Stream,
+    pub stream: StreamId,
     /// The version.
     pub version: VersionName,
     /// The seed.
--- a/crates/answer/src/generation.rs
+++ b/crates/answer/src/generation.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     outlet::Outlet, reader::Reader, ChainDigest, ConnectionId, DriverId, Effect, Event,
-    GenerationLimits, Input, KeeperRecord, Origin, Request, ResumeTokenCodec, Stream, TakeOver,
+    GenerationLimits, Input, KeeperRecord, Origin, Request, ResumeTokenCodec, StreamId, TakeOver,
     Timeouts, TokenSequence,
 };
 
@@ -271,7 +271,7 @@
         out.push(self.keep(record));
     }
 
-    fn record(&self, stream: &Stream, now: Instant) -> KeeperRecord {
+    fn record(&self, stream: &StreamId, now: Instant) -> KeeperRecord {
         let sequence = self.sequence.as_ref();
         let left = self.request.deadline.saturating_duration_since(now);
         KeeperRecord {
--- a/crates/answer/src/generation/choosing.rs
+++ b/crates/answer/src/generation/choosing.rs
@@ -5,7 +5,7 @@
 
 use super::{Generation, State};
 use crate::{
-    reader::Reader, ChosenTarget, DriverId, Effect, Start, Stream, TargetCriteria, Timeouts,
+    reader::Reader, ChosenTarget, DriverId, Effect, Start, StreamId, TargetCriteria, Timeouts,
     TokenSequence,
 };
 
@@ -16,7 +16,7 @@
     /// Reads the stream of another driver from the first token that is not known.
     pub(super) fn adopt(
         &mut self,
-        stream: Stream,
+        stream: StreamId,
         previous: Option<InstanceName>,
         timeouts: Timeouts,
         now: Instant,
@@ -68,7 +68,7 @@
         };
         self.attempt = attempt;
         self.fresh = DriverId::next_attempt(attempt);
-        let stream = Stream {
+        let stream = StreamId {
             target: chosen.target,
             attempt,
         };
--- a/crates/answer/src/lib.rs
+++ b/crates/answer/src/lib.rs
@@ -20,7 +20,7 @@
 mod resume_codec;
 mod resume_scheduler;
 mod sequence;
-mod stream;
+mod stream_id;
 mod takeover;
 mod timeouts;
 
@@ -38,6 +38,6 @@
 pub use resume_codec::{AttemptTokenEncoder, ResumeTokenCodec, ResumeTokenKey};
 pub use resume_scheduler::{Grant, ResumeLimits, ResumeScheduler, WaiterKey};
 pub use sequence::{TokenSequence, Verdict};
-pub use stream::Stream;
+pub use stream_id::StreamId;
 pub use takeover::{TakeOver, TakeOverError};
 pub use timeouts::{TimeoutEstimator, TimeoutLimits, Timeouts};
--- a/crates/answer/src/reader.rs
+++ b/crates/answer/src/reader.rs
@@ -3,7 +3,7 @@
 use celerypond_types::TargetName;
 use tokio::time::Instant;
 
-use crate::{ConnectionId, Stream, Timeouts};
+use crate::{ConnectionId, StreamId, Timeouts};
 
 /// How many times the wait for the first token an attempt gets while its engine answers probes.
 const STUCK_FIRSTS: u32 = 4;
@@ -22,7 +22,7 @@
 /// given twice the time after each probe, up to a bound for one whose stream is no_progress.
 #[derive(Clone, Debug)]
 pub(crate) struct Reader {
-    stream: Stream,
+    stream: StreamId,
     timeouts: Timeouts,
     /// The connection that is read, unless it was lost.
     connection: Option<ConnectionId>,
@@ -56,7 +56,7 @@
 
 impl Reader {
     pub(crate) fn start(
-        stream: Stream,
+        stream: StreamId,
         connection: ConnectionId,
         timeouts: Timeouts,
         now: Instant,
@@ -77,7 +77,7 @@
 
     /// Reads a stream that another instance started.
     pub(crate) fn resume(
-        stream: Stream,
+        stream: StreamId,
         connection: ConnectionId,
         timeouts: Timeouts,
         now: Instant,
@@ -189,7 +189,7 @@
         self.due
     }
 
-    pub(crate) const fn stream(&self) -> &Stream {
+    pub(crate) const fn stream(&self) -> &StreamId {
         &self.stream
     }
 
--- a/crates/answer/src/record.rs
+++ b/crates/answer/src/record.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::{ChainDigest, Origin, Stream};
+use crate::{ChainDigest, Origin, StreamId};
 
 /// What keepers hold about a request, so that another instance can take it over.
 ///
@@ -81,7 +81,7 @@
     }
 
     /// Returns the stream that the answer comes from.
-    pub const fn stream(&self) -> &Stream {
+    pub const fn stream(&self) -> &StreamId {
         &self.origin.stream
     }
 
--- a/crates/answer/src/resume.rs
+++ b/crates/answer/src/resume.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::{ChainDigest, Stream};
+use crate::{ChainDigest, StreamId};
 
 /// What a caller sends to go on with an answer at any instance, as `Last-Event-ID`.
 ///
@@ -25,7 +25,7 @@
     /// The highest attempt number that the sender knew of.
     pub attempt: Attempt,
     /// The stream that the last token came from.
-    pub stream: Stream,
+    pub stream: StreamId,
     /// The version that generates the answer.
     pub version: VersionName,
     /// The seed of the answer.
--- a/crates/answer/src/resume_codec.rs
+++ b/crates/answer/src/resume_codec.rs
@@ -30,7 +30,7 @@
 ///
 /// ```
 /// use celerypond_answer::{
-///     ChainDigest, Origin, ResumeError, ResumeToken, ResumeTokenCodec, ResumeTokenKey, Stream,
+///     ChainDigest, Origin, ResumeError, ResumeToken, ResumeTokenCodec, ResumeTokenKey, StreamId,
 /// };
 /// use celerypond_types::{Attempt, Digest, Position};
 ///
@@ -38,7 +38,7 @@
 /// let token = ResumeToken {
 ///     origin: Origin {
 ///         attempt: Attempt(1),
-///         stream: Stream { target: "e1".into(), attempt: Attempt(1) },
+///         stream: StreamId { target: "e1".into(), attempt: Attempt(1) },
 ///         version: "v1".into(),
 ///         seed: 42,
 ///     },
--- a/crates/answer/tests/test_keeper.rs
+++ b/crates/answer/tests/test_keeper.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use celerypond_answer::{ChainDigest, Keeper, KeeperRecord, Origin, PutError, RecordError, Stream};
+use celerypond_answer::{
+    ChainDigest, Keeper, KeeperRecord, Origin, PutError, RecordError, StreamId,
+};
 use celerypond_types::{Attempt, TokenId};
 use rstest::rstest;
 use tokio::time::Instant;
@@ -13,7 +15,7 @@
         key: "r".into(),
         origin: Origin {
             attempt: Attempt(attempt),
-            stream: Stream {
+            stream: StreamId {
                 target: "e1".into(),
                 attempt: Attempt(attempt),
             },
--- a/crates/answer/tests/test_resume.rs
+++ b/crates/answer/tests/test_resume.rs
@@ -1,7 +1,7 @@
 //! Resume tokens as text.
 
 use celerypond_answer::{
-    ChainDigest, Origin, ResumeError, ResumeToken, ResumeTokenCodec, ResumeTokenKey, Stream,
+    ChainDigest, Origin, ResumeError, ResumeToken, ResumeTokenCodec, ResumeTokenKey, StreamId,
 };
 use celerypond_types::{Attempt, Digest, Position};
 use rstest::rstest;
@@ -18,7 +18,7 @@
     ResumeToken {
         origin: Origin {
             attempt: Attempt(65_537),
-            stream: Stream {
+            stream: StreamId {
                 target: "engine-3".into(),
                 attempt: Attempt(2),
             },
--- a/crates/answer/tests/test_takeover.rs
+++ b/crates/answer/tests/test_takeover.rs
@@ -4,7 +4,7 @@
 
 use celerypond_answer::{
     ChainDigest, ConnectionId, DeliveryMode, DriverId, Effect, Generation, GenerationLimits, Input,
-    KeeperRecord, Origin, Request, ResumeToken, ResumeTokenKey, Stream, TakeOver, TakeOverError,
+    KeeperRecord, Origin, Request, ResumeToken, ResumeTokenKey, StreamId, TakeOver, TakeOverError,
     Timeouts,
 };
 use celerypond_types::{Attempt, Digest, Position, TokenId};
@@ -27,7 +27,7 @@
 fn origin(number: u32, version: &str) -> Origin {
     Origin {
         attempt: Attempt(number),
-        stream: Stream {
+        stream: StreamId {
             target: format!("e{number}").as_str().into(),
             attempt: Attempt(number),
         },
--- a/daemon/src/generation/open.rs
+++ b/daemon/src/generation/open.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use celerypond_answer::{ConnectionId, Input, Start, Stream};
+use celerypond_answer::{ConnectionId, Input, Start, StreamId};
 use celerypond_route::{InFlight, Route};
 use celerypond_telemetry::{hop, Counter};
 use celerypond_types::{RequestKey, TargetKey, TargetName};
@@ -124,7 +124,7 @@
         });
     }
 
-    pub(super) fn cancel(&self, stream: Stream) {
+    pub(super) fn cancel(&self, stream: StreamId) {
         let Some((_, address)) = self.find(&stream.target) else {
             return;
         };
--- a/daemon/src/link.rs
+++ b/daemon/src/link.rs
@@ -6,7 +6,7 @@
     sync::{Arc, Mutex},
 };
 
-use celerypond_answer::{ConnectionId, Event, Input, Refusal, Start, Stream, TimeoutEstimator};
+use celerypond_answer::{ConnectionId, Event, Input, Refusal, Start, StreamId, TimeoutEstimator};
 use celerypond_types::{AdapterName, Attempt, ModelName, Position, Priority, RequestKey};
 use error_stack::Report;
 use futures::StreamExt;
@@ -66,7 +66,7 @@
     request: RequestKey,
     address: SocketAddr,
     link: ConnectionId,
-    stream: Stream,
+    stream: StreamId,
     from: Position,
     stall: Arc<Mutex<TimeoutEstimator>>,
     inputs: mpsc::Sender<Input>,
--- a/daemon/tests/test_links.rs
+++ b/daemon/tests/test_links.rs
@@ -6,7 +6,7 @@
 };
 
 use celerypond_answer::{
-    ConnectionId, Event, Input, Start, Stream, TimeoutEstimator, TimeoutLimits,
+    ConnectionId, Event, Input, Start, StreamId, TimeoutEstimator, TimeoutLimits,
 };
 use celerypond_daemon::link::{self, Ask};
 use celerypond_testutils::engine::{Engine, EngineSettings};
@@ -36,7 +36,7 @@
     };
     let start = Start {
         connection: ConnectionId(1),
-        stream: Stream {
+        stream: StreamId {
             target: "engine-0".into(),
             attempt: Attempt(0),
         },
