--- a/crates/answer/src/driver.rs
+++ b/crates/answer/src/driver.rs
@@ -3,20 +3,20 @@
 use celerypond_types::Attempt;
 use rand::Rng;
 
-const TRY_BITS: u32 = 10;
+const RETRY_BITS: u32 = 10;
 const DRIVER_BITS: u32 = 14;
-const TERM_SHIFT: u32 = TRY_BITS + DRIVER_BITS;
+const TERM_SHIFT: u32 = RETRY_BITS + DRIVER_BITS;
 const DRIVER_MASK: u16 = (1 << DRIVER_BITS) - 1;
-const TRY_MASK: u32 = (1 << TRY_BITS) - 1;
+const RETRY_MASK: u32 = (1 << RETRY_BITS) - 1;
 
 /// One driver of a request: an instance that generates an answer for one connection of a caller.
 ///
 /// An attempt number has three parts: the term, which rises with each take-over; the driver's
-/// random mark; and the try. A higher number is always the later driver's or the later try.
+/// random id; and the try. A higher number is always the later driver's or the later try.
 ///
 /// The failure: two instances start to drive one request at the same moment, and don't know of each
 /// other. The symptom would be two streams of one name at an engine, and tokens of one in the
-/// answer of the other. The mark keeps their numbers apart, but for one chance in 16,384 of such
+/// answer of the other. The id keeps their numbers apart, but for one chance in 16,384 of such
 /// meetings, and the greater one wins at the keepers.
 ///
 /// # Examples
@@ -32,19 +32,19 @@
 pub struct DriverId(u16);
 
 impl DriverId {
-    /// Makes a driver with the low 14 bits of `mark`.
-    pub const fn new(mark: u16) -> Self {
-        Self(mark & DRIVER_MASK)
+    /// Makes a driver with the low 14 bits of `id`.
+    pub const fn new(id: u16) -> Self {
+        Self(id & DRIVER_MASK)
     }
 
-    /// Draws a mark.
+    /// Draws a id.
     pub fn random(rng: &mut impl Rng) -> Self {
         Self::new(rng.random())
     }
 
     /// Returns the number of the first attempt of a request that nobody drove before.
     pub const fn first_attempt(self) -> Attempt {
-        Attempt((self.0 as u32) << TRY_BITS)
+        Attempt((self.0 as u32) << RETRY_BITS)
     }
 
     /// Returns the first number after a driver that reached `attempt`, or `None` when the terms are
@@ -57,6 +57,6 @@
 
     /// Returns the number of the next try of the same driver, or `None` when they are used up.
     pub fn next_attempt(attempt: Attempt) -> Option<Attempt> {
-        (attempt.0 & TRY_MASK < TRY_MASK).then(|| attempt.next())
+        (attempt.0 & RETRY_MASK < RETRY_MASK).then(|| attempt.next())
     }
 }
--- a/crates/answer/src/event.rs
+++ b/crates/answer/src/event.rs
@@ -65,7 +65,7 @@
 
 /// Both kinds of event, told apart by `done`; avoids the buffering of an untagged parse.
 #[derive(Deserialize)]
-struct Wire {
+struct RawEvent {
     request: RequestKey,
     attempt: Attempt,
     #[serde(default)]
@@ -96,15 +96,15 @@
     /// assert!(Event::parse(&data[..40]).is_err());
     /// ```
     pub fn parse(data: &str) -> Result<Self, EventError> {
-        let wire: Wire = serde_json::from_str(data)?;
-        wire.event()
+        let raw: RawEvent = serde_json::from_str(data)?;
+        raw.into_event()
             .map_err(serde::de::Error::missing_field)
             .map_err(EventError::Malformed)
     }
 }
 
-impl Wire {
-    fn event(self) -> Result<Event, &'static str> {
+impl RawEvent {
+    fn into_event(self) -> Result<Event, &'static str> {
         if self.done {
             return Ok(Event::Done(Done {
                 request: self.request,
--- a/crates/answer/src/keeper.rs
+++ b/crates/answer/src/keeper.rs
@@ -9,12 +9,12 @@
 use crate::{KeeperRecord, RecordExtension};
 
 /// The memory of a keeper that is made without a limit, in bytes.
-const DEFAULT_LIMIT: usize = 32 << 20;
+const DEFAULT_MAX_BYTES: usize = 32 << 20;
 /// What a record takes beside its key, tokens and text, in bytes.
-const RECORD_BYTES: usize = 320;
+const RECORD_OVERHEAD_BYTES: usize = 320;
 const TOKEN_BYTES: usize = size_of::<u32>();
 
-/// Why a record is not kept.
+/// Why a record is not entry.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum PutError {
     /// A record of a higher attempt is here; the sender is to give the answer up.
@@ -41,30 +41,30 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Keeper {
-    limit: usize,
-    used: usize,
-    records: HashMap<RequestKey, Kept>,
+    max_bytes: usize,
+    used_bytes: usize,
+    records: HashMap<RequestKey, Entry>,
     expiry: BTreeSet<(Instant, RequestKey)>,
 }
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct Entry {
     record: KeeperRecord,
     expires: Instant,
 }
 
 impl Default for Keeper {
     fn default() -> Self {
-        Self::new(DEFAULT_LIMIT)
+        Self::new(DEFAULT_MAX_BYTES)
     }
 }
 
 impl Keeper {
-    /// Makes a keeper that uses at most about `limit` bytes.
-    pub fn new(limit: usize) -> Self {
+    /// Makes a keeper that uses at most about `max_bytes` bytes.
+    pub fn new(max_bytes: usize) -> Self {
         Self {
-            limit,
-            used: 0,
+            max_bytes,
+            used_bytes: 0,
             records: HashMap::new(),
             expiry: BTreeSet::new(),
         }
@@ -93,13 +93,13 @@
         let freed = self
             .records
             .get(&merged.key)
-            .map_or(0, |held| cost(&held.record));
-        if self.used - freed + cost(&merged) > self.limit {
+            .map_or(0, |held| record_bytes(&held.record));
+        if self.used_bytes - freed + record_bytes(&merged) > self.max_bytes {
             return Err(PutError::Full);
         }
         self.take(&merged.key.clone());
         let expires = now + merged.time_left();
-        self.insert(Kept {
+        self.insert(Entry {
             record: merged,
             expires,
         });
@@ -109,13 +109,13 @@
     /// Adds tokens to a record, if they follow its last one and there is room.
     pub fn extend(&mut self, copy: &RecordExtension) {
         let more = copy.tokens.len() * TOKEN_BYTES + copy.text.len();
-        if self.used + more > self.limit {
+        if self.used_bytes + more > self.max_bytes {
             return;
         }
-        if let Some(kept) = self.take(&copy.key) {
-            self.insert(Kept {
-                record: kept.record.extend(copy),
-                ..kept
+        if let Some(entry) = self.take(&copy.key) {
+            self.insert(Entry {
+                record: entry.record.extend(copy),
+                ..entry
             });
         }
     }
@@ -124,14 +124,14 @@
     pub fn get(&self, now: Instant, key: &RequestKey) -> Option<&KeeperRecord> {
         self.records
             .get(key)
-            .filter(|kept| now < kept.expires)
-            .map(|kept| &kept.record)
+            .filter(|entry| now < entry.expires)
+            .map(|entry| &entry.record)
     }
 
     /// Removes the record of a request, if it is not of a later attempt than `attempt`.
     pub fn remove(&mut self, key: &RequestKey, attempt: Attempt) {
         let held = self.records.get(key);
-        if held.is_some_and(|kept| kept.record.attempt() <= attempt) {
+        if held.is_some_and(|entry| entry.record.attempt() <= attempt) {
             self.take(key);
         }
     }
@@ -157,22 +157,22 @@
         self.records.is_empty()
     }
 
-    fn insert(&mut self, kept: Kept) {
-        let key = kept.record.key.clone();
-        self.used += cost(&kept.record);
-        self.expiry.insert((kept.expires, key.clone()));
-        self.records.insert(key, kept);
+    fn insert(&mut self, entry: Entry) {
+        let key = entry.record.key.clone();
+        self.used_bytes += record_bytes(&entry.record);
+        self.expiry.insert((entry.expires, key.clone()));
+        self.records.insert(key, entry);
     }
 
-    fn take(&mut self, key: &RequestKey) -> Option<Kept> {
-        let kept = self.records.remove(key)?;
-        self.used -= cost(&kept.record);
-        self.expiry.remove(&(kept.expires, key.clone()));
-        Some(kept)
+    fn take(&mut self, key: &RequestKey) -> Option<Entry> {
+        let entry = self.records.remove(key)?;
+        self.used_bytes -= record_bytes(&entry.record);
+        self.expiry.remove(&(entry.expires, key.clone()));
+        Some(entry)
     }
 }
 
-fn cost(record: &KeeperRecord) -> usize {
+fn record_bytes(record: &KeeperRecord) -> usize {
     let names = 2 * record.key.as_str().len();
-    RECORD_BYTES + names + record.prefix.len() * TOKEN_BYTES + record.text.len()
+    RECORD_OVERHEAD_BYTES + names + record.prefix.len() * TOKEN_BYTES + record.text.len()
 }
--- a/crates/answer/src/resume_codec.rs
+++ b/crates/answer/src/resume_codec.rs
@@ -12,8 +12,8 @@
 const KEY_BYTES: usize = 32;
 const TAG_BYTES: usize = 16;
 const POSITION_BYTES: usize = size_of::<u32>();
-const BODY_BYTES: usize = POSITION_BYTES + size_of::<u64>();
-const TAIL_BYTES: usize = BODY_BYTES + TAG_BYTES;
+const PAYLOAD_BYTES: usize = POSITION_BYTES + size_of::<u64>();
+const TAIL_BYTES: usize = PAYLOAD_BYTES + TAG_BYTES;
 const SEPARATOR: char = '.';
 
 /// The secret that all instances share for sealing.
@@ -90,10 +90,10 @@
 impl ResumeTokenCodec {
     /// Makes the codec of the request `request` whose body has the digest `body`.
     pub fn new(key: &ResumeTokenKey, request: &RequestKey, body: &Digest) -> Self {
-        let name = Sha256::digest(request.as_str().as_bytes());
+        let request_digest = Sha256::digest(request.as_str().as_bytes());
         let state = Sha256::new()
             .chain_update(key.0)
-            .chain_update(name)
+            .chain_update(request_digest)
             .chain_update(body.as_bytes());
         Self { state }
     }
@@ -125,12 +125,12 @@
         let (head, tail) = (decode(head)?, decode(tail)?);
         let tail = <[u8; TAIL_BYTES]>::try_from(tail.as_slice())
             .map_err(|_| ResumeError::Length(tail.len()))?;
-        let (body, found) = tail.split_at(BODY_BYTES);
-        if tag(self.state.clone().chain_update(&head), body) != found {
+        let (payload, found_tag) = tail.split_at(PAYLOAD_BYTES);
+        if tag(self.state.clone().chain_update(&head), payload) != found_tag {
             return Err(ResumeError::Tag);
         }
         let origin = bincode::deserialize(&head).map_err(|_| ResumeError::Format)?;
-        let (position, digest) = bincode::deserialize(body).map_err(|_| ResumeError::Format)?;
+        let (position, digest) = bincode::deserialize(payload).map_err(|_| ResumeError::Format)?;
         Ok(ResumeToken {
             origin,
             position,
@@ -144,9 +144,9 @@
     pub fn encode(&self, position: Position, digest: ChainDigest) -> SmolStr {
         let mut tail = [0; TAIL_BYTES];
         tail[..POSITION_BYTES].copy_from_slice(&position.0.to_le_bytes());
-        tail[POSITION_BYTES..BODY_BYTES].copy_from_slice(&digest.0.to_le_bytes());
-        let tag = tag(self.state.clone(), &tail[..BODY_BYTES]);
-        tail[BODY_BYTES..].copy_from_slice(&tag);
+        tail[POSITION_BYTES..PAYLOAD_BYTES].copy_from_slice(&digest.0.to_le_bytes());
+        let tag = tag(self.state.clone(), &tail[..PAYLOAD_BYTES]);
+        tail[PAYLOAD_BYTES..].copy_from_slice(&tag);
         let mut text = String::with_capacity(self.head.len() + 2 * tail.len());
         text.push_str(&self.head);
         text.push(SEPARATOR);
@@ -161,9 +161,9 @@
         .map_err(|_| ResumeError::Base64)
 }
 
-fn tag(state: Sha256, body: &[u8]) -> [u8; TAG_BYTES] {
-    let whole = state.chain_update(body).finalize();
+fn tag(state: Sha256, payload: &[u8]) -> [u8; TAG_BYTES] {
+    let full_digest = state.chain_update(payload).finalize();
     let mut tag = [0; TAG_BYTES];
-    tag.copy_from_slice(&whole[..TAG_BYTES]);
+    tag.copy_from_slice(&full_digest[..TAG_BYTES]);
     tag
 }
--- a/crates/answer/src/resume_scheduler.rs
+++ b/crates/answer/src/resume_scheduler.rs
@@ -48,9 +48,9 @@
 pub struct ResumeScheduler {
     limits: ResumeLimits,
     waiters: SlotMap<WaiterKey, Waiter>,
-    order: BTreeSet<(Instant, u64, WaiterKey)>,
+    queue: BTreeSet<(Instant, u64, WaiterKey)>,
     running: SecondaryMap<TargetKey, u32>,
-    joined: u64,
+    arrivals: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -58,7 +58,7 @@
     version: VersionKey,
     since: Instant,
     /// Tells waiters of one moment apart, in order of arrival.
-    joined: u64,
+    arrival: u64,
 }
 
 /// A resume that may start now.
@@ -104,9 +104,9 @@
         Self {
             limits,
             waiters: SlotMap::with_key(),
-            order: BTreeSet::new(),
+            queue: BTreeSet::new(),
             running: SecondaryMap::new(),
-            joined: 0,
+            arrivals: 0,
         }
     }
 
@@ -117,21 +117,21 @@
 
     /// Lets an answer of `version` wait whose caller had its last token at `since`.
     pub fn enqueue(&mut self, version: VersionKey, since: Instant) -> WaiterKey {
-        self.joined += 1;
+        self.arrivals += 1;
         let waiter = Waiter {
             version,
             since,
-            joined: self.joined,
+            arrival: self.arrivals,
         };
         let key = self.waiters.insert(waiter);
-        self.order.insert((since, waiter.joined, key));
+        self.queue.insert((since, waiter.arrival, key));
         key
     }
 
     /// Takes back a wait.
     pub fn cancel(&mut self, key: WaiterKey) {
         if let Some(waiter) = self.waiters.remove(key) {
-            self.order.remove(&(waiter.since, waiter.joined, key));
+            self.queue.remove(&(waiter.since, waiter.arrival, key));
         }
     }
 
@@ -143,21 +143,21 @@
         &mut self,
         mut choose: impl FnMut(VersionKey, &dyn Fn(TargetKey) -> bool) -> Option<TargetKey>,
     ) -> Option<Grant> {
-        let mut full = BTreeSet::new();
-        for (_, _, key) in &self.order {
+        let mut full_versions = BTreeSet::new();
+        for (_, _, key) in &self.queue {
             let version = self.waiters[*key].version;
-            if full.contains(&version) {
+            if full_versions.contains(&version) {
                 continue;
             }
             let Some(target) = choose(version, &|target| self.has_capacity(target)) else {
-                full.insert(version);
+                full_versions.insert(version);
                 continue;
             };
             let grant = Grant {
                 waiter: *key,
                 target,
             };
-            return Some(self.take(grant));
+            return Some(self.start(grant));
         }
         None
     }
@@ -191,7 +191,7 @@
         self.waiters.len()
     }
 
-    fn take(&mut self, grant: Grant) -> Grant {
+    fn start(&mut self, grant: Grant) -> Grant {
         self.cancel(grant.waiter);
         // A target that was removed in the meantime has a stale key and is not counted.
         if let Some(entry) = self.running.entry(grant.target) {
--- a/crates/answer/src/takeover.rs
+++ b/crates/answer/src/takeover.rs
@@ -42,7 +42,7 @@
     /// Plans a take-over from what the caller sent and what the keepers know; `Ok(None)` means that
     /// nothing is known, so the request is a new one.
     ///
-    /// `brought` are the token ids that the caller sent back, or none.
+    /// `caller_tokens` are the token ids that the caller sent back, or none.
     ///
     /// # Errors
     ///
@@ -60,9 +60,9 @@
         driver: DriverId,
         token: Option<&ResumeToken>,
         record: Option<&KeeperRecord>,
-        brought: &[TokenId],
+        caller_tokens: &[TokenId],
     ) -> Result<Option<Self>, TakeOverError> {
-        let Some((origin, fallback)) = origins(token, record) else {
+        let Some((origin, fallback)) = choose_origins(token, record) else {
             return Ok(None);
         };
         let known = [
@@ -75,7 +75,12 @@
             .ok_or(TakeOverError::TermsExhausted)?;
         let delivered = token.map_or(Position(0), |token| token.position);
         let digest = token.map_or_else(ChainDigest::default, |token| token.digest);
-        let (prefix, text) = start(delivered, digest, record_of(record, &origin), brought)?;
+        let (prefix, text) = known_prefix(
+            delivered,
+            digest,
+            record_for(record, &origin),
+            caller_tokens,
+        )?;
         Ok(Some(Self {
             attempt,
             origin,
@@ -93,7 +98,7 @@
 ///
 /// What the caller has fixes the version. The later attempt goes first, unless its record proves
 /// that it is another driver's, which goes on from other tokens than the caller's.
-fn origins(
+fn choose_origins(
     token: Option<&ResumeToken>,
     record: Option<&KeeperRecord>,
 ) -> Option<(Origin, Option<Origin>)> {
@@ -106,7 +111,8 @@
         }
     };
     let own = token.origin.clone();
-    if *record.version() != own.version || record.attempt() < own.attempt || strays(record, token) {
+    if *record.version() != own.version || record.attempt() < own.attempt || diverges(record, token)
+    {
         return Some((own, None));
     }
     let fallback = (*record.stream() != own.stream).then_some(own);
@@ -114,7 +120,7 @@
 }
 
 /// Whether a record's tokens are others than the caller's.
-fn strays(record: &KeeperRecord, token: &ResumeToken) -> bool {
+fn diverges(record: &KeeperRecord, token: &ResumeToken) -> bool {
     record
         .prefix
         .get(..token.position.0 as usize)
@@ -122,18 +128,18 @@
 }
 
 /// Returns the record if it is about the stream of `origin`.
-fn record_of<'a>(record: Option<&'a KeeperRecord>, origin: &Origin) -> Option<&'a KeeperRecord> {
+fn record_for<'a>(record: Option<&'a KeeperRecord>, origin: &Origin) -> Option<&'a KeeperRecord> {
     record.filter(|record| *record.stream() == origin.stream)
 }
 
-fn start(
+fn known_prefix(
     delivered: Position,
     digest: ChainDigest,
     record: Option<&KeeperRecord>,
-    brought: &[TokenId],
+    caller_tokens: &[TokenId],
 ) -> Result<(Vec<TokenId>, String), TakeOverError> {
-    if !brought.is_empty() {
-        let tokens = brought
+    if !caller_tokens.is_empty() {
+        let tokens = caller_tokens
             .get(..delivered.0 as usize)
             .ok_or(TakeOverError::TokenMismatch)?;
         if ChainDigest::of(tokens) != digest {
--- a/crates/answer/src/timeouts.rs
+++ b/crates/answer/src/timeouts.rs
@@ -4,21 +4,21 @@
 
 use hdrhistogram::Histogram;
 
-/// The longest gap that is told apart from longer ones.
-const LONGEST_GAP: Duration = Duration::from_secs(10);
+/// The max_gap gap that is told apart from longer ones.
+const MAX_GAP: Duration = Duration::from_secs(10);
 const SIGNIFICANT_DIGITS: u8 = 2;
 /// How many gaps make a window; the estimate covers the last one to two windows. Few enough for
 /// counts of 16 bits, which keep a target below 5 KB.
 const WINDOW_GAPS: u64 = 4096;
 /// Below this number of gaps the ceiling is used.
-const ENOUGH_GAPS: u64 = 100;
+const MIN_GAPS: u64 = 100;
 
 /// Bounds of the progress timeout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimeoutLimits {
     /// The shortest timeout between two tokens.
     pub floor: Duration,
-    /// The longest timeout between two tokens, and the one for a target not yet observed.
+    /// The max_gap timeout between two tokens, and the one for a target not yet observed.
     pub ceiling: Duration,
     /// Which quantile of the gaps the timeout follows.
     pub quantile: f64,
@@ -72,7 +72,7 @@
 pub struct TimeoutEstimator {
     limits: TimeoutLimits,
     recent: Histogram<u16>,
-    earlier: Histogram<u16>,
+    previous: Histogram<u16>,
 }
 
 impl Default for TimeoutLimits {
@@ -95,8 +95,8 @@
     pub fn new(limits: TimeoutLimits) -> Self {
         Self {
             limits,
-            recent: empty(),
-            earlier: empty(),
+            recent: empty_histogram(),
+            previous: empty_histogram(),
         }
     }
 
@@ -105,7 +105,7 @@
     /// Gaps across a resume don't belong here: they would raise the timeout after each loss.
     pub fn observe(&mut self, gap: Duration) {
         if self.recent.len() >= WINDOW_GAPS {
-            self.earlier = std::mem::replace(&mut self.recent, empty());
+            self.previous = std::mem::replace(&mut self.recent, empty_histogram());
         }
         self.recent.saturating_record(gap.as_millis() as u64);
     }
@@ -124,20 +124,20 @@
 
     fn token_gap(&self) -> Duration {
         let limits = &self.limits;
-        if self.recent.len() + self.earlier.len() < ENOUGH_GAPS {
+        if self.recent.len() + self.previous.len() < MIN_GAPS {
             return limits.ceiling;
         }
         let recent = self.recent.value_at_quantile(limits.quantile);
-        let earlier = self.earlier.value_at_quantile(limits.quantile);
-        let quantile = Duration::from_millis(recent.max(earlier));
+        let previous = self.previous.value_at_quantile(limits.quantile);
+        let quantile = Duration::from_millis(recent.max(previous));
         quantile
             .mul_f64(limits.factor)
             .clamp(limits.floor, limits.ceiling)
     }
 }
 
-fn empty() -> Histogram<u16> {
-    let longest = LONGEST_GAP.as_millis() as u64;
+fn empty_histogram() -> Histogram<u16> {
+    let max_gap = MAX_GAP.as_millis() as u64;
     // The bounds are constants that the histogram accepts.
-    Histogram::new_with_max(longest, SIGNIFICANT_DIGITS).expect("constant bounds are valid")
+    Histogram::new_with_max(max_gap, SIGNIFICANT_DIGITS).expect("constant bounds are valid")
 }
