--- a/crates/answer/src/caller_output.rs
+++ b/crates/answer/src/caller_output.rs
@@ -8,40 +8,40 @@
 
 /// What the caller has of an answer, and what it gets next.
 #[derive(Clone, Debug)]
-pub(crate) struct Outlet {
+pub(crate) struct CallerOutput {
     mode: DeliveryMode,
-    shown: Position,
+    delivered: Position,
     digest: ChainDigest,
-    proved: bool,
+    prefix_verified: bool,
     encoder: Option<AttemptTokenEncoder>,
     text: String,
 }
 
-impl Outlet {
+impl CallerOutput {
     pub(crate) const fn new(mode: DeliveryMode) -> Self {
         Self {
             mode,
-            shown: Position(0),
+            delivered: Position(0),
             digest: ChainDigest(0),
-            proved: true,
+            prefix_verified: true,
             encoder: None,
             text: String::new(),
         }
     }
 
-    /// Goes on after `shown` tokens with the digest `digest`, of which `tokens` are known.
-    pub(crate) fn after(
+    /// Goes on after `delivered` tokens with the digest `digest`, of which `tokens` are known.
+    pub(crate) fn resumed(
         mode: DeliveryMode,
-        shown: Position,
+        delivered: Position,
         digest: ChainDigest,
         tokens: &[TokenId],
         text: String,
     ) -> Self {
         Self {
             mode,
-            shown,
+            delivered,
             digest,
-            proved: shown.0 == 0 || ChainDigest::of(tokens) == digest,
+            prefix_verified: delivered.0 == 0 || ChainDigest::of(tokens) == digest,
             encoder: None,
             text,
         }
@@ -56,8 +56,8 @@
     ///
     /// The failure: an instance takes over an answer of which the caller has the first tokens, and
     /// its own tokens before that place are others. The symptom would be an answer joined from two.
-    /// Nothing is shown before the digest at that place agrees with the caller's.
-    pub(crate) fn take(
+    /// Nothing is delivered before the digest at that place agrees with the caller's.
+    pub(crate) fn push(
         &mut self,
         frame: Frame,
         sequence: &TokenSequence,
@@ -67,11 +67,11 @@
             return Ok(None);
         }
         let length = sequence.next();
-        if length <= self.shown {
-            return self.compare(length, sequence.digest()).map(|()| None);
+        if length <= self.delivered {
+            return self.verify_prefix(length, sequence.digest()).map(|()| None);
         }
-        self.proof()?;
-        self.shown = length;
+        self.check_prefix()?;
+        self.delivered = length;
         self.digest = sequence.digest();
         let resume_token = self
             .encoder
@@ -86,22 +86,22 @@
     }
 
     /// Checks that what was read is known to go on from what the caller has.
-    pub(crate) const fn proof(&self) -> Result<(), Incomplete> {
-        if self.proved {
+    pub(crate) const fn check_prefix(&self) -> Result<(), Incomplete> {
+        if self.prefix_verified {
             return Ok(());
         }
         Err(Incomplete::Diverged {
-            position: self.shown,
+            position: self.delivered,
         })
     }
 
     /// Returns whether the caller has nothing, so that the answer may start anew.
-    pub(crate) const fn is_fresh(&self) -> bool {
-        self.shown.0 == 0
+    pub(crate) const fn is_empty(&self) -> bool {
+        self.delivered.0 == 0
     }
 
-    /// Forgets what was not shown.
-    pub(crate) fn clear(&mut self) {
+    /// Forgets what was not delivered.
+    pub(crate) fn clear_text(&mut self) {
         self.text.clear();
     }
 
@@ -110,10 +110,10 @@
         (self.mode == DeliveryMode::Buffered).then_some(self.text.as_str())
     }
 
-    fn compare(&mut self, length: Position, digest: ChainDigest) -> Result<(), Incomplete> {
-        if length == self.shown {
-            self.proved = digest == self.digest;
-            return self.proof();
+    fn verify_prefix(&mut self, length: Position, digest: ChainDigest) -> Result<(), Incomplete> {
+        if length == self.delivered {
+            self.prefix_verified = digest == self.digest;
+            return self.check_prefix();
         }
         Ok(())
     }
--- a/crates/answer/src/generation.rs
+++ b/crates/answer/src/generation.rs
@@ -8,9 +8,9 @@
 use tokio::time::Instant;
 
 use crate::{
-    outlet::Outlet, reader::Reader, ChainDigest, ConnectionId, DriverId, Effect, Event,
-    GenerationLimits, Input, KeeperRecord, Origin, Request, ResumeTokenCodec, StreamId, TakeOver,
-    Timeouts, TokenSequence,
+    caller_output::CallerOutput, stream_reader::StreamReader, ChainDigest, ConnectionId, DriverId,
+    Effect, Event, GenerationLimits, Input, KeeperRecord, Origin, Request, ResumeTokenCodec,
+    StreamId, TakeOver, Timeouts, TokenSequence,
 };
 
 /// Drives one answer from its first choice of a target to its end.
@@ -57,27 +57,27 @@
     codec: ResumeTokenCodec,
     /// The tokens so far, once a version was chosen.
     sequence: Option<TokenSequence>,
-    outlet: Outlet,
+    output: CallerOutput,
     state: State,
     /// The highest attempt number of this driver.
     attempt: Attempt,
     /// The number of the next start, until they are used up.
-    fresh: Option<Attempt>,
+    next_attempt: Option<Attempt>,
     last_connection: u32,
-    barren: u32,
+    failed_attempts: u32,
     excluded: Vec<TargetName>,
     /// Where else the caller's tokens may be found.
     fallback: Option<Origin>,
     /// When the record goes to the keepers at the latest, as long as it has not.
-    held: Option<Instant>,
+    record_due: Option<Instant>,
     /// How many tokens the keepers have, and how many bytes of text.
-    copied: (u32, usize),
+    recorded: (u32, usize),
     /// When the last new token came.
-    last: Instant,
+    last_token_at: Instant,
     /// How often no target was available since then.
-    polls: u32,
+    no_target_count: u32,
     /// When an answer whose caller went away is given up.
-    gone: Option<Instant>,
+    abandon_at: Option<Instant>,
 }
 
 #[derive(Debug)]
@@ -85,11 +85,11 @@
     /// Waits for a target; asks again at `retry`.
     Choosing { retry: Option<Instant> },
     /// Reads a stream.
-    Reading(Reader),
+    Reading(StreamReader),
     /// Waits for the keepers' word on whether the stream may be stopped.
-    Reviewing {
+    QueryingRecord {
         due: Instant,
-        reader: Option<Reader>,
+        reader: Option<StreamReader>,
     },
     /// Finished, failed or given up.
     Over,
@@ -105,11 +105,11 @@
         now: Instant,
         out: &mut Vec<Effect>,
     ) -> Self {
-        let outlet = Outlet::new(request.mode);
+        let output = CallerOutput::new(request.mode);
         let first = driver.first_attempt();
-        let mut generation = Self::with(request, limits, codec, outlet, first, now);
-        generation.fresh = Some(first);
-        generation.held = Some(now + generation.limits.record_delay);
+        let mut generation = Self::from_parts(request, limits, codec, output, first, now);
+        generation.next_attempt = Some(first);
+        generation.record_due = Some(now + generation.limits.record_delay);
         generation.choose(now, out);
         generation
     }
@@ -130,7 +130,7 @@
             seed: plan.origin.seed,
             ..request
         };
-        let outlet = Outlet::after(
+        let output = CallerOutput::resumed(
             request.mode,
             plan.delivered,
             plan.digest,
@@ -144,10 +144,10 @@
             stream.attempt,
             request.max_tokens,
         );
-        let mut generation = Self::with(request, limits, codec, outlet, plan.attempt, now);
+        let mut generation = Self::from_parts(request, limits, codec, output, plan.attempt, now);
         generation.sequence = Some(sequence.with_prefix(plan.prefix));
         generation.fallback = plan.fallback;
-        generation.adopt(stream, plan.previous_instance, timeouts, now, out);
+        generation.resume_stream(stream, plan.previous_instance, timeouts, now, out);
         generation
     }
 
@@ -160,13 +160,13 @@
                 self.frame(now, connection, frame, out)
             }
             Input::Event(connection, Event::Done(done)) => self.done(now, connection, &done, out),
-            Input::Malformed(connection) => self.broken(now, connection, out),
+            Input::Malformed(connection) => self.replace_connection(now, connection, out),
             Input::Closed(connection) => self.closed(now, connection, out),
             Input::Chosen(chosen) => self.chosen(now, chosen, out),
             Input::NoTarget => self.no_target(now),
-            Input::CallerDisconnected => self.gone = Some(now + self.limits.caller_grace),
+            Input::CallerDisconnected => self.abandon_at = Some(now + self.limits.caller_grace),
             Input::Fenced(record) => self.fenced(&record, out),
-            Input::RecordQueried(record) => self.reviewed(record.as_ref(), out),
+            Input::RecordQueried(record) => self.record_queried(record.as_ref(), out),
             Input::Tick => self.tick(now, out),
         }
     }
@@ -175,11 +175,14 @@
     pub fn next_tick(&self) -> Option<Instant> {
         let due = match &self.state {
             State::Choosing { retry, .. } => *retry,
-            State::Reading(reader) => [Some(reader.due()), self.held].into_iter().flatten().min(),
-            State::Reviewing { due, .. } => return Some(*due),
+            State::Reading(reader) => [Some(reader.deadline()), self.record_due]
+                .into_iter()
+                .flatten()
+                .min(),
+            State::QueryingRecord { due, .. } => return Some(*due),
             State::Over => return None,
         };
-        [due, self.gone, Some(self.request.deadline)]
+        [due, self.abandon_at, Some(self.request.deadline)]
             .into_iter()
             .flatten()
             .min()
@@ -195,11 +198,11 @@
         self.sequence.as_ref()
     }
 
-    fn with(
+    fn from_parts(
         request: Request,
         limits: GenerationLimits,
         codec: ResumeTokenCodec,
-        outlet: Outlet,
+        output: CallerOutput,
         attempt: Attempt,
         now: Instant,
     ) -> Self {
@@ -208,24 +211,24 @@
             limits,
             codec,
             sequence: None,
-            outlet,
+            output,
             state: State::Choosing { retry: None },
             attempt,
-            fresh: DriverId::next_attempt(attempt),
+            next_attempt: DriverId::next_attempt(attempt),
             last_connection: 0,
-            barren: 0,
+            failed_attempts: 0,
             excluded: Vec::new(),
             fallback: None,
-            held: None,
-            copied: (0, 0),
-            last: now,
-            polls: 0,
-            gone: None,
+            record_due: None,
+            recorded: (0, 0),
+            last_token_at: now,
+            no_target_count: 0,
+            abandon_at: None,
         }
     }
 
     fn tick(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        if let State::Reviewing { due, .. } = self.state {
+        if let State::QueryingRecord { due, .. } = self.state {
             if now >= due {
                 self.abandon(false, out);
             }
@@ -235,30 +238,30 @@
             return;
         }
         if now >= self.request.deadline {
-            return self.fail(self.late(), out);
+            return self.fail(self.deadline_error(), out);
         }
-        if self.gone.is_some_and(|gone| now >= gone) {
-            return self.review(now, out);
+        if self.abandon_at.is_some_and(|gone| now >= gone) {
+            return self.query_record(now, out);
         }
-        self.settle(now, out);
+        self.put_record_if_due(now, out);
         match &self.state {
             State::Choosing {
                 retry: Some(retry), ..
             } if now >= *retry => self.choose(now, out),
-            State::Reading(reader) if now >= reader.due() => {
-                let loss = reader.overdue(now);
-                self.lost(now, loss, out);
+            State::Reading(reader) if now >= reader.deadline() => {
+                let loss = reader.timed_out(now);
+                self.handle_loss(now, loss, out);
             }
             _ => {}
         }
     }
 
     /// Puts the record of an answer that has become old enough at the keepers.
-    fn settle(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    fn put_record_if_due(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let State::Reading(reader) = &self.state else {
             return;
         };
-        if self.held.is_none_or(|held| now < held) {
+        if self.record_due.is_none_or(|held| now < held) {
             return;
         }
         // The stream has all tokens, so the record needs none.
@@ -266,12 +269,12 @@
             prefix: Vec::new(),
             digest: ChainDigest::default(),
             text: String::new(),
-            ..self.record(reader.stream(), now)
+            ..self.build_record(reader.stream(), now)
         };
-        out.push(self.keep(record));
+        out.push(self.put_record(record));
     }
 
-    fn record(&self, stream: &StreamId, now: Instant) -> KeeperRecord {
+    fn build_record(&self, stream: &StreamId, now: Instant) -> KeeperRecord {
         let sequence = self.sequence.as_ref();
         let left = self.request.deadline.saturating_duration_since(now);
         KeeperRecord {
@@ -285,25 +288,25 @@
             instance: self.request.instance.clone(),
             prefix: sequence.map_or_else(Vec::new, |sequence| sequence.tokens().to_vec()),
             digest: sequence.map(TokenSequence::digest).unwrap_or_default(),
-            text: self.outlet.text().unwrap_or_default().to_owned(),
+            text: self.output.text().unwrap_or_default().to_owned(),
             remaining: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
         }
     }
 
     /// Returns the effect that puts the record at the keepers, who have its prefix from then on.
-    fn keep(&mut self, record: KeeperRecord) -> Effect {
-        self.held = None;
-        self.copied = (record.position().0, record.text.len());
+    fn put_record(&mut self, record: KeeperRecord) -> Effect {
+        self.record_due = None;
+        self.recorded = (record.position().0, record.text.len());
         Effect::PutRecord(record)
     }
 
     /// Returns the effect that removes the record, if the keepers have one.
-    fn forget(&self) -> Option<Effect> {
+    fn remove_record(&self) -> Option<Effect> {
         let forget = || Effect::RemoveRecord(self.request.key.clone(), self.attempt);
-        self.held.is_none().then(forget)
+        self.record_due.is_none().then(forget)
     }
 
-    fn next(&self) -> celerypond_types::Position {
+    fn next_position(&self) -> celerypond_types::Position {
         self.sequence
             .as_ref()
             .map(TokenSequence::next)
--- a/crates/answer/src/generation/choosing.rs
+++ b/crates/answer/src/generation/choosing.rs
@@ -5,8 +5,8 @@
 
 use super::{Generation, State};
 use crate::{
-    reader::Reader, ChosenTarget, DriverId, Effect, Start, StreamId, TargetCriteria, Timeouts,
-    TokenSequence,
+    stream_reader::StreamReader, ChosenTarget, DriverId, Effect, Start, StreamId, TargetCriteria,
+    Timeouts, TokenSequence,
 };
 
 /// Enough to pass any sensible longest rest, and few enough not to overflow.
@@ -14,7 +14,7 @@
 
 impl Generation {
     /// Reads the stream of another driver from the first token that is not known.
-    pub(super) fn adopt(
+    pub(super) fn resume_stream(
         &mut self,
         stream: StreamId,
         previous: Option<InstanceName>,
@@ -22,27 +22,29 @@
         now: Instant,
         out: &mut Vec<Effect>,
     ) {
-        let record = self.record(&stream, now);
-        self.outlet
+        let record = self.build_record(&stream, now);
+        self.output
             .set_encoder(self.codec.for_attempt(&record.origin));
         if let Some(previous) = previous.filter(|previous| *previous != self.request.instance) {
             out.push(Effect::NotifyInstance(previous, record.clone()));
         }
-        out.push(self.keep(record));
+        out.push(self.put_record(record));
         let connection = self.next_connection();
         out.push(Effect::Resume {
             connection,
             stream: stream.clone(),
-            from: self.next(),
+            from: self.next_position(),
         });
-        self.state = State::Reading(Reader::resume(stream, connection, timeouts, now));
+        self.state = State::Reading(StreamReader::resume(stream, connection, timeouts, now));
     }
 
     pub(super) fn choose(&mut self, now: Instant, out: &mut Vec<Effect>) {
         // Nothing of the old version was shown, so any version may start from zero.
-        if self.outlet.is_fresh() && now.duration_since(self.last) >= self.limits.version_wait {
+        if self.output.is_empty()
+            && now.duration_since(self.last_token_at) >= self.limits.version_wait
+        {
             self.sequence = None;
-            self.outlet.clear();
+            self.output.clear_text();
         }
         self.state = State::Choosing { retry: None };
         out.push(Effect::ChooseTarget(TargetCriteria {
@@ -60,21 +62,21 @@
             return;
         }
         // A target of another version would join two generations into one answer.
-        if !self.fits(&chosen.version) {
+        if !self.matches_version(&chosen.version) {
             return self.no_target(now);
         }
-        let Some(attempt) = self.fresh else {
-            return self.fail(self.fruitless(), out);
+        let Some(attempt) = self.next_attempt else {
+            return self.fail(self.no_first_token_error(), out);
         };
         self.attempt = attempt;
-        self.fresh = DriverId::next_attempt(attempt);
+        self.next_attempt = DriverId::next_attempt(attempt);
         let stream = StreamId {
             target: chosen.target,
             attempt,
         };
-        self.follow(chosen.version.clone(), attempt);
-        let record = self.record(&stream, now);
-        self.outlet
+        self.set_attempt(chosen.version.clone(), attempt);
+        let record = self.build_record(&stream, now);
+        self.output
             .set_encoder(self.codec.for_attempt(&record.origin));
         let connection = self.next_connection();
         out.push(Effect::Start(Start {
@@ -84,19 +86,24 @@
             seed: self.request.seed,
             prefix: record.prefix.clone(),
         }));
-        if self.held.is_none() || !record.prefix.is_empty() {
-            out.push(self.keep(record));
+        if self.record_due.is_none() || !record.prefix.is_empty() {
+            out.push(self.put_record(record));
         }
-        self.state = State::Reading(Reader::start(stream, connection, chosen.timeouts, now));
+        self.state = State::Reading(StreamReader::start(
+            stream,
+            connection,
+            chosen.timeouts,
+            now,
+        ));
     }
 
-    pub(super) fn fits(&self, version: &VersionName) -> bool {
+    pub(super) fn matches_version(&self, version: &VersionName) -> bool {
         self.sequence
             .as_ref()
             .is_none_or(|sequence| sequence.version() == version)
     }
 
-    pub(super) fn follow(&mut self, version: VersionName, attempt: Attempt) {
+    pub(super) fn set_attempt(&mut self, version: VersionName, attempt: Attempt) {
         match &mut self.sequence {
             Some(sequence) => sequence.set_attempt(attempt),
             None => {
@@ -117,8 +124,8 @@
         }
         // A target that was avoided may be back, and may be the last of its version.
         self.excluded.clear();
-        let rest = self.limits.min_retry_delay * (1 << self.polls.min(MAX_DOUBLINGS));
-        self.polls += 1;
+        let rest = self.limits.min_retry_delay * (1 << self.no_target_count.min(MAX_DOUBLINGS));
+        self.no_target_count += 1;
         self.state = State::Choosing {
             retry: Some(now + rest.min(self.limits.max_retry_delay)),
         };
--- a/crates/answer/src/generation/ending.rs
+++ b/crates/answer/src/generation/ending.rs
@@ -3,7 +3,10 @@
 use tokio::time::Instant;
 
 use super::{Generation, State};
-use crate::{reader::Reader, ConnectionId, Effect, Finish, FinishReason, Incomplete, KeeperRecord};
+use crate::{
+    stream_reader::StreamReader, ConnectionId, Effect, Finish, FinishReason, Incomplete,
+    KeeperRecord,
+};
 
 impl Generation {
     pub(super) fn finish(
@@ -17,7 +20,7 @@
             let others = reader.connections().filter(|held| *held != connection);
             out.extend(others.map(Effect::Close));
         }
-        out.extend(self.forget());
+        out.extend(self.remove_record());
         let Some(sequence) = &self.sequence else {
             return;
         };
@@ -25,15 +28,15 @@
             reason,
             length: sequence.next(),
             version: sequence.version().clone(),
-            text: self.outlet.text().map(str::to_owned),
+            text: self.output.text().map(str::to_owned),
         }));
     }
 
     pub(super) fn fail(&mut self, error: Incomplete, out: &mut Vec<Effect>) {
         if let State::Reading(reader) = std::mem::replace(&mut self.state, State::Over) {
-            stop(&reader, out);
+            close_and_cancel(&reader, out);
         }
-        out.extend(self.forget());
+        out.extend(self.remove_record());
         out.push(Effect::Fail(error));
     }
 
@@ -47,15 +50,15 @@
         }
         let state = std::mem::replace(&mut self.state, State::Over);
         if let State::Reading(reader)
-        | State::Reviewing {
+        | State::QueryingRecord {
             reader: Some(reader),
             ..
         } = state
         {
-            if reader.has_begun() {
+            if reader.has_token() {
                 out.extend(reader.connections().map(Effect::Close));
             } else {
-                stop(&reader, out);
+                close_and_cancel(&reader, out);
             }
         }
         out.push(Effect::Fail(Incomplete::Superseded {
@@ -68,19 +71,19 @@
     /// The failure: a caller's connection here is lost, and it reads on at another instance. The
     /// symptom would be that this instance stops the very stream that the other one reads. The
     /// keepers' record names a later driver if there is one; without their word nothing is stopped.
-    pub(super) fn review(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    pub(super) fn query_record(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let state = std::mem::replace(&mut self.state, State::Over);
         let reader = match state {
             State::Reading(reader) => Some(reader),
             _ => None,
         };
         let due = now + self.limits.query_timeout;
-        self.state = State::Reviewing { due, reader };
+        self.state = State::QueryingRecord { due, reader };
         out.push(Effect::QueryRecord(self.request.key.clone()));
     }
 
-    pub(super) fn reviewed(&mut self, record: Option<&KeeperRecord>, out: &mut Vec<Effect>) {
-        if !matches!(self.state, State::Reviewing { .. }) {
+    pub(super) fn record_queried(&mut self, record: Option<&KeeperRecord>, out: &mut Vec<Effect>) {
+        if !matches!(self.state, State::QueryingRecord { .. }) {
             return;
         }
         match record {
@@ -89,26 +92,26 @@
         }
     }
 
-    pub(super) fn abandon(&mut self, sure: bool, out: &mut Vec<Effect>) {
+    pub(super) fn abandon(&mut self, is_confirmed: bool, out: &mut Vec<Effect>) {
         let state = std::mem::replace(&mut self.state, State::Over);
-        if let State::Reviewing {
+        if let State::QueryingRecord {
             reader: Some(reader),
             ..
         } = state
         {
-            if sure {
-                stop(&reader, out);
+            if is_confirmed {
+                close_and_cancel(&reader, out);
             } else {
                 out.extend(reader.connections().map(Effect::Close));
             }
         }
-        if sure {
-            out.extend(self.forget());
+        if is_confirmed {
+            out.extend(self.remove_record());
         }
         out.push(Effect::Fail(Incomplete::Abandoned));
     }
 
-    pub(super) fn late(&self) -> Incomplete {
+    pub(super) fn deadline_error(&self) -> Incomplete {
         match (&self.state, &self.sequence) {
             (State::Choosing { .. }, Some(sequence)) => Incomplete::NoTarget {
                 version: sequence.version().clone(),
@@ -118,15 +121,15 @@
         }
     }
 
-    pub(super) const fn fruitless(&self) -> Incomplete {
+    pub(super) const fn no_first_token_error(&self) -> Incomplete {
         Incomplete::NoFirstToken {
-            attempts: self.barren,
+            attempts: self.failed_attempts,
         }
     }
 }
 
 /// Closes the connections of a stream and stops it.
-pub(super) fn stop(reader: &Reader, out: &mut Vec<Effect>) {
+pub(super) fn close_and_cancel(reader: &StreamReader, out: &mut Vec<Effect>) {
     out.extend(reader.connections().map(Effect::Close));
     out.push(Effect::Cancel(reader.stream().clone()));
 }
--- a/crates/answer/src/generation/reading.rs
+++ b/crates/answer/src/generation/reading.rs
@@ -5,8 +5,8 @@
 
 use super::{ending, Generation, State};
 use crate::{
-    reader::Loss, ConnectionId, Done, DriverId, Effect, Frame, Incomplete, RecordExtension,
-    Refusal, TokenSequence, Verdict,
+    stream_reader::LossAction, ConnectionId, Done, DriverId, Effect, Frame, Incomplete,
+    RecordExtension, Refusal, TokenSequence, Verdict,
 };
 
 impl Generation {
@@ -26,17 +26,17 @@
         let State::Reading(reader) = &mut self.state else {
             return;
         };
-        if reader.lose(connection) == Loss::Stale {
+        if reader.connection_lost(connection) == LossAction::Ignore {
             return;
         }
         // An engine that failed may have begun the stream; one that refused has not.
         match refusal {
-            Refusal::Failed => self.barren += 1,
+            Refusal::Failed => self.failed_attempts += 1,
             Refusal::Busy | Refusal::Gone | Refusal::VersionNotLoaded => {}
         }
         // An engine that no longer has the stream is alive, and may start an attempt.
-        let shun = refusal != Refusal::Gone;
-        self.leave(now, shun, out);
+        let exclude = refusal != Refusal::Gone;
+        self.abandon_stream(now, exclude, out);
     }
 
     pub(super) fn frame(
@@ -52,31 +52,33 @@
         match sequence.accept(&frame) {
             Verdict::Accepted => {
                 out.extend(reader.progress(connection, now).map(Effect::Close));
-                self.barren = 0;
-                self.polls = 0;
-                self.last = now;
-                match self.outlet.take(frame, sequence) {
+                self.failed_attempts = 0;
+                self.no_target_count = 0;
+                self.last_token_at = now;
+                match self.output.push(frame, sequence) {
                     Ok(effect) => out.extend(effect),
                     Err(error) => return self.diverged(now, error, out),
                 }
-                self.copy(out);
+                self.extend_record(out);
             }
-            verdict => self.judge(now, connection, verdict, out),
+            verdict => self.handle_verdict(now, connection, verdict, out),
         }
     }
 
     /// ExtensionLimits the tokens of a long answer to its keepers, some at a time.
-    fn copy(&mut self, out: &mut Vec<Effect>) {
+    fn extend_record(&mut self, out: &mut Vec<Effect>) {
         let Some(sequence) = &self.sequence else {
             return;
         };
         let (length, extension) = (sequence.next().0, self.limits.record_extension);
-        let (tokens, bytes) = self.copied;
-        if self.held.is_some() || length < extension.min_length || length < tokens + extension.batch
+        let (tokens, bytes) = self.recorded;
+        if self.record_due.is_some()
+            || length < extension.min_length
+            || length < tokens + extension.batch
         {
             return;
         }
-        let text = self.outlet.text().unwrap_or_default();
+        let text = self.output.text().unwrap_or_default();
         out.push(Effect::ExtendRecord(RecordExtension {
             key: self.request.key.clone(),
             attempt: self.attempt,
@@ -84,7 +86,7 @@
             tokens: sequence.tokens()[tokens as usize..].to_vec(),
             text: text[bytes..].to_owned(),
         }));
-        self.copied = (length, text.len());
+        self.recorded = (length, text.len());
     }
 
     pub(super) fn done(
@@ -98,16 +100,16 @@
             return;
         };
         match sequence.finish(done) {
-            Verdict::Complete(reason) => match self.outlet.proof() {
+            Verdict::Complete(reason) => match self.output.check_prefix() {
                 Ok(()) => self.finish(connection, reason, out),
                 Err(error) => self.diverged(now, error, out),
             },
-            verdict => self.judge(now, connection, verdict, out),
+            verdict => self.handle_verdict(now, connection, verdict, out),
         }
     }
 
     /// Acts on a verdict that is neither a token nor the end.
-    pub(super) fn judge(
+    pub(super) fn handle_verdict(
         &mut self,
         now: Instant,
         connection: ConnectionId,
@@ -115,9 +117,11 @@
         out: &mut Vec<Effect>,
     ) {
         match verdict {
-            Verdict::Gap { .. } | Verdict::WrongRequest => self.broken(now, connection, out),
+            Verdict::Gap { .. } | Verdict::WrongRequest => {
+                self.replace_connection(now, connection, out)
+            }
             Verdict::WrongVersion | Verdict::Contradiction { .. } => {
-                self.distrust(now, connection, out)
+                self.distrust_target(now, connection, out)
             }
             Verdict::Accepted
             | Verdict::Complete(_)
@@ -127,41 +131,46 @@
     }
 
     /// Reads on over another connection: this one mixes up its answers or drops some.
-    pub(super) fn broken(&mut self, now: Instant, connection: ConnectionId, out: &mut Vec<Effect>) {
+    pub(super) fn replace_connection(
+        &mut self,
+        now: Instant,
+        connection: ConnectionId,
+        out: &mut Vec<Effect>,
+    ) {
         out.push(Effect::Close(connection));
         self.closed(now, connection, out);
     }
 
     /// Reads on from another engine: this one contradicts itself.
-    pub(super) fn distrust(
+    pub(super) fn distrust_target(
         &mut self,
         now: Instant,
         connection: ConnectionId,
         out: &mut Vec<Effect>,
     ) {
-        if matches!(&self.state, State::Reading(reader) if reader.holds(connection)) {
-            self.give_up(now, out);
+        if matches!(&self.state, State::Reading(reader) if reader.uses(connection)) {
+            self.abandon_target(now, out);
         }
     }
 
     pub(super) fn closed(&mut self, now: Instant, connection: ConnectionId, out: &mut Vec<Effect>) {
         if let State::Reading(reader) = &mut self.state {
-            let loss = reader.lose(connection);
-            self.lost(now, loss, out);
+            let loss = reader.connection_lost(connection);
+            self.handle_loss(now, loss, out);
         }
     }
 
-    pub(super) fn lost(&mut self, now: Instant, loss: Loss, out: &mut Vec<Effect>) {
+    pub(super) fn handle_loss(&mut self, now: Instant, loss: LossAction, out: &mut Vec<Effect>) {
         match loss {
-            Loss::Probe => self.probe(now, out),
-            Loss::GiveUp => self.give_up(now, out),
-            Loss::Stale | Loss::Wait => {}
+            LossAction::Probe => self.probe(now, out),
+            LossAction::GiveUp => self.abandon_target(now, out),
+            LossAction::Ignore | LossAction::Wait => {}
         }
     }
 
     pub(super) fn probe(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let connection = self.next_connection();
-        let from = self.next();
+        let from = self.next_position();
         let State::Reading(reader) = &mut self.state else {
             return;
         };
@@ -192,39 +201,39 @@
         };
         let timeouts = reader.timeouts();
         // A higher number, so that the keepers drop what was copied of the other sequence.
-        let Some(number) = self.fresh else {
+        let Some(number) = self.next_attempt else {
             return false;
         };
         self.attempt = number;
-        self.fresh = DriverId::next_attempt(number);
+        self.next_attempt = DriverId::next_attempt(number);
         let (key, limit) = (self.request.key.clone(), self.request.max_tokens);
         let attempt = fallback.stream.attempt;
         self.sequence = Some(TokenSequence::new(key, fallback.version, attempt, limit));
-        self.adopt(fallback.stream, None, timeouts, now, out);
+        self.resume_stream(fallback.stream, None, timeouts, now, out);
         true
     }
 
     /// Stops the stream and goes on elsewhere.
-    pub(super) fn give_up(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        self.leave(now, true, out);
+    pub(super) fn abandon_target(&mut self, now: Instant, out: &mut Vec<Effect>) {
+        self.abandon_stream(now, true, out);
     }
 
-    fn leave(&mut self, now: Instant, shun: bool, out: &mut Vec<Effect>) {
+    fn abandon_stream(&mut self, now: Instant, exclude: bool, out: &mut Vec<Effect>) {
         let State::Reading(reader) = &self.state else {
             return;
         };
-        if reader.is_barren() {
-            self.barren += 1;
+        if reader.failed_before_first_token() {
+            self.failed_attempts += 1;
         }
-        if shun {
+        if exclude {
             self.excluded.push(reader.target().clone());
         }
-        ending::stop(reader, out);
-        if self.outlet.proof().is_err() && self.read_fallback(now, out) {
+        ending::close_and_cancel(reader, out);
+        if self.output.check_prefix().is_err() && self.read_fallback(now, out) {
             return;
         }
-        if self.barren > self.limits.max_failed_attempts {
-            return self.fail(self.fruitless(), out);
+        if self.failed_attempts > self.limits.max_failed_attempts {
+            return self.fail(self.no_first_token_error(), out);
         }
         self.choose(now, out);
     }
--- a/crates/answer/src/lib.rs
+++ b/crates/answer/src/lib.rs
@@ -4,6 +4,7 @@
 //! generated; the types here decide which token goes to the caller next, and what to do when none
 //! comes. They are state machines without sockets, tasks or clocks of their own.
 
+mod caller_output;
 mod chain;
 mod driver;
 mod effect;
@@ -12,8 +13,6 @@
 mod incomplete;
 mod input;
 mod keeper;
-mod outlet;
-mod reader;
 mod record;
 mod request;
 mod resume;
@@ -21,6 +20,7 @@
 mod resume_scheduler;
 mod sequence;
 mod stream_id;
+mod stream_reader;
 mod takeover;
 mod timeouts;
 
--- a/crates/answer/src/stream_reader.rs
+++ b/crates/answer/src/stream_reader.rs
@@ -6,7 +6,7 @@
 use crate::{ConnectionId, StreamId, Timeouts};
 
 /// How many times the wait for the first token an attempt gets while its engine answers probes.
-const STUCK_FIRSTS: u32 = 4;
+const MAX_FIRST_TOKEN_WAITS: u32 = 4;
 /// Enough to pass any sensible bound, and few enough not to overflow.
 const MAX_DOUBLINGS: u32 = 10;
 
@@ -21,31 +21,31 @@
 /// symptom would be answers that move about and never go on. An engine that answers is therefore
 /// given twice the time after each probe, up to a bound for one whose stream is no_progress.
 #[derive(Clone, Debug)]
-pub(crate) struct Reader {
+pub(crate) struct StreamReader {
     stream: StreamId,
     timeouts: Timeouts,
     /// The connection that is read, unless it was lost.
     connection: Option<ConnectionId>,
     /// The connection of a resume that the engine has not answered.
     probe: Option<ConnectionId>,
-    due: Instant,
+    deadline: Instant,
     /// Whether the engine ever answered.
-    opened: bool,
+    accepted: bool,
     /// Whether the stream is known to have had a token.
-    begun: bool,
+    has_token: bool,
     /// How many probes were made since the last token.
     probes: u32,
     /// When the last token came, or the stream was started.
-    since: Instant,
+    last_progress: Instant,
     /// Whether a connection broke since then.
-    broke: bool,
+    lost_connection: bool,
 }
 
 /// What the loss of a connection means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Loss {
+pub(crate) enum LossAction {
     /// It was no longer in use.
-    Stale,
+    Ignore,
     /// The stream must be probed.
     Probe,
     /// The stream is being probed already.
@@ -54,7 +54,7 @@
     GiveUp,
 }
 
-impl Reader {
+impl StreamReader {
     pub(crate) fn start(
         stream: StreamId,
         connection: ConnectionId,
@@ -66,12 +66,12 @@
             timeouts,
             connection: Some(connection),
             probe: None,
-            due: now + timeouts.probe,
-            opened: false,
-            begun: false,
+            deadline: now + timeouts.probe,
+            accepted: false,
+            has_token: false,
             probes: 0,
-            since: now,
-            broke: false,
+            last_progress: now,
+            lost_connection: false,
         }
     }
 
@@ -85,7 +85,7 @@
         Self {
             connection: None,
             probe: Some(connection),
-            begun: true,
+            has_token: true,
             probes: 1,
             ..Self::start(stream, connection, timeouts, now)
         }
@@ -97,16 +97,16 @@
         connection: ConnectionId,
         now: Instant,
     ) -> Option<ConnectionId> {
-        if !self.holds(connection) {
+        if !self.uses(connection) {
             return None;
         }
-        self.opened = true;
+        self.accepted = true;
         if self.probe.is_some() && self.connection == Some(connection) {
             return None;
         }
-        let wait = self.wait() * (1 << self.probes.min(MAX_DOUBLINGS));
-        self.due = (now + wait).min(self.limit()).max(now);
-        self.switch(connection)
+        let wait = self.token_timeout() * (1 << self.probes.min(MAX_DOUBLINGS));
+        self.deadline = (now + wait).min(self.give_up_at()).max(now);
+        self.promote_probe(connection)
     }
 
     /// Takes note of a new token; returns a connection to close.
@@ -115,55 +115,55 @@
         connection: ConnectionId,
         now: Instant,
     ) -> Option<ConnectionId> {
-        self.opened = true;
-        self.begun = true;
-        self.broke = false;
+        self.accepted = true;
+        self.has_token = true;
+        self.lost_connection = false;
         self.probes = 0;
-        self.since = now;
-        self.due = now + self.wait();
+        self.last_progress = now;
+        self.deadline = now + self.token_timeout();
         if self.connection == Some(connection) {
             return self.probe.take();
         }
-        self.switch(connection)
+        self.promote_probe(connection)
     }
 
     /// Probes over a new connection.
     pub(crate) fn probe(&mut self, connection: ConnectionId, now: Instant) {
         self.probe = Some(connection);
         self.probes += 1;
-        self.due = now + self.timeouts.probe;
+        self.deadline = now + self.timeouts.probe;
     }
 
     /// Takes note of the loss of a connection.
-    pub(crate) fn lose(&mut self, connection: ConnectionId) -> Loss {
-        if !self.holds(connection) {
-            return Loss::Stale;
+    pub(crate) fn connection_lost(&mut self, connection: ConnectionId) -> LossAction {
+        if !self.uses(connection) {
+            return LossAction::Ignore;
         }
-        self.broke = true;
+        self.lost_connection = true;
         if self.probe == Some(connection) {
             self.probe = None;
-            return Loss::GiveUp;
+            return LossAction::GiveUp;
         }
         self.connection = None;
         match self.probe {
-            Some(_) => Loss::Wait,
+            Some(_) => LossAction::Wait,
             // A start that never got through has no stream to resume.
-            None if !self.opened || self.probes > 0 => Loss::GiveUp,
-            None => Loss::Probe,
+            None if !self.accepted || self.probes > 0 => LossAction::GiveUp,
+            None => LossAction::Probe,
         }
     }
 
     /// Returns what to do when the time is up.
-    pub(crate) fn overdue(&self, now: Instant) -> Loss {
-        if self.probe.is_some() || now >= self.limit() {
-            Loss::GiveUp
+    pub(crate) fn timed_out(&self, now: Instant) -> LossAction {
+        if self.probe.is_some() || now >= self.give_up_at() {
+            LossAction::GiveUp
         } else {
-            Loss::Probe
+            LossAction::Probe
         }
     }
 
     /// Returns whether the connection is in use.
-    pub(crate) fn holds(&self, connection: ConnectionId) -> bool {
+    pub(crate) fn uses(&self, connection: ConnectionId) -> bool {
         self.connections().any(|held| held == connection)
     }
 
@@ -172,21 +172,21 @@
     }
 
     /// Returns whether the stream is known to have had a token.
-    pub(crate) const fn has_begun(&self) -> bool {
-        self.begun
+    pub(crate) const fn has_token(&self) -> bool {
+        self.has_token
     }
 
     /// Returns whether the engine took the attempt and failed before its first token.
-    pub(crate) const fn is_barren(&self) -> bool {
-        self.opened && !self.begun && self.broke
+    pub(crate) const fn failed_before_first_token(&self) -> bool {
+        self.accepted && !self.has_token && self.lost_connection
     }
 
     pub(crate) const fn timeouts(&self) -> Timeouts {
         self.timeouts
     }
 
-    pub(crate) const fn due(&self) -> Instant {
-        self.due
+    pub(crate) const fn deadline(&self) -> Instant {
+        self.deadline
     }
 
     pub(crate) const fn stream(&self) -> &StreamId {
@@ -198,24 +198,24 @@
     }
 
     /// Returns when a stream is given up although its engine answers.
-    fn limit(&self) -> Instant {
-        let stuck = if self.begun {
+    fn give_up_at(&self) -> Instant {
+        let max_wait = if self.has_token {
             self.timeouts.no_progress
         } else {
-            self.timeouts.first_token * STUCK_FIRSTS
+            self.timeouts.first_token * MAX_FIRST_TOKEN_WAITS
         };
-        self.since + stuck
+        self.last_progress + max_wait
     }
 
-    const fn wait(&self) -> std::time::Duration {
-        if self.begun {
+    const fn token_timeout(&self) -> std::time::Duration {
+        if self.has_token {
             self.timeouts.token_gap
         } else {
             self.timeouts.first_token
         }
     }
 
-    fn switch(&mut self, connection: ConnectionId) -> Option<ConnectionId> {
+    fn promote_probe(&mut self, connection: ConnectionId) -> Option<ConnectionId> {
         if self.probe != Some(connection) {
             return None;
         }
