--- a/crates/answer/src/lib.rs
+++ b/crates/answer/src/lib.rs
@@ -4,6 +4,7 @@
 //! generated; the types here decide which token goes to the caller next, and what to do when none
 //! comes. They are state machines without sockets, tasks or clocks of their own.
 
+mod caller_output;
 mod chain;
 mod driver;
 mod effect;
@@ -12,15 +13,14 @@
 mod incomplete;
 mod input;
 mod keeper;
-mod outlet;
-mod reader;
 mod record;
 mod request;
 mod resume;
 mod resume_codec;
 mod resume_scheduler;
 mod sequence;
-mod stream;
+mod stream_id;
+mod stream_reader;
 mod takeover;
 mod timeouts;
 
@@ -38,6 +38,6 @@
 pub use resume_codec::{AttemptTokenEncoder, ResumeTokenCodec, ResumeTokenKey};
 pub use resume_scheduler::{Grant, ResumeLimits, ResumeScheduler, WaiterKey};
 pub use sequence::{TokenSequence, Verdict};
-pub use stream::Stream;
+pub use stream_id::StreamId;
 pub use takeover::{TakeOver, TakeOverError};
 pub use timeouts::{TimeoutEstimator, TimeoutLimits, Timeouts};
