--- a/crates/answer/src/generation.rs
+++ b/crates/answer/src/generation.rs
@@ -4,7 +4,7 @@
 mod ending;
 mod reading;
 
-use celerypond_types::{Attempt, TargetName};
+use celerypond_types::{Attempt, Position, TargetName};
 use tokio::time::Instant;
 
 use crate::{
@@ -242,7 +242,7 @@
         if now >= self.request.deadline {
             return self.fail(self.deadline_error(), out);
         }
-        if self.abandon_at.is_some_and(|gone| now >= gone) {
+        if self.abandon_at.is_some_and(|due| now >= due) {
             return self.query_record(now, out);
         }
         self.put_record_if_due(now, out);
@@ -251,8 +251,8 @@
                 retry: Some(retry), ..
             } if now >= *retry => self.choose(now, out),
             State::Reading(reader) if now >= reader.deadline() => {
-                let loss = reader.timed_out(now);
-                self.handle_loss(now, loss, out);
+                let action = reader.timed_out(now);
+                self.handle_loss(now, action, out);
             }
             _ => {}
         }
@@ -263,7 +263,7 @@
         let State::Reading(reader) = &self.state else {
             return;
         };
-        if self.record_due.is_none_or(|held| now < held) {
+        if self.record_due.is_none_or(|due| now < due) {
             return;
         }
         // The stream has all tokens of the answer, so the record needs none.
@@ -278,7 +278,7 @@
 
     fn build_record(&self, stream: &StreamId, now: Instant) -> KeeperRecord {
         let sequence = self.sequence.as_ref();
-        let left = self.request.deadline.saturating_duration_since(now);
+        let time_left = self.request.deadline.saturating_duration_since(now);
         KeeperRecord {
             key: self.request.key.clone(),
             origin: Origin {
@@ -291,7 +291,7 @@
             prefix: sequence.map_or_else(Vec::new, |sequence| sequence.tokens().to_vec()),
             digest: sequence.map(TokenSequence::digest).unwrap_or_default(),
             text: self.output.text().unwrap_or_default().to_owned(),
-            remaining: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
+            remaining: u32::try_from(time_left.as_millis()).unwrap_or(u32::MAX),
         }
     }
 
@@ -304,11 +304,11 @@
 
     /// Returns the effect that removes the record, or `None` if none was stored.
     fn remove_record(&self) -> Option<Effect> {
-        let forget = || Effect::RemoveRecord(self.request.key.clone(), self.attempt);
-        self.record_due.is_none().then(forget)
+        let remove = || Effect::RemoveRecord(self.request.key.clone(), self.attempt);
+        self.record_due.is_none().then(remove)
     }
 
-    fn next_position(&self) -> celerypond_types::Position {
+    fn next_position(&self) -> Position {
         self.sequence
             .as_ref()
             .map(TokenSequence::next)
--- a/crates/answer/src/generation/choosing.rs
+++ b/crates/answer/src/generation/choosing.rs
@@ -124,10 +124,10 @@
         }
         // An excluded target may have recovered, and may be the last one of the version.
         self.excluded.clear();
-        let rest = self.limits.min_retry_delay * (1 << self.no_target_count.min(MAX_DOUBLINGS));
+        let delay = self.limits.min_retry_delay * (1 << self.no_target_count.min(MAX_DOUBLINGS));
         self.no_target_count += 1;
         self.state = State::Choosing {
-            retry: Some(now + rest.min(self.limits.max_retry_delay)),
+            retry: Some(now + delay.min(self.limits.max_retry_delay)),
         };
     }
 }
--- a/crates/answer/src/generation/ending.rs
+++ b/crates/answer/src/generation/ending.rs
@@ -17,7 +17,7 @@
     ) {
         let state = std::mem::replace(&mut self.state, State::Over);
         if let State::Reading(reader) = state {
-            let others = reader.connections().filter(|held| *held != connection);
+            let others = reader.connections().filter(|other| *other != connection);
             out.extend(others.map(Effect::Close));
         }
         out.extend(self.remove_record());
--- a/crates/answer/src/generation/reading.rs
+++ b/crates/answer/src/generation/reading.rs
@@ -155,13 +155,13 @@
 
     pub(super) fn closed(&mut self, now: Instant, connection: ConnectionId, out: &mut Vec<Effect>) {
         if let State::Reading(reader) = &mut self.state {
-            let loss = reader.connection_lost(connection);
-            self.handle_loss(now, loss, out);
+            let action = reader.connection_lost(connection);
+            self.handle_loss(now, action, out);
         }
     }
 
-    pub(super) fn handle_loss(&mut self, now: Instant, loss: LossAction, out: &mut Vec<Effect>) {
-        match loss {
+    pub(super) fn handle_loss(&mut self, now: Instant, action: LossAction, out: &mut Vec<Effect>) {
+        match action {
             LossAction::Probe => self.probe(now, out),
             LossAction::GiveUp => self.abandon_target(now, out),
             LossAction::Ignore | LossAction::Wait => {}
@@ -183,7 +183,8 @@
     }
 
     /// Handles a stream whose tokens are not those of the caller: reads the fallback stream, or
-    /// fails if there is none. The stream belongs to another driver, so it is not cancelled.
+    /// fails if there is none. If there is one, the diverging stream belongs to another driver and
+    /// is not cancelled.
     pub(super) fn diverged(&mut self, now: Instant, error: Incomplete, out: &mut Vec<Effect>) {
         if self.fallback.is_none() {
             return self.fail(error, out);
@@ -200,7 +201,7 @@
             return false;
         };
         let timeouts = reader.timeouts();
-        // With a higher number, the keepers replace the record with the tokens of the other stream.
+        // The higher number makes the keepers discard the tokens recorded from the other sequence.
         let Some(number) = self.next_attempt else {
             return false;
         };
--- a/crates/answer/src/keeper.rs
+++ b/crates/answer/src/keeper.rs
@@ -83,7 +83,7 @@
         self.expire(now);
         let attempt = record.attempt();
         let merged = match self.get(now, &record.key) {
-            Some(held) => held.clone().merge(record),
+            Some(stored) => stored.clone().merge(record),
             None => record,
         };
         // The stored record remains, with its own expiry.
@@ -93,7 +93,7 @@
         let freed = self
             .records
             .get(&merged.key)
-            .map_or(0, |held| record_bytes(&held.record));
+            .map_or(0, |stored| record_bytes(&stored.record));
         if self.used_bytes - freed + record_bytes(&merged) > self.max_bytes {
             return Err(PutError::Full);
         }
@@ -130,8 +130,8 @@
 
     /// Removes the record of a request, unless it belongs to a later attempt than `attempt`.
     pub fn remove(&mut self, key: &RequestKey, attempt: Attempt) {
-        let held = self.records.get(key);
-        if held.is_some_and(|entry| entry.record.attempt() <= attempt) {
+        let stored = self.records.get(key);
+        if stored.is_some_and(|entry| entry.record.attempt() <= attempt) {
             self.take(key);
         }
     }
--- a/crates/answer/src/stream_reader.rs
+++ b/crates/answer/src/stream_reader.rs
@@ -165,7 +165,7 @@
 
     /// Returns whether the connection is in use.
     pub(crate) fn uses(&self, connection: ConnectionId) -> bool {
-        self.connections().any(|held| held == connection)
+        self.connections().any(|used| used == connection)
     }
 
     pub(crate) fn connections(&self) -> impl Iterator<Item = ConnectionId> + use<> {
