--- a/crates/answer/tests/runner.rs
+++ b/crates/answer/tests/runner.rs
@@ -1,5 +1,6 @@
 //! The integration tests of the crate, in one binary.
 
+mod simulation;
 mod test_history;
 mod test_keeper;
 mod test_resume;
@@ -8,4 +9,3 @@
 mod test_sequence;
 mod test_takeover;
 mod test_timeouts;
-mod world;
--- a/crates/answer/tests/world.rs
+++ b/crates/answer/tests/simulation.rs
@@ -21,13 +21,13 @@
 use rand::{rngs::StdRng, seq::IndexedRandom, Rng, SeedableRng};
 use tokio::time::Instant;
 
-pub(crate) const GAP: Duration = Duration::from_millis(20);
-const WIRE: Duration = Duration::from_millis(1);
-const RECONNECT: Duration = Duration::from_millis(30);
+pub(crate) const TOKEN_GAP: Duration = Duration::from_millis(20);
+const NETWORK_DELAY: Duration = Duration::from_millis(1);
+const RECONNECT_DELAY: Duration = Duration::from_millis(30);
 /// How far back a contradicting token lies, so that it never takes the place of a lost one.
-const REPEATED: u32 = 5;
+const WRONG_TOKEN_OFFSET: u32 = 5;
 const SEED: u64 = 42;
-const LONG: Duration = Duration::from_secs(600);
+const MAX_RUN_TIME: Duration = Duration::from_secs(600);
 
 /// The engine that writes the first caller's answer, or the instance that drives it.
 pub(crate) const CURRENT: usize = usize::MAX;
@@ -35,89 +35,89 @@
 /// A fault, or the end of one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    Kill(usize),
-    Pause(usize, Duration),
-    Wake(usize),
+    KillEngine(usize),
+    PauseEngine(usize, Duration),
+    UnpauseEngine(usize),
     /// All open connections to the engine go silent for good.
     Silence(usize),
     /// The engine answers at once, but takes this long for a token.
     Slow(usize, Duration),
     Load(usize, VersionName),
     Unload(usize),
-    KillRouter(usize),
-    PauseRouter(usize, Duration),
-    WakeRouter(usize),
+    KillInstance(usize),
+    PauseInstance(usize, Duration),
+    UnpauseInstance(usize),
     /// The caller's connection ends, and it connects anew.
     Reconnect(usize),
     /// The caller's connection ends for good.
-    Leave(usize),
+    Disconnect(usize),
     LoseKeepers,
     /// What happens to the next frame on its way.
-    Frame(Damage),
+    Frame(FrameFault),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Damage {
+pub(crate) enum FrameFault {
     Drop,
-    Double,
-    Cross,
-    Garble,
-    Version,
-    Token,
+    Duplicate,
+    WrongRequest,
+    Malformed,
+    WrongVersion,
+    WrongToken,
     /// The stream is said to be whole here.
-    End,
+    EarlyEnd,
 }
 
-pub(crate) const DAMAGES: [Damage; 7] = [
-    Damage::Drop,
-    Damage::Double,
-    Damage::Cross,
-    Damage::Garble,
-    Damage::Version,
-    Damage::Token,
-    Damage::End,
+pub(crate) const FRAME_FAULTS: [FrameFault; 7] = [
+    FrameFault::Drop,
+    FrameFault::Duplicate,
+    FrameFault::WrongRequest,
+    FrameFault::Malformed,
+    FrameFault::WrongVersion,
+    FrameFault::WrongToken,
+    FrameFault::EarlyEnd,
 ];
 
 #[derive(Default)]
 struct Engine {
-    slow: Duration,
+    extra_delay: Duration,
     loaded: BTreeSet<VersionName>,
     dead: bool,
     paused: bool,
-    held: Vec<Call>,
-    streams: BTreeMap<Attempt, Written>,
+    queued: Vec<EngineCall>,
+    streams: BTreeMap<Attempt, EngineStream>,
 }
 
-struct Written {
+struct EngineStream {
     version: VersionName,
-    first: usize,
+    prefix_len: usize,
     tokens: Vec<TokenId>,
     limit: usize,
     cancelled: bool,
 }
 
 #[derive(Clone)]
-enum Call {
+enum EngineCall {
     Start(usize, Start),
     Read(usize, ConnectionId, Attempt, Position),
     Cancel(Attempt),
 }
 
-struct Reading {
+struct Connection {
     engine: usize,
     attempt: Attempt,
     next: usize,
     silent: bool,
 }
 
-struct Router {
+struct Instance {
     dead: bool,
     paused: bool,
-    held: Vec<(usize, Input)>,
+    queued: Vec<(usize, Input)>,
 }
 
-struct Drive {
-    router: usize,
+struct Driver {
+    instance: usize,
     caller: usize,
     generation: Generation,
 }
@@ -128,81 +128,81 @@
     pub(crate) finish: Option<Finish>,
     pub(crate) failure: Option<Incomplete>,
     pub(crate) stalls: Vec<Duration>,
-    drive: Option<usize>,
-    left: bool,
+    driver: Option<usize>,
+    disconnected: bool,
     last: Duration,
 }
 
-enum Act {
+enum Action {
     Input(usize, Input),
-    Call(usize, Call),
+    EngineCall(usize, EngineCall),
     Write(usize, Attempt),
     Fault(Fault),
     Connect(usize),
 }
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub(crate) callers: Vec<Caller>,
     pub(crate) log: Vec<String>,
     pub(crate) mode: DeliveryMode,
     pub(crate) limit: u32,
     pub(crate) seed: u64,
-    pub(crate) brings: bool,
-    pub(crate) copies: ExtensionLimits,
-    pub(crate) settle: Duration,
+    pub(crate) sends_tokens: bool,
+    pub(crate) record_extension: ExtensionLimits,
+    pub(crate) record_delay: Duration,
     /// Whether engines of one version and seed give different tokens, as real ones may.
-    pub(crate) drifts: bool,
+    pub(crate) nondeterministic: bool,
     pub(crate) generated: usize,
     pub(crate) deadline: Duration,
     engines: Vec<Engine>,
-    routers: Vec<Router>,
-    drives: Vec<Drive>,
-    connections: BTreeMap<(usize, ConnectionId), Reading>,
+    instances: Vec<Instance>,
+    drivers: Vec<Driver>,
+    connections: BTreeMap<(usize, ConnectionId), Connection>,
     keepers: Vec<Keeper>,
-    queue: BTreeMap<(Duration, u64), Act>,
+    queue: BTreeMap<(Duration, u64), Action>,
     triggers: Vec<(usize, Fault)>,
-    damage: Vec<Damage>,
-    lineage: BTreeMap<(u64, TokenId), VersionName>,
-    base: Instant,
+    frame_faults: Vec<FrameFault>,
+    provenance: BTreeMap<(u64, TokenId), VersionName>,
+    start_time: Instant,
     now: Duration,
-    turn: u64,
+    scheduled: u64,
     rng: StdRng,
 }
 
-fn mix(state: u64, value: u64) -> u64 {
+fn hash_step(state: u64, value: u64) -> u64 {
     (state ^ value)
         .wrapping_mul(0x9e37_79b9_7f4a_7c15)
         .rotate_left(23)
 }
 
-fn state(version: &VersionName, tokens: &[TokenId]) -> u64 {
+fn prefix_hash(version: &VersionName, tokens: &[TokenId]) -> u64 {
     let start = version
         .as_str()
         .bytes()
-        .fold(SEED, |state, byte| mix(state, byte.into()));
+        .fold(SEED, |state, byte| hash_step(state, byte.into()));
     tokens
         .iter()
-        .fold(start, |state, token| mix(state, token.0.into()))
+        .fold(start, |state, token| hash_step(state, token.0.into()))
 }
 
 /// The whole answer of a version.
-pub(crate) fn reference(version: &str, limit: u32) -> Vec<TokenId> {
+pub(crate) fn reference_tokens(version: &str, limit: u32) -> Vec<TokenId> {
     (0..limit).fold(Vec::new(), |mut tokens, _| {
-        tokens.push(TokenId(state(&version.into(), &tokens) as u32));
+        tokens.push(TokenId(prefix_hash(&version.into(), &tokens) as u32));
         tokens
     })
 }
 
-impl World {
-    pub(crate) fn new(engines: usize, routers: usize, seed: u64) -> Self {
+impl Simulation {
+    pub(crate) fn new(engines: usize, instances: usize, seed: u64) -> Self {
         let engine = || Engine {
             loaded: BTreeSet::from(["v1".into()]),
             ..Engine::default()
         };
-        let router = || Router {
+        let instance = || Instance {
             dead: false,
             paused: false,
-            held: Vec::new(),
+            queued: Vec::new(),
         };
         Self {
             callers: Vec::new(),
@@ -210,67 +210,67 @@
             mode: DeliveryMode::Streamed,
             limit: 200,
             seed,
-            brings: false,
-            copies: GenerationLimits::default().record_extension,
-            settle: Duration::ZERO,
-            drifts: false,
+            sends_tokens: false,
+            record_extension: GenerationLimits::default().record_extension,
+            record_delay: Duration::ZERO,
+            nondeterministic: false,
             generated: 0,
             deadline: Duration::from_secs(60),
             engines: (0..engines).map(|_| engine()).collect(),
-            routers: (0..routers).map(|_| router()).collect(),
-            drives: Vec::new(),
+            instances: (0..instances).map(|_| instance()).collect(),
+            drivers: Vec::new(),
             connections: BTreeMap::new(),
             keepers: vec![Keeper::default(), Keeper::default()],
             queue: BTreeMap::new(),
             triggers: Vec::new(),
-            damage: Vec::new(),
-            lineage: BTreeMap::new(),
-            base: Instant::now(),
+            frame_faults: Vec::new(),
+            provenance: BTreeMap::new(),
+            start_time: Instant::now(),
             now: Duration::ZERO,
-            turn: 0,
+            scheduled: 0,
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
     pub(crate) fn call(&mut self) -> usize {
         self.callers.push(Caller::default());
-        self.after(Duration::ZERO, Act::Connect(self.callers.len() - 1));
+        self.schedule(Duration::ZERO, Action::Connect(self.callers.len() - 1));
         self.callers.len() - 1
     }
 
     /// Lets `fault` happen once the first caller has `tokens` tokens.
-    pub(crate) fn when(&mut self, tokens: usize, fault: Fault) {
+    pub(crate) fn inject_at_token(&mut self, tokens: usize, fault: Fault) {
         if tokens == 0 {
-            return self.later(WIRE * 3, fault);
+            return self.inject_after(NETWORK_DELAY * 3, fault);
         }
         self.triggers.push((tokens, fault));
     }
 
     /// Lets `fault` happen after `delay`.
-    pub(crate) fn later(&mut self, delay: Duration, fault: Fault) {
-        self.after(delay, Act::Fault(fault));
+    pub(crate) fn inject_after(&mut self, delay: Duration, fault: Fault) {
+        self.schedule(delay, Action::Fault(fault));
     }
 
-    /// Runs until nothing is left to do.
+    /// Runs until nothing is disconnected to do.
     pub(crate) fn run(&mut self) -> &mut Self {
-        while self.turn() {}
+        while self.advance() {}
         self
     }
 
     /// The first of a caller's tokens that no engine generated after exactly the ones before it, or
     /// that differs from the reference.
-    pub(crate) fn fault(&self, caller: usize) -> Option<String> {
+    pub(crate) fn check_output(&self, caller: usize) -> Option<String> {
         let caller = &self.callers[caller];
         let tokens: Vec<TokenId> = caller.tokens.iter().map(|emit| emit.token).collect();
         let versions = ["v1", "v2"];
         let version = versions.into_iter().find(|version| {
             (0..tokens.len()).all(|at| {
-                let before = state(&(*version).into(), &tokens[..at]);
-                self.lineage.get(&(before, tokens[at])) == Some(&VersionName::new(version))
+                let before = prefix_hash(&(*version).into(), &tokens[..at]);
+                self.provenance.get(&(before, tokens[at])) == Some(&VersionName::new(version))
             })
         });
         let Some(version) = version else {
-            return Some(format!("lineage of {} tokens is broken", tokens.len()));
+            return Some(format!("provenance of {} tokens is broken", tokens.len()));
         };
         let gap = caller
             .tokens
@@ -280,7 +280,7 @@
         if let Some(at) = gap {
             return Some(format!("positions are not contiguous at {at}"));
         }
-        if !self.drifts && !reference(version, self.limit).starts_with(&tokens) {
+        if !self.nondeterministic && !reference_tokens(version, self.limit).starts_with(&tokens) {
             return Some(format!("tokens are not the reference of {version}"));
         }
         let finish = caller.finish.as_ref()?;
@@ -292,55 +292,56 @@
     }
 
     fn text(&self, version: &str) -> String {
-        reference(version, self.limit)
+        reference_tokens(version, self.limit)
             .iter()
             .map(|token| format!("{} ", token.0))
             .collect()
     }
 
-    fn after(&mut self, delay: Duration, act: Act) {
-        self.turn += 1;
-        self.queue.insert((self.now + delay, self.turn), act);
+    fn schedule(&mut self, delay: Duration, action: Action) {
+        self.scheduled += 1;
+        self.queue
+            .insert((self.now + delay, self.scheduled), action);
     }
 
     fn instant(&self) -> Instant {
-        self.base + self.now
+        self.start_time + self.now
     }
 
-    fn turn(&mut self) -> bool {
+    fn advance(&mut self) -> bool {
         let due = self
-            .drives
+            .drivers
             .iter()
             .enumerate()
-            .filter(|(_, drive)| self.runs(drive.router))
-            .filter_map(|(at, drive)| Some((drive.generation.next_tick()? - self.base, at)))
+            .filter(|(_, driver)| self.runs(driver.instance))
+            .filter_map(|(at, driver)| Some((driver.generation.next_tick()? - self.start_time, at)))
             .min();
         let next = self.queue.keys().next().copied();
         let tick = due.filter(|(due, _)| next.is_none_or(|(at, _)| *due < at));
-        if let Some((due, drive)) = tick {
+        if let Some((due, driver)) = tick {
             self.now = self.now.max(due);
-            self.input(drive, Input::Tick);
+            self.input(driver, Input::Tick);
             return true;
         }
-        let Some((key, act)) = self.queue.pop_first() else {
+        let Some((key, action)) = self.queue.pop_first() else {
             return false;
         };
         self.now = self.now.max(key.0);
-        self.act(act);
-        self.now < LONG
+        self.action(action);
+        self.now < MAX_RUN_TIME
     }
 
-    fn runs(&self, router: usize) -> bool {
-        !self.routers[router].dead && !self.routers[router].paused
+    fn runs(&self, instance: usize) -> bool {
+        !self.instances[instance].dead && !self.instances[instance].paused
     }
 
-    fn act(&mut self, act: Act) {
-        match act {
-            Act::Input(drive, input) => self.input(drive, input),
-            Act::Call(engine, call) => self.serve(engine, call),
-            Act::Write(engine, attempt) => self.write(engine, attempt),
-            Act::Fault(fault) => self.inject(fault),
-            Act::Connect(caller) => self.connect(caller),
+    fn action(&mut self, action: Action) {
+        match action {
+            Action::Input(driver, input) => self.input(driver, input),
+            Action::EngineCall(engine, call) => self.serve(engine, call),
+            Action::Write(engine, attempt) => self.write(engine, attempt),
+            Action::Fault(fault) => self.inject(fault),
+            Action::Connect(caller) => self.connect(caller),
         }
     }
 }
@@ -355,11 +356,11 @@
 }
 
 /// A frame that fits the position, but not the tokens, of another attempt.
-fn late_frame(attempt: Attempt, written: &Written, position: usize) -> Frame {
+fn late_frame(attempt: Attempt, stream: &EngineStream, position: usize) -> Frame {
     Frame {
         request: "r".into(),
         attempt,
-        version: written.version.clone(),
+        version: stream.version.clone(),
         position: Position(position as u32),
         token: TokenId(1),
         text: "late".into(),
@@ -367,7 +368,7 @@
 }
 
 /// An attempt number without its driver's mark.
-fn short(attempt: Attempt) -> String {
+fn short_attempt(attempt: Attempt) -> String {
     format!("{}.{}", attempt.0 >> 24, attempt.0 & 0x3ff)
 }
 
--- a/crates/answer/tests/world/instances.rs
+++ b/crates/answer/tests/simulation/instances.rs
@@ -2,47 +2,52 @@
 
 use super::*;
 
-impl World {
-    pub(super) fn input(&mut self, drive: usize, input: Input) {
-        let router = &mut self.routers[self.drives[drive].router];
-        if router.dead {
+impl Simulation {
+    pub(super) fn input(&mut self, driver: usize, input: Input) {
+        let instance = &mut self.instances[self.drivers[driver].instance];
+        if instance.dead {
             return;
         }
-        if router.paused {
-            return router.held.push((drive, input));
+        if instance.paused {
+            return instance.queued.push((driver, input));
         }
         let mut effects = Vec::new();
         let now = self.instant();
-        self.drives[drive].generation.step(now, input, &mut effects);
-        self.apply(drive, effects);
+        self.drivers[driver]
+            .generation
+            .step(now, input, &mut effects);
+        self.apply(driver, effects);
     }
 
-    pub(super) fn apply(&mut self, drive: usize, effects: Vec<Effect>) {
+    pub(super) fn apply(&mut self, driver: usize, effects: Vec<Effect>) {
         for effect in effects {
-            self.effect(drive, effect);
+            self.effect(driver, effect);
         }
     }
 
-    pub(super) fn note(&mut self, drive: usize, text: String) {
-        let router = self.drives[drive].router;
+    pub(super) fn log_line(&mut self, driver: usize, text: String) {
+        let instance = self.drivers[driver].instance;
         self.log
-            .push(format!("{:>5} r{router} {text}", self.now.as_millis()));
+            .push(format!("{:>5} i{instance} {text}", self.now.as_millis()));
     }
 
-    pub(super) fn effect(&mut self, drive: usize, effect: Effect) {
+    pub(super) fn effect(&mut self, driver: usize, effect: Effect) {
         match effect {
-            Effect::ChooseTarget(criteria) => self.choose(drive, &criteria),
+            Effect::ChooseTarget(criteria) => self.choose(driver, &criteria),
             Effect::Start(start) => {
                 let stream = &start.stream;
                 let text = format!(
                     "start {} at {} prefix {}",
-                    short(stream.attempt),
+                    short_attempt(stream.attempt),
                     stream.target,
                     start.prefix.len()
                 );
-                self.note(drive, text);
+                self.log_line(driver, text);
                 let engine = index(&stream.target);
-                self.after(WIRE, Act::Call(engine, Call::Start(drive, start)));
+                self.schedule(
+                    NETWORK_DELAY,
+                    Action::EngineCall(engine, EngineCall::Start(driver, start)),
+                );
             }
             Effect::Resume {
                 connection,
@@ -51,29 +56,39 @@
             } => {
                 let text = format!(
                     "resume {} at {} from {from}",
-                    short(stream.attempt),
+                    short_attempt(stream.attempt),
                     stream.target
                 );
-                self.note(drive, text);
-                let call = Call::Read(drive, connection, stream.attempt, from);
-                self.after(WIRE, Act::Call(index(&stream.target), call));
+                self.log_line(driver, text);
+                let call = EngineCall::Read(driver, connection, stream.attempt, from);
+                self.schedule(
+                    NETWORK_DELAY,
+                    Action::EngineCall(index(&stream.target), call),
+                );
             }
             Effect::Close(connection) => {
-                self.connections.remove(&(drive, connection));
+                self.connections.remove(&(driver, connection));
             }
             Effect::Cancel(stream) => {
-                self.note(
-                    drive,
-                    format!("cancel {} at {}", short(stream.attempt), stream.target),
+                self.log_line(
+                    driver,
+                    format!(
+                        "cancel {} at {}",
+                        short_attempt(stream.attempt),
+                        stream.target
+                    ),
+                );
+                let call = EngineCall::Cancel(stream.attempt);
+                self.schedule(
+                    NETWORK_DELAY,
+                    Action::EngineCall(index(&stream.target), call),
                 );
-                let call = Call::Cancel(stream.attempt);
-                self.after(WIRE, Act::Call(index(&stream.target), call));
             }
-            Effect::PutRecord(record) => self.keep(drive, &record),
+            Effect::PutRecord(record) => self.put_record(driver, &record),
             Effect::ExtendRecord(copy) => {
-                self.note(
-                    drive,
-                    format!("copy {} from {}", copy.tokens.len(), copy.from),
+                self.log_line(
+                    driver,
+                    format!("extend {} from {}", copy.tokens.len(), copy.from),
                 );
                 let keepers = self.keepers.iter_mut();
                 keepers.for_each(|keeper| keeper.extend(&copy));
@@ -83,20 +98,23 @@
                 .iter_mut()
                 .for_each(|keeper| keeper.remove(&key, attempt)),
             Effect::NotifyInstance(instance, record) => {
-                self.tell(index_of(instance.as_str()), &record)
+                self.notify_instance(index_of(instance.as_str()), &record)
             }
             Effect::QueryRecord(key) => {
-                self.note(drive, "review".to_owned());
+                self.log_line(driver, "query record".to_owned());
                 let record = self.record(&key);
-                self.after(WIRE * 2, Act::Input(drive, Input::RecordQueried(record)));
+                self.schedule(
+                    NETWORK_DELAY * 2,
+                    Action::Input(driver, Input::RecordQueried(record)),
+                );
             }
-            Effect::Emit(emit) => self.emit(drive, emit),
+            Effect::Emit(emit) => self.emit(driver, emit),
             Effect::Finish(finish) => {
-                self.note(
-                    drive,
+                self.log_line(
+                    driver,
                     format!("finish {} {}", finish.length, finish.version),
                 );
-                if let Some(caller) = self.listener(drive) {
+                if let Some(caller) = self.connected_caller(driver) {
                     caller.finish = Some(finish);
                 }
             }
@@ -105,13 +123,13 @@
                     Incomplete::Superseded { .. } => "fail: superseded".to_owned(),
                     error => format!("fail: {error}"),
                 };
-                self.note(drive, text);
+                self.log_line(driver, text);
                 // The connection ends; a caller whose request was superseded connects anew.
                 let superseded = matches!(error, Incomplete::Superseded { .. });
-                let at = self.drives[drive].caller;
-                if let Some(caller) = self.listener(drive) {
+                let at = self.drivers[driver].caller;
+                if let Some(caller) = self.connected_caller(driver) {
                     match superseded {
-                        true => self.part(at, true),
+                        true => self.disconnect(at, true),
                         false => caller.failure = Some(error),
                     }
                 }
@@ -119,14 +137,14 @@
         }
     }
 
-    pub(super) fn listener(&mut self, drive: usize) -> Option<&mut Caller> {
-        let caller = &mut self.callers[self.drives[drive].caller];
-        (caller.drive == Some(drive) && !caller.left).then_some(caller)
+    pub(super) fn connected_caller(&mut self, driver: usize) -> Option<&mut Caller> {
+        let caller = &mut self.callers[self.drivers[driver].caller];
+        (caller.driver == Some(driver) && !caller.disconnected).then_some(caller)
     }
 
-    pub(super) fn emit(&mut self, drive: usize, emit: Emit) {
+    pub(super) fn emit(&mut self, driver: usize, emit: Emit) {
         let now = self.now;
-        let Some(caller) = self.listener(drive) else {
+        let Some(caller) = self.connected_caller(driver) else {
             return;
         };
         caller.stalls.push(now - caller.last);
@@ -142,7 +160,7 @@
         }
     }
 
-    pub(super) fn choose(&mut self, drive: usize, criteria: &TargetCriteria) {
+    pub(super) fn choose(&mut self, driver: usize, criteria: &TargetCriteria) {
         let fits = |loaded: &BTreeSet<VersionName>| match &criteria.version {
             Some(version) => loaded.get(version).cloned(),
             None => loaded.first().cloned(),
@@ -164,24 +182,27 @@
             }),
             None => Input::NoTarget,
         };
-        self.after(Duration::ZERO, Act::Input(drive, input));
+        self.schedule(Duration::ZERO, Action::Input(driver, input));
     }
 
-    pub(super) fn keep(&mut self, drive: usize, record: &KeeperRecord) {
+    pub(super) fn put_record(&mut self, driver: usize, record: &KeeperRecord) {
         let now = self.instant();
         for at in 0..self.keepers.len() {
             let copy = KeeperRecord::decode(&record.encode()).unwrap();
             if let Err(PutError::Fenced(higher)) = self.keepers[at].put(now, copy) {
-                self.after(WIRE * 2, Act::Input(drive, Input::Fenced(*higher)));
+                self.schedule(
+                    NETWORK_DELAY * 2,
+                    Action::Input(driver, Input::Fenced(*higher)),
+                );
             }
         }
     }
 
-    pub(super) fn tell(&mut self, router: usize, record: &KeeperRecord) {
-        for drive in 0..self.drives.len() {
-            if self.drives[drive].router == router {
+    pub(super) fn notify_instance(&mut self, instance: usize, record: &KeeperRecord) {
+        for driver in 0..self.drivers.len() {
+            if self.drivers[driver].instance == instance {
                 let input = Input::Fenced(record.clone());
-                self.after(WIRE, Act::Input(drive, input));
+                self.schedule(NETWORK_DELAY, Action::Input(driver, input));
             }
         }
     }
@@ -194,26 +215,26 @@
     }
 
     pub(super) fn connect(&mut self, caller: usize) {
-        let live: Vec<usize> = (0..self.routers.len())
+        let live: Vec<usize> = (0..self.instances.len())
             .filter(|at| self.runs(*at))
             .collect();
-        let first = self.drives.iter().all(|drive| drive.caller != caller);
+        let first = self.drivers.iter().all(|driver| driver.caller != caller);
         let drawn = live.choose(&mut self.rng).copied();
-        let Some(router) = live.get(caller).copied().filter(|_| first).or(drawn) else {
-            return self.after(RECONNECT, Act::Connect(caller));
+        let Some(instance) = live.get(caller).copied().filter(|_| first).or(drawn) else {
+            return self.schedule(RECONNECT_DELAY, Action::Connect(caller));
         };
-        let request = self.request(router);
+        let request = self.request(instance);
         let codec = request.resume_token_codec(&ResumeTokenKey::new([7; 32]));
         let driver = DriverId::random(&mut self.rng);
         let (generation, effects) = self.generation(caller, request, codec, driver);
-        self.drives.push(Drive {
-            router,
+        self.drivers.push(Driver {
+            instance,
             caller,
             generation,
         });
-        let drive = self.drives.len() - 1;
-        self.callers[caller].drive = Some(drive);
-        self.apply(drive, effects);
+        let driver = self.drivers.len() - 1;
+        self.callers[caller].driver = Some(driver);
+        self.apply(driver, effects);
     }
 
     pub(super) fn generation(
@@ -226,8 +247,8 @@
         let mut out = Vec::new();
         let now = self.instant();
         let limits = GenerationLimits {
-            record_extension: self.copies,
-            record_delay: self.settle,
+            record_extension: self.record_extension,
+            record_delay: self.record_delay,
             ..GenerationLimits::default()
         };
         let shown = &self.callers[caller].tokens;
@@ -236,7 +257,7 @@
             .map(|emit| codec.decode(&emit.resume_token).unwrap());
         let brought: Vec<TokenId> = shown
             .iter()
-            .filter(|_| self.brings)
+            .filter(|_| self.sends_tokens)
             .map(|emit| emit.token)
             .collect();
         let record = self.record(&request.key);
@@ -251,15 +272,15 @@
         (generation, out)
     }
 
-    pub(super) fn request(&self, router: usize) -> Request {
+    pub(super) fn request(&self, instance: usize) -> Request {
         Request {
             key: "r".into(),
             body_digest: Digest::of(b"body"),
             seed: SEED,
             max_tokens: self.limit,
             mode: self.mode,
-            deadline: self.base + self.deadline,
-            instance: format!("r{router}").as_str().into(),
+            deadline: self.start_time + self.deadline,
+            instance: format!("i{instance}").as_str().into(),
         }
     }
 }
--- a/crates/answer/tests/test_history.rs
+++ b/crates/answer/tests/test_history.rs
@@ -5,18 +5,18 @@
 use celerypond_answer::{DeliveryMode, ExtensionLimits, Incomplete};
 use rstest::rstest;
 
-use crate::world::{Damage, Fault, World, CURRENT};
+use crate::simulation::{Fault, FrameFault, Simulation, CURRENT};
 
 const LIMIT: usize = 200;
 const SEEDS: u64 = 1000;
 
-fn whole(world: &mut World) {
-    world.run();
-    let caller = &world.callers[0];
-    let seed = world.seed;
+fn assert_complete(simulation: &mut Simulation) {
+    simulation.run();
+    let caller = &simulation.callers[0];
+    let seed = simulation.seed;
     let end = (seed, &caller.finish, &caller.failure, caller.tokens.len());
-    let log = world.log.join("\n");
-    assert_eq!(world.fault(0), None, "{end:?}\n{log}");
+    let log = simulation.log.join("\n");
+    assert_eq!(simulation.check_output(0), None, "{end:?}\n{log}");
     assert!(caller.finish.is_some(), "{end:?}\n{log}");
 }
 
@@ -28,37 +28,37 @@
 // writes dies, its connection goes silent, it pauses and comes back with late frames, the instance
 // dies or pauses, or two of these at once. Each fault comes some tokens after the one tried.
 #[rstest]
-#[case::engine_killed(&[(0, Fault::Kill(CURRENT))])]
-#[case::two_engines_killed_in_a_row(&[(0, Fault::Kill(CURRENT)), (1, Fault::Kill(CURRENT))])]
+#[case::engine_killed(&[(0, Fault::KillEngine(CURRENT))])]
+#[case::two_engines_killed_in_a_row(&[(0, Fault::KillEngine(CURRENT)), (1, Fault::KillEngine(CURRENT))])]
 #[case::connection_silent_while_new_ones_work(&[(0, Fault::Silence(CURRENT))])]
-#[case::engine_paused_and_back_with_late_frames(&[(0, Fault::Pause(CURRENT, ms(400)))])]
-#[case::engine_paused_for_a_moment(&[(0, Fault::Pause(CURRENT, ms(120)))])]
-#[case::instance_killed(&[(0, Fault::KillRouter(CURRENT))])]
-#[case::instance_paused_and_back(&[(0, Fault::PauseRouter(CURRENT, ms(150)))])]
+#[case::engine_paused_and_back_with_late_frames(&[(0, Fault::PauseEngine(CURRENT, ms(400)))])]
+#[case::engine_paused_for_a_moment(&[(0, Fault::PauseEngine(CURRENT, ms(120)))])]
+#[case::instance_killed(&[(0, Fault::KillInstance(CURRENT))])]
+#[case::instance_paused_and_back(&[(0, Fault::PauseInstance(CURRENT, ms(150)))])]
 #[case::engine_and_instance_killed_at_once(
-    &[(0, Fault::Kill(CURRENT)), (0, Fault::KillRouter(CURRENT))]
+    &[(0, Fault::KillEngine(CURRENT)), (0, Fault::KillInstance(CURRENT))]
 )]
 #[case::engine_killed_then_instance(
-    &[(0, Fault::Kill(CURRENT)), (5, Fault::KillRouter(CURRENT))]
+    &[(0, Fault::KillEngine(CURRENT)), (5, Fault::KillInstance(CURRENT))]
 )]
 #[case::engine_killed_then_instance_and_keepers(
-    &[(0, Fault::Kill(CURRENT)), (5, Fault::KillRouter(CURRENT)), (5, Fault::LoseKeepers)]
+    &[(0, Fault::KillEngine(CURRENT)), (5, Fault::KillInstance(CURRENT)), (5, Fault::LoseKeepers)]
 )]
-#[case::frame_lost(&[(0, Fault::Frame(Damage::Drop))])]
-#[case::frame_repeated(&[(0, Fault::Frame(Damage::Double))])]
-#[case::frame_of_another_request(&[(0, Fault::Frame(Damage::Cross))])]
-#[case::frame_cut_short(&[(0, Fault::Frame(Damage::Garble))])]
-#[case::frame_of_another_version(&[(0, Fault::Frame(Damage::Version))])]
-#[case::other_token_at_the_same_position(&[(0, Fault::Frame(Damage::Token))])]
-#[case::end_announced_too_early(&[(0, Fault::Frame(Damage::End))])]
+#[case::frame_lost(&[(0, Fault::Frame(FrameFault::Drop))])]
+#[case::frame_repeated(&[(0, Fault::Frame(FrameFault::Duplicate))])]
+#[case::frame_of_another_request(&[(0, Fault::Frame(FrameFault::WrongRequest))])]
+#[case::frame_cut_short(&[(0, Fault::Frame(FrameFault::Malformed))])]
+#[case::frame_of_another_version(&[(0, Fault::Frame(FrameFault::WrongVersion))])]
+#[case::other_token_at_the_same_position(&[(0, Fault::Frame(FrameFault::WrongToken))])]
+#[case::end_announced_too_early(&[(0, Fault::Frame(FrameFault::EarlyEnd))])]
 fn answer_is_whole_whatever_fails_at_any_token(#[case] faults: &[(usize, Fault)]) {
     for at in 0..LIMIT {
-        let mut world = World::new(3, 3, at as u64);
+        let mut simulation = Simulation::new(3, 3, at as u64);
         for (later, fault) in faults {
-            world.when(at + later, fault.clone());
+            simulation.inject_at_token(at + later, fault.clone());
         }
-        world.call();
-        whole(&mut world);
+        simulation.call();
+        assert_complete(&mut simulation);
     }
 }
 
@@ -71,19 +71,19 @@
 #[case::buffered_with_copies(DeliveryMode::Buffered, false, 10)]
 fn answer_is_whole_under_random_faults(
     #[case] mode: DeliveryMode,
-    #[case] brings: bool,
+    #[case] sends_tokens: bool,
     #[case] after: u32,
 ) {
     for seed in 0..SEEDS {
-        let mut world = random(seed);
-        world.mode = mode;
-        world.brings = brings;
-        world.copies = ExtensionLimits {
+        let mut simulation = random(seed);
+        simulation.mode = mode;
+        simulation.sends_tokens = sends_tokens;
+        simulation.record_extension = ExtensionLimits {
             min_length: after,
             batch: 8,
         };
-        world.call();
-        whole(&mut world);
+        simulation.call();
+        assert_complete(&mut simulation);
     }
 }
 
@@ -94,15 +94,19 @@
 fn two_drivers_never_mix_their_sequences() {
     let mut diverged = 0;
     for seed in 0..SEEDS {
-        let mut world = random(seed);
-        world.drifts = true;
-        let callers = [world.call(), world.call()];
-        world.run();
+        let mut simulation = random(seed);
+        simulation.nondeterministic = true;
+        let callers = [simulation.call(), simulation.call()];
+        simulation.run();
         for at in callers {
-            let caller = &world.callers[at];
-            let log = world.log.join("\n");
-            assert_eq!(world.fault(at), None, "caller {at}, seed {seed}\n{log}");
-            // A sequence that is generated again on a slow engine may miss the deadline.
+            let caller = &simulation.callers[at];
+            let log = simulation.log.join("\n");
+            assert_eq!(
+                simulation.check_output(at),
+                None,
+                "caller {at}, seed {seed}\n{log}"
+            );
+            // A sequence that is generated again on a extra_delay engine may miss the deadline.
             let failed = match caller.failure {
                 Some(Incomplete::Diverged { .. }) => true,
                 Some(Incomplete::Deadline) => false,
@@ -117,15 +121,15 @@
     assert!(diverged > 0, "no sequence was ever refused");
 }
 
-/// A world of short answers with eight faults to come.
-fn random(seed: u64) -> World {
-    let mut world = World::new(4, 3, seed);
-    world.limit = 60;
-    world.settle = ms(seed % 3 * 300);
-    world.later(ms(0), Fault::Load(0, "v2".into()));
+/// A simulation of short answers with eight faults to come.
+fn random(seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(4, 3, seed);
+    simulation.limit = 60;
+    simulation.record_delay = ms(seed % 3 * 300);
+    simulation.inject_after(ms(0), Fault::Load(0, "v2".into()));
     for _ in 0..8 {
-        let (at, fault) = (world.moment(), world.draw());
-        world.later(at, fault);
+        let (at, fault) = (simulation.random_time(), simulation.random_fault());
+        simulation.inject_after(at, fault);
     }
-    world
+    simulation
 }
--- a/crates/answer/tests/test_scripts.rs
+++ b/crates/answer/tests/test_scripts.rs
@@ -6,48 +6,48 @@
 use goldenscript::{Argument, Command, Context};
 use rstest::rstest;
 
-use crate::world::{Fault, World, CURRENT};
+use crate::simulation::{Fault, Simulation, CURRENT};
 
-struct Runner(World);
+struct Runner(Simulation);
 
 impl goldenscript::Runner for Runner {
     type Command = Command;
 
     fn run(&mut self, command: &Command, _: &Context) -> Result<String, Box<dyn Error>> {
         let mut args = command.consume_args();
-        let world = &mut self.0;
+        let simulation = &mut self.0;
         match command.name.as_str() {
-            "world" => {
+            "cluster" => {
                 let count = |key: Option<&str>, other| key.map_or(Ok(other), str::parse);
                 let engines = count(args.take_key("engines"), 2)?;
-                let routers = count(args.take_key("routers"), 1)?;
-                *world = World::new(engines, routers, 0);
-                world.limit = count(args.take_key("limit"), 20)? as u32;
-                world.deadline = ms(args.take_key("deadline").unwrap_or("5000"))?;
-                world.drifts = args.take_key("drifts").is_some();
-                world.brings = args.take_key("brings").is_some();
-                world.settle = ms(args.take_key("settle").unwrap_or("0"))?;
-                if let Some(after) = args.take_key("copies") {
+                let instances = count(args.take_key("instances"), 1)?;
+                *simulation = Simulation::new(engines, instances, 0);
+                simulation.limit = count(args.take_key("limit"), 20)? as u32;
+                simulation.deadline = ms(args.take_key("deadline").unwrap_or("5000"))?;
+                simulation.nondeterministic = args.take_key("nondeterministic").is_some();
+                simulation.sends_tokens = args.take_key("sends-tokens").is_some();
+                simulation.record_delay = ms(args.take_key("record-delay").unwrap_or("0"))?;
+                if let Some(after) = args.take_key("extend-after") {
                     let after = after.parse()?;
-                    world.copies = ExtensionLimits {
+                    simulation.record_extension = ExtensionLimits {
                         min_length: after,
                         batch: 4,
                     };
                 }
                 if args.take_key("mode") == Some("buffered") {
-                    world.mode = DeliveryMode::Buffered;
+                    simulation.mode = DeliveryMode::Buffered;
                 }
             }
-            "call" => drop(world.call()),
+            "call" => drop(simulation.call()),
             "at" => {
                 let after = ms(args.next_pos().ok_or("no time")?)?;
-                world.later(after, fault(&mut args)?);
+                simulation.inject_after(after, fault(&mut args)?);
             }
             "when" => {
                 let tokens = args.next_pos().ok_or("no count")?.parse()?;
-                world.when(tokens, fault(&mut args)?);
+                simulation.inject_at_token(tokens, fault(&mut args)?);
             }
-            "run" => return outcome(world.run()),
+            "run" => return outcome(simulation.run()),
             other => return Err(format!("unknown command {other}").into()),
         }
         args.reject_next()?;
@@ -71,35 +71,37 @@
         word => word.parse(),
     };
     Ok(match words[..] {
-        ["kill", at] => Fault::Kill(index(at)?),
-        ["pause", at, time] => Fault::Pause(index(at)?, ms(time)?),
+        ["kill-engine", at] => Fault::KillEngine(index(at)?),
+        ["pause-engine", at, time] => Fault::PauseEngine(index(at)?, ms(time)?),
         ["silence", at] => Fault::Silence(index(at)?),
         ["slow", at, time] => Fault::Slow(index(at)?, ms(time)?),
         ["load", at, version] => Fault::Load(index(at)?, version.into()),
         ["unload", at] => Fault::Unload(index(at)?),
-        ["kill-router", at] => Fault::KillRouter(index(at)?),
-        ["pause-router", at, time] => Fault::PauseRouter(index(at)?, ms(time)?),
+        ["kill-instance", at] => Fault::KillInstance(index(at)?),
+        ["pause-instance", at, time] => Fault::PauseInstance(index(at)?, ms(time)?),
         ["reconnect", at] => Fault::Reconnect(index(at)?),
-        ["leave", at] => Fault::Leave(index(at)?),
+        ["disconnect", at] => Fault::Disconnect(index(at)?),
         ["lose-keepers"] => Fault::LoseKeepers,
         _ => return Err(format!("unknown fault {words:?}").into()),
     })
 }
 
-fn outcome(world: &mut World) -> Result<String, Box<dyn Error>> {
-    let mut text = world.log.join("\n");
-    for at in 0..world.callers.len() {
-        let caller = &world.callers[at];
+fn outcome(simulation: &mut Simulation) -> Result<String, Box<dyn Error>> {
+    let mut text = simulation.log.join("\n");
+    for at in 0..simulation.callers.len() {
+        let caller = &simulation.callers[at];
         let end = match (&caller.finish, &caller.failure) {
-            (Some(finish), _) => format!("whole, {} of {}", finish.length, finish.version),
+            (Some(finish), _) => format!("complete, {} of {}", finish.length, finish.version),
             (None, Some(error)) => format!("failed: {error}"),
-            (None, None) => "no end".to_owned(),
+            (None, None) => "not ended".to_owned(),
         };
-        let check = world.fault(at).unwrap_or_else(|| "right".to_owned());
-        let shown = caller.tokens.len();
-        write!(text, "\ncaller {at}: {shown} shown, {check}; {end}")?;
+        let check = simulation
+            .check_output(at)
+            .unwrap_or_else(|| "consistent".to_owned());
+        let delivered = caller.tokens.len();
+        write!(text, "\ncaller {at}: {delivered} delivered, {check}; {end}")?;
     }
-    writeln!(text, "\ngenerated {}", world.generated)?;
+    writeln!(text, "\ngenerated {}", simulation.generated)?;
     Ok(text)
 }
 
@@ -109,5 +111,5 @@
     #[base_dir = "."]
     path: std::path::PathBuf,
 ) {
-    goldenscript::run(&mut Runner(World::new(0, 0, 0)), path).unwrap();
+    goldenscript::run(&mut Runner(Simulation::new(0, 0, 0)), path).unwrap();
 }
