--- a/crates/answer/tests/simulation.rs
+++ b/crates/answer/tests/simulation.rs
@@ -1,7 +1,8 @@
-//! Small fakes around the decisions: engines, instances, keepers and callers in virtual time.
+//! A simulation of engines, instances, keepers and callers in virtual time. The instances run the
+//! real state machines.
 //!
-//! Token n of a fake engine depends on version, seed and all tokens before it, so an answer that
-//! was continued from a wrong prefix, or joined from two, shows.
+//! Each token of a simulated engine depends on the version, the seed and all previous tokens, so
+//! the checks detect an answer that was continued from a wrong prefix or joined from two.
 
 mod engines;
 mod faults;
@@ -24,12 +25,13 @@
 pub(crate) const TOKEN_GAP: Duration = Duration::from_millis(20);
 const NETWORK_DELAY: Duration = Duration::from_millis(1);
 const RECONNECT_DELAY: Duration = Duration::from_millis(30);
-/// How far back a contradicting token lies, so that it never takes the place of a lost one.
+/// How far before the current position a contradicting token is sent, so that it never takes the
+/// position of a lost token.
 const WRONG_TOKEN_OFFSET: u32 = 5;
 const SEED: u64 = 42;
 const MAX_RUN_TIME: Duration = Duration::from_secs(600);
 
-/// The engine that writes the first caller's answer, or the instance that drives it.
+/// Stands for the engine that generates the first caller's answer, or the instance that drives it.
 pub(crate) const CURRENT: usize = usize::MAX;
 
 /// A fault, or the end of one.
@@ -38,21 +40,21 @@
     KillEngine(usize),
     PauseEngine(usize, Duration),
     UnpauseEngine(usize),
-    /// All open connections to the engine go silent for good.
+    /// All open connections to the engine stay silent from now on.
     Silence(usize),
-    /// The engine answers at once, but takes this long for a token.
+    /// The engine responds to requests at once, but takes this much longer for each token.
     Slow(usize, Duration),
     Load(usize, VersionName),
     Unload(usize),
     KillInstance(usize),
     PauseInstance(usize, Duration),
     UnpauseInstance(usize),
-    /// The caller's connection ends, and it connects anew.
+    /// The caller's connection is closed, and the caller reconnects.
     Reconnect(usize),
-    /// The caller's connection ends for good.
+    /// The caller's connection is closed, and the caller does not reconnect.
     Disconnect(usize),
     LoseKeepers,
-    /// What happens to the next frame on its way.
+    /// The next frame is changed or lost.
     Frame(FrameFault),
 }
 
@@ -64,7 +66,7 @@
     Malformed,
     WrongVersion,
     WrongToken,
-    /// The stream is said to be whole here.
+    /// An end event is sent instead of the frame.
     EarlyEnd,
 }
 
@@ -127,10 +129,10 @@
     pub(crate) tokens: Vec<Emit>,
     pub(crate) finish: Option<Finish>,
     pub(crate) failure: Option<Incomplete>,
-    pub(crate) stalls: Vec<Duration>,
+    pub(crate) token_gaps: Vec<Duration>,
     driver: Option<usize>,
     disconnected: bool,
-    last: Duration,
+    last_token_at: Duration,
 }
 
 enum Action {
@@ -150,7 +152,8 @@
     pub(crate) sends_tokens: bool,
     pub(crate) record_extension: ExtensionLimits,
     pub(crate) record_delay: Duration,
-    /// Whether engines of one version and seed give different tokens, as real ones may.
+    /// Whether attempts with the same version and seed generate different tokens, as real engines
+    /// may.
     pub(crate) nondeterministic: bool,
     pub(crate) generated: usize,
     pub(crate) deadline: Duration,
@@ -185,7 +188,7 @@
         .fold(start, |state, token| hash_step(state, token.0.into()))
 }
 
-/// The whole answer of a version.
+/// Returns the complete answer of a version.
 pub(crate) fn reference_tokens(version: &str, limit: u32) -> Vec<TokenId> {
     (0..limit).fold(Vec::new(), |mut tokens, _| {
         tokens.push(TokenId(prefix_hash(&version.into(), &tokens) as u32));
@@ -238,7 +241,7 @@
         self.callers.len() - 1
     }
 
-    /// Lets `fault` happen once the first caller has `tokens` tokens.
+    /// Injects `fault` once the first caller has `tokens` tokens.
     pub(crate) fn inject_at_token(&mut self, tokens: usize, fault: Fault) {
         if tokens == 0 {
             return self.inject_after(NETWORK_DELAY * 3, fault);
@@ -246,19 +249,20 @@
         self.triggers.push((tokens, fault));
     }
 
-    /// Lets `fault` happen after `delay`.
+    /// Injects `fault` after `delay`.
     pub(crate) fn inject_after(&mut self, delay: Duration, fault: Fault) {
         self.schedule(delay, Action::Fault(fault));
     }
 
-    /// Runs until nothing is disconnected to do.
+    /// Runs until no action is left, or for `MAX_RUN_TIME`.
     pub(crate) fn run(&mut self) -> &mut Self {
         while self.advance() {}
         self
     }
 
-    /// The first of a caller's tokens that no engine generated after exactly the ones before it, or
-    /// that differs from the reference.
+    /// Checks what the caller received, and returns an error if a token was not generated after
+    /// exactly the tokens before it, a position is not contiguous, a token differs from the
+    /// reference or an incomplete answer was finished.
     pub(crate) fn check_output(&self, caller: usize) -> Option<String> {
         let caller = &self.callers[caller];
         let tokens: Vec<TokenId> = caller.tokens.iter().map(|emit| emit.token).collect();
@@ -284,11 +288,11 @@
             return Some(format!("tokens are not the reference of {version}"));
         }
         let finish = caller.finish.as_ref()?;
-        let whole = match &finish.text {
+        let is_complete = match &finish.text {
             Some(text) => *text == self.text(finish.version.as_str()),
             None => tokens.len() == self.limit as usize,
         };
-        (!whole).then(|| "a part passed for the whole".to_owned())
+        (!is_complete).then(|| "an incomplete answer was finished".to_owned())
     }
 
     fn text(&self, version: &str) -> String {
@@ -355,7 +359,8 @@
     }
 }
 
-/// A frame that fits the position, but not the tokens, of another attempt.
+/// Returns a frame with the position, but not the token, that the reader of another attempt
+/// expects.
 fn late_frame(attempt: Attempt, stream: &EngineStream, position: usize) -> Frame {
     Frame {
         request: "r".into(),
@@ -367,15 +372,15 @@
     }
 }
 
-/// An attempt number without its driver's mark.
+/// Formats an attempt number without its driver id.
 fn short_attempt(attempt: Attempt) -> String {
     format!("{}.{}", attempt.0 >> 24, attempt.0 & 0x3ff)
 }
 
-fn index(target: &TargetName) -> usize {
-    index_of(target.as_str())
+fn engine_index(target: &TargetName) -> usize {
+    parse_index(target.as_str())
 }
 
-fn index_of(name: &str) -> usize {
+fn parse_index(name: &str) -> usize {
     name[1..].parse().unwrap()
 }
--- a/crates/answer/tests/simulation/engines.rs
+++ b/crates/answer/tests/simulation/engines.rs
@@ -1,4 +1,4 @@
-//! The fake engines and their connections.
+//! The simulated engines and their connections.
 
 use celerypond_answer::{ConnectionId, Done, Event, FinishReason, Frame, Input, Refusal, Start};
 use celerypond_types::{Attempt, Position, TokenId};
@@ -131,7 +131,7 @@
             .collect()
     }
 
-    /// Sends what a connection has not had yet.
+    /// Sends the tokens of a stream that were not yet sent over the connection.
     pub(super) fn send_new_frames(&mut self, key: (usize, ConnectionId)) {
         let Some(connection) = self
             .connections
@@ -153,11 +153,11 @@
                 text: format!("{} ", stream.tokens[at].0).into(),
             })
             .collect();
-        let whole = stream.tokens.len() == stream.limit;
+        let is_complete = stream.tokens.len() == stream.limit;
         for frame in frames {
             self.send(key, frame);
         }
-        if whole {
+        if is_complete {
             self.send_done(key, attempt, self.limit, FinishReason::Length);
         }
     }
--- a/crates/answer/tests/simulation/faults.rs
+++ b/crates/answer/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! The faults.
+//! Fault injection.
 
 use super::*;
 
@@ -88,7 +88,7 @@
     pub(super) fn current_engine(&self) -> usize {
         let driver = self.callers[0].driver;
         let mut connections = self.connections.iter();
-        let found = connections.rfind(|((of, _), _)| Some(*of) == driver);
+        let found = connections.rfind(|((owner, _), _)| Some(*owner) == driver);
         found.map_or(0, |(_, connection)| connection.engine)
     }
 
@@ -97,8 +97,8 @@
         self.close_all(at);
     }
 
-    /// Late frames go to the connections of other attempts, as over a pooled one that mixes them
-    /// up.
+    /// Continues a paused engine. It sends a late frame to each connection of another attempt, like
+    /// a pooled connection that mixes up responses.
     pub(super) fn unpause_engine(&mut self, at: usize) {
         self.engines[at].paused = false;
         let queued = std::mem::take(&mut self.engines[at].queued);
@@ -131,14 +131,15 @@
                 Action::Input(driver, Input::CallerDisconnected),
             );
         }
-        let over = self.callers[caller].finish.is_some();
+        let is_finished = self.callers[caller].finish.is_some();
         self.callers[caller].disconnected = !reconnects;
-        if reconnects && !over {
+        if reconnects && !is_finished {
             self.schedule(RECONNECT_DELAY, Action::Connect(caller));
         }
     }
 
-    /// Draws a fault that leaves engine 0, which has both versions, and instance 0 able to go on.
+    /// Returns a random fault. It never disables engine 0, which has both versions, or instance 0
+    /// for good.
     pub(crate) fn random_fault(&mut self) -> Fault {
         let engine = self.rng.random_range(0..self.engines.len());
         let instance = self.rng.random_range(0..self.instances.len());
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Draws a moment within the first 1.4 s.
+    /// Returns a random time within the first 1.4 s.
     pub(crate) fn random_time(&mut self) -> Duration {
         Duration::from_millis(self.rng.random_range(0..1400))
     }
--- a/crates/answer/tests/simulation/instances.rs
+++ b/crates/answer/tests/simulation/instances.rs
@@ -1,4 +1,4 @@
-//! The instances, which drive the real state machines, and their callers.
+//! The simulated instances, which run the real state machines, and their callers.
 
 use super::*;
 
@@ -43,7 +43,7 @@
                     start.prefix.len()
                 );
                 self.log_line(driver, text);
-                let engine = index(&stream.target);
+                let engine = engine_index(&stream.target);
                 self.schedule(
                     NETWORK_DELAY,
                     Action::EngineCall(engine, EngineCall::Start(driver, start)),
@@ -63,7 +63,7 @@
                 let call = EngineCall::Read(driver, connection, stream.attempt, from);
                 self.schedule(
                     NETWORK_DELAY,
-                    Action::EngineCall(index(&stream.target), call),
+                    Action::EngineCall(engine_index(&stream.target), call),
                 );
             }
             Effect::Close(connection) => {
@@ -81,24 +81,24 @@
                 let call = EngineCall::Cancel(stream.attempt);
                 self.schedule(
                     NETWORK_DELAY,
-                    Action::EngineCall(index(&stream.target), call),
+                    Action::EngineCall(engine_index(&stream.target), call),
                 );
             }
             Effect::PutRecord(record) => self.put_record(driver, &record),
-            Effect::ExtendRecord(copy) => {
+            Effect::ExtendRecord(extension) => {
                 self.log_line(
                     driver,
-                    format!("extend {} from {}", copy.tokens.len(), copy.from),
+                    format!("extend {} from {}", extension.tokens.len(), extension.from),
                 );
                 let keepers = self.keepers.iter_mut();
-                keepers.for_each(|keeper| keeper.extend(&copy));
+                keepers.for_each(|keeper| keeper.extend(&extension));
             }
             Effect::RemoveRecord(key, attempt) => self
                 .keepers
                 .iter_mut()
                 .for_each(|keeper| keeper.remove(&key, attempt)),
             Effect::NotifyInstance(instance, record) => {
-                self.notify_instance(index_of(instance.as_str()), &record)
+                self.notify_instance(parse_index(instance.as_str()), &record)
             }
             Effect::QueryRecord(key) => {
                 self.log_line(driver, "query record".to_owned());
@@ -124,7 +124,7 @@
                     error => format!("fail: {error}"),
                 };
                 self.log_line(driver, text);
-                // The connection ends; a caller whose request was superseded connects anew.
+                // The caller's connection is closed. If its request was superseded, it reconnects.
                 let superseded = matches!(error, Incomplete::Superseded { .. });
                 let at = self.drivers[driver].caller;
                 if let Some(caller) = self.connected_caller(driver) {
@@ -147,15 +147,15 @@
         let Some(caller) = self.connected_caller(driver) else {
             return;
         };
-        caller.stalls.push(now - caller.last);
-        caller.last = now;
+        caller.token_gaps.push(now - caller.last_token_at);
+        caller.last_token_at = now;
         caller.tokens.push(emit);
         let count = self.callers[0].tokens.len();
-        let (hit, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.triggers)
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.triggers)
             .into_iter()
             .partition(|(at, _)| *at <= count);
         self.triggers = rest;
-        for (_, fault) in hit {
+        for (_, fault) in due {
             self.inject(fault);
         }
     }
@@ -165,7 +165,7 @@
             Some(version) => loaded.get(version).cloned(),
             None => loaded.first().cloned(),
         };
-        // Instances don't know at once which engines are dead.
+        // Dead engines are included, because instances do not notice their failure at once.
         let found: Vec<(TargetName, VersionName)> = self
             .engines
             .iter()
@@ -188,8 +188,8 @@
     pub(super) fn put_record(&mut self, driver: usize, record: &KeeperRecord) {
         let now = self.instant();
         for at in 0..self.keepers.len() {
-            let copy = KeeperRecord::decode(&record.encode()).unwrap();
-            if let Err(PutError::Fenced(higher)) = self.keepers[at].put(now, copy) {
+            let decoded = KeeperRecord::decode(&record.encode()).unwrap();
+            if let Err(PutError::Fenced(higher)) = self.keepers[at].put(now, decoded) {
                 self.schedule(
                     NETWORK_DELAY * 2,
                     Action::Input(driver, Input::Fenced(*higher)),
@@ -219,8 +219,8 @@
             .filter(|at| self.runs(*at))
             .collect();
         let first = self.drivers.iter().all(|driver| driver.caller != caller);
-        let drawn = live.choose(&mut self.rng).copied();
-        let Some(instance) = live.get(caller).copied().filter(|_| first).or(drawn) else {
+        let random = live.choose(&mut self.rng).copied();
+        let Some(instance) = live.get(caller).copied().filter(|_| first).or(random) else {
             return self.schedule(RECONNECT_DELAY, Action::Connect(caller));
         };
         let request = self.request(instance);
@@ -251,17 +251,17 @@
             record_delay: self.record_delay,
             ..GenerationLimits::default()
         };
-        let shown = &self.callers[caller].tokens;
-        let token = shown
+        let delivered = &self.callers[caller].tokens;
+        let token = delivered
             .last()
             .map(|emit| codec.decode(&emit.resume_token).unwrap());
-        let brought: Vec<TokenId> = shown
+        let caller_tokens: Vec<TokenId> = delivered
             .iter()
             .filter(|_| self.sends_tokens)
             .map(|emit| emit.token)
             .collect();
         let record = self.record(&request.key);
-        let plan = TakeOver::plan(driver, token.as_ref(), record.as_ref(), &brought).unwrap();
+        let plan = TakeOver::plan(driver, token.as_ref(), record.as_ref(), &caller_tokens).unwrap();
         let generation = match plan {
             Some(plan) => {
                 let timeouts = timeouts();
--- a/crates/answer/tests/test_history.rs
+++ b/crates/answer/tests/test_history.rs
@@ -1,4 +1,4 @@
-//! History checks: what a caller has is what one version generated, without a gap or a repeat.
+//! History checks: a caller receives what one version generated, without gaps or repetitions.
 
 use std::time::Duration;
 
@@ -24,17 +24,20 @@
     Duration::from_millis(count)
 }
 
-// The caller sees each token once, in order, whatever fails at whichever token: the engine that
-// writes dies, its connection goes silent, it pauses and comes back with late frames, the instance
-// dies or pauses, or two of these at once. Each fault comes some tokens after the one tried.
+// The caller must receive each token once and in order, whatever fails at any token: the engine
+// dies or pauses and sends late frames afterwards, its connection becomes silent, the instance dies
+// or pauses, a frame is lost or changed, or several of these happen together. The number of each
+// fault is its distance in tokens from the tested position.
 #[rstest]
 #[case::engine_killed(&[(0, Fault::KillEngine(CURRENT))])]
-#[case::two_engines_killed_in_a_row(&[(0, Fault::KillEngine(CURRENT)), (1, Fault::KillEngine(CURRENT))])]
+#[case::two_engines_killed_in_a_row(
+    &[(0, Fault::KillEngine(CURRENT)), (1, Fault::KillEngine(CURRENT))]
+)]
 #[case::connection_silent_while_new_ones_work(&[(0, Fault::Silence(CURRENT))])]
-#[case::engine_paused_and_back_with_late_frames(&[(0, Fault::PauseEngine(CURRENT, ms(400)))])]
-#[case::engine_paused_for_a_moment(&[(0, Fault::PauseEngine(CURRENT, ms(120)))])]
+#[case::engine_paused_and_continued_with_late_frames(&[(0, Fault::PauseEngine(CURRENT, ms(400)))])]
+#[case::engine_paused_briefly(&[(0, Fault::PauseEngine(CURRENT, ms(120)))])]
 #[case::instance_killed(&[(0, Fault::KillInstance(CURRENT))])]
-#[case::instance_paused_and_back(&[(0, Fault::PauseInstance(CURRENT, ms(150)))])]
+#[case::instance_paused_and_continued(&[(0, Fault::PauseInstance(CURRENT, ms(150)))])]
 #[case::engine_and_instance_killed_at_once(
     &[(0, Fault::KillEngine(CURRENT)), (0, Fault::KillInstance(CURRENT))]
 )]
@@ -47,35 +50,35 @@
 #[case::frame_lost(&[(0, Fault::Frame(FrameFault::Drop))])]
 #[case::frame_repeated(&[(0, Fault::Frame(FrameFault::Duplicate))])]
 #[case::frame_of_another_request(&[(0, Fault::Frame(FrameFault::WrongRequest))])]
-#[case::frame_cut_short(&[(0, Fault::Frame(FrameFault::Malformed))])]
+#[case::frame_truncated(&[(0, Fault::Frame(FrameFault::Malformed))])]
 #[case::frame_of_another_version(&[(0, Fault::Frame(FrameFault::WrongVersion))])]
 #[case::other_token_at_the_same_position(&[(0, Fault::Frame(FrameFault::WrongToken))])]
 #[case::end_announced_too_early(&[(0, Fault::Frame(FrameFault::EarlyEnd))])]
-fn answer_is_whole_whatever_fails_at_any_token(#[case] faults: &[(usize, Fault)]) {
+fn answer_is_complete_after_faults_at_any_token(#[case] faults: &[(usize, Fault)]) {
     for at in 0..LIMIT {
         let mut simulation = Simulation::new(3, 3, at as u64);
-        for (later, fault) in faults {
-            simulation.inject_at_token(at + later, fault.clone());
+        for (offset, fault) in faults {
+            simulation.inject_at_token(at + offset, fault.clone());
         }
         simulation.call();
         assert_complete(&mut simulation);
     }
 }
 
-// Any eight faults at any moments of one answer: the same checks.
+// The same checks with eight random faults at random times of an answer.
 #[rstest]
 #[case::streamed(DeliveryMode::Streamed, false, 7500)]
-#[case::streamed_to_a_caller_that_brings_its_tokens(DeliveryMode::Streamed, true, 7500)]
-#[case::streamed_with_copies(DeliveryMode::Streamed, false, 10)]
+#[case::streamed_to_a_caller_that_sends_its_tokens(DeliveryMode::Streamed, true, 7500)]
+#[case::streamed_with_record_extensions(DeliveryMode::Streamed, false, 10)]
 #[case::buffered(DeliveryMode::Buffered, false, 7500)]
-#[case::buffered_with_copies(DeliveryMode::Buffered, false, 10)]
-fn answer_is_whole_under_random_faults(
+#[case::buffered_with_record_extensions(DeliveryMode::Buffered, false, 10)]
+fn answer_is_complete_after_random_faults(
     #[case] mode: DeliveryMode,
     #[case] sends_tokens: bool,
     #[case] after: u32,
 ) {
     for seed in 0..SEEDS {
-        let mut simulation = random(seed);
+        let mut simulation = with_random_faults(seed);
         simulation.mode = mode;
         simulation.sends_tokens = sends_tokens;
         simulation.record_extension = ExtensionLimits {
@@ -87,14 +90,14 @@
     }
 }
 
-// Two callers, or one through two ways, ask for the same request, so two instances drive it; and
-// engines give different tokens for one version and seed. Each caller may be told that its answer
-// can't be completed, but none sees tokens of two sequences.
+// Two callers, or one caller over two routes, send the same request, so two instances drive it, and
+// engines generate different tokens for the same version and seed. An answer may fail, but no
+// caller may receive tokens of two sequences.
 #[rstest]
 fn two_drivers_never_mix_their_sequences() {
     let mut diverged = 0;
     for seed in 0..SEEDS {
-        let mut simulation = random(seed);
+        let mut simulation = with_random_faults(seed);
         simulation.nondeterministic = true;
         let callers = [simulation.call(), simulation.call()];
         simulation.run();
@@ -106,8 +109,8 @@
                 None,
                 "caller {at}, seed {seed}\n{log}"
             );
-            // A sequence that is generated again on a extra_delay engine may miss the deadline.
-            let failed = match caller.failure {
+            // A sequence that is generated again at a slow engine may miss the deadline.
+            let has_diverged = match caller.failure {
                 Some(Incomplete::Diverged { .. }) => true,
                 Some(Incomplete::Deadline) => false,
                 _ => {
@@ -115,14 +118,14 @@
                     false
                 }
             };
-            diverged += usize::from(failed);
+            diverged += usize::from(has_diverged);
         }
     }
-    assert!(diverged > 0, "no sequence was ever refused");
+    assert!(diverged > 0, "no answer failed because its tokens diverged");
 }
 
-/// A simulation of short answers with eight faults to come.
-fn random(seed: u64) -> Simulation {
+/// Returns a simulation with short answers and eight random faults.
+fn with_random_faults(seed: u64) -> Simulation {
     let mut simulation = Simulation::new(4, 3, seed);
     simulation.limit = 60;
     simulation.record_delay = ms(seed % 3 * 300);
--- a/crates/answer/tests/test_keeper.rs
+++ b/crates/answer/tests/test_keeper.rs
@@ -1,4 +1,4 @@
-//! Records at a keeper.
+//! Storing records at a keeper.
 
 use std::time::Duration;
 
@@ -30,8 +30,9 @@
     }
 }
 
-// An instance was taken over while it was paused, comes back and writes its record again. If that
-// replaced the later one, both would go on to drive the request.
+// An instance that was paused while another one took over its request continues and stores its
+// record again. If it replaced the later record, both instances would continue to drive the
+// request.
 #[rstest]
 #[case::later_attempt_wins((1, 0), (2, 0), 2, false)]
 #[case::earlier_attempt_is_fenced((2, 0), (1, 9), 2, true)]
@@ -39,22 +40,22 @@
 fn higher_attempt_wins(
     #[case] (first, length): (u32, u32),
     #[case] (second, longer): (u32, u32),
-    #[case] held: u32,
+    #[case] expected: u32,
     #[case] fenced: bool,
 ) {
     let now = Instant::now();
     let mut keeper = Keeper::default();
     assert_eq!(keeper.put(now, record(first, length)), Ok(()));
-    let answer = keeper.put(now, record(second, longer));
-    assert_eq!(matches!(answer, Err(PutError::Fenced(_))), fenced);
-    assert_eq!(answer.is_ok(), !fenced);
+    let result = keeper.put(now, record(second, longer));
+    assert_eq!(matches!(result, Err(PutError::Fenced(_))), fenced);
+    assert_eq!(result.is_ok(), !fenced);
     assert_eq!(
         keeper.get(now, &"r".into()).unwrap().attempt(),
-        Attempt(held)
+        Attempt(expected)
     );
-    keeper.remove(&"r".into(), Attempt(held - 1));
+    keeper.remove(&"r".into(), Attempt(expected - 1));
     assert_eq!(keeper.len(), 1, "an earlier driver removed the record");
-    keeper.remove(&"r".into(), Attempt(held));
+    keeper.remove(&"r".into(), Attempt(expected));
     assert!(keeper.is_empty());
 }
 
@@ -77,14 +78,14 @@
 }
 
 #[test]
-fn record_that_was_cut_or_changed_is_refused() {
+fn truncated_or_changed_record_is_rejected() {
     let whole = record(3, 4);
     let bytes = whole.encode();
     assert_eq!(KeeperRecord::decode(&bytes).unwrap(), whole);
     for length in 0..bytes.len() {
         assert!(
             KeeperRecord::decode(&bytes[..length]).is_err(),
-            "cut at {length}"
+            "truncated at {length}"
         );
     }
     let changed = KeeperRecord {
@@ -95,19 +96,20 @@
     assert!(matches!(error, Err(RecordError::Digest)));
 }
 
-// A keeper that grew without bound would end its own instance, and with it all answers there.
+// A keeper without a memory limit could exhaust the memory of its instance, which would lose all
+// answers that it drives.
 #[test]
-fn memory_is_bounded_and_free_again_after_expiry() {
+fn memory_is_limited_and_freed_after_expiry() {
     let now = Instant::now();
     let mut keeper = Keeper::new(10_000);
     let of = |at: usize| KeeperRecord {
         key: format!("r{at}").as_str().into(),
         ..record(1, 0)
     };
-    let kept = (0..1_000)
+    let stored = (0..1_000)
         .filter(|at| keeper.put(now, of(*at)).is_ok())
         .count();
-    assert!((20..40).contains(&kept), "{kept}");
+    assert!((20..40).contains(&stored), "{stored}");
     assert_eq!(keeper.put(now, of(1_000)), Err(PutError::Full));
     let later = now + Duration::from_millis(1000);
     assert_eq!(keeper.put(later, of(1_000)), Ok(()));
--- a/crates/answer/tests/test_resume.rs
+++ b/crates/answer/tests/test_resume.rs
@@ -1,4 +1,4 @@
-//! Resume tokens as text.
+//! Encoding and decoding of resume tokens.
 
 use celerypond_answer::{
     ChainDigest, Origin, ResumeError, ResumeToken, ResumeTokenCodec, ResumeTokenKey, StreamId,
@@ -30,10 +30,10 @@
     }
 }
 
-// A caller, a proxy or a bug changes one character or cuts the text. If such a token were taken,
-// the answer would go on from a wrong place, so each single change must be refused.
+// A caller, a proxy or a bug may change a character or truncate the text. If such a token were
+// accepted, the answer would continue from a wrong position, so each change must be rejected.
 #[test]
-fn any_changed_character_or_cut_is_refused() {
+fn changed_or_truncated_token_is_rejected() {
     let codec = codec(1, "r", b"body");
     let text = codec.encode(&token());
     assert_eq!(codec.decode(&text), Ok(token()));
@@ -45,7 +45,7 @@
             codec.decode(&changed).is_err(),
             "changed at {at}: {changed}"
         );
-        assert!(codec.decode(&text[..at]).is_err(), "cut at {at}");
+        assert!(codec.decode(&text[..at]).is_err(), "truncated at {at}");
     }
 }
 
@@ -53,7 +53,7 @@
 #[case::other_key(codec(2, "r", b"body"))]
 #[case::other_request(codec(1, "q", b"body"))]
 #[case::other_body(codec(1, "r", b"another"))]
-fn token_made_for_something_else_is_refused(#[case] other: ResumeTokenCodec) {
+fn token_for_another_key_request_or_body_is_rejected(#[case] other: ResumeTokenCodec) {
     let text = codec(1, "r", b"body").encode(&token());
     assert_eq!(other.decode(&text), Err(ResumeError::Tag));
 }
--- a/crates/answer/tests/test_resume_scheduler.rs
+++ b/crates/answer/tests/test_resume_scheduler.rs
@@ -1,4 +1,4 @@
-//! The order and number of resumes after a mass loss.
+//! The order and number of resumes after the loss of many engines.
 
 use std::time::Duration;
 
@@ -8,10 +8,11 @@
 use slotmap::SlotMap;
 use tokio::time::Instant;
 
-// A third of the engines is lost and hundreds of answers resume. No target may get more than its
-// share at once, the longest silent answer goes first, and new answers wait until none is left.
+// A third of the engines is lost, and hundreds of answers resume at the same time. No target may
+// get more resumes than its limit, the answer that has waited longest is resumed first, and new
+// answers wait until no resume is left.
 #[test]
-fn resumes_go_first_few_at_a_time_and_longest_silent_first() {
+fn resumes_precede_new_answers_and_respect_the_limit() {
     for seed in 0..100 {
         let mut rng = StdRng::seed_from_u64(seed);
         let targets: Vec<TargetKey> = keys(3);
@@ -42,7 +43,7 @@
                 }
             }
             for target in &targets {
-                let count = running.iter().filter(|held| *held == target).count();
+                let count = running.iter().filter(|used| *used == target).count();
                 assert!(count <= 2, "seed {seed}");
             }
         }
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn longest_silent_goes_first_and_versions_do_not_block_each_other() {
+fn longest_waiting_resume_goes_first_and_versions_are_independent() {
     let target = keys::<TargetKey>(1)[0];
     let versions: Vec<VersionKey> = keys(2);
     let base = Instant::now();
--- a/crates/answer/tests/test_scripts.rs
+++ b/crates/answer/tests/test_scripts.rs
@@ -1,4 +1,5 @@
-//! Scripted scenarios; the scripts say what happens and what the caller and the engines see.
+//! Scripted scenarios. The scripts contain the injected faults and the expected actions and
+//! results.
 
 use std::{error::Error, fmt::Write as _, time::Duration};
 
@@ -106,7 +107,7 @@
 }
 
 #[rstest]
-fn scenario_goes_as_the_script_says(
+fn scenario_matches_script(
     #[files("tests/scripts/*.txt")]
     #[base_dir = "."]
     path: std::path::PathBuf,
--- a/crates/answer/tests/test_takeover.rs
+++ b/crates/answer/tests/test_takeover.rs
@@ -1,4 +1,4 @@
-//! What an instance goes on from when it takes an answer over.
+//! Plans of takeovers.
 
 use std::time::Duration;
 
@@ -48,13 +48,21 @@
     }
 }
 
-fn plan(record: Option<KeeperRecord>, brought: &[TokenId]) -> Result<TakeOver, TakeOverError> {
-    let plan = TakeOver::plan(DriverId::new(1), Some(&token()), record.as_ref(), brought);
+fn plan(
+    record: Option<KeeperRecord>,
+    caller_tokens: &[TokenId],
+) -> Result<TakeOver, TakeOverError> {
+    let plan = TakeOver::plan(
+        DriverId::new(1),
+        Some(&token()),
+        record.as_ref(),
+        caller_tokens,
+    );
     plan.map(Option::unwrap)
 }
 
-// The caller comes to another instance with its resume token. Which stream is read first, and from
-// which place, decides whether the answer goes on at once, is generated again, or can't be proved.
+// A caller reconnects at another instance with its resume token. The stream and position that are
+// read first decide whether the answer continues at once, is generated again, or can't be verified.
 #[rstest]
 #[case::keepers_lost(None, 1, None, 0)]
 #[case::same_stream(Some(record(1, "v1", tokens(3))), 1, None, 3)]
@@ -63,7 +71,7 @@
 #[case::record_of_another_sequence(Some(record(2, "v1", vec![TokenId(7); 9])), 1, None, 0)]
 #[case::record_of_another_version(Some(record(2, "v2", tokens(4))), 1, None, 0)]
 #[case::record_older_than_the_token(Some(record(0, "v1", tokens(4))), 1, None, 0)]
-fn stream_and_place_to_read_from(
+fn stream_and_position_to_resume_from(
     #[case] record: Option<KeeperRecord>,
     #[case] engine: u32,
     #[case] fallback: Option<u32>,
@@ -79,21 +87,22 @@
 
 #[rstest]
 #[case::all(tokens(5), Ok(5))]
-#[case::more_than_the_token_names(tokens(7), Ok(5))]
+#[case::more_than_the_resume_token_covers(tokens(7), Ok(5))]
 #[case::fewer(tokens(4), Err(TakeOverError::TokenMismatch))]
 #[case::others(vec![TokenId(9); 5], Err(TakeOverError::TokenMismatch))]
-fn tokens_that_the_caller_brings_must_be_its_own(
-    #[case] brought: Vec<TokenId>,
+fn tokens_sent_by_the_caller_must_match_its_resume_token(
+    #[case] caller_tokens: Vec<TokenId>,
     #[case] expected: Result<u32, TakeOverError>,
 ) {
-    let found = plan(None, &brought).map(|plan| plan.prefix);
+    let found = plan(None, &caller_tokens).map(|plan| plan.prefix);
     assert_eq!(found, expected.map(tokens));
 }
 
-// The engine of the later attempt is dead, but the one that the caller's last token came from
-// lives: the connection is refused, and the caller's own stream is read before anything is started.
+// The engine of the later attempt is dead, but the engine of the caller's last token is alive.
+// After the first connection fails, the caller's stream must be resumed before a new attempt is
+// started.
 #[test]
-fn callers_own_stream_is_read_if_the_later_one_is_gone() {
+fn stream_of_the_caller_is_resumed_if_the_later_one_is_gone() {
     let now = Instant::now();
     let plan = plan(Some(record(2, "v1", tokens(4))), &[]).unwrap();
     let request = Request {
