--- a/crates/relay/src/dead_engines.rs
+++ b/crates/relay/src/dead_engines.rs
@@ -39,11 +39,11 @@
         }
         let late = stagger.mul_f64(self.lateness);
         let is_due = |target: &Target| {
-            let dead_since = target
+            let dead_for = target
                 .dead_since
-                .map(|dead_since| now.saturating_duration_since(dead_since));
-            dead_since
-                .is_some_and(|since| (FIRST_PROBE_AFTER + late..LAST_PROBE_AFTER).contains(&since))
+                .map(|since| now.saturating_duration_since(since));
+            dead_for
+                .is_some_and(|time| (FIRST_PROBE_AFTER + late..LAST_PROBE_AFTER).contains(&time))
         };
         let dead = self.arena.iter();
         dead.filter(|(key, target)| is_due(target) && self.owns_address(*key))
--- a/crates/relay/src/freshness.rs
+++ b/crates/relay/src/freshness.rs
@@ -90,7 +90,7 @@
         let newest = self.observations.last().map_or(0, |newest| newest.version);
         let place = self
             .observations
-            .binary_search_by_key(&seen.version, |one| one.version);
+            .binary_search_by_key(&seen.version, |known| known.version);
         match place {
             Ok(_) if seen.version < newest => {}
             Ok(at) => {
@@ -124,8 +124,8 @@
 
     /// Records that a version above this one is being transferred, whose number is not yet known.
     pub fn record_transfer(&mut self, above: u64, at: Instant) {
-        let is_news = |known: Transfer| (above, at) > (known.above, known.at);
-        if self.transfer.is_none_or(is_news) {
+        let is_newer = |known: Transfer| (above, at) > (known.above, known.at);
+        if self.transfer.is_none_or(is_newer) {
             self.transfer = Some(Transfer { above, at });
         }
     }
@@ -133,14 +133,16 @@
     /// Records that a read of the store that began at this moment is complete. Transfers that were
     /// reported before have either delivered their version by then or had none.
     pub fn confirm_read(&mut self, begun: Instant) {
-        self.transfer = self.transfer.filter(|newer| newer.at > begun);
+        self.transfer = self.transfer.filter(|transfer| transfer.at > begun);
     }
 
     /// Returns whether a version above the one in force is being transferred.
     fn is_transfer_recent(&self, now: Instant) -> bool {
         let is_recent = |at| now.saturating_duration_since(at) <= TRANSFER_TTL;
-        let newer = self.transfer.filter(|newer| newer.above >= self.current);
-        newer.is_some_and(|newer| is_recent(newer.at))
+        let transfer = self
+            .transfer
+            .filter(|transfer| transfer.above >= self.current);
+        transfer.is_some_and(|transfer| is_recent(transfer.at))
     }
 
     /// Sets the version in force.
--- a/crates/relay/src/history.rs
+++ b/crates/relay/src/history.rs
@@ -100,9 +100,9 @@
     /// The overhead of a request counts only once for a whole queue, so this is higher than
     /// [`History::read_rate`].
     pub fn queue_rate(&self, service: &ServiceName) -> Option<f64> {
-        let service_mut = self.services.get(service)?;
-        let queued_rates = service_mut.queued_rates.quantile(FAST_QUANTILE, 0.0);
-        queued_rates.or_else(|| service_mut.rates.quantile(FAST_QUANTILE, 0.0))
+        let service_history = self.services.get(service)?;
+        let queued_rates = service_history.queued_rates.quantile(FAST_QUANTILE, 0.0);
+        queued_rates.or_else(|| service_history.rates.quantile(FAST_QUANTILE, 0.0))
     }
 
     fn events_after(&self, service: &ServiceName, last: u64, quantile: f64) -> Option<f64> {
--- a/crates/relay/src/peer_streams.rs
+++ b/crates/relay/src/peer_streams.rs
@@ -97,7 +97,7 @@
     }
 }
 
-/// The capacity of an engine that the streams of other instances use.
+/// The capacity of an engine that streams use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineUsage {
     /// Streams at the engine, including those whose prompts are being read.
@@ -137,7 +137,7 @@
     /// summing up all lists would take most of the time of a placement.
     usage_sums: HashMap<u64, EngineUsage>,
     /// The engine that last read each prompt part, and when this was reported.
-    parts: HashMap<u64, (u64, Instant)>,
+    prompt_locations: HashMap<u64, (u64, Instant)>,
 }
 
 #[derive(Clone, Debug)]
@@ -184,7 +184,7 @@
 
     /// Records that a prompt part is at an engine.
     pub fn record_prompt_location(&mut self, part: u64, target: u64, now: Instant) {
-        self.parts.insert(part, (target, now));
+        self.prompt_locations.insert(part, (target, now));
     }
 
     /// Forgets that a prompt part is at an engine.
@@ -192,8 +192,12 @@
     /// Otherwise a stream that was refused by an engine, and is placed again after a wait, would
     /// prefer that engine as it seems to have read the prompt.
     pub fn forget_prompt_location(&mut self, part: u64, target: u64) {
-        if self.parts.get(&part).is_some_and(|(at, _)| *at == target) {
-            self.parts.remove(&part);
+        if self
+            .prompt_locations
+            .get(&part)
+            .is_some_and(|(at, _)| *at == target)
+        {
+            self.prompt_locations.remove(&part);
         }
     }
 
@@ -202,7 +206,7 @@
     /// If an instance dies, its callers retry at other instances with prompts that were just read.
     /// At the same engine they need not be read again.
     pub fn holder(&self, part: u64, now: Instant) -> Option<u64> {
-        let (target, at) = self.parts.get(&part)?;
+        let (target, at) = self.prompt_locations.get(&part)?;
         let is_kept = now.saturating_duration_since(*at) < PROMPT_LOCATION_TTL;
         is_kept.then_some(*target)
     }
@@ -211,7 +215,7 @@
     /// have probably evicted.
     pub fn sweep(&mut self, now: Instant) {
         let is_kept = |at: Instant| now.saturating_duration_since(at) < PROMPT_LOCATION_TTL;
-        self.parts.retain(|_, (_, at)| is_kept(*at));
+        self.prompt_locations.retain(|_, (_, at)| is_kept(*at));
         let stale = self
             .lists
             .extract_if(|_, received| !is_fresh(received, now));
--- a/crates/relay/src/placement_schedule.rs
+++ b/crates/relay/src/placement_schedule.rs
@@ -48,7 +48,7 @@
     /// Whether something has changed since the last list.
     pub has_changes: bool,
     last_sent: Instant,
-    last_whole: Instant,
+    last_full: Instant,
 }
 
 impl PlacementSchedule {
@@ -57,12 +57,13 @@
         Self {
             has_changes: true,
             last_sent: now,
-            last_whole: now,
+            last_full: now,
         }
     }
 
     /// Returns the time over which to place streams again that lost their engines at the same
-    /// moment. It is about three times as long as it takes until lists tell of a placement.
+    /// moment. It is about three times as long as it takes until other instances receive a
+    /// placement.
     pub fn retry_spread(instances: usize) -> Duration {
         scale_by_peers(INTERVAL_PER_PEER, instances)
             .mul_f64(SPREAD_INTERVALS)
@@ -71,7 +72,7 @@
 
     /// Returns when the next list to this number of instances is due.
     pub fn due(&self, instances: usize) -> Instant {
-        let repeat = self.last_whole + FULL_LIST_INTERVAL;
+        let repeat = self.last_full + FULL_LIST_INTERVAL;
         match self.has_changes {
             true => repeat.min(
                 self.last_sent + scale_by_peers(INTERVAL_PER_PEER, instances).min(MAX_INTERVAL),
@@ -84,14 +85,14 @@
     /// `None` if the list is to be a full one.
     pub fn record_sent(&mut self, instances: usize, now: Instant) -> Option<Instant> {
         let since = self.last_sent;
-        let gap = scale_by_peers(FULL_INTERVAL_PER_PEER, instances).min(FULL_LIST_INTERVAL);
-        let is_whole = now.saturating_duration_since(self.last_whole) >= gap;
+        let interval = scale_by_peers(FULL_INTERVAL_PER_PEER, instances).min(FULL_LIST_INTERVAL);
+        let is_full = now.saturating_duration_since(self.last_full) >= interval;
         self.has_changes = false;
         self.last_sent = now;
-        if is_whole {
-            self.last_whole = now;
+        if is_full {
+            self.last_full = now;
         }
-        (!is_whole).then_some(since)
+        (!is_full).then_some(since)
     }
 }
 
--- a/crates/relay/src/prompt_locations.rs
+++ b/crates/relay/src/prompt_locations.rs
@@ -40,8 +40,8 @@
     /// Returns whether the collected locations are to be sent to this number of peers now, and if
     /// so records that they were.
     pub fn take_due(&mut self, peers: usize, now: Instant) -> bool {
-        let gap = scale_by_peers(INTERVAL_PER_PEER, peers).min(FULL_LIST_INTERVAL);
-        let is_due = peers > 0 && now.saturating_duration_since(self.last_sent) >= gap;
+        let interval = scale_by_peers(INTERVAL_PER_PEER, peers).min(FULL_LIST_INTERVAL);
+        let is_due = peers > 0 && now.saturating_duration_since(self.last_sent) >= interval;
         if is_due {
             self.last_sent = now;
         }
--- a/crates/relay/src/retry_budget.rs
+++ b/crates/relay/src/retry_budget.rs
@@ -135,8 +135,8 @@
         self.slice(service, now);
         let own_counts = self.own_counts(service);
         let instances = instances.max(MIN_INSTANCES);
-        let known = (self.peers.len() + 1).min(instances);
-        let slack = self.slack * known as f64 / instances as f64;
+        let known_instances = (self.peers.len() + 1).min(instances);
+        let slack = self.slack * known_instances as f64 / instances as f64;
         let (requests, repeats) = self.total(own_counts);
         let remaining = f64::from(requests) * self.ratio + slack - f64::from(repeats);
         let Some(counts) = self.services.get(service) else {
@@ -147,7 +147,7 @@
         let may_be_unreported = |slice: &&Slice| now.saturating_duration_since(slice.start) < delay;
         let unreported = counts.iter().filter(may_be_unreported);
         let unreported = f64::from(unreported.map(|slice| slice.repeats).sum::<u32>());
-        let share = (remaining + unreported) / known as f64;
+        let share = (remaining + unreported) / known_instances as f64;
         remaining >= 1.0 && unreported + 1.0 <= share
     }
 
--- a/crates/relay/src/rollout.rs
+++ b/crates/relay/src/rollout.rs
@@ -92,10 +92,12 @@
     /// Returns whether the version got enough responses, is not doubtful, and has the targets for
     /// all requests.
     fn is_proven(&self, fleet: Fleet) -> bool {
-        let seen = self.evidence.total();
-        let enough = MIN_ANSWERS.min((seen.old.all + seen.new.all) / 20).max(1);
+        let totals = self.evidence.total();
+        let enough = MIN_ANSWERS
+            .min((totals.old.all + totals.new.all) / 20)
+            .max(1);
         let has_room = fleet.new * 2 > fleet.old;
-        seen.new.all >= enough && has_room && !self.evidence.is_doubtful()
+        totals.new.all >= enough && has_room && !self.evidence.is_doubtful()
     }
 
     /// Returns the share that spreads the allowed exposure evenly over the rest of the current part
@@ -103,20 +105,20 @@
     fn share(&self, bounds: &Bounds, age: Duration) -> f64 {
         let time = self.order.time.as_secs_f64();
         let age = age.as_secs_f64();
-        let seen = self.evidence.total();
+        let totals = self.evidence.total();
         let (new, all) = (
-            f64::from(seen.new.all),
-            f64::from(seen.new.all + seen.old.all),
+            f64::from(totals.new.all),
+            f64::from(totals.new.all + totals.old.all),
         );
         // The rate of the first second is unreliable.
         let rate = all / age.max(1.0);
         let requests = all + rate * (time - age).max(0.0);
         let allowed = (requests * bounds.expose_share + bounds.expose_slack) * EXPOSURE_MARGIN;
-        let (part, end) = match age < time * TRIAL_TIME_SHARE {
+        let (exposure, end) = match age < time * TRIAL_TIME_SHARE {
             true => (allowed * TRIAL_EXPOSURE_SHARE, time * TRIAL_TIME_SHARE),
             false => (allowed, time),
         };
         let expected = rate.max(1.0) * (end - age).max(0.5);
-        ((part - new) / expected).clamp(0.0, 1.0)
+        ((exposure - new) / expected).clamp(0.0, 1.0)
     }
 }
