--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -49,7 +49,7 @@
 /// A prompt part that an engine reported to have in its cache.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeldPart {
-    target: u64,
+    target_hash: u64,
     tokens: u64,
     at: Instant,
 }
@@ -110,7 +110,7 @@
         };
         for part in parts {
             let held = HeldPart {
-                target,
+                target_hash: target,
                 tokens: part.tokens,
                 at: now,
             };
@@ -134,7 +134,7 @@
         };
         let location = PromptLocation {
             part: part.id,
-            target: held.target,
+            target_hash: held.target_hash,
         };
         self.merge_prompt_locations(&[location], now);
         true
--- a/crates/relay/src/own_streams.rs
+++ b/crates/relay/src/own_streams.rs
@@ -11,15 +11,15 @@
 
 /// The streams of this instance, as reported to other instances.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Streams {
+pub(crate) struct OwnStreams {
     arena: SlotMap<PlacementKey, Placement>,
 }
 
-impl Streams {
+impl OwnStreams {
     /// Adds a stream whose prompt is to be read.
     pub(crate) fn add(&mut self, target: u64, part: u64, tokens: u64) -> PlacementKey {
         self.arena.insert(Placement {
-            target,
+            target_hash: target,
             part,
             // No engine has that much memory.
             tokens: u32::try_from(tokens).unwrap_or(u32::MAX),
--- a/crates/relay/src/peer_streams.rs
+++ b/crates/relay/src/peer_streams.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
     /// The hash of the engine's name.
-    pub target: u64,
+    pub target_hash: u64,
     /// The id of the prompt part that belongs to this request alone.
     pub part: u64,
     /// The maximum number of tokens that it occupies.
@@ -60,7 +60,7 @@
     /// The id of the prompt part that belongs to a request alone.
     pub part: u64,
     /// The hash of the engine's name.
-    pub target: u64,
+    pub target_hash: u64,
 }
 
 /// An engine that restarted under another name.
@@ -124,7 +124,7 @@
 /// use tokio::time::Instant;
 ///
 /// let mut streams = PeerStreams::default();
-/// let stream = Placement { target: 7, part: 1, tokens: 9_000, is_reading: true };
+/// let stream = Placement { target_hash: 7, part: 1, tokens: 9_000, is_reading: true };
 /// let list = Placements { origin: 1, sequence: 1, streams: vec![stream], ..Placements::default() };
 /// let now = Instant::now();
 /// streams.merge(list, now);
@@ -155,9 +155,9 @@
             return;
         }
         for stream in &list.streams {
-            self.record_prompt_location(stream.part, stream.target, now);
+            self.record_prompt_location(stream.part, stream.target_hash, now);
             self.usage_sums
-                .entry(stream.target)
+                .entry(stream.target_hash)
                 .or_default()
                 .add(stream);
         }
@@ -173,10 +173,10 @@
 
     fn subtract(&mut self, streams: &[Placement]) {
         for stream in streams {
-            if let Some(usage) = self.usage_sums.get_mut(&stream.target) {
+            if let Some(usage) = self.usage_sums.get_mut(&stream.target_hash) {
                 usage.remove(stream);
                 if usage.streams == 0 {
-                    self.usage_sums.remove(&stream.target);
+                    self.usage_sums.remove(&stream.target_hash);
                 }
             }
         }
@@ -235,7 +235,7 @@
             .values()
             .filter(|received| is_fresh(received, now));
         for stream in lists.flat_map(|received| &received.streams) {
-            all.entry(stream.target).or_default().add(stream);
+            all.entry(stream.target_hash).or_default().add(stream);
         }
         Cow::Owned(all)
     }
--- a/crates/relay/src/targets.rs
+++ b/crates/relay/src/targets.rs
@@ -15,7 +15,7 @@
     address_index::AddressIndex,
     admission::HeldPart,
     change_log::ChangeLog,
-    own_streams::Streams,
+    own_streams::OwnStreams,
     restart::{age_ms, Restart},
     target::Unlisted,
     EngineUsage, EventTimes, Group, History, IdleLimits, PeerStreams, PlacementKey, Placements,
@@ -64,7 +64,7 @@
     pub(crate) names: HashMap<TargetName, TargetKey>,
     addresses: AddressIndex,
     /// Streams of this instance.
-    streams: Streams,
+    own_streams: OwnStreams,
     /// Locations of prompts that were not reported to other groups yet.
     prompt_locations: VecDeque<PromptLocation>,
     peer_streams: PeerStreams,
@@ -350,12 +350,12 @@
         }
         self.prompt_locations.push_back(PromptLocation {
             part,
-            target: target.name_hash,
+            target_hash: target.name_hash,
         });
         target.reading_prompts += 1;
         target.reading_tokens += tokens;
         target.stream_tokens += tokens;
-        Some(self.streams.add(target.name_hash, part, tokens))
+        Some(self.own_streams.add(target.name_hash, part, tokens))
     }
 
     /// Forgets that a prompt part is at a target, which has not read it.
@@ -368,7 +368,7 @@
 
     /// Records that the prompt of a stream was read.
     pub fn record_prompt_read(&mut self, key: TargetKey, stream: PlacementKey) {
-        let read = self.streams.mark_read(stream);
+        let read = self.own_streams.mark_read(stream);
         if let (Some(tokens), Some(target)) = (read, self.arena.get_mut(key)) {
             target.reading_prompts = target.reading_prompts.saturating_sub(1);
             target.reading_tokens = target.reading_tokens.saturating_sub(tokens);
@@ -378,7 +378,7 @@
     /// Removes a stream of this instance.
     pub fn remove_stream(&mut self, key: TargetKey, stream: PlacementKey) {
         self.record_prompt_read(key, stream);
-        let removed = self.streams.remove(stream);
+        let removed = self.own_streams.remove(stream);
         if let (Some(tokens), Some(target)) = (removed, self.arena.get_mut(key)) {
             target.stream_tokens = target.stream_tokens.saturating_sub(tokens);
         }
@@ -399,7 +399,7 @@
         Placements {
             origin,
             sequence,
-            streams: self.streams.all().collect(),
+            streams: self.own_streams.all().collect(),
             dead: self.dead(now, was_reported).collect(),
             adopted: restarts.map(|restart| restart.report(now)).collect(),
             tallies: match since {
@@ -450,7 +450,7 @@
     pub fn merge_prompt_locations(&mut self, locations: &[PromptLocation], now: Instant) {
         for location in locations {
             self.peer_streams
-                .record_prompt_location(location.part, location.target, now);
+                .record_prompt_location(location.part, location.target_hash, now);
         }
     }
 
--- a/crates/relay/tests/overload.rs
+++ b/crates/relay/tests/overload.rs
@@ -105,7 +105,7 @@
 struct Stream {
     caller: Caller,
     at: TargetKey,
-    place: PlacementKey,
+    placement: PlacementKey,
     is_admitted: bool,
     /// Prompt tokens read so far.
     read: f64,
@@ -214,11 +214,11 @@
                 has_retried: true,
             }),
             None => {
-                let place = self.add_stream(key, caller.part);
+                let placement = self.add_stream(key, caller.part);
                 self.open.push(Stream {
                     caller,
                     at: key,
-                    place,
+                    placement,
                     is_admitted: false,
                     read: 0.0,
                     first_ms: None,
@@ -235,9 +235,9 @@
         self.targets.add_stream(at, part, TOKENS, now).unwrap()
     }
 
-    fn remove_stream_from(&mut self, at: TargetKey, place: PlacementKey) {
+    fn remove_stream_from(&mut self, at: TargetKey, placement: PlacementKey) {
         self.targets.get_mut(at).unwrap().open_requests -= 1;
-        self.targets.remove_stream(at, place);
+        self.targets.remove_stream(at, placement);
     }
 
     /// Runs an engine for a tick. It adds streams to its batch while it has memory, reads one
@@ -262,7 +262,7 @@
                 reader.read += steps * CHUNK;
                 if reader.read >= PROMPT {
                     reader.first_ms = Some(self.now_ms + TICK_MS);
-                    self.targets.record_prompt_read(key, reader.place);
+                    self.targets.record_prompt_read(key, reader.placement);
                 }
                 steps
             }
@@ -276,7 +276,7 @@
         let now = self.now();
         for n in 0..self.open.len() {
             let stream = &self.open[n];
-            let (at, place, part) = (stream.at, stream.place, stream.caller.part);
+            let (at, placement, part) = (stream.at, stream.placement, stream.caller.part);
             if stream.first_ms.is_none() || self.now_ms < stream.next_check_ms {
                 continue;
             }
@@ -288,10 +288,10 @@
             let Some(better) = self.targets.better_engine(at, &query, remaining, now) else {
                 continue;
             };
-            self.remove_stream_from(at, place);
-            let place = self.add_stream(better.key, part);
-            self.targets.record_prompt_read(better.key, place);
-            (self.open[n].at, self.open[n].place) = (better.key, place);
+            self.remove_stream_from(at, placement);
+            let placement = self.add_stream(better.key, part);
+            self.targets.record_prompt_read(better.key, placement);
+            (self.open[n].at, self.open[n].placement) = (better.key, placement);
         }
     }
 
@@ -302,7 +302,7 @@
         self.open = open;
         let over: Vec<Stream> = over;
         for stream in over {
-            self.remove_stream_from(stream.at, stream.place);
+            self.remove_stream_from(stream.at, stream.placement);
             let arrived_ms = stream.caller.arrived_ms;
             let first = stream
                 .first_ms
--- a/crates/relay/tests/test_relocation.rs
+++ b/crates/relay/tests/test_relocation.rs
@@ -19,29 +19,29 @@
 const SLOWDOWN_BY_READING: f64 = 8.0;
 
 /// Adds a stream with an open request.
-fn add(targets: &mut Targets, at: TargetKey, part: u64) -> PlacementKey {
-    targets.get_mut(at).unwrap().open_requests += 1;
+fn add(targets: &mut Targets, engine: TargetKey, part: u64) -> PlacementKey {
+    targets.get_mut(engine).unwrap().open_requests += 1;
     targets
-        .add_stream(at, part, TOKENS, Instant::now())
+        .add_stream(engine, part, TOKENS, Instant::now())
         .unwrap()
 }
 
 /// Adds a stream whose prompt was read.
-fn add_running(targets: &mut Targets, at: TargetKey, part: u64) -> PlacementKey {
-    let place = add(targets, at, part);
-    targets.record_prompt_read(at, place);
-    place
+fn add_running(targets: &mut Targets, engine: TargetKey, part: u64) -> PlacementKey {
+    let placement = add(targets, engine, part);
+    targets.record_prompt_read(engine, placement);
+    placement
 }
 
-fn remove(targets: &mut Targets, at: TargetKey, place: PlacementKey) {
-    targets.get_mut(at).unwrap().open_requests -= 1;
-    targets.remove_stream(at, place);
+fn remove(targets: &mut Targets, engine: TargetKey, placement: PlacementKey) {
+    targets.get_mut(engine).unwrap().open_requests -= 1;
+    targets.remove_stream(engine, placement);
 }
 
 /// A stream of the model.
 struct Stream {
-    at: TargetKey,
-    place: PlacementKey,
+    engine: TargetKey,
+    placement: PlacementKey,
     part: u64,
     read_ms: f64,
     run_ms: f64,
@@ -72,11 +72,11 @@
         let now = begin + STEP * u32::try_from(step).unwrap();
         if step % every == 0 {
             let part = (step as u64 + 1) * 7_919;
-            let at = targets.select(&queries.stream(part), now).unwrap().key;
-            let place = add(&mut targets, at, part);
+            let engine = targets.select(&queries.stream(part), now).unwrap().key;
+            let placement = add(&mut targets, engine, part);
             open.push(Stream {
-                at,
-                place,
+                engine,
+                placement,
                 part,
                 read_ms: READING_MS,
                 run_ms: RUNNING_MS,
@@ -93,7 +93,7 @@
         open.retain(|stream| {
             let has_ended = stream.run_ms <= 0.0;
             if has_ended {
-                remove(&mut targets, stream.at, stream.place);
+                remove(&mut targets, stream.engine, stream.placement);
                 done.push((stream.took_ms, stream.moves));
             }
             !has_ended
@@ -110,19 +110,19 @@
     let step_ms = STEP.as_secs_f64() * 1_000.0;
     let mut reading: Vec<TargetKey> = Vec::new();
     for stream in open.iter_mut().filter(|stream| stream.read_ms > 0.0) {
-        if reading.contains(&stream.at) {
+        if reading.contains(&stream.engine) {
             continue;
         }
-        reading.push(stream.at);
+        reading.push(stream.engine);
         stream.read_ms -= step_ms;
         if stream.read_ms <= 0.0 {
-            targets.record_prompt_read(stream.at, stream.place);
+            targets.record_prompt_read(stream.engine, stream.placement);
         }
     }
     for stream in open.iter_mut() {
         stream.took_ms += step_ms;
         if stream.read_ms <= 0.0 {
-            let is_slowed_down = reading.contains(&stream.at);
+            let is_slowed_down = reading.contains(&stream.engine);
             stream.run_ms -= if is_slowed_down {
                 step_ms / SLOWDOWN_BY_READING
             } else {
@@ -137,12 +137,12 @@
         events: stream.run_ms / 35.0,
     };
     let query = queries.stream(stream.part);
-    let Some(better) = targets.better_engine(stream.at, &query, remaining, now) else {
+    let Some(better) = targets.better_engine(stream.engine, &query, remaining, now) else {
         return;
     };
-    remove(targets, stream.at, stream.place);
-    stream.at = better.key;
-    stream.place = add_running(targets, better.key, stream.part);
+    remove(targets, stream.engine, stream.placement);
+    stream.engine = better.key;
+    stream.placement = add_running(targets, better.key, stream.part);
     stream.moves += 1;
 }
 
@@ -178,22 +178,22 @@
 /// Returns three engines, one of which runs a stream and gets another prompt.
 fn stream_and_prompt_at_one_engine() -> (Targets, TargetKey) {
     let mut targets = three_data_centres(1);
-    let at = key(&targets, "east-0-1");
-    add_running(&mut targets, at, 1);
-    add(&mut targets, at, 2);
-    (targets, at)
+    let engine = key(&targets, "east-0-1");
+    add_running(&mut targets, engine, 1);
+    add(&mut targets, engine, 2);
+    (targets, engine)
 }
 
 /// A prompt is sent to the engine of a stream, which moves elsewhere. Guards against engines that
 /// pass streams back and forth.
 #[test]
 fn stream_moves_away_from_a_prompt_and_stays_there() {
-    let (targets, at) = stream_and_prompt_at_one_engine();
+    let (targets, engine) = stream_and_prompt_at_one_engine();
     let (queries, now) = (Queries::new(), Instant::now());
     let query = queries.stream(1);
-    let better = targets.better_engine(at, &query, RemainingEvents::default(), now);
+    let better = targets.better_engine(engine, &query, RemainingEvents::default(), now);
     let to = better.unwrap().key;
-    assert_ne!(to, at);
+    assert_ne!(to, engine);
     let next = targets.better_engine(to, &query, RemainingEvents::default(), now);
     assert_eq!(next, None);
 }
@@ -201,10 +201,10 @@
 /// Guards against moving a stream that would complete before the move pays off.
 #[test]
 fn a_stream_that_is_nearly_done_stays() {
-    let (targets, at) = stream_and_prompt_at_one_engine();
+    let (targets, engine) = stream_and_prompt_at_one_engine();
     let remaining = RemainingEvents { events: 2.0 };
     let queries = Queries::new();
-    let better = targets.better_engine(at, &queries.stream(1), remaining, Instant::now());
+    let better = targets.better_engine(engine, &queries.stream(1), remaining, Instant::now());
     assert_eq!(better, None);
 }
 
@@ -215,17 +215,18 @@
     let now = Instant::now();
     let mut targets = three_data_centres(1);
     let queries = Queries::new();
-    let at = key(&targets, "east-0-1");
-    add_running(&mut targets, at, 1);
+    let engine = key(&targets, "east-0-1");
+    add_running(&mut targets, engine, 1);
     for name in ["east-0-1", "mid-0-1", "west-0-1"] {
         let key = key(&targets, name);
         targets.record_event_time(key, 100.0, now);
     }
-    let all_slow = targets.better_engine(at, &queries.stream(1), RemainingEvents::default(), now);
+    let all_slow =
+        targets.better_engine(engine, &queries.stream(1), RemainingEvents::default(), now);
     assert_eq!(all_slow, None);
     let fast = key(&targets, "mid-0-1");
     targets.record_event_time(fast, 30.0, now);
-    let better = targets.better_engine(at, &queries.stream(1), RemainingEvents::default(), now);
+    let better = targets.better_engine(engine, &queries.stream(1), RemainingEvents::default(), now);
     assert_eq!(better.map(|better| better.key), Some(fast));
 }
 
@@ -233,7 +234,7 @@
 /// which another one would be preempted.
 #[test]
 fn a_stream_does_not_move_where_memory_is_short() {
-    let (mut targets, at) = stream_and_prompt_at_one_engine();
+    let (mut targets, engine) = stream_and_prompt_at_one_engine();
     let now = Instant::now();
     for name in ["mid-0-1", "west-0-1"] {
         let full = key(&targets, name);
@@ -242,7 +243,7 @@
         }
     }
     let queries = Queries::new();
-    let better = targets.better_engine(at, &queries.stream(1), RemainingEvents::default(), now);
+    let better = targets.better_engine(engine, &queries.stream(1), RemainingEvents::default(), now);
     assert_eq!(
         better.map(|better| data_centre_of(&targets, better.key)),
         None
--- a/crates/relay/tests/test_shared_state.rs
+++ b/crates/relay/tests/test_shared_state.rs
@@ -20,7 +20,7 @@
 
 fn list(origin: u64, sequence: u64, targets: &[u64]) -> Placements {
     let stream = |target: &u64| Placement {
-        target: *target,
+        target_hash: *target,
         part: 100 + *target,
         tokens: 1_000,
         is_reading: true,
