--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -135,7 +135,7 @@
 fn work(mesh: &mut Mesh, parts: &[Part], second: u64) {
     if second.is_multiple_of(CHANGE_SECONDS) {
         let at = second as usize % parts.len();
-        mesh.node(at).raise(Revision(second + 1));
+        mesh.node(at).raise_acting_revision(Revision(second + 1));
         mesh.push(at);
     }
     for (at, part) in parts.iter().enumerate() {
@@ -155,7 +155,7 @@
                 set(node, kind, value);
             }
         }
-        if is_due(part.period) && node.leads() {
+        if is_due(part.period) && node.is_group_leader() {
             set(node, EntryKind::LoadSummary, fill(60, second));
             set(
                 node,
@@ -171,7 +171,7 @@
 
 fn set(node: &mut Gossip, kind: EntryKind, value: Vec<u8>) {
     // The values are within the bounds of an entry.
-    let _ = node.set(kind, "", value.into());
+    let _ = node.set_entry(kind, "", value.into());
 }
 
 fn fill(len: usize, second: u64) -> Vec<u8> {
@@ -200,7 +200,7 @@
         let revision = Revision(100_000 + seed);
         let start = mesh.now;
         let at = rng.random_range(0..mesh.nodes.len());
-        mesh.node(at).raise(revision);
+        mesh.node(at).raise_acting_revision(revision);
         mesh.push(at);
         let mut missing: Vec<usize> = (0..mesh.nodes.len()).collect();
         while !missing.is_empty() && mesh.now < start + SPREAD_LIMIT {
--- a/crates/fleet/src/facts.rs
+++ b/crates/fleet/src/facts.rs
@@ -32,11 +32,11 @@
 /// use celerypond_types::Revision;
 ///
 /// let mut facts = Facts::default();
-/// facts.raise(Revision(4));
-/// assert!(!facts.raise(Revision(3)));
+/// facts.raise_revision(Revision(4));
+/// assert!(!facts.raise_revision(Revision(3)));
 /// let brake = Brake { revision: Revision(4), version: "v2".into() };
-/// assert!(facts.trip(brake.clone()));
-/// assert!(!facts.trip(brake));
+/// assert!(facts.add_brake(brake.clone()));
+/// assert!(!facts.add_brake(brake));
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Facts {
@@ -61,7 +61,7 @@
     }
 
     /// Takes in a revision; returns whether it is news.
-    pub fn raise(&mut self, revision: Revision) -> bool {
+    pub fn raise_revision(&mut self, revision: Revision) -> bool {
         let news = revision > self.revision;
         self.revision = self.revision.max(revision);
         news
@@ -70,7 +70,7 @@
     /// Takes in a brake; returns whether it is news.
     ///
     /// The set keeps the highest ones only, which every instance cuts alike.
-    pub fn trip(&mut self, brake: Brake) -> bool {
+    pub fn add_brake(&mut self, brake: Brake) -> bool {
         if !self.brakes.insert(brake.clone()) {
             return false;
         }
@@ -83,11 +83,11 @@
     /// Takes in other facts; returns what was news.
     pub fn merge(&mut self, other: Self) -> Self {
         let mut news = Self::default();
-        if self.raise(other.revision) {
+        if self.raise_revision(other.revision) {
             news.revision = other.revision;
         }
         for brake in other.brakes {
-            if self.trip(brake.clone()) {
+            if self.add_brake(brake.clone()) {
                 news.brakes.insert(brake);
             }
         }
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -44,7 +44,7 @@
 
 /// A message to be sent.
 ///
-/// The sender gives the answer to [`Gossip::answered`] and a failure to [`Gossip::failed`].
+/// The sender gives the answer to [`Gossip::handle_response`] and a failure to [`Gossip::handle_failure`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
     /// The member that is meant; nothing for a seed address.
@@ -77,10 +77,10 @@
 ///     Gossip::new(identity, settings, SmallRng::seed_from_u64(1), now)
 /// };
 /// let (mut a, mut b) = (make("a"), make("b"));
-/// b.raise(Revision(3));
+/// b.raise_acting_revision(Revision(3));
 /// let out = a.tick(now).remove(0);
-/// let answer = b.receive(out.message, now);
-/// a.answered(out.member, answer, now);
+/// let answer = b.handle_request(out.message, now);
+/// a.handle_response(out.member, answer, now);
 /// assert_eq!(a.facts().revision(), Revision(3));
 /// ```
 #[derive(Debug)]
@@ -158,12 +158,12 @@
     }
 
     /// Returns what changed since the last call.
-    pub fn events(&mut self) -> BTreeSet<Event> {
+    pub fn take_events(&mut self) -> BTreeSet<Event> {
         std::mem::take(&mut self.events)
     }
 
     /// Takes in the platform's list.
-    pub fn list(&mut self, list: &[Listed], now: Instant) {
+    pub fn update_listed_members(&mut self, list: &[Listed], now: Instant) {
         let others: Vec<Listed> = list
             .iter()
             .filter(|listed| listed.name != self.identity.name)
@@ -192,7 +192,7 @@
     ///
     /// Two may think so for a while, and their sums then stand twice; readers of sums keep the one
     /// of each group with the latest value.
-    pub fn leads(&self) -> bool {
+    pub fn is_group_leader(&self) -> bool {
         let live = self.group.iter().filter_map(|name| {
             let member = self.roster.named(name)?;
             (!member.is_silent()).then_some(Candidate {
@@ -209,24 +209,24 @@
     }
 
     /// Takes in a revision that this instance acts on; it is pushed to peers if it is news.
-    pub fn raise(&mut self, revision: Revision) {
+    pub fn raise_acting_revision(&mut self, revision: Revision) {
         self.acting = self.acting.max(revision);
         let mut facts = Facts::default();
-        facts.raise(revision);
+        facts.raise_revision(revision);
         self.learn(facts);
     }
 
     /// Takes in a brake that this instance trips; it is pushed to peers if it is news.
-    pub fn trip(&mut self, brake: Brake) {
+    pub fn add_brake(&mut self, brake: Brake) {
         let mut facts = Facts::default();
-        facts.trip(brake);
+        facts.add_brake(brake);
         self.learn(facts);
     }
 
     /// Says that this instance takes no new work for the rest of its run.
-    pub fn leave(&mut self) {
+    pub fn announce_leaving(&mut self) {
         // One empty entry more always fits: the control class has few kinds.
-        let _ = self.set(EntryKind::Leaving, "", Box::default());
+        let _ = self.set_entry(EntryKind::Leaving, "", Box::default());
     }
 
     /// Sets an entry of this instance.
@@ -234,7 +234,12 @@
     /// # Errors
     ///
     /// Fails when the value is too long or the class is full.
-    pub fn set(&mut self, kind: EntryKind, key: &str, value: Box<[u8]>) -> Result<(), EntryError> {
+    pub fn set_entry(
+        &mut self,
+        kind: EntryKind,
+        key: &str,
+        value: Box<[u8]>,
+    ) -> Result<(), EntryError> {
         let key = key.into();
         let sequence = self.state.set(self.origin, Item { kind, key, value })?;
         self.spread(self.origin, kind.class(), kind.is_urgent(), sequence);
@@ -242,7 +247,7 @@
     }
 
     /// Clears an entry of this instance, if there is one.
-    pub fn clear(&mut self, kind: EntryKind, key: &str) {
+    pub fn clear_entry(&mut self, kind: EntryKind, key: &str) {
         if let Some(sequence) = self.state.clear(self.origin, kind, key) {
             self.spread(self.origin, kind.class(), kind.is_urgent(), sequence);
         }
@@ -253,7 +258,7 @@
             .serialize(&self.identity)
             .unwrap_or_default();
         // A name and an address are far below the bound, and the slot is the first one.
-        let _ = self.set(EntryKind::Identity, "", value.into());
+        let _ = self.set_entry(EntryKind::Identity, "", value.into());
     }
 
     fn learn(&mut self, facts: Facts) {
--- a/crates/fleet/src/gossip/exchange.rs
+++ b/crates/fleet/src/gossip/exchange.rs
@@ -26,7 +26,7 @@
 
 impl Gossip {
     /// Takes in a message and returns the answer.
-    pub fn receive(&mut self, message: Message, now: Instant) -> Message {
+    pub fn handle_request(&mut self, message: Message, now: Instant) -> Message {
         let digest = message.digest.clone();
         let (from, to, summary, hello) = (message.from, message.to, message.summary, message.hello);
         let superseding = self.absorb(message, now);
@@ -54,7 +54,7 @@
     }
 
     /// Takes in the answer to a message; returns what the peer still lacks, if it does.
-    pub fn answered(
+    pub fn handle_response(
         &mut self,
         member: Option<InstanceKey>,
         answer: Message,
@@ -84,7 +84,7 @@
     }
 
     /// Takes in that an exchange failed or ran into its deadline.
-    pub fn failed(&mut self, member: Option<InstanceKey>, now: Instant) {
+    pub fn handle_failure(&mut self, member: Option<InstanceKey>, now: Instant) {
         self.note(true);
         let Some(key) = member else {
             return;
@@ -106,7 +106,7 @@
     fn judge(&mut self, key: InstanceKey, from: Origin, now: Instant) {
         let meant = self.roster.get(key).and_then(|member| member.origin);
         if meant.is_some() && meant != Some(from) {
-            self.failed(Some(key), now);
+            self.handle_failure(Some(key), now);
         }
     }
 
@@ -158,7 +158,7 @@
     fn contradict(&mut self, claim: Claim) {
         if claim.reached >= self.state.reached(self.origin, Class::Control) {
             // The control class has few kinds, so a slot is free.
-            let _ = self.set(EntryKind::Alive, "", Box::default());
+            let _ = self.set_entry(EntryKind::Alive, "", Box::default());
         }
     }
 
--- a/crates/fleet/src/gossip/round.rs
+++ b/crates/fleet/src/gossip/round.rs
@@ -20,7 +20,7 @@
             self.budget.set_rate(self.settings.second_bytes, now);
         }
         self.forget(now);
-        let mut sends = self.pushes(now);
+        let mut sends = self.urgent_messages(now);
         for key in self.partners() {
             let digest = self.group_digest();
             self.request(&mut sends, key, Some(digest), now);
@@ -47,7 +47,7 @@
     /// press the few that all know while the rest is idle. At the pace that holds a fleet together
     /// 71 instances need 4.6 s to meet and 900 need 34.6 s; with shorter rounds 0.6 s and 2.1 s, in virtual
     /// time.
-    pub fn pause(&self, now: Instant) -> Duration {
+    pub fn round_interval(&self, now: Instant) -> Duration {
         match self.is_starting(now) {
             true => self.settings.start_round,
             false => self.settings.round,
@@ -62,7 +62,7 @@
     ///
     /// Call this after every input. A brake or a revision that waited for a round at each of
     /// log(n) hops would reach the last instance seconds after the first.
-    pub fn pushes(&mut self, now: Instant) -> Vec<Outgoing> {
+    pub fn urgent_messages(&mut self, now: Instant) -> Vec<Outgoing> {
         if self.fresh.is_empty() && !self.rumours.is_urgent() {
             return Vec::new();
         }
--- a/crates/fleet/tests/mesh.rs
+++ b/crates/fleet/tests/mesh.rs
@@ -124,14 +124,14 @@
     pub(crate) fn list_all(&mut self) {
         let list: Vec<Listed> = (0..self.nodes.len()).map(listed).collect();
         for node in self.nodes.iter_mut().flatten() {
-            node.list(&list, self.now);
+            node.update_listed_members(&list, self.now);
         }
     }
 
     /// Sends what an instance has to push after a change made from outside.
     pub(crate) fn push(&mut self, at: usize) {
         let now = self.now;
-        let sends = self.node(at).pushes(now);
+        let sends = self.node(at).urgent_messages(now);
         self.send(at, sends);
     }
 
@@ -200,16 +200,16 @@
             What::Tick(at) => {
                 let sends = self.node(at).tick(now);
                 self.send(at, sends);
-                let pause = self.node(at).pause(now);
+                let pause = self.node(at).round_interval(now);
                 self.put(pause, What::Tick(at));
             }
             What::Request(call, message) => {
-                let answer = self.node(call.to).receive(message, now);
+                let answer = self.node(call.to).handle_request(message, now);
                 self.account(call.to, &answer);
                 self.pass(call.to, call.from, What::Answer(call, answer), call);
             }
             What::Answer(call, answer) if self.lives[call.from] == call.life => {
-                let more = self.node(call.from).answered(call.key, answer, now);
+                let more = self.node(call.from).handle_response(call.key, answer, now);
                 if let Some(more) = more {
                     self.account(call.from, &more);
                     let lost = call;
@@ -217,10 +217,10 @@
                 }
             }
             What::Last(at, message) => {
-                self.node(at).receive(message, now);
+                self.node(at).handle_request(message, now);
             }
             What::Failed(call) if self.lives[call.from] == call.life => {
-                self.node(call.from).failed(call.key, now);
+                self.node(call.from).handle_failure(call.key, now);
             }
             What::Answer(..) | What::Failed(_) => {}
         }
--- a/crates/fleet/tests/test_budget.rs
+++ b/crates/fleet/tests/test_budget.rs
@@ -24,7 +24,7 @@
         for at in 0..n {
             let value = vec![second as u8; 300].into_boxed_slice();
             for kind in [EntryKind::TargetLoad, EntryKind::LoadSummary] {
-                mesh.node(at).set(kind, "", value.clone()).unwrap();
+                mesh.node(at).set_entry(kind, "", value.clone()).unwrap();
             }
         }
         mesh.run(Duration::from_secs(1));
@@ -34,7 +34,7 @@
         version: "v2".into(),
     };
     let start = mesh.now;
-    mesh.node(n / 2).trip(brake.clone());
+    mesh.node(n / 2).add_brake(brake.clone());
     mesh.push(n / 2);
     let everywhere = |mesh: &Mesh| mesh.all(|g: &Gossip| g.facts().is_braked(&brake));
     assert!(mesh.run_until(Duration::from_secs(10), everywhere));
--- a/crates/fleet/tests/test_gossip.rs
+++ b/crates/fleet/tests/test_gossip.rs
@@ -43,12 +43,12 @@
         let at = rng.random_range(0..n);
         match rng.random_range(0..6) {
             0 => {
-                mesh.node(at).raise(Revision(step));
-                truth.raise(Revision(step));
+                mesh.node(at).raise_acting_revision(Revision(step));
+                truth.raise_revision(Revision(step));
             }
             1 => {
-                mesh.node(at).trip(brake(step));
-                truth.trip(brake(step));
+                mesh.node(at).add_brake(brake(step));
+                truth.add_brake(brake(step));
             }
             2 => mesh.side.fill_with(|| rng.random_range(0..2)),
             3 => mesh.side.fill(0),
@@ -101,7 +101,7 @@
     };
     let mut mesh = Mesh::new(7, settings, seed);
     mesh.run(10 * SECOND);
-    mesh.node(3).trip(brake(1));
+    mesh.node(3).add_brake(brake(1));
     mesh.push(3);
     mesh.run(Duration::from_millis(10));
     mesh.kill(3);
@@ -115,7 +115,7 @@
 #[test]
 fn a_fleet_without_disks_keeps_the_revision_while_the_store_is_down() {
     let mut mesh = Mesh::new(7, Settings::default(), 1);
-    mesh.node(6).raise(Revision(41));
+    mesh.node(6).raise_acting_revision(Revision(41));
     mesh.run(10 * SECOND);
     for at in 0..7 {
         mesh.kill(at);
@@ -125,7 +125,7 @@
         assert_eq!(mesh.node(at).facts().revision(), Revision(41));
         assert!(mesh
             .node(at)
-            .events()
+            .take_events()
             .contains(&Event::Revision(Revision(41))));
     }
 }
@@ -147,16 +147,16 @@
         mesh.node(at)
             .set_group((start..start + 6).map(name).collect());
         mesh.node(at)
-            .set(EntryKind::TargetLoad, "", Box::new([at as u8]))
+            .set_entry(EntryKind::TargetLoad, "", Box::new([at as u8]))
             .unwrap();
     }
     mesh.run(20 * SECOND);
-    let leaders = (0..12).filter(|at| mesh.nodes[*at].as_ref().unwrap().leads());
+    let leaders = (0..12).filter(|at| mesh.nodes[*at].as_ref().unwrap().is_group_leader());
     let leaders: Vec<usize> = leaders.collect();
     assert_eq!(leaders.iter().map(|at| at / 6).collect::<Vec<_>>(), [0, 1]);
     for at in leaders {
         mesh.node(at)
-            .set(
+            .set_entry(
                 EntryKind::LoadSummary,
                 &format!("{}", at / 6),
                 Box::new([1]),
@@ -206,18 +206,18 @@
 #[test]
 fn an_exchange_ends_with_its_follow_up() {
     let mut mesh = Mesh::new(2, Settings::default(), 1);
-    mesh.node(1).raise(Revision(3));
+    mesh.node(1).raise_acting_revision(Revision(3));
     let now = mesh.now;
     let request = mesh.node(0).tick(now).remove(0);
-    let mut answer = mesh.node(1).receive(request.message, now);
+    let mut answer = mesh.node(1).handle_request(request.message, now);
     answer.hello = true;
     answer.facts = Facts::default();
-    mesh.node(0).raise(Revision(5));
-    let more = mesh.node(0).answered(None, answer, now).unwrap();
-    let mut last = mesh.node(1).receive(more, now);
+    mesh.node(0).raise_acting_revision(Revision(5));
+    let more = mesh.node(0).handle_response(None, answer, now).unwrap();
+    let mut last = mesh.node(1).handle_request(more, now);
     assert_eq!(mesh.node(1).facts().revision(), Revision(5));
     last.hello = true;
-    assert_eq!(mesh.node(0).answered(None, last, now), None);
+    assert_eq!(mesh.node(0).handle_response(None, last, now), None);
 }
 
 // Guards against an instance that hears of a revision once and cannot tell whether anyone still acts on it.
@@ -225,10 +225,10 @@
 fn peer_that_acts_on_a_later_revision_says_so_for_as_long_as_it_lives() {
     let mut mesh = Mesh::new(3, Settings::default(), 1);
     mesh.run(5 * SECOND);
-    mesh.node(2).raise(Revision(9));
+    mesh.node(2).raise_acting_revision(Revision(9));
     mesh.run(SECOND);
     let is_ahead = |mesh: &mut Mesh| {
-        let events = mesh.node(1).events();
+        let events = mesh.node(1).take_events();
         events.contains(&Event::Ahead(Revision(9)))
     };
     for _ in 0..5 {
@@ -241,10 +241,10 @@
     // The other one has heard of the revision as well, and does not act on it.
     mesh.run(5 * SECOND);
     assert!(!is_ahead(&mut mesh));
-    mesh.node(0).raise(Revision(9));
+    mesh.node(0).raise_acting_revision(Revision(9));
     mesh.run(5 * SECOND);
     assert!(is_ahead(&mut mesh));
-    mesh.node(1).raise(Revision(9));
+    mesh.node(1).raise_acting_revision(Revision(9));
     mesh.run(5 * SECOND);
     is_ahead(&mut mesh);
     mesh.run(5 * SECOND);
--- a/crates/fleet/tests/test_membership.rs
+++ b/crates/fleet/tests/test_membership.rs
@@ -52,13 +52,13 @@
     mesh.side[5] = 1;
     mesh.run(40 * SECOND);
     for node in mesh.nodes.iter_mut().flatten() {
-        node.events();
+        node.take_events();
     }
     mesh.side[5] = 0;
     mesh.run(30 * SECOND);
     assert!(are_all(&mesh, 5, MemberState::Live));
     for (at, node) in mesh.nodes.iter_mut().flatten().enumerate() {
-        let events = node.events();
+        let events = node.take_events();
         let suspected = |event: &Event| matches!(event, Event::Suspected(of) if *of != name(5));
         assert!(!events.iter().any(suspected), "{at}: {events:?}");
     }
@@ -69,7 +69,7 @@
 #[rstest]
 fn a_leaving_word_holds_for_the_run_whatever_the_list_says(#[values(1, 2, 3)] seed: u64) {
     let mut mesh = fleet(9, seed);
-    mesh.node(2).leave();
+    mesh.node(2).announce_leaving();
     mesh.push(2);
     assert!(mesh.run_until(3 * SECOND, |m| are_all(m, 2, MemberState::Leaving)));
     for _ in 0..10 {
@@ -88,13 +88,13 @@
     let mut mesh = fleet(7, seed);
     for value in 0..50 {
         mesh.node(3)
-            .set(EntryKind::LoadSummary, "old", Box::new([value]))
+            .set_entry(EntryKind::LoadSummary, "old", Box::new([value]))
             .unwrap();
     }
     mesh.run(10 * SECOND);
     mesh.boot(3, 2);
     mesh.node(3)
-        .set(EntryKind::LoadSummary, "new", Box::new([1]))
+        .set_entry(EntryKind::LoadSummary, "new", Box::new([1]))
         .unwrap();
     mesh.run(20 * SECOND);
     for node in mesh.nodes.iter().flatten() {
@@ -113,7 +113,7 @@
     mesh.run(10 * SECOND);
     mesh.boot(3, 2);
     mesh.run(20 * SECOND);
-    assert!(mesh.node(3).events().contains(&Event::Renumbered));
+    assert!(mesh.node(3).take_events().contains(&Event::Renumbered));
     assert_eq!(mesh.node(3).identity().incarnation, Incarnation(6));
     let run = mesh.node(3).origin();
     for (at, node) in mesh.nodes.iter().flatten().enumerate() {
--- a/crates/fleet/tests/test_scripts.rs
+++ b/crates/fleet/tests/test_scripts.rs
@@ -85,19 +85,19 @@
             "raise" => {
                 let at = number(&mut args)?;
                 let revision = Revision(number(&mut args)?);
-                self.mesh().node(at).raise(revision);
+                self.mesh().node(at).raise_acting_revision(revision);
                 self.mesh().push(at);
             }
             "trip" => {
                 let at = number(&mut args)?;
                 let revision = Revision(number(&mut args)?);
                 let version = args.next_pos().unwrap_or("v2").into();
-                self.mesh().node(at).trip(Brake { revision, version });
+                self.mesh().node(at).add_brake(Brake { revision, version });
                 self.mesh().push(at);
             }
             "leave" => {
                 let at = number(&mut args)?;
-                self.mesh().node(at).leave();
+                self.mesh().node(at).announce_leaving();
                 self.mesh().push(at);
             }
             "show" => return Ok(self.show()),
--- a/crates/fleet/tests/test_state.rs
+++ b/crates/fleet/tests/test_state.rs
@@ -29,10 +29,10 @@
         let key = rng.random_range(0..12);
         let node = mesh.node(0);
         if rng.random_bool(0.2) {
-            node.clear(EntryKind::EvidenceSummary, &format!("k{key}"));
+            node.clear_entry(EntryKind::EvidenceSummary, &format!("k{key}"));
         } else {
             let item = item(key, rng.random());
-            node.set(item.kind, &item.key, item.value).unwrap();
+            node.set_entry(item.kind, &item.key, item.value).unwrap();
         }
         mesh.run(Duration::from_millis(100));
     }
@@ -97,7 +97,7 @@
             brakes.shuffle(&mut rng);
             let mut facts = Facts::default();
             for brake in &brakes {
-                facts.trip(brake.clone());
+                facts.add_brake(brake.clone());
             }
             facts.summary()
         })
--- a/daemon/src/gossip.rs
+++ b/daemon/src/gossip.rs
@@ -28,9 +28,9 @@
         let now = Instant::now();
         let sends = {
             let mut gossip = node.gossip();
-            gossip.list(&list, now);
+            gossip.update_listed_members(&list, now);
             gossip.set_group(group);
-            round = now + gossip.pause(now);
+            round = now + gossip.round_interval(now);
             gossip.tick(now)
         };
         deliver(&node, sends);
@@ -40,13 +40,13 @@
 
 /// Says to all instances that this one takes no new work.
 pub fn leave(node: &Arc<Node>) {
-    node.gossip().leave();
+    node.gossip().announce_leaving();
     after(node);
 }
 
 /// Sets an entry of this instance, which spreads to the others.
 pub fn set(node: &Arc<Node>, kind: EntryKind, key: &str, value: Vec<u8>) {
-    if let Err(error) = node.gossip().set(kind, key, value.into()) {
+    if let Err(error) = node.gossip().set_entry(kind, key, value.into()) {
         log::warn!("an entry of kind {kind:?} cannot be spread: {error}");
     }
     after(node);
@@ -56,7 +56,7 @@
 pub fn after(node: &Arc<Node>) {
     let (events, sends) = {
         let mut gossip = node.gossip();
-        (gossip.events(), gossip.pushes(Instant::now()))
+        (gossip.take_events(), gossip.urgent_messages(Instant::now()))
     };
     deliver(node, sends);
     for event in events {
@@ -91,7 +91,9 @@
 
 async fn send(node: Arc<Node>, outgoing: Outgoing) {
     let Ok(to) = outgoing.to.parse::<SocketAddr>() else {
-        return node.gossip().failed(outgoing.member, Instant::now());
+        return node
+            .gossip()
+            .handle_failure(outgoing.member, Instant::now());
     };
     let mut next = Some(outgoing.message);
     while let Some(message) = next.take() {
@@ -102,11 +104,12 @@
             Ok(answer) => {
                 next = node
                     .gossip()
-                    .answered(outgoing.member, answer, Instant::now());
+                    .handle_response(outgoing.member, answer, Instant::now());
             }
             Err(_) => {
                 node.metrics.add(Counter::GossipFailures, 1);
-                node.gossip().failed(outgoing.member, Instant::now());
+                node.gossip()
+                    .handle_failure(outgoing.member, Instant::now());
             }
         }
     }
--- a/daemon/src/peer_server.rs
+++ b/daemon/src/peer_server.rs
@@ -29,7 +29,7 @@
 
 impl Peer for Server {
     async fn exchange(self, _: Context, message: Message) -> Message {
-        let answer = self.0.gossip().receive(message, Instant::now());
+        let answer = self.0.gossip().handle_request(message, Instant::now());
         self.0.metrics.add(Counter::GossipReceived, 1);
         gossip::after(&self.0);
         answer
--- a/daemon/src/relay/members.rs
+++ b/daemon/src/relay/members.rs
@@ -88,8 +88,8 @@
         let now = Instant::now();
         let sends = {
             let mut gossip = site.gossip();
-            gossip.raise(Revision(site.known.version()));
-            round = now + gossip.pause(now);
+            gossip.raise_acting_revision(Revision(site.known.version()));
+            round = now + gossip.round_interval(now);
             gossip.tick(now)
         };
         deliver(&site, sends);
@@ -103,7 +103,7 @@
 
 /// Says to all instances that this one takes no new work.
 pub(super) fn leave(site: &Arc<Site>) {
-    site.gossip().leave();
+    site.gossip().announce_leaving();
     after(site);
 }
 
@@ -111,7 +111,7 @@
 pub(super) fn after(site: &Arc<Site>) {
     let (events, sends) = {
         let mut gossip = site.gossip();
-        (gossip.events(), gossip.pushes(Instant::now()))
+        (gossip.take_events(), gossip.urgent_messages(Instant::now()))
     };
     deliver(site, sends);
     let now = Instant::now();
@@ -143,7 +143,9 @@
 
 async fn send(site: Arc<Site>, outgoing: Outgoing) {
     let Ok(to) = outgoing.to.parse::<SocketAddr>() else {
-        return site.gossip().failed(outgoing.member, Instant::now());
+        return site
+            .gossip()
+            .handle_failure(outgoing.member, Instant::now());
     };
     let mut next = Some(outgoing.message);
     while let Some(message) = next.take() {
@@ -153,9 +155,11 @@
                 site.known.record_contact(begun);
                 next = site
                     .gossip()
-                    .answered(outgoing.member, answer, Instant::now());
+                    .handle_response(outgoing.member, answer, Instant::now());
             }
-            Err(_) => site.gossip().failed(outgoing.member, Instant::now()),
+            Err(_) => site
+                .gossip()
+                .handle_failure(outgoing.member, Instant::now()),
         }
     }
     after(&site);
--- a/daemon/src/relay/peer_service.rs
+++ b/daemon/src/relay/peer_service.rs
@@ -62,7 +62,7 @@
 
 impl Peer for Server {
     async fn exchange(self, _: Context, message: Message) -> Message {
-        let answer = self.site.gossip().receive(message, Instant::now());
+        let answer = self.site.gossip().handle_request(message, Instant::now());
         members::after(&self.site);
         answer
     }
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -243,7 +243,7 @@
     fn spread(&self, node: &Arc<Node>) {
         let brakes: Vec<Brake> = brakes(node, &self.controller());
         for brake in brakes {
-            node.gossip().trip(brake);
+            node.gossip().add_brake(brake);
         }
         gossip::after(node);
         self.push(node, FAN_OUT, |_| true);
--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -245,7 +245,9 @@
         let name = target.name.as_str();
         let relays: Vec<DepartureNotice> = departure.notices(self.node.now_ms()).collect();
         if relays.is_empty() {
-            self.node.gossip().clear(EntryKind::TargetLeaving, name);
+            self.node
+                .gossip()
+                .clear_entry(EntryKind::TargetLeaving, name);
             return;
         }
         let value = serde_json::to_vec(&relays).unwrap_or_default();
--- a/daemon/src/watch.rs
+++ b/daemon/src/watch.rs
@@ -192,7 +192,7 @@
     };
     let revision = headline.revision;
     if node.bring(Force::new(headline, bundle)) {
-        node.gossip().raise(revision);
+        node.gossip().raise_acting_revision(revision);
         gossip::after(node);
     }
 }
