--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -15,8 +15,8 @@
 use crate::{
     choose,
     rumours::{News, Rank, Rumours},
-    Brake, Budget, Candidate, Class, EntryError, EntryKind, Facts, Identity, Item, Listed, Message,
-    Origin, Roster, Settings, State,
+    Brake, Budget, Candidate, Class, EntryError, EntryKind, Facts, Identity, Item, ListedMember,
+    Membership, Message, Origin, Settings, State,
 };
 
 /// A change that the owner of the state machine may want to act on or log.
@@ -93,7 +93,7 @@
     fresh: Facts,
     /// The revision that this instance acts on.
     acting: Revision,
-    roster: Roster,
+    membership: Membership,
     rumours: Rumours,
     budget: Budget,
     group: Vec<InstanceName>,
@@ -116,7 +116,7 @@
             facts: Facts::default(),
             fresh: Facts::default(),
             acting: Revision(0),
-            roster: Roster::default(),
+            membership: Membership::default(),
             rumours: Rumours::default(),
             budget: Budget::new(settings.start_bytes, now),
             settled: now + settings.start_time,
@@ -148,8 +148,8 @@
     }
 
     /// Returns the other instances.
-    pub const fn roster(&self) -> &Roster {
-        &self.roster
+    pub const fn membership(&self) -> &Membership {
+        &self.membership
     }
 
     /// Returns the entries of all instances, this one's too.
@@ -163,13 +163,13 @@
     }
 
     /// Takes in the platform's list.
-    pub fn update_listed_members(&mut self, list: &[Listed], now: Instant) {
-        let others: Vec<Listed> = list
+    pub fn update_listed_members(&mut self, list: &[ListedMember], now: Instant) {
+        let others: Vec<ListedMember> = list
             .iter()
             .filter(|listed| listed.name != self.identity.name)
             .cloned()
             .collect();
-        self.roster.list(&others, now);
+        self.membership.update_listed(&others, now);
     }
 
     /// Sets the instances that share evidence, demand and load with this one.
@@ -181,7 +181,7 @@
         self.group.retain(|name| *name != self.identity.name);
         self.group.sort();
         let runs = self.group.iter().filter_map(|name| {
-            let member = self.roster.named(name)?;
+            let member = self.membership.by_name(name)?;
             member.origin
         });
         let group: BTreeSet<Origin> = runs.chain([self.origin]).collect();
@@ -194,7 +194,7 @@
     /// of each group with the latest value.
     pub fn is_group_leader(&self) -> bool {
         let live = self.group.iter().filter_map(|name| {
-            let member = self.roster.named(name)?;
+            let member = self.membership.by_name(name)?;
             (!member.is_silent()).then_some(Candidate {
                 name: &member.name,
                 data_centre: &member.data_centre,
--- a/crates/fleet/src/gossip/compose.rs
+++ b/crates/fleet/src/gossip/compose.rs
@@ -33,7 +33,7 @@
     /// Returns what this instance has of its group.
     pub(super) fn group_digest(&self) -> Digest {
         let origins = self.group.iter().filter_map(|name| {
-            let member = self.roster.named(name)?;
+            let member = self.membership.by_name(name)?;
             member.origin
         });
         let lines = origins.map(|origin| self.line(origin, &Class::GROUP));
@@ -47,7 +47,7 @@
         for (at, class) in classes.iter().enumerate() {
             reached[at] = self.state.reached(origin, *class);
         }
-        let member = self.roster.run(origin);
+        let member = self.membership.by_origin(origin);
         DigestLine {
             origin,
             reached,
@@ -132,7 +132,7 @@
     }
 
     fn claim(&self, origin: Origin) -> Option<Claim> {
-        let reached = self.roster.run(origin)?.claim?;
+        let reached = self.membership.by_origin(origin)?.claim?;
         Some(Claim { origin, reached })
     }
 
--- a/crates/fleet/src/gossip/exchange.rs
+++ b/crates/fleet/src/gossip/exchange.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    roster::Admission,
+    membership::Admission,
     rumours::{News, Rank},
     Claim, Class, Delta, EntryKind, Event, Gossip, Identity, Incarnation, Message, Origin,
 };
@@ -32,7 +32,7 @@
         let superseding = self.absorb(message, now);
         let mut answer = Message::new(self.origin, Some(from), self.acting);
         answer.deltas.extend(superseding);
-        let is_new = hello || to != Some(self.origin) || self.roster.run(from).is_none();
+        let is_new = hello || to != Some(self.origin) || self.membership.by_origin(from).is_none();
         if is_new {
             self.greet(&mut answer);
         }
@@ -89,7 +89,7 @@
         let Some(key) = member else {
             return;
         };
-        let Some(member) = self.roster.get_mut(key) else {
+        let Some(member) = self.membership.get_mut(key) else {
             return;
         };
         let was_silent = member.is_silent();
@@ -104,7 +104,7 @@
     /// An address may be answered by another run or another instance than the one that was meant;
     /// that is no sign of life of the one that was meant.
     fn judge(&mut self, key: InstanceKey, from: Origin, now: Instant) {
-        let meant = self.roster.get(key).and_then(|member| member.origin);
+        let meant = self.membership.get(key).and_then(|member| member.origin);
         if meant.is_some() && meant != Some(from) {
             self.handle_failure(Some(key), now);
         }
@@ -119,7 +119,7 @@
     /// An instance that is itself cut off would accuse all the others; so one for which half of
     /// its last exchanges failed keeps its suspicions to itself.
     fn accuse(&mut self, key: InstanceKey, now: Instant) {
-        let Some(member) = self.roster.get(key) else {
+        let Some(member) = self.membership.get(key) else {
             return;
         };
         let recent = member.claimed.is_some_and(|t| now - t < CLAIM_PAUSE);
@@ -140,7 +140,7 @@
             return;
         }
         let reached = self.state.reached(claim.origin, Class::Control);
-        let Some(member) = self.roster.run_mut(claim.origin) else {
+        let Some(member) = self.membership.by_origin_mut(claim.origin) else {
             return;
         };
         if claim.reached < reached || member.claim.is_some_and(|old| old >= claim.reached) {
@@ -183,7 +183,7 @@
     }
 
     fn hear(&mut self, from: Origin, now: Instant) {
-        if let Some(member) = self.roster.run_mut(from) {
+        if let Some(member) = self.membership.by_origin_mut(from) {
             if member.is_silent() {
                 self.events.insert(Event::Returned(member.name.clone()));
             }
@@ -199,8 +199,8 @@
         if origin == self.origin {
             return None;
         }
-        if self.roster.run(origin).is_none() {
-            if !direct && self.roster.is_forgotten(origin, upto) {
+        if self.membership.by_origin(origin).is_none() {
+            if !direct && self.membership.is_forgotten(origin, upto) {
                 return None;
             }
             if let Some(later) = self.meet(&delta, now)? {
@@ -241,10 +241,10 @@
         if identity.name == self.identity.name {
             return Some(self.meet_self(&identity));
         }
-        if self.roster.iter().next().is_none() {
+        if self.membership.iter().next().is_none() {
             self.settled = now + self.settings.start_time;
         }
-        match self.roster.admit(&identity, now) {
+        match self.membership.admit(&identity, now) {
             Admission::Superseded(run) => return Some(Some(run)),
             Admission::Replaced(run) => self.state.remove(run),
             Admission::Admitted => {}
@@ -271,7 +271,7 @@
     }
 
     fn mark_leaving(&mut self, origin: Origin) {
-        if let Some(member) = self.roster.run_mut(origin) {
+        if let Some(member) = self.membership.by_origin_mut(origin) {
             member.leaving = true;
         }
     }
@@ -279,7 +279,7 @@
     /// Takes a change of a run's own entries as its contradiction of every claim before.
     fn revive(&mut self, origin: Origin, now: Instant) {
         let reached = self.state.reached(origin, Class::Control);
-        let Some(member) = self.roster.run_mut(origin) else {
+        let Some(member) = self.membership.by_origin_mut(origin) else {
             return;
         };
         member.news = now;
--- a/crates/fleet/src/gossip/round.rs
+++ b/crates/fleet/src/gossip/round.rs
@@ -91,7 +91,9 @@
     fn forget(&mut self, now: Instant) {
         let state = &self.state;
         let reached = |origin| state.reached(origin, crate::Class::Control);
-        let gone = self.roster.forget(self.settings.forget, now, reached);
+        let gone = self
+            .membership
+            .remove_unresponsive(self.settings.forget, now, reached);
         for member in gone {
             if let Some(origin) = member.origin {
                 self.state.remove(origin);
@@ -101,7 +103,9 @@
     }
 
     fn live(&self) -> impl Iterator<Item = (InstanceKey, &Member)> {
-        self.roster.iter().filter(|(_, member)| !member.is_silent())
+        self.membership
+            .iter()
+            .filter(|(_, member)| !member.is_silent())
     }
 
     /// Chooses whom to contact: some live ones, those to be tried a second time, and now and then
@@ -109,7 +113,7 @@
     /// other would never try again and stay apart after the network is whole.
     fn contacts(&mut self) -> Vec<InstanceKey> {
         let (mut live, mut doubtful, mut silent) = (Vec::new(), Vec::new(), Vec::new());
-        for (key, member) in self.roster.iter() {
+        for (key, member) in self.membership.iter() {
             match member {
                 m if m.is_silent() => silent.push(key),
                 m if m.is_doubtful() => doubtful.push(key),
@@ -144,7 +148,7 @@
     /// would form fleets that never hear of each other.
     fn seek(&mut self, sends: &mut Vec<Outgoing>, now: Instant) {
         let own = &self.identity.address;
-        let known: BTreeSet<_> = self.roster.iter().map(|(_, m)| &m.address).collect();
+        let known: BTreeSet<_> = self.membership.iter().map(|(_, m)| &m.address).collect();
         let seeds = self.settings.seeds.iter();
         let unmet: Vec<_> = seeds.filter(|s| *s != own && !known.contains(s)).collect();
         let Some(to) = unmet.choose(&mut self.rng).map(|seed| (*seed).clone()) else {
@@ -187,7 +191,7 @@
     }
 
     fn begin(&self, key: InstanceKey) -> Message {
-        let to = self.roster.get(key).and_then(|member| member.origin);
+        let to = self.membership.get(key).and_then(|member| member.origin);
         let mut message = Message::new(self.origin, to, self.acting);
         if to.is_none() {
             self.greet(&mut message);
@@ -201,7 +205,7 @@
     }
 
     fn send(&mut self, sends: &mut Vec<Outgoing>, key: InstanceKey, message: Message) {
-        let Some(member) = self.roster.get(key) else {
+        let Some(member) = self.membership.get(key) else {
             return;
         };
         self.budget.take(message.bytes());
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/membership.rs
@@ -11,7 +11,7 @@
 
 /// An instance in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedMember {
     /// Its name.
     pub name: InstanceName,
     /// Its address for peers.
@@ -35,21 +35,21 @@
 
 /// All instances that are known but this one.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
+pub struct Membership {
     members: SlotMap<InstanceKey, Member>,
     names: BTreeMap<InstanceName, InstanceKey>,
     origins: BTreeMap<Origin, InstanceKey>,
     forgotten: BTreeMap<Origin, (u64, Instant)>,
 }
 
-impl Roster {
+impl Membership {
     /// Returns the members in order of name.
     pub fn iter(&self) -> impl Iterator<Item = (InstanceKey, &Member)> {
         self.names.values().map(|key| (*key, &self.members[*key]))
     }
 
     /// Returns the members in a state.
-    pub fn of_state(&self, state: MemberState) -> impl Iterator<Item = &Member> {
+    pub fn in_state(&self, state: MemberState) -> impl Iterator<Item = &Member> {
         self.iter()
             .map(|(_, member)| member)
             .filter(move |member| member.state() == state)
@@ -61,16 +61,16 @@
     }
 
     /// Returns a member by its name.
-    pub fn named(&self, name: &InstanceName) -> Option<&Member> {
+    pub fn by_name(&self, name: &InstanceName) -> Option<&Member> {
         self.names.get(name).map(|key| &self.members[*key])
     }
 
     /// Returns a member by its run.
-    pub fn run(&self, origin: Origin) -> Option<&Member> {
+    pub fn by_origin(&self, origin: Origin) -> Option<&Member> {
         self.origins.get(&origin).map(|key| &self.members[*key])
     }
 
-    pub(crate) fn run_mut(&mut self, origin: Origin) -> Option<&mut Member> {
+    pub(crate) fn by_origin_mut(&mut self, origin: Origin) -> Option<&mut Member> {
         let key = self.origins.get(&origin)?;
         self.members.get_mut(*key)
     }
@@ -103,7 +103,7 @@
     }
 
     /// Takes in the platform's list, which is some seconds late.
-    pub(crate) fn list(&mut self, list: &[Listed], now: Instant) {
+    pub(crate) fn update_listed(&mut self, list: &[ListedMember], now: Instant) {
         for member in self.members.values_mut() {
             member.listed = false;
             member.list_leaving = false;
@@ -127,7 +127,7 @@
     /// Peers forget at slightly different times. One that forgot early would learn the dead run
     /// again from one that has not yet, and so on for ever; so the run is remembered as forgotten
     /// for twice the time, unless it shows a sequence number that nobody had seen.
-    pub(crate) fn forget(
+    pub(crate) fn remove_unresponsive(
         &mut self,
         after: Duration,
         now: Instant,
@@ -191,7 +191,7 @@
     }
 }
 
-fn unmet(listed: &Listed, now: Instant) -> Member {
+fn unmet(listed: &ListedMember, now: Instant) -> Member {
     let identity = Identity {
         name: listed.name.clone(),
         incarnation: Incarnation::default(),
--- a/crates/fleet/tests/mesh.rs
+++ b/crates/fleet/tests/mesh.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use celerypond_fleet::{Gossip, Identity, Incarnation, Listed, Message, Outgoing, Settings};
+use celerypond_fleet::{Gossip, Identity, Incarnation, ListedMember, Message, Outgoing, Settings};
 use celerypond_types::{InstanceKey, InstanceName};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use tokio::time::Instant;
@@ -122,7 +122,7 @@
 
     /// Gives every instance the list of all.
     pub(crate) fn list_all(&mut self) {
-        let list: Vec<Listed> = (0..self.nodes.len()).map(listed).collect();
+        let list: Vec<ListedMember> = (0..self.nodes.len()).map(listed).collect();
         for node in self.nodes.iter_mut().flatten() {
             node.update_listed_members(&list, self.now);
         }
@@ -266,8 +266,8 @@
     format!("i{at}").as_str().into()
 }
 
-pub(crate) fn listed(at: usize) -> Listed {
-    Listed {
+pub(crate) fn listed(at: usize) -> ListedMember {
+    ListedMember {
         name: name(at),
         address: name(at).as_str().into(),
         data_centre: CENTRES[at % CENTRES.len()].into(),
--- a/crates/fleet/tests/test_gossip.rs
+++ b/crates/fleet/tests/test_gossip.rs
@@ -22,7 +22,7 @@
 
 fn all_live(mesh: &Mesh) -> bool {
     let others = mesh.nodes.iter().flatten().count() - 1;
-    mesh.all(|gossip| gossip.roster().of_state(MemberState::Live).count() == others)
+    mesh.all(|gossip| gossip.membership().in_state(MemberState::Live).count() == others)
 }
 
 // Operators raise the revision and instances trip brakes while messages are lost, the network
@@ -85,7 +85,7 @@
     assert!(all_live(&mesh));
     mesh.side[..5].fill(1);
     mesh.run(300 * SECOND);
-    let live = |gossip: &Gossip| gossip.roster().of_state(MemberState::Live).count();
+    let live = |gossip: &Gossip| gossip.membership().in_state(MemberState::Live).count();
     assert!(mesh.all(|gossip| live(gossip) == 4));
     mesh.side.fill(0);
     assert!(mesh.run_until(60 * SECOND, all_live));
@@ -107,7 +107,7 @@
     mesh.kill(3);
     mesh.run(60 * SECOND);
     assert!(mesh.all(|gossip| gossip.facts().is_braked(&brake(1))));
-    assert!(mesh.all(|gossip| gossip.roster().named(&name(3)).is_none()));
+    assert!(mesh.all(|gossip| gossip.membership().by_name(&name(3)).is_none()));
 }
 
 // All instances are replaced one after the other while the platform is down, each with nothing but
@@ -192,7 +192,7 @@
 fn a_fleet_that_starts_at_once_meets_within_seconds(#[case] n: usize, #[case] millis: u64) {
     let mut mesh = Mesh::new(n, Settings::default(), 1);
     let nearly = |mesh: &Mesh| {
-        let live = |gossip: &Gossip| gossip.roster().of_state(MemberState::Live).count();
+        let live = |gossip: &Gossip| gossip.membership().in_state(MemberState::Live).count();
         mesh.all(|gossip| live(gossip) * 10 >= n * 9)
     };
     assert!(mesh.run_until(Duration::from_millis(millis), nearly));
--- a/crates/fleet/tests/test_membership.rs
+++ b/crates/fleet/tests/test_membership.rs
@@ -24,7 +24,7 @@
     nodes
         .filter(|(at, _)| *at != of)
         .filter_map(|(_, node)| node.as_ref())
-        .map(|node| node.roster().named(&name(of)).map(|m| m.state()))
+        .map(|node| node.membership().by_name(&name(of)).map(|m| m.state()))
         .collect()
 }
 
@@ -117,7 +117,7 @@
     assert_eq!(mesh.node(3).identity().incarnation, Incarnation(6));
     let run = mesh.node(3).origin();
     for (at, node) in mesh.nodes.iter().flatten().enumerate() {
-        let member = node.roster().named(&name(3));
+        let member = node.membership().by_name(&name(3));
         assert!(at == 3 || member.unwrap().origin == Some(run));
     }
 }
@@ -143,7 +143,7 @@
     mesh.sent.push(Default::default());
     mesh.list_all();
     assert_eq!(
-        mesh.node(0).roster().named(&name(3)).unwrap().name,
+        mesh.node(0).membership().by_name(&name(3)).unwrap().name,
         listed(3).name
     );
     mesh.run(20 * SECOND);
--- a/crates/fleet/tests/test_scripts.rs
+++ b/crates/fleet/tests/test_scripts.rs
@@ -36,7 +36,7 @@
 
 fn line(node: &Gossip) -> String {
     let names = |state| {
-        let members = node.roster().of_state(state);
+        let members = node.membership().in_state(state);
         let names: Vec<&str> = members.map(|m| m.name.as_str()).collect();
         names.join(" ")
     };
--- a/daemon/src/front/entries.rs
+++ b/daemon/src/front/entries.rs
@@ -45,7 +45,10 @@
     let list = node.list.load();
     let gossip = node.gossip();
     let is_gone = |name| {
-        let state = gossip.roster().named(name).map(|member| member.state());
+        let state = gossip
+            .membership()
+            .by_name(name)
+            .map(|member| member.state());
         state.is_some_and(|state| state != MemberState::Live)
     };
     let instances = list.instances.iter();
--- a/daemon/src/gossip.rs
+++ b/daemon/src/gossip.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use celerypond_fleet::{
-    choose, Candidate, EntryKind, Event, Listed, MemberState, Outgoing, Subset,
+    choose, Candidate, EntryKind, Event, ListedMember, MemberState, Outgoing, Subset,
 };
 use celerypond_platform::Presence;
 use celerypond_telemetry::{Counter, Gauge};
@@ -117,11 +117,16 @@
 }
 
 /// Returns the instances that share evidence, demand and load with this one.
-fn group(node: &Node, list: &[Listed]) -> Vec<InstanceName> {
+fn group(node: &Node, list: &[ListedMember]) -> Vec<InstanceName> {
     // After a restart in an outage there is no list, only those that were heard of.
     let mut names: Vec<InstanceName> = list.iter().map(|listed| listed.name.clone()).collect();
     let heard = node.gossip();
-    names.extend(heard.roster().iter().map(|(_, member)| member.name.clone()));
+    names.extend(
+        heard
+            .membership()
+            .iter()
+            .map(|(_, member)| member.name.clone()),
+    );
     names.sort();
     names.dedup();
     drop(heard);
@@ -133,11 +138,11 @@
     subset.peers
 }
 
-fn listed(node: &Node) -> Vec<Listed> {
+fn listed(node: &Node) -> Vec<ListedMember> {
     let list = node.list.load();
     let instances = list.instances.iter();
     instances
-        .map(|instance| Listed {
+        .map(|instance| ListedMember {
             name: instance.name.clone(),
             address: smol_str::format_smolstr!("{}", instance.peer_address),
             data_centre: instance.data_centre.clone(),
@@ -160,7 +165,7 @@
 /// Returns the instances that are worth work, this one among them unless it is leaving.
 pub fn live(node: &Node) -> Vec<Near> {
     let gossip = node.gossip();
-    let members = gossip.roster().of_state(MemberState::Live);
+    let members = gossip.membership().in_state(MemberState::Live);
     let others = members.filter_map(|member| {
         Some(Near {
             name: member.name.clone(),
--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -110,7 +110,7 @@
     let gossip = node.gossip();
     let mut all: HashMap<AccountName, Demands> = HashMap::new();
     for (origin, item) in gossip.state().items(EntryKind::Demand) {
-        let Some(member) = gossip.roster().run(origin) else {
+        let Some(member) = gossip.membership().by_origin(origin) else {
             continue;
         };
         // One that is silent may be on the other side of a partition, but not if it is not listed.
@@ -146,15 +146,15 @@
 fn touch(node: &Node) -> Touch {
     let list = node.list.load();
     let gossip = node.gossip();
-    let roster = gossip.roster();
+    let members = gossip.membership();
     let is_heard = |name: &InstanceName| {
-        let member = roster.named(name);
+        let member = members.by_name(name);
         member.is_some_and(|it| it.origin.is_some() && it.state() != MemberState::Suspected)
     };
     let mut others = list.instances.iter().map(|listed| &listed.name);
     let own = &node.settings.instance;
     Touch {
-        instances: node.expected().max(roster.iter().count() + 1),
+        instances: node.expected().max(members.iter().count() + 1),
         is_whole: node.listed_at().is_some() && others.all(|name| name == own || is_heard(name)),
     }
 }
--- a/daemon/src/relay/fleet.rs
+++ b/daemon/src/relay/fleet.rs
@@ -40,7 +40,7 @@
     let own = &settings.instance;
     let watches = site.duty.age(Instant::now()).is_some();
     let gossip = site.gossip();
-    let live: Vec<&Member> = gossip.roster().of_state(MemberState::Live).collect();
+    let live: Vec<&Member> = gossip.membership().in_state(MemberState::Live).collect();
     let tree = tree(site, &gossip);
     let told = tree.told_by(own, watches);
     let subset = Subset::within(GROUP_MOST, own, &names(&live, own), &[]);
@@ -55,7 +55,7 @@
     let is_chosen = tree.watchers().iter().any(|one| one.name == own);
     let hops = tree.hops();
     let has_peers = gossip
-        .roster()
+        .membership()
         .iter()
         .any(|(_, member)| member.state() != MemberState::Leaving);
     drop(gossip);
@@ -86,13 +86,13 @@
     let gossip = site.gossip();
     let tree = tree(site, &gossip);
     let driver = tree.watchers().first()?.name;
-    let mut live = gossip.roster().of_state(MemberState::Live);
+    let mut live = gossip.membership().in_state(MemberState::Live);
     address(live.find(|member| member.name == *driver)?)
 }
 
 /// Makes the tree of the instances that seem to live and are not stopping, this one included.
 fn tree<'a>(site: &Site, gossip: &'a Gossip) -> Tree<'a> {
-    let live = gossip.roster().of_state(MemberState::Live);
+    let live = gossip.membership().in_state(MemberState::Live);
     let mut candidates: Vec<Candidate<'a>> = live
         .map(|member| Candidate {
             name: &member.name,
--- a/daemon/src/relay/follow.rs
+++ b/daemon/src/relay/follow.rs
@@ -84,7 +84,7 @@
 
 fn address_of(site: &Site, origin: u64) -> Option<SocketAddr> {
     let gossip = site.gossip();
-    let member = gossip.roster().run(Origin(origin))?;
+    let member = gossip.membership().by_origin(Origin(origin))?;
     member.address.parse().ok()
 }
 
--- a/daemon/src/relay/members.rs
+++ b/daemon/src/relay/members.rs
@@ -56,7 +56,7 @@
         return Vec::new();
     };
     let gossip = site.gossip();
-    let others = gossip.roster().of_state(MemberState::Live);
+    let others = gossip.membership().in_state(MemberState::Live);
     let others = others.filter_map(|member| member.address.parse::<SocketAddr>().ok());
     let others = others.map(|address| SocketAddr::new(address.ip(), own.port()));
     let mut found: Vec<SocketAddr> = others.collect();
@@ -70,7 +70,7 @@
 /// Returns what is known of the other instances.
 pub(super) fn others(site: &Site) -> PeerCounts {
     let gossip = site.gossip();
-    let count = |state| gossip.roster().of_state(state).count();
+    let count = |state| gossip.membership().in_state(state).count();
     PeerCounts {
         live: count(MemberState::Live),
         leaving: count(MemberState::Leaving),
