--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -182,7 +182,7 @@
 fn load_ages(mesh: &mut Mesh, second: u64) -> Vec<f64> {
     let at = second as usize % mesh.nodes.len();
     let node = mesh.node(at);
-    let items = node.state().items(EntryKind::TargetLoad);
+    let items = node.entries().items(EntryKind::TargetLoad);
     items
         .filter(|(origin, _)| *origin != node.origin())
         .filter_map(|(_, item)| item.value.first_chunk())
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/entry_table.rs
@@ -11,19 +11,19 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_fleet::{EntryKind, Item, Origin, State};
+/// use celerypond_fleet::{EntryKind, Item, Origin, EntryTable};
 ///
-/// let mut state = State::default();
+/// let mut table = EntryTable::default();
 /// let item = Item { kind: EntryKind::Acting, key: "".into(), value: Box::new([4]) };
-/// state.set(Origin(1), item.clone()).unwrap();
-/// assert_eq!(state.items(EntryKind::Acting).next(), Some((Origin(1), &item)));
+/// table.set(Origin(1), item.clone()).unwrap();
+/// assert_eq!(table.items(EntryKind::Acting).next(), Some((Origin(1), &item)));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct State {
+pub struct EntryTable {
     origins: BTreeMap<Origin, Streams>,
 }
 
-impl State {
+impl EntryTable {
     /// Sets an entry and returns its sequence number.
     ///
     /// # Errors
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -15,8 +15,8 @@
 use crate::{
     choose,
     rumours::{News, Rank, Rumours},
-    Brake, Budget, Candidate, Class, EntryError, EntryKind, Facts, Identity, Item, ListedMember,
-    Membership, Message, Origin, Settings, State,
+    Brake, Budget, Candidate, Class, EntryError, EntryKind, EntryTable, Facts, Identity, Item,
+    ListedMember, Membership, Message, Origin, Settings,
 };
 
 /// A change that the owner of the state machine may want to act on or log.
@@ -88,7 +88,7 @@
     identity: Identity,
     origin: Origin,
     settings: Settings,
-    state: State,
+    entries: EntryTable,
     facts: Facts,
     fresh: Facts,
     /// The revision that this instance acts on.
@@ -112,7 +112,7 @@
         let mut gossip = Self {
             origin: identity.origin(),
             identity,
-            state: State::default(),
+            entries: EntryTable::default(),
             facts: Facts::default(),
             fresh: Facts::default(),
             acting: Revision(0),
@@ -153,8 +153,8 @@
     }
 
     /// Returns the entries of all instances, this one's too.
-    pub const fn state(&self) -> &State {
-        &self.state
+    pub const fn entries(&self) -> &EntryTable {
+        &self.entries
     }
 
     /// Returns what changed since the last call.
@@ -185,7 +185,7 @@
             member.origin
         });
         let group: BTreeSet<Origin> = runs.chain([self.origin]).collect();
-        self.state.keep_group(&group);
+        self.entries.keep_group(&group);
     }
 
     /// Returns whether this instance sums up for its group, by the view of this instance.
@@ -241,14 +241,14 @@
         value: Box<[u8]>,
     ) -> Result<(), EntryError> {
         let key = key.into();
-        let sequence = self.state.set(self.origin, Item { kind, key, value })?;
+        let sequence = self.entries.set(self.origin, Item { kind, key, value })?;
         self.spread(self.origin, kind.class(), kind.is_urgent(), sequence);
         Ok(())
     }
 
     /// Clears an entry of this instance, if there is one.
     pub fn clear_entry(&mut self, kind: EntryKind, key: &str) {
-        if let Some(sequence) = self.state.clear(self.origin, kind, key) {
+        if let Some(sequence) = self.entries.clear(self.origin, kind, key) {
             self.spread(self.origin, kind.class(), kind.is_urgent(), sequence);
         }
     }
--- a/crates/fleet/src/gossip/compose.rs
+++ b/crates/fleet/src/gossip/compose.rs
@@ -13,7 +13,7 @@
     pub(super) fn fleet_digest(&mut self) -> Digest {
         let limit = self.settings.window;
         let first = self.cursor;
-        let mut window = self.state.between(first, Origin(u64::MAX), limit + 1);
+        let mut window = self.entries.between(first, Origin(u64::MAX), limit + 1);
         let last = match window.get(limit) {
             Some(next) => Origin(next.0 - 1),
             None => Origin(u64::MAX),
@@ -45,7 +45,7 @@
     fn line(&self, origin: Origin, classes: &[Class]) -> DigestLine {
         let mut reached = [0; 3];
         for (at, class) in classes.iter().enumerate() {
-            reached[at] = self.state.reached(origin, *class);
+            reached[at] = self.entries.reached(origin, *class);
         }
         let member = self.membership.by_origin(origin);
         DigestLine {
@@ -83,7 +83,7 @@
     /// Adds lines for the origins in a range that the sender of a digest does not know.
     fn complete(&self, first: Origin, last: Origin, lines: &[DigestLine]) -> Vec<DigestLine> {
         let mut all = lines.to_vec();
-        for origin in self.state.between(first, last, usize::MAX) {
+        for origin in self.entries.between(first, last, usize::MAX) {
             if lines
                 .binary_search_by_key(&origin, |line| line.origin)
                 .is_err()
@@ -106,7 +106,7 @@
         after: u64,
         left: &mut usize,
     ) {
-        let Some(stream) = self.state.stream(line.origin, class) else {
+        let Some(stream) = self.entries.stream(line.origin, class) else {
             return;
         };
         if stream.reached() <= after {
@@ -156,7 +156,7 @@
                 class,
                 sequence,
             } => {
-                let stream = self.state.stream(origin, class);
+                let stream = self.entries.stream(origin, class);
                 let delta = stream.and_then(|stream| stream.one(origin, class, sequence));
                 add(&mut message.deltas, delta, left)
             }
@@ -166,7 +166,7 @@
 
     /// Returns all control entries of a run.
     pub(super) fn control(&self, origin: Origin) -> Option<Delta> {
-        let stream = self.state.stream(origin, Class::Control)?;
+        let stream = self.entries.stream(origin, Class::Control)?;
         stream.since(origin, Class::Control, 0, self.settings.message_bytes)
     }
 }
--- a/crates/fleet/src/gossip/exchange.rs
+++ b/crates/fleet/src/gossip/exchange.rs
@@ -130,7 +130,7 @@
         if !member.is_silent() || member.claim.is_some() || recent || doubt {
             return;
         }
-        let reached = self.state.reached(origin, Class::Control);
+        let reached = self.entries.reached(origin, Class::Control);
         self.accept(Claim { origin, reached }, now);
     }
 
@@ -139,7 +139,7 @@
             self.contradict(claim);
             return;
         }
-        let reached = self.state.reached(claim.origin, Class::Control);
+        let reached = self.entries.reached(claim.origin, Class::Control);
         let Some(member) = self.membership.by_origin_mut(claim.origin) else {
             return;
         };
@@ -156,7 +156,7 @@
     }
 
     fn contradict(&mut self, claim: Claim) {
-        if claim.reached >= self.state.reached(self.origin, Class::Control) {
+        if claim.reached >= self.entries.reached(self.origin, Class::Control) {
             // The control class has few kinds, so a slot is free.
             let _ = self.set_entry(EntryKind::Alive, "", Box::default());
         }
@@ -212,7 +212,7 @@
             .iter()
             .map(|entry| (entry.sequence, entry.item.as_ref().map(|item| item.kind)))
             .collect();
-        let news = self.state.apply(delta);
+        let news = self.entries.apply(delta);
         for (sequence, kind) in kinds.into_iter().filter(|(s, _)| news.contains(s)) {
             let is_urgent = kind.is_some_and(EntryKind::is_urgent);
             self.spread(origin, class, is_urgent, sequence);
@@ -246,7 +246,7 @@
         }
         match self.membership.admit(&identity, now) {
             Admission::Superseded(run) => return Some(Some(run)),
-            Admission::Replaced(run) => self.state.remove(run),
+            Admission::Replaced(run) => self.entries.remove(run),
             Admission::Admitted => {}
         }
         self.events.insert(Event::Joined(identity.name));
@@ -262,7 +262,7 @@
         if other.incarnation >= self.identity.incarnation {
             self.identity.incarnation = Incarnation(other.incarnation.0 + 1);
             let origin = self.identity.origin();
-            self.state.rename(self.origin, origin);
+            self.entries.rename(self.origin, origin);
             self.origin = origin;
             self.introduce();
             self.events.insert(Event::Renumbered);
@@ -278,7 +278,7 @@
 
     /// Takes a change of a run's own entries as its contradiction of every claim before.
     fn revive(&mut self, origin: Origin, now: Instant) {
-        let reached = self.state.reached(origin, Class::Control);
+        let reached = self.entries.reached(origin, Class::Control);
         let Some(member) = self.membership.by_origin_mut(origin) else {
             return;
         };
--- a/crates/fleet/src/gossip/round.rs
+++ b/crates/fleet/src/gossip/round.rs
@@ -89,14 +89,14 @@
     }
 
     fn forget(&mut self, now: Instant) {
-        let state = &self.state;
-        let reached = |origin| state.reached(origin, crate::Class::Control);
+        let entries = &self.entries;
+        let reached = |origin| entries.reached(origin, crate::Class::Control);
         let gone = self
             .membership
             .remove_unresponsive(self.settings.forget, now, reached);
         for member in gone {
             if let Some(origin) = member.origin {
-                self.state.remove(origin);
+                self.entries.remove(origin);
             }
             self.events.insert(Event::Forgotten(member.name));
         }
--- a/crates/fleet/tests/test_state.rs
+++ b/crates/fleet/tests/test_entry_table.rs
@@ -1,6 +1,6 @@
 //! Entries that arrive in pieces, out of order and not at all.
 
-use celerypond_fleet::{EntryError, EntryKind, Facts, Item, Origin, Settings, State};
+use celerypond_fleet::{EntryError, EntryKind, EntryTable, Facts, Item, Origin, Settings};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use rstest::rstest;
 use std::time::Duration;
@@ -37,20 +37,20 @@
         mesh.run(Duration::from_millis(100));
     }
     mesh.run(Duration::from_secs(40));
-    let entries = |state: &State| -> Vec<(Origin, Item)> {
-        let items = state.items(EntryKind::EvidenceSummary);
+    let entries = |table: &EntryTable| -> Vec<(Origin, Item)> {
+        let items = table.items(EntryKind::EvidenceSummary);
         let mut items: Vec<_> = items.map(|(origin, item)| (origin, item.clone())).collect();
         items.sort_by(|a, b| a.1.key.cmp(&b.1.key));
         items
     };
-    let own = entries(mesh.node(0).state());
+    let own = entries(mesh.node(0).entries());
     assert!(!own.is_empty());
-    assert!(mesh.all(|gossip| entries(gossip.state()) == own));
+    assert!(mesh.all(|gossip| entries(gossip.entries()) == own));
 }
 
 #[test]
 fn an_origin_that_sets_and_clears_for_ever_stays_small() {
-    let mut state = State::default();
+    let mut table = EntryTable::default();
     for at in 0..10_000_u32 {
         let key = format!("rollout-{at}");
         let item = Item {
@@ -58,25 +58,25 @@
             key: key.as_str().into(),
             value: Box::new([1]),
         };
-        state.set(Origin(1), item).unwrap();
+        table.set(Origin(1), item).unwrap();
         if at >= 3 {
             let old = format!("rollout-{}", at - 3);
-            state.clear(Origin(1), EntryKind::Evidence, &old).unwrap();
+            table.clear(Origin(1), EntryKind::Evidence, &old).unwrap();
         }
     }
-    assert_eq!(state.items(EntryKind::Evidence).count(), 3);
+    assert_eq!(table.items(EntryKind::Evidence).count(), 3);
 }
 
 #[test]
 fn a_class_that_is_full_and_a_value_that_is_long_are_refused() {
-    let mut state = State::default();
-    let full = (0..=u8::MAX).find_map(|key| state.set(Origin(1), item(key, 0)).err());
+    let mut table = EntryTable::default();
+    let full = (0..=u8::MAX).find_map(|key| table.set(Origin(1), item(key, 0)).err());
     assert_eq!(full, Some(EntryError::Full));
     let long = Item {
         value: vec![0; 2_000].into(),
         ..item(0, 0)
     };
-    assert_eq!(state.set(Origin(2), long), Err(EntryError::Long(2_000)));
+    assert_eq!(table.set(Origin(2), long), Err(EntryError::Long(2_000)));
 }
 
 #[test]
--- a/crates/fleet/tests/test_gossip.rs
+++ b/crates/fleet/tests/test_gossip.rs
@@ -164,7 +164,7 @@
             .unwrap();
     }
     mesh.run(10 * SECOND);
-    let count = |gossip: &Gossip, kind| gossip.state().items(kind).count();
+    let count = |gossip: &Gossip, kind| gossip.entries().items(kind).count();
     assert!(mesh.all(|gossip| count(gossip, EntryKind::TargetLoad) == 6));
     assert!(mesh.all(|gossip| count(gossip, EntryKind::LoadSummary) == 2));
     // An instance that changes its group must not go on with loads that nobody renews there.
--- a/crates/fleet/tests/test_membership.rs
+++ b/crates/fleet/tests/test_membership.rs
@@ -98,7 +98,7 @@
         .unwrap();
     mesh.run(20 * SECOND);
     for node in mesh.nodes.iter().flatten() {
-        let items = node.state().items(EntryKind::LoadSummary);
+        let items = node.entries().items(EntryKind::LoadSummary);
         let keys: Vec<&str> = items.map(|(_, item)| item.key.as_str()).collect();
         assert_eq!(keys, ["new"]);
     }
--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -109,7 +109,7 @@
     let list = node.list.load();
     let gossip = node.gossip();
     let mut all: HashMap<AccountName, Demands> = HashMap::new();
-    for (origin, item) in gossip.state().items(EntryKind::Demand) {
+    for (origin, item) in gossip.entries().items(EntryKind::Demand) {
         let Some(member) = gossip.membership().by_origin(origin) else {
             continue;
         };
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -196,7 +196,7 @@
     pub fn hear_acting(&self, node: &Node) {
         let words: Vec<AppliedState> = {
             let gossip = node.gossip();
-            let items = gossip.state().items(EntryKind::Acting);
+            let items = gossip.entries().items(EntryKind::Acting);
             items
                 .filter_map(|(_, item)| serde_json::from_slice(&item.value).ok())
                 .collect()
--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -181,7 +181,7 @@
         let now_ms = view.clock().millis(Instant::now());
         let words: Vec<(TargetName, Vec<DepartureNotice>)> = {
             let gossip = self.node.gossip();
-            let items = gossip.state().items(EntryKind::TargetLeaving);
+            let items = gossip.entries().items(EntryKind::TargetLeaving);
             items
                 .filter_map(|(_, item)| {
                     let relays = serde_json::from_slice(&item.value).ok()?;
