--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -97,7 +97,7 @@
             .collect();
         let at = parts.len();
         parts.push(Part {
-            targets: subset.watched(own, &peers).len(),
+            targets: subset.watched_targets(own, &peers).len(),
             period: subset.summary_period().as_secs(),
         });
         mesh.node(at).set_group(subset.peers);
--- a/crates/fleet/src/tree.rs
+++ b/crates/fleet/src/distribution_tree.rs
@@ -2,7 +2,7 @@
 
 use celerypond_types::{DataCentre, InstanceName};
 
-use crate::{choose, Candidate};
+use crate::{choose_instances, Candidate};
 
 /// How many instances watch the store for all. One may die while the others are told by the second.
 const WATCHERS: usize = 2;
@@ -31,28 +31,28 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_fleet::{Candidate, Tree};
+/// use celerypond_fleet::{Candidate, DistributionTree};
 /// use celerypond_types::{DataCentre, InstanceName};
 ///
 /// let names: Vec<InstanceName> = (0..7).map(|n| format!("i{n}").as_str().into()).collect();
 /// let home = DataCentre::from("east");
 /// let all = names.iter().map(|name| Candidate { name, data_centre: &home });
-/// let tree = Tree::of(all.collect());
+/// let tree = DistributionTree::new(all.collect());
 /// let watcher = tree.watchers()[0].name;
-/// assert_eq!(tree.told_by(watcher, true).len(), 6);
+/// assert_eq!(tree.recipients_of(watcher, true).len(), 6);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Tree<'a> {
+pub struct DistributionTree<'a> {
     all: Vec<Candidate<'a>>,
     watchers: Vec<Candidate<'a>>,
     /// Those that tell the others of their data centre; empty in a small fleet.
     tellers: Vec<Candidate<'a>>,
 }
 
-impl<'a> Tree<'a> {
+impl<'a> DistributionTree<'a> {
     /// Chooses among these instances.
-    pub fn of(all: Vec<Candidate<'a>>) -> Self {
-        let watchers = choose(WATCH_JOB, &all, WATCHERS);
+    pub fn new(all: Vec<Candidate<'a>>) -> Self {
+        let watchers = choose_instances(WATCH_JOB, &all, WATCHERS);
         let tellers = match all.len() > FLAT_MOST {
             true => tellers(&all),
             false => Vec::new(),
@@ -79,7 +79,7 @@
     }
 
     /// Returns whom an instance tells; `watches` is whether it watches the store, chosen or not.
-    pub fn told_by(&self, own: &InstanceName, watches: bool) -> Vec<&'a InstanceName> {
+    pub fn recipients_of(&self, own: &InstanceName, watches: bool) -> Vec<&'a InstanceName> {
         let others = self.all.iter().filter(|one| one.name != own);
         if self.tellers.is_empty() {
             let told = others.filter(|_| watches);
@@ -92,7 +92,10 @@
             true => is_watcher,
             false => near.first().is_some_and(|first| {
                 one.data_centre == first.data_centre
-                    && contains(&choose(one.name.as_str().as_bytes(), &near, TELLERS), own)
+                    && contains(
+                        &choose_instances(one.name.as_str().as_bytes(), &near, TELLERS),
+                        own,
+                    )
             }),
         });
         told.map(|one| one.name).collect()
@@ -114,7 +117,7 @@
         let near = all.iter().filter(|one| one.data_centre == data_centre);
         let near: Vec<Candidate<'a>> = near.copied().collect();
         let count = (near.len() * TELLERS).div_ceil(TOLD).max(TELLERS);
-        choose(TELL_JOB, &near, count)
+        choose_instances(TELL_JOB, &near, count)
     };
     data_centres.into_iter().flat_map(of).collect()
 }
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    choose,
+    choose_instances,
     rumours::{News, Rank, Rumours},
     Brake, Budget, Candidate, Class, EntryError, EntryKind, EntryTable, Facts, Identity, Item,
     ListedMember, Membership, Message, Origin, Settings,
@@ -205,7 +205,7 @@
             data_centre: &self.identity.data_centre,
         };
         let all: Vec<Candidate<'_>> = live.chain([own]).collect();
-        choose(b"group leader", &all, 1).first() == Some(&own)
+        choose_instances(b"group leader", &all, 1).first() == Some(&own)
     }
 
     /// Takes in a revision that this instance acts on; it is pushed to peers if it is news.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,12 +1,13 @@
 //! Membership, gossip and the service between instances.
 //!
 //! [`Gossip`] is a pure state machine: it is fed the time, messages and failures, and returns the
-//! messages to be sent. [`choose`] says which instances do a
-//! job, [`Subset`] which targets an instance uses, [`Tree`] who tells whom of the store, and [`Peer`] is the service that carries it all.
+//! messages to be sent. [`choose_instances`] says which instances do a
+//! job, [`Subset`] which targets an instance uses, [`DistributionTree`] who tells whom of the store, and [`Peer`] is the service that carries it all.
 
 mod budget;
 mod delta;
 mod digest;
+mod distribution_tree;
 mod entry;
 mod entry_table;
 mod facts;
@@ -21,11 +22,11 @@
 mod settings;
 mod stream;
 mod subset;
-mod tree;
 
 pub use budget::Budget;
 pub use delta::Delta;
 pub use digest::{Digest, DigestLine};
+pub use distribution_tree::DistributionTree;
 pub use entry::{Class, Entry, EntryError, EntryKind, Item};
 pub use entry_table::EntryTable;
 pub use facts::{Brake, Facts};
@@ -35,7 +36,6 @@
 pub use message::{Claim, Message};
 pub use origin::{Identity, Incarnation, Origin};
 pub use peer::{accept, connect, context, Peer, PeerClient, PeerError};
-pub use rendezvous::{choose, Candidate};
+pub use rendezvous::{choose_instances, Candidate};
 pub use settings::Settings;
 pub use subset::Subset;
-pub use tree::Tree;
--- a/crates/fleet/src/rendezvous.rs
+++ b/crates/fleet/src/rendezvous.rs
@@ -21,7 +21,7 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_fleet::{Candidate, choose};
+/// use celerypond_fleet::{Candidate, choose_instances};
 /// use celerypond_types::{DataCentre, InstanceName};
 ///
 /// let names = ["a", "b", "c"].map(InstanceName::from);
@@ -31,10 +31,14 @@
 ///     .zip(&centres)
 ///     .map(|(name, data_centre)| Candidate { name, data_centre })
 ///     .collect();
-/// let keepers = choose(b"request-7", &all, 2);
+/// let keepers = choose_instances(b"request-7", &all, 2);
 /// assert_ne!(keepers[0].data_centre, keepers[1].data_centre);
 /// ```
-pub fn choose<'a>(key: &[u8], candidates: &[Candidate<'a>], count: usize) -> Vec<Candidate<'a>> {
+pub fn choose_instances<'a>(
+    key: &[u8],
+    candidates: &[Candidate<'a>],
+    count: usize,
+) -> Vec<Candidate<'a>> {
     let key = rapidhash_v3(key);
     let mut ranked: Vec<(u64, Candidate<'a>)> = candidates
         .iter()
--- a/crates/fleet/src/subset.rs
+++ b/crates/fleet/src/subset.rs
@@ -5,7 +5,7 @@
 use celerypond_types::{InstanceName, TargetName};
 use rapidhash::v3::rapidhash_v3;
 
-use crate::{choose, Candidate};
+use crate::{choose_instances, Candidate};
 
 /// Instances a group may have before it is split into two.
 const GROUP_LIMIT: usize = 24;
@@ -52,11 +52,11 @@
 impl Subset {
     /// Returns the part of instance `own`.
     pub fn of(own: &InstanceName, instances: &[InstanceName], targets: &[TargetName]) -> Self {
-        Self::within(GROUP_LIMIT, own, instances, targets)
+        Self::with_group_limit(GROUP_LIMIT, own, instances, targets)
     }
 
     /// Returns the part of instance `own` where a group has at most `limit` instances.
-    pub fn within(
+    pub fn with_group_limit(
         limit: usize,
         own: &InstanceName,
         instances: &[InstanceName],
@@ -89,9 +89,9 @@
     }
 
     /// Returns the targets whose load this instance reads and shares.
-    pub fn watched(&self, own: &InstanceName, peers: &[Candidate<'_>]) -> Vec<TargetName> {
+    pub fn watched_targets(&self, own: &InstanceName, peers: &[Candidate<'_>]) -> Vec<TargetName> {
         let mine = |target: &&TargetName| {
-            choose(target.as_str().as_bytes(), peers, WATCHERS)
+            choose_instances(target.as_str().as_bytes(), peers, WATCHERS)
                 .iter()
                 .any(|chosen| chosen.name == own)
         };
--- a/crates/fleet/tests/runner.rs
+++ b/crates/fleet/tests/runner.rs
@@ -3,9 +3,9 @@
 mod mesh;
 mod test_budget;
 mod test_choice;
+mod test_distribution_tree;
 mod test_entry_table;
 mod test_gossip;
 mod test_membership;
 mod test_peer;
 mod test_scripts;
-mod test_tree;
--- a/crates/fleet/tests/test_choice.rs
+++ b/crates/fleet/tests/test_choice.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use celerypond_fleet::{choose, Candidate, Subset};
+use celerypond_fleet::{choose_instances, Candidate, Subset};
 use celerypond_types::{DataCentre, InstanceName, TargetName};
 use rstest::rstest;
 
@@ -33,9 +33,9 @@
         .collect();
     for key in 0..500_u32 {
         let key = key.to_le_bytes();
-        let before = choose(&key, &all, 2);
+        let before = choose_instances(&key, &all, 2);
         assert_ne!(before[0].data_centre, before[1].data_centre);
-        let after = choose(&key, &without, 2);
+        let after = choose_instances(&key, &without, 2);
         if before.iter().all(|c| c.name != &names[4]) {
             assert_eq!(before, after);
         }
@@ -46,8 +46,14 @@
 fn one_data_centre_still_gives_two_keepers() {
     let names = names(3);
     let centres = [DataCentre::from("east")];
-    assert_eq!(choose(b"k", &candidates(&names, &centres), 2).len(), 2);
-    assert_eq!(choose(b"k", &candidates(&names, &centres), 5).len(), 3);
+    assert_eq!(
+        choose_instances(b"k", &candidates(&names, &centres), 2).len(),
+        2
+    );
+    assert_eq!(
+        choose_instances(b"k", &candidates(&names, &centres), 5).len(),
+        3
+    );
 }
 
 #[rstest]
@@ -70,7 +76,7 @@
         assert_eq!(subset.groups, groups);
         assert!(subset.targets.len() <= most);
         let peers = candidates(&subset.peers, &centres);
-        for target in subset.watched(own, &peers) {
+        for target in subset.watched_targets(own, &peers) {
             *watchers.entry(target).or_default() += 1;
         }
     }
--- a/crates/fleet/tests/test_tree.rs
+++ b/crates/fleet/tests/test_distribution_tree.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use celerypond_fleet::{Candidate, Tree};
+use celerypond_fleet::{Candidate, DistributionTree};
 use celerypond_types::{DataCentre, InstanceName};
 use rstest::rstest;
 
@@ -24,10 +24,10 @@
         }
     }
 
-    fn tree(&self) -> Tree<'_> {
+    fn tree(&self) -> DistributionTree<'_> {
         let all = self.instances.iter();
         let all = all.map(|(name, data_centre)| Candidate { name, data_centre });
-        Tree::of(all.collect())
+        DistributionTree::new(all.collect())
     }
 
     /// Returns by how many each instance is told, and how many the busiest tells.
@@ -36,7 +36,7 @@
         let watchers: HashSet<_> = tree.watchers().iter().map(|one| one.name).collect();
         let (mut told, mut most) = (HashMap::new(), 0);
         for (name, _) in &self.instances {
-            let heirs = tree.told_by(name, watchers.contains(name));
+            let heirs = tree.recipients_of(name, watchers.contains(name));
             most = most.max(heirs.len());
             for heir in heirs {
                 *told.entry(heir).or_default() += 1;
@@ -77,8 +77,8 @@
     let is_watcher = |name: &InstanceName| tree.watchers().iter().any(|one| one.name == name);
     let other = fleet.instances.iter().find(|(name, _)| !is_watcher(name));
     let (name, _) = other.unwrap();
-    assert_eq!(tree.told_by(name, false).len(), 0);
-    assert_eq!(tree.told_by(name, true).len(), 6);
+    assert_eq!(tree.recipients_of(name, false).len(), 0);
+    assert_eq!(tree.recipients_of(name, true).len(), 6);
 }
 
 /// One instance dies. Those that it told hear from the other teller; few others are told anew.
@@ -89,7 +89,7 @@
         let tree = fleet.tree();
         let names = fleet.instances.iter().map(|(name, _)| name);
         let told = names.flat_map(|own| {
-            let heirs = tree.told_by(own, false);
+            let heirs = tree.recipients_of(own, false);
             heirs.into_iter().map(|heir| (own.clone(), heir.clone()))
         });
         told.collect()
--- a/daemon/src/gossip.rs
+++ b/daemon/src/gossip.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use celerypond_fleet::{
-    choose, Candidate, EntryKind, Event, ListedMember, MemberState, Outgoing, Subset,
+    choose_instances, Candidate, EntryKind, Event, ListedMember, MemberState, Outgoing, Subset,
 };
 use celerypond_platform::Presence;
 use celerypond_telemetry::{Counter, Gauge};
@@ -190,7 +190,7 @@
 /// a condition of the store as well.
 pub fn falls_to(node: &Node, job: &str) -> Option<Near> {
     let all = live(node);
-    let chosen = choose(job.as_bytes(), &candidates(&all), 1);
+    let chosen = choose_instances(job.as_bytes(), &candidates(&all), 1);
     let name = chosen.first()?.name;
     all.iter().find(|near| near.name == *name).cloned()
 }
@@ -209,7 +209,7 @@
     let all = live(node);
     let candidates = candidates(&all);
     // One more than needed: the driver itself may be among them, and its own copy dies with it.
-    let chosen = choose(request.as_str().as_bytes(), &candidates, KEEPERS + 1);
+    let chosen = choose_instances(request.as_str().as_bytes(), &candidates, KEEPERS + 1);
     let address = |name: &InstanceName| all.iter().find(|near| near.name == *name)?.address;
     chosen
         .iter()
--- a/daemon/src/relay/fleet.rs
+++ b/daemon/src/relay/fleet.rs
@@ -5,7 +5,7 @@
     sync::{atomic::Ordering::Relaxed, Arc},
 };
 
-use celerypond_fleet::{Candidate, Gossip, Member, MemberState, Subset, Tree};
+use celerypond_fleet::{Candidate, DistributionTree, Gossip, Member, MemberState, Subset};
 use celerypond_relay::Group;
 use celerypond_types::InstanceName;
 use tokio::time::Instant;
@@ -42,8 +42,8 @@
     let gossip = site.gossip();
     let live: Vec<&Member> = gossip.membership().in_state(MemberState::Live).collect();
     let tree = tree(site, &gossip);
-    let told = tree.told_by(own, watches);
-    let subset = Subset::within(GROUP_MOST, own, &names(&live, own), &[]);
+    let told = tree.recipients_of(own, watches);
+    let subset = Subset::with_group_limit(GROUP_MOST, own, &names(&live, own), &[]);
     let fleet = Fleet {
         origin: gossip.origin().0,
         size: live.len() + 1,
@@ -91,7 +91,7 @@
 }
 
 /// Makes the tree of the instances that seem to live and are not stopping, this one included.
-fn tree<'a>(site: &Site, gossip: &'a Gossip) -> Tree<'a> {
+fn tree<'a>(site: &Site, gossip: &'a Gossip) -> DistributionTree<'a> {
     let live = gossip.membership().in_state(MemberState::Live);
     let mut candidates: Vec<Candidate<'a>> = live
         .map(|member| Candidate {
@@ -106,7 +106,7 @@
             data_centre: &identity.data_centre,
         });
     }
-    Tree::of(candidates)
+    DistributionTree::new(candidates)
 }
 
 fn names(live: &[&Member], own: &InstanceName) -> Vec<InstanceName> {
