--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -35,7 +35,7 @@
 pub use membership::{ListedMember, Membership};
 pub use message::{Claim, Message};
 pub use origin::{Identity, Incarnation, Origin};
-pub use peer::{accept, connect, context, Peer, PeerClient, PeerError};
+pub use peer::{call_context, connect, serve_connection, Peer, PeerClient, PeerError};
 pub use rendezvous::{choose_instances, Candidate};
 pub use settings::Settings;
 pub use subset::Subset;
--- a/crates/fleet/src/peer.rs
+++ b/crates/fleet/src/peer.rs
@@ -25,38 +25,38 @@
 
 /// What instances ask of each other.
 ///
-/// Every call carries a deadline (see [`context`]); the server drops the work when it passes. None
+/// Every call carries a deadline (see [`call_context`]); the server drops the work when it passes. None
 /// of these calls decides who may write.
 #[tarpc::service]
 pub trait Peer {
     /// Exchanges gossip.
-    async fn exchange(message: Message) -> Message;
+    async fn exchange_gossip(message: Message) -> Message;
 
     /// Keeps a record of a request that the caller drives; returns a higher one that is held
     /// instead. Records are opaque here.
-    async fn keep(record: Vec<u8>) -> Option<Vec<u8>>;
+    async fn store_record(record: Vec<u8>) -> Option<Vec<u8>>;
 
     /// Adds tokens to a record. Copies are opaque here.
-    async fn extend(copy: Vec<u8>);
+    async fn append_to_record(copy: Vec<u8>);
 
     /// Drops the record of a request whose answer has ended, unless it is of a later attempt.
-    async fn forget(request: RequestKey, attempt: Attempt);
+    async fn remove_record(request: RequestKey, attempt: Attempt);
 
     /// Returns the record of a request.
-    async fn kept(request: RequestKey) -> Option<Vec<u8>>;
+    async fn fetch_record(request: RequestKey) -> Option<Vec<u8>>;
 
     /// Returns the bundle in force at the callee, if its revision is at least `revision`.
-    async fn bundle(revision: Revision) -> Option<Vec<u8>>;
+    async fn fetch_bundle(revision: Revision) -> Option<Vec<u8>>;
 
     /// Returns what changed in the platform's store after a revision of the store; opaque here.
-    async fn changes(since: u64) -> Option<Vec<u8>>;
+    async fn fetch_changes(since: u64) -> Option<Vec<u8>>;
 
     /// Exchanges what is known of rollouts. Both messages are opaque here.
-    async fn rollouts(news: Vec<u8>) -> Vec<u8>;
+    async fn exchange_rollouts(news: Vec<u8>) -> Vec<u8>;
 
     /// Passes a call with a key on to the instance that batches for its shard. Both messages are
     /// opaque here. A call that gets no answer may have run.
-    async fn forward(call: Vec<u8>) -> Vec<u8>;
+    async fn forward_call(call: Vec<u8>) -> Vec<u8>;
 }
 
 /// The ways in which a connection to a peer fails.
@@ -103,7 +103,7 @@
 /// # Errors
 ///
 /// Fails when the socket cannot be set up.
-pub async fn accept<S>(stream: TcpStream, service: S) -> io::Result<()>
+pub async fn serve_connection<S>(stream: TcpStream, service: S) -> io::Result<()>
 where
     S: Serve<Req = PeerRequest, Resp = PeerResponse> + Clone,
 {
@@ -118,7 +118,7 @@
 }
 
 /// Returns the context of a call that must be answered by `deadline`.
-pub fn context(deadline: Instant) -> tarpc::context::Context {
+pub fn call_context(deadline: Instant) -> tarpc::context::Context {
     let mut context = tarpc::context::current();
     context.deadline = deadline.into_std();
     context
--- a/crates/fleet/tests/test_peer.rs
+++ b/crates/fleet/tests/test_peer.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use celerypond_fleet::{accept, connect, context, Message, Peer};
+use celerypond_fleet::{call_context, connect, serve_connection, Message, Peer};
 use celerypond_types::{Attempt, RequestKey, Revision};
 use tarpc::{client::RpcError, context::Context};
 use tokio::{net::TcpListener, time::Instant};
@@ -11,35 +11,35 @@
 struct Service;
 
 impl Peer for Service {
-    async fn exchange(self, _: Context, message: Message) -> Message {
+    async fn exchange_gossip(self, _: Context, message: Message) -> Message {
         message
     }
 
-    async fn keep(self, _: Context, _: Vec<u8>) -> Option<Vec<u8>> {
+    async fn store_record(self, _: Context, _: Vec<u8>) -> Option<Vec<u8>> {
         None
     }
 
-    async fn extend(self, _: Context, _: Vec<u8>) {}
+    async fn append_to_record(self, _: Context, _: Vec<u8>) {}
 
-    async fn forget(self, _: Context, _: RequestKey, _: Attempt) {}
+    async fn remove_record(self, _: Context, _: RequestKey, _: Attempt) {}
 
-    async fn kept(self, _: Context, _: RequestKey) -> Option<Vec<u8>> {
+    async fn fetch_record(self, _: Context, _: RequestKey) -> Option<Vec<u8>> {
         std::future::pending().await
     }
 
-    async fn bundle(self, _: Context, revision: Revision) -> Option<Vec<u8>> {
+    async fn fetch_bundle(self, _: Context, revision: Revision) -> Option<Vec<u8>> {
         Some(vec![1; revision.0 as usize])
     }
 
-    async fn changes(self, _: Context, since: u64) -> Option<Vec<u8>> {
+    async fn fetch_changes(self, _: Context, since: u64) -> Option<Vec<u8>> {
         Some(since.to_le_bytes().to_vec())
     }
 
-    async fn rollouts(self, _: Context, news: Vec<u8>) -> Vec<u8> {
+    async fn exchange_rollouts(self, _: Context, news: Vec<u8>) -> Vec<u8> {
         news
     }
 
-    async fn forward(self, _: Context, call: Vec<u8>) -> Vec<u8> {
+    async fn forward_call(self, _: Context, call: Vec<u8>) -> Vec<u8> {
         call
     }
 }
@@ -49,13 +49,13 @@
     let address = listener.local_addr().unwrap();
     let task = tokio::spawn(async move {
         let (stream, _) = listener.accept().await.unwrap();
-        accept(stream, Service.serve()).await.unwrap();
+        serve_connection(stream, Service.serve()).await.unwrap();
     });
     (address, task)
 }
 
 fn soon(ms: u64) -> Context {
-    context(Instant::now() + Duration::from_millis(ms))
+    call_context(Instant::now() + Duration::from_millis(ms))
 }
 
 #[tokio::test]
@@ -63,12 +63,15 @@
     let (address, server) = serve().await;
     let (client, drive) = connect(address, Duration::from_secs(1)).await.unwrap();
     let drive = tokio::spawn(drive);
-    let megabyte = client.bundle(soon(5_000), Revision(1 << 20)).await.unwrap();
+    let megabyte = client
+        .fetch_bundle(soon(5_000), Revision(1 << 20))
+        .await
+        .unwrap();
     assert_eq!(megabyte.unwrap().len(), 1 << 20);
-    let late = client.kept(soon(20), "r".into()).await;
+    let late = client.fetch_record(soon(20), "r".into()).await;
     assert!(matches!(late, Err(RpcError::DeadlineExceeded)), "{late:?}");
     assert_eq!(
-        client.forward(soon(5_000), vec![1, 2]).await.unwrap(),
+        client.forward_call(soon(5_000), vec![1, 2]).await.unwrap(),
         [1, 2]
     );
     drop(client);
@@ -82,7 +85,7 @@
     let (address, server) = serve().await;
     let (client, drive) = connect(address, Duration::from_secs(1)).await.unwrap();
     let drive = tokio::spawn(drive);
-    let long = client.forward(soon(1_000), vec![0; 3 << 20]).await;
+    let long = client.forward_call(soon(1_000), vec![0; 3 << 20]).await;
     assert!(long.is_err());
     drop(client);
     drive.await.unwrap();
--- a/daemon/src/peer_server.rs
+++ b/daemon/src/peer_server.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use celerypond_answer::{KeeperRecord, PutError, RecordExtension};
-use celerypond_fleet::{accept, Message, Peer};
+use celerypond_fleet::{serve_connection, Message, Peer};
 use celerypond_telemetry::{Counter, Gauge};
 use celerypond_types::{Attempt, RequestKey, Revision};
 use futures::FutureExt;
@@ -22,20 +22,20 @@
     listening::serve(listener, ending, |socket| {
         let server = Server(Arc::clone(&node));
         // A peer that goes away in the middle is an ordinary end.
-        accept(socket, server.serve()).map(|_| ())
+        serve_connection(socket, server.serve()).map(|_| ())
     })
     .await;
 }
 
 impl Peer for Server {
-    async fn exchange(self, _: Context, message: Message) -> Message {
+    async fn exchange_gossip(self, _: Context, message: Message) -> Message {
         let answer = self.0.gossip().handle_request(message, Instant::now());
         self.0.metrics.add(Counter::GossipReceived, 1);
         gossip::after(&self.0);
         answer
     }
 
-    async fn keep(self, _: Context, record: Vec<u8>) -> Option<Vec<u8>> {
+    async fn store_record(self, _: Context, record: Vec<u8>) -> Option<Vec<u8>> {
         let record = KeeperRecord::decode(&record).ok()?;
         keeping::tell_driver(&self.0, &record);
         let kept = self.0.keeper().put(Instant::now(), record);
@@ -52,24 +52,24 @@
         }
     }
 
-    async fn extend(self, _: Context, copy: Vec<u8>) {
+    async fn append_to_record(self, _: Context, copy: Vec<u8>) {
         if let Ok(copy) = RecordExtension::decode(&copy) {
             self.0.keeper().extend(&copy);
         }
     }
 
-    async fn forget(self, _: Context, request: RequestKey, attempt: Attempt) {
+    async fn remove_record(self, _: Context, request: RequestKey, attempt: Attempt) {
         self.0.keeper().remove(&request, attempt);
     }
 
-    async fn kept(self, _: Context, request: RequestKey) -> Option<Vec<u8>> {
+    async fn fetch_record(self, _: Context, request: RequestKey) -> Option<Vec<u8>> {
         let keeper = self.0.keeper();
         keeper
             .get(Instant::now(), &request)
             .map(KeeperRecord::encode)
     }
 
-    async fn bundle(self, _: Context, revision: Revision) -> Option<Vec<u8>> {
+    async fn fetch_bundle(self, _: Context, revision: Revision) -> Option<Vec<u8>> {
         let force = self.0.force.load_full()?;
         let told = Told {
             headline: force.headline.clone(),
@@ -79,15 +79,15 @@
     }
 
     /// Only instances that relay routed requests follow each other.
-    async fn changes(self, _: Context, _: u64) -> Option<Vec<u8>> {
+    async fn fetch_changes(self, _: Context, _: u64) -> Option<Vec<u8>> {
         None
     }
 
-    async fn rollouts(self, _: Context, news: Vec<u8>) -> Vec<u8> {
+    async fn exchange_rollouts(self, _: Context, news: Vec<u8>) -> Vec<u8> {
         self.0.rollouts.answer(&self.0, &news)
     }
 
-    async fn forward(self, _: Context, call: Vec<u8>) -> Vec<u8> {
+    async fn forward_call(self, _: Context, call: Vec<u8>) -> Vec<u8> {
         forward::answer(&self.0, &call).await
     }
 }
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use celerypond_fleet::{connect, context, Message, PeerClient};
+use celerypond_fleet::{call_context, connect, Message, PeerClient};
 use celerypond_types::{Attempt, RequestKey, Revision};
 use error_stack::{Report, ResultExt};
 use thiserror::Error;
@@ -49,7 +49,7 @@
     /// A [`PeerCallError`].
     pub async fn exchange(&self, to: SocketAddr, message: Message) -> Answer<Message> {
         let client = self.client(to).await?;
-        self.judge(to, client.exchange(within(SMALL), message).await)
+        self.judge(to, client.exchange_gossip(within(SMALL), message).await)
     }
 
     /// Puts a record at a keeper; returns a higher one that it holds instead.
@@ -59,7 +59,7 @@
     /// A [`PeerCallError`].
     pub async fn keep(&self, to: SocketAddr, record: Vec<u8>) -> Answer<Option<Vec<u8>>> {
         let client = self.client(to).await?;
-        self.judge(to, client.keep(within(SMALL), record).await)
+        self.judge(to, client.store_record(within(SMALL), record).await)
     }
 
     /// Adds tokens to a record at a keeper.
@@ -69,7 +69,7 @@
     /// A [`PeerCallError`].
     pub async fn extend(&self, to: SocketAddr, copy: Vec<u8>) -> Answer<()> {
         let client = self.client(to).await?;
-        self.judge(to, client.extend(within(SMALL), copy).await)
+        self.judge(to, client.append_to_record(within(SMALL), copy).await)
     }
 
     /// Asks a keeper for a record.
@@ -79,7 +79,7 @@
     /// A [`PeerCallError`].
     pub async fn kept(&self, to: SocketAddr, request: RequestKey) -> Answer<Option<Vec<u8>>> {
         let client = self.client(to).await?;
-        self.judge(to, client.kept(within(SMALL), request).await)
+        self.judge(to, client.fetch_record(within(SMALL), request).await)
     }
 
     /// Removes a record from a keeper, unless it is of a later attempt.
@@ -94,7 +94,10 @@
         attempt: Attempt,
     ) -> Answer<()> {
         let client = self.client(to).await?;
-        self.judge(to, client.forget(within(SMALL), request, attempt).await)
+        self.judge(
+            to,
+            client.remove_record(within(SMALL), request, attempt).await,
+        )
     }
 
     /// Asks for the bundle in force at a peer, if its revision is at least `revision`.
@@ -104,7 +107,7 @@
     /// A [`PeerCallError`].
     pub async fn bundle(&self, to: SocketAddr, revision: Revision) -> Answer<Option<Vec<u8>>> {
         let client = self.client(to).await?;
-        self.judge(to, client.bundle(within(LARGE), revision).await)
+        self.judge(to, client.fetch_bundle(within(LARGE), revision).await)
     }
 
     /// Asks for what changed in the platform's store after a revision of the store.
@@ -114,7 +117,7 @@
     /// A [`PeerCallError`].
     pub async fn changes(&self, to: SocketAddr, since: u64) -> Answer<Option<Vec<u8>>> {
         let client = self.client(to).await?;
-        self.judge(to, client.changes(within(LARGE), since).await)
+        self.judge(to, client.fetch_changes(within(LARGE), since).await)
     }
 
     /// Passes a keyed call on to the owner of its shard.
@@ -124,7 +127,7 @@
     /// A [`PeerCallError`]; after `Unreachable` nothing was sent.
     pub async fn forward(&self, to: SocketAddr, call: Vec<u8>, limit: Duration) -> Answer<Vec<u8>> {
         let client = self.client(to).await?;
-        self.judge(to, client.forward(within(limit), call).await)
+        self.judge(to, client.forward_call(within(limit), call).await)
     }
 
     /// Exchanges what is known of rollouts.
@@ -134,7 +137,7 @@
     /// A [`PeerCallError`].
     pub async fn rollouts(&self, to: SocketAddr, news: Vec<u8>) -> Answer<Vec<u8>> {
         let client = self.client(to).await?;
-        self.judge(to, client.rollouts(within(SMALL), news).await)
+        self.judge(to, client.exchange_rollouts(within(SMALL), news).await)
     }
 
     /// Closes all connections and joins their tasks.
@@ -171,5 +174,5 @@
 }
 
 fn within(limit: Duration) -> tarpc::context::Context {
-    context(Instant::now() + limit)
+    call_context(Instant::now() + limit)
 }
--- a/daemon/src/relay/peer_service.rs
+++ b/daemon/src/relay/peer_service.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use celerypond_fleet::{accept, Message, Peer};
+use celerypond_fleet::{serve_connection, Message, Peer};
 use celerypond_relay::encode;
 use celerypond_types::{Attempt, RequestKey, Revision};
 use serde::Serialize;
@@ -32,7 +32,7 @@
         };
         async move {
             // A peer that goes away in the middle is an ordinary end.
-            let _ = accept(socket, server.serve()).await;
+            let _ = serve_connection(socket, server.serve()).await;
         }
     })
     .await;
@@ -61,30 +61,30 @@
 }
 
 impl Peer for Server {
-    async fn exchange(self, _: Context, message: Message) -> Message {
+    async fn exchange_gossip(self, _: Context, message: Message) -> Message {
         let answer = self.site.gossip().handle_request(message, Instant::now());
         members::after(&self.site);
         answer
     }
 
-    async fn keep(self, _: Context, _: Vec<u8>) -> Option<Vec<u8>> {
+    async fn store_record(self, _: Context, _: Vec<u8>) -> Option<Vec<u8>> {
         None
     }
 
-    async fn extend(self, _: Context, _: Vec<u8>) {}
+    async fn append_to_record(self, _: Context, _: Vec<u8>) {}
 
-    async fn forget(self, _: Context, _: RequestKey, _: Attempt) {}
+    async fn remove_record(self, _: Context, _: RequestKey, _: Attempt) {}
 
-    async fn kept(self, _: Context, _: RequestKey) -> Option<Vec<u8>> {
+    async fn fetch_record(self, _: Context, _: RequestKey) -> Option<Vec<u8>> {
         None
     }
 
-    async fn bundle(self, _: Context, revision: Revision) -> Option<Vec<u8>> {
+    async fn fetch_bundle(self, _: Context, revision: Revision) -> Option<Vec<u8>> {
         let table = self.site.known.config_since(revision.0)?;
         self.transfer(table.config())
     }
 
-    async fn changes(self, _: Context, since: u64) -> Option<Vec<u8>> {
+    async fn fetch_changes(self, _: Context, since: u64) -> Option<Vec<u8>> {
         let news = self.site.known.news(since)?;
         match news.is_whole {
             true => self.transfer(&news),
@@ -92,11 +92,11 @@
         }
     }
 
-    async fn rollouts(self, _: Context, _: Vec<u8>) -> Vec<u8> {
+    async fn exchange_rollouts(self, _: Context, _: Vec<u8>) -> Vec<u8> {
         Vec::new()
     }
 
-    async fn forward(self, _: Context, _: Vec<u8>) -> Vec<u8> {
+    async fn forward_call(self, _: Context, _: Vec<u8>) -> Vec<u8> {
         Vec::new()
     }
 }
