--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use std::{fs, time::Duration};
 
-use celerypond_fleet::{Candidate, EntryKind, Gossip, Settings, Subset};
+use celerypond_fleet::{Candidate, EntryKind, Gossip, GossipSettings, Subset};
 use celerypond_types::{DataCentre, InstanceName, Revision, TargetName};
 use mesh::Mesh;
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
@@ -60,16 +60,16 @@
 fn size(n: usize, targets: usize, seeds: u64) -> Vec<Row> {
     let way = format!("gossip n={n} targets={targets}");
     let before = resident_bytes();
-    let (mut mesh, parts) = start(n, targets, Settings::default());
+    let (mut mesh, parts) = start(n, targets, GossipSettings::default());
     let mut rows = steady(&mut mesh, &way, &parts);
     let memory = (resident_bytes().saturating_sub(before)) as f64 / n as f64 / 1e3;
     rows.push(Row::of("memory a daemon", &way, "kB", vec![memory]));
     rows.extend(baselines(n, targets, &parts));
     rows.extend(spread(&mut mesh, &way, seeds));
     drop(mesh);
-    let by_rounds = Settings {
-        urgent_fan: 0,
-        ..Settings::default()
+    let by_rounds = GossipSettings {
+        urgent_fan_out: 0,
+        ..GossipSettings::default()
     };
     let (mut mesh, _) = start(n, targets, by_rounds);
     mesh.run(WARM_SECONDS as u32 * SECOND);
@@ -80,7 +80,7 @@
 
 /// Starts instances that know the platform's list, each with its group; returns what
 /// each one watches.
-fn start(n: usize, targets: usize, settings: Settings) -> (Mesh, Vec<Part>) {
+fn start(n: usize, targets: usize, settings: GossipSettings) -> (Mesh, Vec<Part>) {
     let mut mesh = Mesh::new(n, settings, 1);
     mesh.list_all();
     let names: Vec<InstanceName> = (0..n).map(mesh::name).collect();
@@ -227,7 +227,7 @@
 fn baselines(n: usize, targets: usize, parts: &[Part]) -> Vec<Row> {
     const HEAD: f64 = 160.0;
     const ENTRY: f64 = 16.0;
-    let fan_out = Settings::default().fan_out as f64;
+    let fan_out = GossipSettings::default().fan_out as f64;
     let watched = parts.iter().map(|part| part.targets).sum::<usize>() as f64 / n as f64;
     let load = watched * LOAD_BYTES as f64 + ENTRY;
     let rest = (EVIDENCE_BYTES + DEMAND_BYTES) as f64 + 3.0 * ENTRY + 8.0;
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -15,8 +15,8 @@
 use crate::{
     choose_instances,
     rumours::{News, Rank, Rumours},
-    Brake, Budget, Candidate, Class, EntryError, EntryKind, EntryTable, Facts, Identity, Item,
-    ListedMember, Membership, Message, Origin, Settings,
+    Brake, Budget, Candidate, Class, EntryError, EntryKind, EntryTable, Facts, GossipSettings,
+    Identity, Item, ListedMember, Membership, Message, Origin,
 };
 
 /// A change that the owner of the state machine may want to act on or log.
@@ -60,7 +60,7 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_fleet::{Gossip, Identity, Incarnation, Settings};
+/// use celerypond_fleet::{Gossip, Identity, Incarnation, GossipSettings};
 /// use celerypond_types::Revision;
 /// use rand::{SeedableRng as _, rngs::SmallRng};
 /// use tokio::time::Instant;
@@ -73,7 +73,7 @@
 ///         address: name.into(),
 ///         data_centre: "east".into(),
 ///     };
-///     let settings = Settings { seeds: vec!["b".into()], ..Settings::default() };
+///     let settings = GossipSettings { seeds: vec!["b".into()], ..GossipSettings::default() };
 ///     Gossip::new(identity, settings, SmallRng::seed_from_u64(1), now)
 /// };
 /// let (mut a, mut b) = (make("a"), make("b"));
@@ -87,7 +87,7 @@
 pub struct Gossip {
     identity: Identity,
     origin: Origin,
-    settings: Settings,
+    settings: GossipSettings,
     entries: EntryTable,
     facts: Facts,
     fresh: Facts,
@@ -108,7 +108,7 @@
 
 impl Gossip {
     /// Makes the gossip of an instance that knows nobody yet.
-    pub fn new(identity: Identity, settings: Settings, rng: SmallRng, now: Instant) -> Self {
+    pub fn new(identity: Identity, settings: GossipSettings, rng: SmallRng, now: Instant) -> Self {
         let mut gossip = Self {
             origin: identity.origin(),
             identity,
@@ -118,8 +118,8 @@
             acting: Revision(0),
             membership: Membership::default(),
             rumours: Rumours::default(),
-            budget: Budget::new(settings.start_bytes, now),
-            settled: now + settings.start_time,
+            budget: Budget::new(settings.startup_bytes_per_second, now),
+            settled: now + settings.startup_duration,
             settings,
             group: Vec::new(),
             cursor: Origin(0),
@@ -283,6 +283,6 @@
             class,
             sequence,
         };
-        self.rumours.add(rank, news, self.settings.pushes);
+        self.rumours.add(rank, news, self.settings.push_count);
     }
 }
--- a/crates/fleet/src/gossip/compose.rs
+++ b/crates/fleet/src/gossip/compose.rs
@@ -11,7 +11,7 @@
 impl Gossip {
     /// Returns what this instance has of the next window of origins.
     pub(super) fn fleet_digest(&mut self) -> Digest {
-        let limit = self.settings.window;
+        let limit = self.settings.digest_origins;
         let first = self.cursor;
         let mut window = self.entries.between(first, Origin(u64::MAX), limit + 1);
         let last = match window.get(limit) {
@@ -167,7 +167,7 @@
     /// Returns all control entries of a run.
     pub(super) fn control(&self, origin: Origin) -> Option<Delta> {
         let stream = self.entries.stream(origin, Class::Control)?;
-        stream.since(origin, Class::Control, 0, self.settings.message_bytes)
+        stream.since(origin, Class::Control, 0, self.settings.max_message_bytes)
     }
 }
 
--- a/crates/fleet/src/gossip/exchange.rs
+++ b/crates/fleet/src/gossip/exchange.rs
@@ -43,7 +43,7 @@
             }
         }
         if let Some(digest) = digest {
-            let room = self.budget.room(now).min(self.settings.message_bytes);
+            let room = self.budget.room(now).min(self.settings.max_message_bytes);
             let room = room.saturating_sub(answer.bytes());
             let least = if is_new { GREETING_BYTES } else { 0 };
             let room = room.max(least);
@@ -152,7 +152,8 @@
         member.claim = Some(claim.reached);
         member.claimed = Some(now);
         let news = News::Claim(claim.origin);
-        self.rumours.add(Rank::Control, news, self.settings.pushes);
+        self.rumours
+            .add(Rank::Control, news, self.settings.push_count);
     }
 
     fn contradict(&mut self, claim: Claim) {
@@ -242,7 +243,7 @@
             return Some(self.meet_self(&identity));
         }
         if self.membership.iter().next().is_none() {
-            self.settled = now + self.settings.start_time;
+            self.settled = now + self.settings.startup_duration;
         }
         match self.membership.admit(&identity, now) {
             Admission::Superseded(run) => return Some(Some(run)),
--- a/crates/fleet/src/gossip/round.rs
+++ b/crates/fleet/src/gossip/round.rs
@@ -17,7 +17,7 @@
         self.round += 1;
         let is_starting = self.is_starting(now);
         if !is_starting {
-            self.budget.set_rate(self.settings.second_bytes, now);
+            self.budget.set_rate(self.settings.bytes_per_second, now);
         }
         self.forget(now);
         let mut sends = self.urgent_messages(now);
@@ -34,7 +34,11 @@
                 digest = Some(self.fleet_digest());
             }
         }
-        if self.round.is_multiple_of(self.settings.revive_rounds) || self.live().next().is_none() {
+        if self
+            .round
+            .is_multiple_of(self.settings.unresponsive_retry_rounds)
+            || self.live().next().is_none()
+        {
             self.seek(&mut sends, now);
         }
         sends
@@ -49,8 +53,8 @@
     /// time.
     pub fn round_interval(&self, now: Instant) -> Duration {
         match self.is_starting(now) {
-            true => self.settings.start_round,
-            false => self.settings.round,
+            true => self.settings.startup_round_interval,
+            false => self.settings.round_interval,
         }
     }
 
@@ -68,7 +72,7 @@
         }
         let live: Vec<InstanceKey> = self.live().map(|(key, _)| key).collect();
         let chosen: Vec<InstanceKey> = live
-            .choose_multiple(&mut self.rng, self.settings.urgent_fan)
+            .choose_multiple(&mut self.rng, self.settings.urgent_fan_out)
             .copied()
             .collect();
         let mut sends = Vec::new();
@@ -76,7 +80,7 @@
             let mut message = self.begin(key);
             message.facts = self.fresh.clone();
             let room = self.budget.room(now);
-            let room = room.min(self.settings.message_bytes);
+            let room = room.min(self.settings.max_message_bytes);
             let Some(left) = room.checked_sub(message.bytes()) else {
                 // What is left over is tried again after the next input.
                 return sends;
@@ -93,7 +97,7 @@
         let reached = |origin| entries.reached(origin, crate::Class::Control);
         let gone = self
             .membership
-            .remove_unresponsive(self.settings.forget, now, reached);
+            .remove_unresponsive(self.settings.forget_after, now, reached);
         for member in gone {
             if let Some(origin) = member.origin {
                 self.entries.remove(origin);
@@ -126,7 +130,11 @@
             chosen.push(live.swap_remove(at));
         }
         chosen.extend(doubtful.choose(&mut self.rng));
-        if self.round.is_multiple_of(self.settings.revive_rounds) || live.is_empty() {
+        if self
+            .round
+            .is_multiple_of(self.settings.unresponsive_retry_rounds)
+            || live.is_empty()
+        {
             chosen.extend(silent.choose(&mut self.rng));
         }
         chosen
@@ -138,7 +146,7 @@
             .filter(|(_, member)| self.group.binary_search(&member.name).is_ok())
             .map(|(key, _)| key)
             .collect();
-        let fan = self.settings.group_fan;
+        let fan = self.settings.group_fan_out;
         group.choose_multiple(&mut self.rng, fan).copied().collect()
     }
 
@@ -176,7 +184,7 @@
         digest: Option<Digest>,
         now: Instant,
     ) {
-        let room = self.budget.room(now).min(self.settings.message_bytes);
+        let room = self.budget.room(now).min(self.settings.max_message_bytes);
         let mut message = self.begin(key);
         message.summary = Some(self.facts.summary());
         if room >= message.bytes() + size(&digest) {
--- a/crates/fleet/tests/mesh.rs
+++ b/crates/fleet/tests/mesh.rs
@@ -5,7 +5,9 @@
     time::Duration,
 };
 
-use celerypond_fleet::{Gossip, Identity, Incarnation, ListedMember, Message, Outgoing, Settings};
+use celerypond_fleet::{
+    Gossip, GossipSettings, Identity, Incarnation, ListedMember, Message, Outgoing,
+};
 use celerypond_types::{InstanceKey, InstanceName};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use tokio::time::Instant;
@@ -47,7 +49,7 @@
     pub(crate) sent: Vec<BTreeMap<u64, u64>>,
     pub(crate) start: Instant,
     pub(crate) now: Instant,
-    settings: Settings,
+    settings: GossipSettings,
     lives: Vec<u64>,
     paused: BTreeSet<usize>,
     queue: BTreeMap<(Instant, u64), What>,
@@ -57,7 +59,7 @@
 
 impl Mesh {
     /// Starts `n` instances that know the first one as a seed.
-    pub(crate) fn new(n: usize, settings: Settings, seed: u64) -> Self {
+    pub(crate) fn new(n: usize, settings: GossipSettings, seed: u64) -> Self {
         let start = Instant::now();
         let mut mesh = Self {
             nodes: Vec::new(),
@@ -83,7 +85,7 @@
     /// Starts an instance anew, without anything that it knew.
     pub(crate) fn boot(&mut self, at: usize, incarnation: u64) {
         let seeds = [0, 1].map(|seed| name(seed).as_str().into());
-        let settings = Settings {
+        let settings = GossipSettings {
             seeds: seeds.to_vec(),
             ..self.settings.clone()
         };
@@ -98,7 +100,7 @@
         self.lives[at] += 1;
         let offset = self
             .rng
-            .random_range(Duration::ZERO..self.settings.start_round);
+            .random_range(Duration::ZERO..self.settings.startup_round_interval);
         self.put(offset, What::Tick(at));
     }
 
--- a/crates/fleet/tests/test_budget.rs
+++ b/crates/fleet/tests/test_budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_fleet::{Brake, EntryKind, Gossip, Settings};
+use celerypond_fleet::{Brake, EntryKind, Gossip, GossipSettings};
 use celerypond_types::Revision;
 use rstest::rstest;
 
@@ -14,7 +14,7 @@
 /// Runs instances that all change large entries every second, and returns the time that a brake
 /// then takes to reach all of them.
 fn flood(n: usize, seed: u64) -> (Mesh, Duration) {
-    let mut mesh = Mesh::new(n, Settings::default(), seed);
+    let mut mesh = Mesh::new(n, GossipSettings::default(), seed);
     mesh.list_all();
     for at in 0..n {
         mesh.node(at).set_group((0..n).map(name).collect());
@@ -52,7 +52,7 @@
 fn a_brake_passes_a_flood_and_bytes_stay_bounded(#[case] seed: u64) {
     let (mesh, time) = flood(40, seed);
     assert!(time < Duration::from_secs(1), "{time:?}");
-    let limit = Settings::default().second_bytes;
+    let limit = GossipSettings::default().bytes_per_second;
     let first = WARM.as_secs();
     for sent in &mesh.sent {
         let total: u64 = sent.range(first..first + FLOOD_SECONDS).map(|s| s.1).sum();
--- a/crates/fleet/tests/test_entry_table.rs
+++ b/crates/fleet/tests/test_entry_table.rs
@@ -1,6 +1,6 @@
 //! Entries that arrive in pieces, out of order and not at all.
 
-use celerypond_fleet::{EntryError, EntryKind, EntryTable, Facts, Item, Origin, Settings};
+use celerypond_fleet::{EntryError, EntryKind, EntryTable, Facts, GossipSettings, Item, Origin};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use rstest::rstest;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 // never ask for the hole again: an instance would act on old evidence for good.
 #[rstest]
 fn holes_left_by_lost_pushes_are_filled(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
-    let mut mesh = Mesh::new(9, Settings::default(), seed);
+    let mut mesh = Mesh::new(9, GossipSettings::default(), seed);
     let mut rng = SmallRng::seed_from_u64(seed);
     mesh.list_all();
     mesh.run(Duration::from_secs(5));
--- a/crates/fleet/tests/test_gossip.rs
+++ b/crates/fleet/tests/test_gossip.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_fleet::{Brake, EntryKind, Event, Facts, Gossip, MemberState, Settings};
+use celerypond_fleet::{Brake, EntryKind, Event, Facts, Gossip, GossipSettings, MemberState};
 use celerypond_types::Revision;
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use rstest::rstest;
@@ -34,7 +34,7 @@
 ) {
     let n = 12;
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut mesh = Mesh::new(n, Settings::default(), seed);
+    let mut mesh = Mesh::new(n, GossipSettings::default(), seed);
     mesh.run(10 * SECOND);
     mesh.loss = 0.2;
     let mut seen = vec![Facts::default(); n];
@@ -80,7 +80,7 @@
 // help from the platform's list, which may be down.
 #[rstest]
 fn halves_of_a_partition_find_each_other(#[values(1, 2, 3, 4)] seed: u64) {
-    let mut mesh = Mesh::new(10, Settings::default(), seed);
+    let mut mesh = Mesh::new(10, GossipSettings::default(), seed);
     mesh.run(15 * SECOND);
     assert!(all_live(&mesh));
     mesh.side[..5].fill(1);
@@ -95,9 +95,9 @@
 // with it, and the bad version would get traffic again.
 #[rstest]
 fn a_brake_outlives_the_instance_that_tripped_it(#[values(1, 2, 3)] seed: u64) {
-    let settings = Settings {
-        forget: 20 * SECOND,
-        ..Settings::default()
+    let settings = GossipSettings {
+        forget_after: 20 * SECOND,
+        ..GossipSettings::default()
     };
     let mut mesh = Mesh::new(7, settings, seed);
     mesh.run(10 * SECOND);
@@ -114,7 +114,7 @@
 // two seeds. The revision must be known to all the new ones, from their peers alone.
 #[test]
 fn a_fleet_without_disks_keeps_the_revision_while_the_store_is_down() {
-    let mut mesh = Mesh::new(7, Settings::default(), 1);
+    let mut mesh = Mesh::new(7, GossipSettings::default(), 1);
     mesh.node(6).raise_acting_revision(Revision(41));
     mesh.run(10 * SECOND);
     for at in 0..7 {
@@ -134,13 +134,13 @@
 // fleets that never heard of each other, and a brake tripped in one did not reach the other.
 #[rstest]
 fn instances_with_different_seeds_form_one_fleet(#[values(1, 2, 3, 4, 5)] seed: u64) {
-    let mut mesh = Mesh::new(20, Settings::default(), seed);
+    let mut mesh = Mesh::new(20, GossipSettings::default(), seed);
     assert!(mesh.run_until(60 * SECOND, all_live));
 }
 
 #[test]
 fn entries_of_a_group_stay_in_it_and_summaries_reach_all() {
-    let mut mesh = Mesh::new(12, Settings::default(), 1);
+    let mut mesh = Mesh::new(12, GossipSettings::default(), 1);
     mesh.list_all();
     for at in 0..12 {
         let start = at / 6 * 6;
@@ -178,7 +178,7 @@
 // two seeds, whose budget cannot answer them all at length.
 #[test]
 fn many_that_start_at_once_through_two_seeds_all_meet() {
-    let mut mesh = Mesh::new(150, Settings::default(), 1);
+    let mut mesh = Mesh::new(150, GossipSettings::default(), 1);
     assert!(mesh.run_until(60 * SECOND, all_live));
 }
 
@@ -190,7 +190,7 @@
 #[case::next(300, 1_500)]
 #[case::planned(900, 2_500)]
 fn a_fleet_that_starts_at_once_meets_within_seconds(#[case] n: usize, #[case] millis: u64) {
-    let mut mesh = Mesh::new(n, Settings::default(), 1);
+    let mut mesh = Mesh::new(n, GossipSettings::default(), 1);
     let nearly = |mesh: &Mesh| {
         let live = |gossip: &Gossip| gossip.membership().in_state(MemberState::Live).count();
         mesh.all(|gossip| live(gossip) * 10 >= n * 9)
@@ -205,7 +205,7 @@
 // and without end, and both spent their whole budget on it.
 #[test]
 fn an_exchange_ends_with_its_follow_up() {
-    let mut mesh = Mesh::new(2, Settings::default(), 1);
+    let mut mesh = Mesh::new(2, GossipSettings::default(), 1);
     mesh.node(1).raise_acting_revision(Revision(3));
     let now = mesh.now;
     let request = mesh.node(0).tick(now).remove(0);
@@ -223,7 +223,7 @@
 // Guards against an instance that hears of a revision once and cannot tell whether anyone still acts on it.
 #[test]
 fn peer_that_acts_on_a_later_revision_says_so_for_as_long_as_it_lives() {
-    let mut mesh = Mesh::new(3, Settings::default(), 1);
+    let mut mesh = Mesh::new(3, GossipSettings::default(), 1);
     mesh.run(5 * SECOND);
     mesh.node(2).raise_acting_revision(Revision(9));
     mesh.run(SECOND);
--- a/crates/fleet/tests/test_membership.rs
+++ b/crates/fleet/tests/test_membership.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_fleet::{EntryKind, Event, Incarnation, MemberState, Settings};
+use celerypond_fleet::{EntryKind, Event, GossipSettings, Incarnation, MemberState};
 use rstest::rstest;
 
 use crate::mesh::{listed, name, Mesh};
@@ -10,9 +10,9 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 fn fleet(n: usize, seed: u64) -> Mesh {
-    let settings = Settings {
-        forget: 60 * SECOND,
-        ..Settings::default()
+    let settings = GossipSettings {
+        forget_after: 60 * SECOND,
+        ..GossipSettings::default()
     };
     let mut mesh = Mesh::new(n, settings, seed);
     mesh.run(15 * SECOND);
--- a/crates/fleet/tests/test_scripts.rs
+++ b/crates/fleet/tests/test_scripts.rs
@@ -2,7 +2,7 @@
 
 use std::{error::Error, fmt::Write as _, time::Duration};
 
-use celerypond_fleet::{Brake, Gossip, MemberState, Settings};
+use celerypond_fleet::{Brake, Gossip, GossipSettings, MemberState};
 use celerypond_types::Revision;
 use goldenscript::{ArgumentConsumer, Command, Context, Runner};
 
@@ -63,7 +63,7 @@
         match command.name.as_str() {
             "start" => {
                 let n = number(&mut args)?;
-                self.0 = Some(Mesh::new(n, Settings::default(), 1));
+                self.0 = Some(Mesh::new(n, GossipSettings::default(), 1));
             }
             "run" => {
                 let seconds = number(&mut args)?;
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -345,9 +345,9 @@
         data_centre: settings.data_centre.clone(),
     };
     let seeds = settings.seeds.iter();
-    let settings = celerypond_fleet::Settings {
+    let settings = celerypond_fleet::GossipSettings {
         seeds: seeds.map(|address| format_smolstr!("{address}")).collect(),
-        ..celerypond_fleet::Settings::default()
+        ..celerypond_fleet::GossipSettings::default()
     };
     Gossip::new(identity, settings, SmallRng::from_rng(rng), now)
 }
--- a/daemon/src/relay/members.rs
+++ b/daemon/src/relay/members.rs
@@ -35,10 +35,10 @@
     let seeds = seeds
         .filter(|seed| seed.0 != settings.ip)
         .map(|seed| format_smolstr!("{}", SocketAddr::new(seed.0, port)));
-    let settings = celerypond_fleet::Settings {
-        round: ROUND,
+    let settings = celerypond_fleet::GossipSettings {
+        round_interval: ROUND,
         seeds: seeds.collect(),
-        ..celerypond_fleet::Settings::default()
+        ..celerypond_fleet::GossipSettings::default()
     };
     Gossip::new(identity, settings, SmallRng::from_os_rng(), now)
 }
