--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -8,14 +8,14 @@
 
 use celerypond_fleet::{Candidate, EntryKind, Gossip, GossipSettings, Subset};
 use celerypond_types::{DataCentre, InstanceName, Revision, TargetName};
-use mesh::Mesh;
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
+use simulation::Simulation;
 
 use crate::table::Row;
 
 #[expect(dead_code, reason = "the tests of the crate use the rest")]
-#[path = "../../crates/fleet/tests/mesh.rs"]
-mod mesh;
+#[path = "../../crates/fleet/tests/simulation.rs"]
+mod simulation;
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -46,7 +46,7 @@
     period: u64,
 }
 
-/// The virtual time that one mesh is given for one piece of news.
+/// The virtual time that one simulation is given for one piece of news.
 const SPREAD_LIMIT: Duration = Duration::from_secs(30);
 
 /// Takes the measures.
@@ -60,37 +60,39 @@
 fn size(n: usize, targets: usize, seeds: u64) -> Vec<Row> {
     let way = format!("gossip n={n} targets={targets}");
     let before = resident_bytes();
-    let (mut mesh, parts) = start(n, targets, GossipSettings::default());
-    let mut rows = steady(&mut mesh, &way, &parts);
+    let (mut simulation, parts) = start(n, targets, GossipSettings::default());
+    let mut rows = steady(&mut simulation, &way, &parts);
     let memory = (resident_bytes().saturating_sub(before)) as f64 / n as f64 / 1e3;
     rows.push(Row::of("memory a daemon", &way, "kB", vec![memory]));
     rows.extend(baselines(n, targets, &parts));
-    rows.extend(spread(&mut mesh, &way, seeds));
-    drop(mesh);
+    rows.extend(spread(&mut simulation, &way, seeds));
+    drop(simulation);
     let by_rounds = GossipSettings {
         urgent_fan_out: 0,
         ..GossipSettings::default()
     };
-    let (mut mesh, _) = start(n, targets, by_rounds);
-    mesh.run(WARM_SECONDS as u32 * SECOND);
+    let (mut simulation, _) = start(n, targets, by_rounds);
+    simulation.run(WARM_SECONDS as u32 * SECOND);
     let way = format!("baseline: by rounds only n={n}");
-    rows.extend(spread(&mut mesh, &way, seeds));
+    rows.extend(spread(&mut simulation, &way, seeds));
     rows
 }
 
 /// Starts instances that know the platform's list, each with its group; returns what
 /// each one watches.
-fn start(n: usize, targets: usize, settings: GossipSettings) -> (Mesh, Vec<Part>) {
-    let mut mesh = Mesh::new(n, settings, 1);
-    mesh.list_all();
-    let names: Vec<InstanceName> = (0..n).map(mesh::name).collect();
+fn start(n: usize, targets: usize, settings: GossipSettings) -> (Simulation, Vec<Part>) {
+    let mut simulation = Simulation::new(n, settings, 1);
+    simulation.update_all_lists();
+    let names: Vec<InstanceName> = (0..n).map(simulation::instance_name).collect();
     let targets: Vec<TargetName> = (0..targets)
         .map(|at| format!("engine-{at}").as_str().into())
         .collect();
     let mut parts = Vec::new();
     for own in &names {
         let subset = Subset::of(own, &names, &targets);
-        let centres: Vec<DataCentre> = (0..3).map(|at| mesh::listed(at).data_centre).collect();
+        let centres: Vec<DataCentre> = (0..3)
+            .map(|at| simulation::listed_member(at).data_centre)
+            .collect();
         let pairs = subset.peers.iter().zip(centres.iter().cycle());
         let peers: Vec<Candidate<'_>> = pairs
             .map(|(name, data_centre)| Candidate { name, data_centre })
@@ -100,27 +102,27 @@
             targets: subset.watched_targets(own, &peers).len(),
             period: subset.summary_period().as_secs(),
         });
-        mesh.node(at).set_group(subset.peers);
+        simulation.node(at).set_group(subset.peers);
     }
-    (mesh, parts)
+    (simulation, parts)
 }
 
 /// Runs the usual work and measures bytes, processor time and the age of load reports.
-fn steady(mesh: &mut Mesh, way: &str, parts: &[Part]) -> Vec<Row> {
+fn steady(simulation: &mut Simulation, way: &str, parts: &[Part]) -> Vec<Row> {
     for second in 0..WARM_SECONDS {
-        work(mesh, parts, second);
+        work(simulation, parts, second);
     }
     let begun = processor_ns();
     let mut ages = Vec::new();
     for second in WARM_SECONDS..WARM_SECONDS + STEADY_SECONDS {
-        work(mesh, parts, second);
-        ages.extend(load_ages(mesh, second));
+        work(simulation, parts, second);
+        ages.extend(load_ages(simulation, second));
     }
     let n = parts.len() as f64;
     let spent = (processor_ns() - begun) as f64 / n / STEADY_SECONDS as f64;
     let seconds = WARM_SECONDS..WARM_SECONDS + STEADY_SECONDS;
-    let per_second: Vec<f64> = mesh
-        .sent
+    let per_second: Vec<f64> = simulation
+        .bytes_sent
         .iter()
         .flat_map(|sent| sent.range(seconds.clone()).map(|(_, bytes)| *bytes as f64))
         .collect();
@@ -132,14 +134,16 @@
 }
 
 /// Runs one second in which every instance changes what it changes in daily work.
-fn work(mesh: &mut Mesh, parts: &[Part], second: u64) {
+fn work(simulation: &mut Simulation, parts: &[Part], second: u64) {
     if second.is_multiple_of(CHANGE_SECONDS) {
         let at = second as usize % parts.len();
-        mesh.node(at).raise_acting_revision(Revision(second + 1));
-        mesh.push(at);
+        simulation
+            .node(at)
+            .raise_acting_revision(Revision(second + 1));
+        simulation.send_urgent(at);
     }
     for (at, part) in parts.iter().enumerate() {
-        let node = mesh.node(at);
+        let node = simulation.node(at);
         let is_due = |period: u64| (second + at as u64).is_multiple_of(period);
         let mut load = vec![0; (8 + part.targets * LOAD_BYTES).min(1_000)];
         load[..8].copy_from_slice(&second.to_le_bytes());
@@ -166,7 +170,7 @@
             set(node, EntryKind::ActingSummary, fill(12, second));
         }
     }
-    mesh.run(SECOND);
+    simulation.run(SECOND);
 }
 
 fn set(node: &mut Gossip, kind: EntryKind, value: Vec<u8>) {
@@ -179,9 +183,9 @@
 }
 
 /// Returns how old the load reports of the group are at one instance.
-fn load_ages(mesh: &mut Mesh, second: u64) -> Vec<f64> {
-    let at = second as usize % mesh.nodes.len();
-    let node = mesh.node(at);
+fn load_ages(simulation: &mut Simulation, second: u64) -> Vec<f64> {
+    let at = second as usize % simulation.nodes.len();
+    let node = simulation.node(at);
     let items = node.entries().items(EntryKind::TargetLoad);
     items
         .filter(|(origin, _)| *origin != node.origin())
@@ -192,30 +196,30 @@
 
 /// Raises revisions one after the other, each at another instance, and measures the time until each
 /// instance has it.
-fn spread(mesh: &mut Mesh, way: &str, seeds: u64) -> Vec<Row> {
+fn spread(simulation: &mut Simulation, way: &str, seeds: u64) -> Vec<Row> {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut times = Vec::new();
     let mut last = Vec::new();
     for seed in 0..seeds {
         let revision = Revision(100_000 + seed);
-        let start = mesh.now;
-        let at = rng.random_range(0..mesh.nodes.len());
-        mesh.node(at).raise_acting_revision(revision);
-        mesh.push(at);
-        let mut missing: Vec<usize> = (0..mesh.nodes.len()).collect();
-        while !missing.is_empty() && mesh.now < start + SPREAD_LIMIT {
-            mesh.run(Duration::from_millis(5));
-            let time = (mesh.now - start).as_secs_f64();
+        let start = simulation.now;
+        let at = rng.random_range(0..simulation.nodes.len());
+        simulation.node(at).raise_acting_revision(revision);
+        simulation.send_urgent(at);
+        let mut missing: Vec<usize> = (0..simulation.nodes.len()).collect();
+        while !missing.is_empty() && simulation.now < start + SPREAD_LIMIT {
+            simulation.run(Duration::from_millis(5));
+            let time = (simulation.now - start).as_secs_f64();
             missing.retain(|at| {
-                let has = mesh.node(*at).facts().revision() >= revision;
+                let has = simulation.node(*at).facts().revision() >= revision;
                 if has {
                     times.push(time);
                 }
                 !has
             });
         }
-        last.push((mesh.now - start).as_secs_f64());
-        mesh.run(SECOND);
+        last.push((simulation.now - start).as_secs_f64());
+        simulation.run(SECOND);
     }
     vec![
         Row::of("urgent news at an instance", way, "s", times),
--- a/crates/fleet/tests/runner.rs
+++ b/crates/fleet/tests/runner.rs
@@ -1,6 +1,6 @@
 //! Runs the tests of the crate.
 
-mod mesh;
+mod simulation;
 mod test_budget;
 mod test_choice;
 mod test_distribution_tree;
--- a/crates/fleet/tests/mesh.rs
+++ b/crates/fleet/tests/simulation.rs
@@ -39,14 +39,14 @@
 
 /// Instances and the messages between them.
 #[derive(Debug)]
-pub(crate) struct Mesh {
+pub(crate) struct Simulation {
     pub(crate) nodes: Vec<Option<Gossip>>,
     /// The part of messages that are lost.
-    pub(crate) loss: f64,
+    pub(crate) loss_rate: f64,
     /// Instances on different sides do not reach each other.
-    pub(crate) side: Vec<u8>,
+    pub(crate) partition: Vec<u8>,
     /// Bytes that each instance sent in each second.
-    pub(crate) sent: Vec<BTreeMap<u64, u64>>,
+    pub(crate) bytes_sent: Vec<BTreeMap<u64, u64>>,
     pub(crate) start: Instant,
     pub(crate) now: Instant,
     settings: GossipSettings,
@@ -57,15 +57,15 @@
     rng: SmallRng,
 }
 
-impl Mesh {
+impl Simulation {
     /// Starts `n` instances that know the first one as a seed.
     pub(crate) fn new(n: usize, settings: GossipSettings, seed: u64) -> Self {
         let start = Instant::now();
-        let mut mesh = Self {
+        let mut simulation = Self {
             nodes: Vec::new(),
-            loss: 0.0,
-            side: vec![0; n],
-            sent: vec![BTreeMap::new(); n],
+            loss_rate: 0.0,
+            partition: vec![0; n],
+            bytes_sent: vec![BTreeMap::new(); n],
             start,
             now: start,
             settings,
@@ -76,23 +76,23 @@
             rng: SmallRng::seed_from_u64(seed),
         };
         for at in 0..n {
-            mesh.nodes.push(None);
-            mesh.boot(at, 1);
+            simulation.nodes.push(None);
+            simulation.start_instance(at, 1);
         }
-        mesh
+        simulation
     }
 
     /// Starts an instance anew, without anything that it knew.
-    pub(crate) fn boot(&mut self, at: usize, incarnation: u64) {
-        let seeds = [0, 1].map(|seed| name(seed).as_str().into());
+    pub(crate) fn start_instance(&mut self, at: usize, incarnation: u64) {
+        let seeds = [0, 1].map(|seed| instance_name(seed).as_str().into());
         let settings = GossipSettings {
             seeds: seeds.to_vec(),
             ..self.settings.clone()
         };
         let identity = Identity {
-            name: name(at),
+            name: instance_name(at),
             incarnation: Incarnation(incarnation),
-            address: name(at).as_str().into(),
+            address: instance_name(at).as_str().into(),
             data_centre: CENTRES[at % CENTRES.len()].into(),
         };
         let rng = SmallRng::seed_from_u64(self.rng.random());
@@ -110,7 +110,7 @@
     }
 
     /// Holds an instance up, or lets it go on; what comes meanwhile waits.
-    pub(crate) fn pause(&mut self, at: usize, paused: bool) {
+    pub(crate) fn set_paused(&mut self, at: usize, paused: bool) {
         if paused {
             self.paused.insert(at);
         } else {
@@ -123,15 +123,15 @@
     }
 
     /// Gives every instance the list of all.
-    pub(crate) fn list_all(&mut self) {
-        let list: Vec<ListedMember> = (0..self.nodes.len()).map(listed).collect();
+    pub(crate) fn update_all_lists(&mut self) {
+        let list: Vec<ListedMember> = (0..self.nodes.len()).map(listed_member).collect();
         for node in self.nodes.iter_mut().flatten() {
             node.update_listed_members(&list, self.now);
         }
     }
 
     /// Sends what an instance has to push after a change made from outside.
-    pub(crate) fn push(&mut self, at: usize) {
+    pub(crate) fn send_urgent(&mut self, at: usize) {
         let now = self.now;
         let sends = self.node(at).urgent_messages(now);
         self.send(at, sends);
@@ -165,7 +165,7 @@
     }
 
     /// Returns whether all live instances satisfy `check`.
-    pub(crate) fn all(&self, check: impl Fn(&Gossip) -> bool) -> bool {
+    pub(crate) fn all_instances(&self, check: impl Fn(&Gossip) -> bool) -> bool {
         self.nodes.iter().flatten().all(check)
     }
 
@@ -193,7 +193,7 @@
             return;
         }
         self.act(what);
-        self.push(target);
+        self.send_urgent(target);
     }
 
     fn act(&mut self, what: What) {
@@ -243,7 +243,8 @@
     }
 
     fn pass(&mut self, from: usize, to: usize, what: What, call: Call) {
-        let lost = self.rng.random_bool(self.loss) || self.side[from] != self.side[to];
+        let lost =
+            self.rng.random_bool(self.loss_rate) || self.partition[from] != self.partition[to];
         if lost {
             self.put(DEADLINE, What::Failed(call));
             return;
@@ -254,7 +255,7 @@
 
     fn account(&mut self, from: usize, message: &Message) {
         let second = (self.now - self.start).as_secs();
-        *self.sent[from].entry(second).or_default() += message.bytes() as u64;
+        *self.bytes_sent[from].entry(second).or_default() += message.bytes() as u64;
     }
 
     fn put(&mut self, after: Duration, what: What) {
@@ -264,14 +265,14 @@
 }
 
 /// Returns the name of an instance, which is also its address here.
-pub(crate) fn name(at: usize) -> InstanceName {
+pub(crate) fn instance_name(at: usize) -> InstanceName {
     format!("i{at}").as_str().into()
 }
 
-pub(crate) fn listed(at: usize) -> ListedMember {
+pub(crate) fn listed_member(at: usize) -> ListedMember {
     ListedMember {
-        name: name(at),
-        address: name(at).as_str().into(),
+        name: instance_name(at),
+        address: instance_name(at).as_str().into(),
         data_centre: CENTRES[at % CENTRES.len()].into(),
         leaving: false,
     }
--- a/crates/fleet/tests/test_entry_table.rs
+++ b/crates/fleet/tests/test_entry_table.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use std::time::Duration;
 
-use crate::mesh::Mesh;
+use crate::simulation::Simulation;
 
 fn item(key: u8, value: u8) -> Item {
     Item {
@@ -20,32 +20,32 @@
 // never ask for the hole again: an instance would act on old evidence for good.
 #[rstest]
 fn holes_left_by_lost_pushes_are_filled(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
-    let mut mesh = Mesh::new(9, GossipSettings::default(), seed);
+    let mut simulation = Simulation::new(9, GossipSettings::default(), seed);
     let mut rng = SmallRng::seed_from_u64(seed);
-    mesh.list_all();
-    mesh.run(Duration::from_secs(5));
-    mesh.loss = 0.35;
+    simulation.update_all_lists();
+    simulation.run(Duration::from_secs(5));
+    simulation.loss_rate = 0.35;
     for _ in 0..200 {
         let key = rng.random_range(0..12);
-        let node = mesh.node(0);
+        let node = simulation.node(0);
         if rng.random_bool(0.2) {
             node.clear_entry(EntryKind::EvidenceSummary, &format!("k{key}"));
         } else {
             let item = item(key, rng.random());
             node.set_entry(item.kind, &item.key, item.value).unwrap();
         }
-        mesh.run(Duration::from_millis(100));
+        simulation.run(Duration::from_millis(100));
     }
-    mesh.run(Duration::from_secs(40));
+    simulation.run(Duration::from_secs(40));
     let entries = |table: &EntryTable| -> Vec<(Origin, Item)> {
         let items = table.items(EntryKind::EvidenceSummary);
         let mut items: Vec<_> = items.map(|(origin, item)| (origin, item.clone())).collect();
         items.sort_by(|a, b| a.1.key.cmp(&b.1.key));
         items
     };
-    let own = entries(mesh.node(0).entries());
+    let own = entries(simulation.node(0).entries());
     assert!(!own.is_empty());
-    assert!(mesh.all(|gossip| entries(gossip.entries()) == own));
+    assert!(simulation.all_instances(|gossip| entries(gossip.entries()) == own));
 }
 
 #[test]
--- a/crates/fleet/tests/test_gossip.rs
+++ b/crates/fleet/tests/test_gossip.rs
@@ -7,7 +7,7 @@
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use rstest::rstest;
 
-use crate::mesh::{name, Mesh};
+use crate::simulation::{instance_name, Simulation};
 
 const SECOND: Duration = Duration::from_secs(1);
 /// Half of what a link of 10 Mbit/s carries in a second, in bytes.
@@ -20,9 +20,10 @@
     }
 }
 
-fn all_live(mesh: &Mesh) -> bool {
-    let others = mesh.nodes.iter().flatten().count() - 1;
-    mesh.all(|gossip| gossip.membership().in_state(MemberState::Live).count() == others)
+fn all_live(simulation: &Simulation) -> bool {
+    let others = simulation.nodes.iter().flatten().count() - 1;
+    simulation
+        .all_instances(|gossip| gossip.membership().in_state(MemberState::Live).count() == others)
 }
 
 // Operators raise the revision and instances trip brakes while messages are lost, the network
@@ -34,45 +35,46 @@
 ) {
     let n = 12;
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut mesh = Mesh::new(n, GossipSettings::default(), seed);
-    mesh.run(10 * SECOND);
-    mesh.loss = 0.2;
+    let mut simulation = Simulation::new(n, GossipSettings::default(), seed);
+    simulation.run(10 * SECOND);
+    simulation.loss_rate = 0.2;
     let mut seen = vec![Facts::default(); n];
     let mut truth = Facts::default();
     for step in 1..=60 {
         let at = rng.random_range(0..n);
         match rng.random_range(0..6) {
             0 => {
-                mesh.node(at).raise_acting_revision(Revision(step));
+                simulation.node(at).raise_acting_revision(Revision(step));
                 truth.raise_revision(Revision(step));
             }
             1 => {
-                mesh.node(at).add_brake(brake(step));
+                simulation.node(at).add_brake(brake(step));
                 truth.add_brake(brake(step));
             }
-            2 => mesh.side.fill_with(|| rng.random_range(0..2)),
-            3 => mesh.side.fill(0),
-            4 if mesh.node(at).facts() != &truth => {
+            2 => simulation.partition.fill_with(|| rng.random_range(0..2)),
+            3 => simulation.partition.fill(0),
+            4 if simulation.node(at).facts() != &truth => {
                 // Only what one instance alone knows may be lost with it.
-                mesh.boot(at, step + 1);
+                simulation.start_instance(at, step + 1);
                 seen[at] = Facts::default();
             }
-            _ => mesh.push(at),
+            _ => simulation.send_urgent(at),
         }
-        mesh.run(SECOND);
-        for (node, seen) in mesh.nodes.iter().flatten().zip(&mut seen) {
+        simulation.run(SECOND);
+        for (node, seen) in simulation.nodes.iter().flatten().zip(&mut seen) {
             assert!(node.facts().revision() >= seen.revision());
             assert!(seen.brakes().all(|brake| node.facts().is_braked(brake)));
             *seen = node.facts().clone();
         }
     }
-    mesh.side.fill(0);
-    mesh.loss = 0.0;
-    let agreed = |mesh: &Mesh| {
-        let first = mesh.nodes[0].as_ref().map(|g| g.facts().summary());
-        mesh.all(|gossip| Some(gossip.facts().summary()) == first) && all_live(mesh)
+    simulation.partition.fill(0);
+    simulation.loss_rate = 0.0;
+    let agreed = |simulation: &Simulation| {
+        let first = simulation.nodes[0].as_ref().map(|g| g.facts().summary());
+        simulation.all_instances(|gossip| Some(gossip.facts().summary()) == first)
+            && all_live(simulation)
     };
-    assert!(mesh.run_until(90 * SECOND, agreed));
+    assert!(simulation.run_until(90 * SECOND, agreed));
 }
 
 // Both halves of a fleet suspect the other half while the network is split for minutes. Callers of
@@ -80,15 +82,15 @@
 // help from the platform's list, which may be down.
 #[rstest]
 fn halves_of_a_partition_find_each_other(#[values(1, 2, 3, 4)] seed: u64) {
-    let mut mesh = Mesh::new(10, GossipSettings::default(), seed);
-    mesh.run(15 * SECOND);
-    assert!(all_live(&mesh));
-    mesh.side[..5].fill(1);
-    mesh.run(300 * SECOND);
+    let mut simulation = Simulation::new(10, GossipSettings::default(), seed);
+    simulation.run(15 * SECOND);
+    assert!(all_live(&simulation));
+    simulation.partition[..5].fill(1);
+    simulation.run(300 * SECOND);
     let live = |gossip: &Gossip| gossip.membership().in_state(MemberState::Live).count();
-    assert!(mesh.all(|gossip| live(gossip) == 4));
-    mesh.side.fill(0);
-    assert!(mesh.run_until(60 * SECOND, all_live));
+    assert!(simulation.all_instances(|gossip| live(gossip) == 4));
+    simulation.partition.fill(0);
+    assert!(simulation.run_until(60 * SECOND, all_live));
 }
 
 // An instance trips a brake and dies a moment later. If the brake were its own entry, it would go
@@ -99,31 +101,33 @@
         forget_after: 20 * SECOND,
         ..GossipSettings::default()
     };
-    let mut mesh = Mesh::new(7, settings, seed);
-    mesh.run(10 * SECOND);
-    mesh.node(3).add_brake(brake(1));
-    mesh.push(3);
-    mesh.run(Duration::from_millis(10));
-    mesh.kill(3);
-    mesh.run(60 * SECOND);
-    assert!(mesh.all(|gossip| gossip.facts().is_braked(&brake(1))));
-    assert!(mesh.all(|gossip| gossip.membership().by_name(&name(3)).is_none()));
+    let mut simulation = Simulation::new(7, settings, seed);
+    simulation.run(10 * SECOND);
+    simulation.node(3).add_brake(brake(1));
+    simulation.send_urgent(3);
+    simulation.run(Duration::from_millis(10));
+    simulation.kill(3);
+    simulation.run(60 * SECOND);
+    assert!(simulation.all_instances(|gossip| gossip.facts().is_braked(&brake(1))));
+    assert!(
+        simulation.all_instances(|gossip| gossip.membership().by_name(&instance_name(3)).is_none())
+    );
 }
 
 // All instances are replaced one after the other while the platform is down, each with nothing but
 // two seeds. The revision must be known to all the new ones, from their peers alone.
 #[test]
 fn a_fleet_without_disks_keeps_the_revision_while_the_store_is_down() {
-    let mut mesh = Mesh::new(7, GossipSettings::default(), 1);
-    mesh.node(6).raise_acting_revision(Revision(41));
-    mesh.run(10 * SECOND);
+    let mut simulation = Simulation::new(7, GossipSettings::default(), 1);
+    simulation.node(6).raise_acting_revision(Revision(41));
+    simulation.run(10 * SECOND);
     for at in 0..7 {
-        mesh.kill(at);
-        mesh.run(2 * SECOND);
-        mesh.boot(at, 2);
-        mesh.run(6 * SECOND);
-        assert_eq!(mesh.node(at).facts().revision(), Revision(41));
-        assert!(mesh
+        simulation.kill(at);
+        simulation.run(2 * SECOND);
+        simulation.start_instance(at, 2);
+        simulation.run(6 * SECOND);
+        assert_eq!(simulation.node(at).facts().revision(), Revision(41));
+        assert!(simulation
             .node(at)
             .take_events()
             .contains(&Event::Revision(Revision(41))));
@@ -134,28 +138,31 @@
 // fleets that never heard of each other, and a brake tripped in one did not reach the other.
 #[rstest]
 fn instances_with_different_seeds_form_one_fleet(#[values(1, 2, 3, 4, 5)] seed: u64) {
-    let mut mesh = Mesh::new(20, GossipSettings::default(), seed);
-    assert!(mesh.run_until(60 * SECOND, all_live));
+    let mut simulation = Simulation::new(20, GossipSettings::default(), seed);
+    assert!(simulation.run_until(60 * SECOND, all_live));
 }
 
 #[test]
 fn entries_of_a_group_stay_in_it_and_summaries_reach_all() {
-    let mut mesh = Mesh::new(12, GossipSettings::default(), 1);
-    mesh.list_all();
+    let mut simulation = Simulation::new(12, GossipSettings::default(), 1);
+    simulation.update_all_lists();
     for at in 0..12 {
         let start = at / 6 * 6;
-        mesh.node(at)
-            .set_group((start..start + 6).map(name).collect());
-        mesh.node(at)
+        simulation
+            .node(at)
+            .set_group((start..start + 6).map(instance_name).collect());
+        simulation
+            .node(at)
             .set_entry(EntryKind::TargetLoad, "", Box::new([at as u8]))
             .unwrap();
     }
-    mesh.run(20 * SECOND);
-    let leaders = (0..12).filter(|at| mesh.nodes[*at].as_ref().unwrap().is_group_leader());
+    simulation.run(20 * SECOND);
+    let leaders = (0..12).filter(|at| simulation.nodes[*at].as_ref().unwrap().is_group_leader());
     let leaders: Vec<usize> = leaders.collect();
     assert_eq!(leaders.iter().map(|at| at / 6).collect::<Vec<_>>(), [0, 1]);
     for at in leaders {
-        mesh.node(at)
+        simulation
+            .node(at)
             .set_entry(
                 EntryKind::LoadSummary,
                 &format!("{}", at / 6),
@@ -163,23 +170,25 @@
             )
             .unwrap();
     }
-    mesh.run(10 * SECOND);
+    simulation.run(10 * SECOND);
     let count = |gossip: &Gossip, kind| gossip.entries().items(kind).count();
-    assert!(mesh.all(|gossip| count(gossip, EntryKind::TargetLoad) == 6));
-    assert!(mesh.all(|gossip| count(gossip, EntryKind::LoadSummary) == 2));
+    assert!(simulation.all_instances(|gossip| count(gossip, EntryKind::TargetLoad) == 6));
+    assert!(simulation.all_instances(|gossip| count(gossip, EntryKind::LoadSummary) == 2));
     // An instance that changes its group must not go on with loads that nobody renews there.
-    mesh.node(0).set_group((6..12).map(name).collect());
-    assert_eq!(count(mesh.node(0), EntryKind::TargetLoad), 1);
-    mesh.run(10 * SECOND);
-    assert_eq!(count(mesh.node(0), EntryKind::TargetLoad), 7);
+    simulation
+        .node(0)
+        .set_group((6..12).map(instance_name).collect());
+    assert_eq!(count(simulation.node(0), EntryKind::TargetLoad), 1);
+    simulation.run(10 * SECOND);
+    assert_eq!(count(simulation.node(0), EntryKind::TargetLoad), 7);
 }
 
 // A whole fleet starts at once while the platform's list is out of reach, so all come to the same
 // two seeds, whose budget cannot answer them all at length.
 #[test]
 fn many_that_start_at_once_through_two_seeds_all_meet() {
-    let mut mesh = Mesh::new(150, GossipSettings::default(), 1);
-    assert!(mesh.run_until(60 * SECOND, all_live));
+    let mut simulation = Simulation::new(150, GossipSettings::default(), 1);
+    assert!(simulation.run_until(60 * SECOND, all_live));
 }
 
 // All instances lose their power and start at once, and each knows two seeds. Callers ask for addresses
@@ -190,13 +199,17 @@
 #[case::next(300, 1_500)]
 #[case::planned(900, 2_500)]
 fn a_fleet_that_starts_at_once_meets_within_seconds(#[case] n: usize, #[case] millis: u64) {
-    let mut mesh = Mesh::new(n, GossipSettings::default(), 1);
-    let nearly = |mesh: &Mesh| {
+    let mut simulation = Simulation::new(n, GossipSettings::default(), 1);
+    let nearly = |simulation: &Simulation| {
         let live = |gossip: &Gossip| gossip.membership().in_state(MemberState::Live).count();
-        mesh.all(|gossip| live(gossip) * 10 >= n * 9)
+        simulation.all_instances(|gossip| live(gossip) * 10 >= n * 9)
     };
-    assert!(mesh.run_until(Duration::from_millis(millis), nearly));
-    let most = mesh.sent.iter().flat_map(|sent| sent.values()).max();
+    assert!(simulation.run_until(Duration::from_millis(millis), nearly));
+    let most = simulation
+        .bytes_sent
+        .iter()
+        .flat_map(|sent| sent.values())
+        .max();
     assert!(most.is_some_and(|most| *most < HALF_LINK), "{most:?} bytes");
 }
 
@@ -205,48 +218,51 @@
 // and without end, and both spent their whole budget on it.
 #[test]
 fn an_exchange_ends_with_its_follow_up() {
-    let mut mesh = Mesh::new(2, GossipSettings::default(), 1);
-    mesh.node(1).raise_acting_revision(Revision(3));
-    let now = mesh.now;
-    let request = mesh.node(0).tick(now).remove(0);
-    let mut answer = mesh.node(1).handle_request(request.message, now);
+    let mut simulation = Simulation::new(2, GossipSettings::default(), 1);
+    simulation.node(1).raise_acting_revision(Revision(3));
+    let now = simulation.now;
+    let request = simulation.node(0).tick(now).remove(0);
+    let mut answer = simulation.node(1).handle_request(request.message, now);
     answer.hello = true;
     answer.facts = Facts::default();
-    mesh.node(0).raise_acting_revision(Revision(5));
-    let more = mesh.node(0).handle_response(None, answer, now).unwrap();
-    let mut last = mesh.node(1).handle_request(more, now);
-    assert_eq!(mesh.node(1).facts().revision(), Revision(5));
+    simulation.node(0).raise_acting_revision(Revision(5));
+    let more = simulation
+        .node(0)
+        .handle_response(None, answer, now)
+        .unwrap();
+    let mut last = simulation.node(1).handle_request(more, now);
+    assert_eq!(simulation.node(1).facts().revision(), Revision(5));
     last.hello = true;
-    assert_eq!(mesh.node(0).handle_response(None, last, now), None);
+    assert_eq!(simulation.node(0).handle_response(None, last, now), None);
 }
 
 // Guards against an instance that hears of a revision once and cannot tell whether anyone still acts on it.
 #[test]
 fn peer_that_acts_on_a_later_revision_says_so_for_as_long_as_it_lives() {
-    let mut mesh = Mesh::new(3, GossipSettings::default(), 1);
-    mesh.run(5 * SECOND);
-    mesh.node(2).raise_acting_revision(Revision(9));
-    mesh.run(SECOND);
-    let is_ahead = |mesh: &mut Mesh| {
-        let events = mesh.node(1).take_events();
+    let mut simulation = Simulation::new(3, GossipSettings::default(), 1);
+    simulation.run(5 * SECOND);
+    simulation.node(2).raise_acting_revision(Revision(9));
+    simulation.run(SECOND);
+    let is_ahead = |simulation: &mut Simulation| {
+        let events = simulation.node(1).take_events();
         events.contains(&Event::Ahead(Revision(9)))
     };
     for _ in 0..5 {
-        mesh.run(4 * SECOND);
-        assert!(is_ahead(&mut mesh));
+        simulation.run(4 * SECOND);
+        assert!(is_ahead(&mut simulation));
     }
-    mesh.kill(2);
-    mesh.run(SECOND);
-    is_ahead(&mut mesh);
+    simulation.kill(2);
+    simulation.run(SECOND);
+    is_ahead(&mut simulation);
     // The other one has heard of the revision as well, and does not act on it.
-    mesh.run(5 * SECOND);
-    assert!(!is_ahead(&mut mesh));
-    mesh.node(0).raise_acting_revision(Revision(9));
-    mesh.run(5 * SECOND);
-    assert!(is_ahead(&mut mesh));
-    mesh.node(1).raise_acting_revision(Revision(9));
-    mesh.run(5 * SECOND);
-    is_ahead(&mut mesh);
-    mesh.run(5 * SECOND);
-    assert!(!is_ahead(&mut mesh));
+    simulation.run(5 * SECOND);
+    assert!(!is_ahead(&mut simulation));
+    simulation.node(0).raise_acting_revision(Revision(9));
+    simulation.run(5 * SECOND);
+    assert!(is_ahead(&mut simulation));
+    simulation.node(1).raise_acting_revision(Revision(9));
+    simulation.run(5 * SECOND);
+    is_ahead(&mut simulation);
+    simulation.run(5 * SECOND);
+    assert!(!is_ahead(&mut simulation));
 }
--- a/crates/fleet/tests/test_membership.rs
+++ b/crates/fleet/tests/test_membership.rs
@@ -5,61 +5,66 @@
 use celerypond_fleet::{EntryKind, Event, GossipSettings, Incarnation, MemberState};
 use rstest::rstest;
 
-use crate::mesh::{listed, name, Mesh};
+use crate::simulation::{instance_name, listed_member, Simulation};
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn fleet(n: usize, seed: u64) -> Mesh {
+fn fleet(n: usize, seed: u64) -> Simulation {
     let settings = GossipSettings {
         forget_after: 60 * SECOND,
         ..GossipSettings::default()
     };
-    let mut mesh = Mesh::new(n, settings, seed);
-    mesh.run(15 * SECOND);
-    mesh
+    let mut simulation = Simulation::new(n, settings, seed);
+    simulation.run(15 * SECOND);
+    simulation
 }
 
-fn state(mesh: &Mesh, of: usize) -> Vec<Option<MemberState>> {
-    let nodes = mesh.nodes.iter().enumerate();
+fn state(simulation: &Simulation, of: usize) -> Vec<Option<MemberState>> {
+    let nodes = simulation.nodes.iter().enumerate();
     nodes
         .filter(|(at, _)| *at != of)
         .filter_map(|(_, node)| node.as_ref())
-        .map(|node| node.membership().by_name(&name(of)).map(|m| m.state()))
+        .map(|node| {
+            node.membership()
+                .by_name(&instance_name(of))
+                .map(|m| m.state())
+        })
         .collect()
 }
 
-fn are_all(mesh: &Mesh, of: usize, expected: MemberState) -> bool {
-    state(mesh, of).iter().all(|s| *s == Some(expected))
+fn are_all(simulation: &Simulation, of: usize, expected: MemberState) -> bool {
+    state(simulation, of).iter().all(|s| *s == Some(expected))
 }
 
 // An instance is paused for half a minute: it gets no new callers meanwhile. When it goes on, it
 // hears that it is held to be dead, contradicts, and is used again everywhere.
 #[rstest]
 fn a_paused_instance_is_suspected_and_returns(#[values(1, 2, 3, 4)] seed: u64) {
-    let mut mesh = fleet(9, seed);
-    mesh.pause(4, true);
-    assert!(mesh.run_until(15 * SECOND, |m| are_all(m, 4, MemberState::Suspected)));
-    mesh.run(15 * SECOND);
-    mesh.pause(4, false);
-    assert!(mesh.run_until(20 * SECOND, |m| are_all(m, 4, MemberState::Live)));
+    let mut simulation = fleet(9, seed);
+    simulation.set_paused(4, true);
+    assert!(simulation.run_until(15 * SECOND, |m| are_all(m, 4, MemberState::Suspected)));
+    simulation.run(15 * SECOND);
+    simulation.set_paused(4, false);
+    assert!(simulation.run_until(20 * SECOND, |m| are_all(m, 4, MemberState::Live)));
 }
 
 // An instance loses all its connections and so sees every other one as dead, then gets them back.
 // If it spread what it saw, callers would be sent away from a healthy fleet.
 #[rstest]
 fn an_instance_that_is_cut_off_accuses_nobody(#[values(1, 2, 3, 4)] seed: u64) {
-    let mut mesh = fleet(12, seed);
-    mesh.side[5] = 1;
-    mesh.run(40 * SECOND);
-    for node in mesh.nodes.iter_mut().flatten() {
+    let mut simulation = fleet(12, seed);
+    simulation.partition[5] = 1;
+    simulation.run(40 * SECOND);
+    for node in simulation.nodes.iter_mut().flatten() {
         node.take_events();
     }
-    mesh.side[5] = 0;
-    mesh.run(30 * SECOND);
-    assert!(are_all(&mesh, 5, MemberState::Live));
-    for (at, node) in mesh.nodes.iter_mut().flatten().enumerate() {
+    simulation.partition[5] = 0;
+    simulation.run(30 * SECOND);
+    assert!(are_all(&simulation, 5, MemberState::Live));
+    for (at, node) in simulation.nodes.iter_mut().flatten().enumerate() {
         let events = node.take_events();
-        let suspected = |event: &Event| matches!(event, Event::Suspected(of) if *of != name(5));
+        let suspected =
+            |event: &Event| matches!(event, Event::Suspected(of) if *of != instance_name(5));
         assert!(!events.iter().any(suspected), "{at}: {events:?}");
     }
 }
@@ -68,36 +73,38 @@
 // a caller sent there now would have its request cut off by the stop.
 #[rstest]
 fn a_leaving_word_holds_for_the_run_whatever_the_list_says(#[values(1, 2, 3)] seed: u64) {
-    let mut mesh = fleet(9, seed);
-    mesh.node(2).announce_leaving();
-    mesh.push(2);
-    assert!(mesh.run_until(3 * SECOND, |m| are_all(m, 2, MemberState::Leaving)));
+    let mut simulation = fleet(9, seed);
+    simulation.node(2).announce_leaving();
+    simulation.send_urgent(2);
+    assert!(simulation.run_until(3 * SECOND, |m| are_all(m, 2, MemberState::Leaving)));
     for _ in 0..10 {
-        mesh.list_all();
-        assert!(are_all(&mesh, 2, MemberState::Leaving));
-        mesh.run(SECOND);
+        simulation.update_all_lists();
+        assert!(are_all(&simulation, 2, MemberState::Leaving));
+        simulation.run(SECOND);
     }
-    mesh.boot(2, 2);
-    assert!(mesh.run_until(20 * SECOND, |m| are_all(m, 2, MemberState::Live)));
+    simulation.start_instance(2, 2);
+    assert!(simulation.run_until(20 * SECOND, |m| are_all(m, 2, MemberState::Live)));
 }
 
 // An instance is replaced by a run that begins its sequence numbers again at 1. Peers hold entries
 // of the old run with higher numbers; these must go and the new ones must be taken.
 #[rstest]
 fn a_new_run_takes_the_place_of_the_old_one(#[values(1, 2, 3)] seed: u64) {
-    let mut mesh = fleet(7, seed);
+    let mut simulation = fleet(7, seed);
     for value in 0..50 {
-        mesh.node(3)
+        simulation
+            .node(3)
             .set_entry(EntryKind::LoadSummary, "old", Box::new([value]))
             .unwrap();
     }
-    mesh.run(10 * SECOND);
-    mesh.boot(3, 2);
-    mesh.node(3)
+    simulation.run(10 * SECOND);
+    simulation.start_instance(3, 2);
+    simulation
+        .node(3)
         .set_entry(EntryKind::LoadSummary, "new", Box::new([1]))
         .unwrap();
-    mesh.run(20 * SECOND);
-    for node in mesh.nodes.iter().flatten() {
+    simulation.run(20 * SECOND);
+    for node in simulation.nodes.iter().flatten() {
         let items = node.entries().items(EntryKind::LoadSummary);
         let keys: Vec<&str> = items.map(|(_, item)| item.key.as_str()).collect();
         assert_eq!(keys, ["new"]);
@@ -108,16 +115,19 @@
 // Peers would refuse it for ever, and the fleet would be one instance short with nothing failing.
 #[test]
 fn a_run_whose_clock_went_back_takes_a_later_ordinal() {
-    let mut mesh = fleet(7, 1);
-    mesh.boot(3, 5);
-    mesh.run(10 * SECOND);
-    mesh.boot(3, 2);
-    mesh.run(20 * SECOND);
-    assert!(mesh.node(3).take_events().contains(&Event::Renumbered));
-    assert_eq!(mesh.node(3).identity().incarnation, Incarnation(6));
-    let run = mesh.node(3).origin();
-    for (at, node) in mesh.nodes.iter().flatten().enumerate() {
-        let member = node.membership().by_name(&name(3));
+    let mut simulation = fleet(7, 1);
+    simulation.start_instance(3, 5);
+    simulation.run(10 * SECOND);
+    simulation.start_instance(3, 2);
+    simulation.run(20 * SECOND);
+    assert!(simulation
+        .node(3)
+        .take_events()
+        .contains(&Event::Renumbered));
+    assert_eq!(simulation.node(3).identity().incarnation, Incarnation(6));
+    let run = simulation.node(3).origin();
+    for (at, node) in simulation.nodes.iter().flatten().enumerate() {
+        let member = node.membership().by_name(&instance_name(3));
         assert!(at == 3 || member.unwrap().origin == Some(run));
     }
 }
@@ -126,26 +136,31 @@
 // must not bring it back to one that has dropped it.
 #[rstest]
 fn a_dead_instance_is_forgotten_and_stays_so(#[values(1, 2, 3)] seed: u64) {
-    let mut mesh = fleet(9, seed);
-    mesh.kill(4);
-    mesh.run(100 * SECOND);
+    let mut simulation = fleet(9, seed);
+    simulation.kill(4);
+    simulation.run(100 * SECOND);
     for _ in 0..200 {
-        assert!(state(&mesh, 4).iter().all(Option::is_none));
-        mesh.run(SECOND);
+        assert!(state(&simulation, 4).iter().all(Option::is_none));
+        simulation.run(SECOND);
     }
 }
 
 #[test]
 fn a_listed_instance_that_never_answered_is_suspected_until_it_does() {
-    let mut mesh = fleet(3, 1);
-    mesh.nodes.push(None);
-    mesh.side.push(0);
-    mesh.sent.push(Default::default());
-    mesh.list_all();
+    let mut simulation = fleet(3, 1);
+    simulation.nodes.push(None);
+    simulation.partition.push(0);
+    simulation.bytes_sent.push(Default::default());
+    simulation.update_all_lists();
     assert_eq!(
-        mesh.node(0).membership().by_name(&name(3)).unwrap().name,
-        listed(3).name
+        simulation
+            .node(0)
+            .membership()
+            .by_name(&instance_name(3))
+            .unwrap()
+            .name,
+        listed_member(3).name
     );
-    mesh.run(20 * SECOND);
-    assert!(are_all(&mesh, 3, MemberState::Suspected));
+    simulation.run(20 * SECOND);
+    assert!(are_all(&simulation, 3, MemberState::Suspected));
 }
--- a/crates/fleet/tests/test_scripts.rs
+++ b/crates/fleet/tests/test_scripts.rs
@@ -6,9 +6,9 @@
 use celerypond_types::Revision;
 use goldenscript::{ArgumentConsumer, Command, Context, Runner};
 
-use crate::mesh::Mesh;
+use crate::simulation::Simulation;
 
-struct Script(Option<Mesh>);
+struct Script(Option<Simulation>);
 
 type Output = Result<String, Box<dyn Error>>;
 
@@ -18,13 +18,13 @@
 }
 
 impl Script {
-    fn mesh(&mut self) -> &mut Mesh {
+    fn simulation(&mut self) -> &mut Simulation {
         self.0.as_mut().unwrap()
     }
 
     fn show(&mut self) -> String {
         let mut text = String::new();
-        for (at, node) in self.mesh().nodes.iter().enumerate() {
+        for (at, node) in self.simulation().nodes.iter().enumerate() {
             match node {
                 Some(node) => writeln!(text, "i{at}: {}", line(node)).unwrap(),
                 None => writeln!(text, "i{at}: down").unwrap(),
@@ -63,42 +63,44 @@
         match command.name.as_str() {
             "start" => {
                 let n = number(&mut args)?;
-                self.0 = Some(Mesh::new(n, GossipSettings::default(), 1));
+                self.0 = Some(Simulation::new(n, GossipSettings::default(), 1));
             }
             "run" => {
                 let seconds = number(&mut args)?;
-                self.mesh().run(Duration::from_secs(seconds));
+                self.simulation().run(Duration::from_secs(seconds));
             }
-            "list" => self.mesh().list_all(),
+            "list" => self.simulation().update_all_lists(),
             "kill" => {
                 let at = number(&mut args)?;
-                self.mesh().kill(at);
+                self.simulation().kill(at);
             }
             "boot" => {
                 let (at, incarnation) = (number(&mut args)?, number(&mut args)?);
-                self.mesh().boot(at, incarnation);
+                self.simulation().start_instance(at, incarnation);
             }
             "side" => {
                 let (at, side): (usize, u8) = (number(&mut args)?, number(&mut args)?);
-                self.mesh().side[at] = side;
+                self.simulation().partition[at] = side;
             }
             "raise" => {
                 let at = number(&mut args)?;
                 let revision = Revision(number(&mut args)?);
-                self.mesh().node(at).raise_acting_revision(revision);
-                self.mesh().push(at);
+                self.simulation().node(at).raise_acting_revision(revision);
+                self.simulation().send_urgent(at);
             }
             "trip" => {
                 let at = number(&mut args)?;
                 let revision = Revision(number(&mut args)?);
                 let version = args.next_pos().unwrap_or("v2").into();
-                self.mesh().node(at).add_brake(Brake { revision, version });
-                self.mesh().push(at);
+                self.simulation()
+                    .node(at)
+                    .add_brake(Brake { revision, version });
+                self.simulation().send_urgent(at);
             }
             "leave" => {
                 let at = number(&mut args)?;
-                self.mesh().node(at).announce_leaving();
-                self.mesh().push(at);
+                self.simulation().node(at).announce_leaving();
+                self.simulation().send_urgent(at);
             }
             "show" => return Ok(self.show()),
             name => return Err(format!("no command {name}").into()),
