--- a/crates/fleet/src/delta.rs
+++ b/crates/fleet/src/delta.rs
@@ -1,29 +1,29 @@
-//! Changes of one origin in one class.
+//! Changes to the entries of one origin in one class.
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Class, Entry, Origin};
+use crate::{Entry, EntryClass, Origin};
 
-/// Changes of one origin in one class.
+/// Changes to the entries of one origin in one class.
 ///
-/// The entries are all that changed after `after` up to `upto`. A receiver that has everything up to
-/// `after` has everything up to `upto` once it took them in. Without the lower end, a pushed entry
-/// would hide the ones before it that were lost, and no digest would ask for them again.
+/// Contains all changes after `after` up to and including `upto`. A receiver that has all changes up
+/// to `after` has all changes up to `upto` once it has applied the delta. Without the lower bound, a
+/// pushed entry would hide lost changes before it, and no digest would request them again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The owner of the entries.
+    /// The origin that owns the entries.
     pub origin: Origin,
-    /// Their class.
-    pub class: Class,
-    /// The sequence number that the receiver must have reached.
+    /// The class of the entries.
+    pub class: EntryClass,
+    /// The sequence number that the receiver must have reached for `upto` to apply.
     pub after: u64,
-    /// The sequence number that the receiver then reaches.
+    /// The sequence number that the receiver has reached after applying the delta.
     pub upto: u64,
-    /// The entries in order of sequence.
+    /// The changed entries in order of sequence number.
     pub entries: Vec<Entry>,
 }
 
 impl Delta {
-    /// A bound on the bytes of everything but the entries.
-    pub(crate) const HEAD_BYTES: usize = 20;
+    /// Upper bound on the encoded size without the entries, in bytes.
+    pub(crate) const MAX_HEADER_BYTES: usize = 20;
 }
--- a/crates/fleet/src/entry.rs
+++ b/crates/fleet/src/entry.rs
@@ -1,31 +1,33 @@
-//! What an instance tells of itself.
+//! Entries: what an instance publishes about itself.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 use thiserror::Error;
 
-/// The largest value of an entry, in bytes.
-pub(crate) const VALUE_BYTES: usize = 1024;
+/// Maximum length of the value of an entry, in bytes.
+pub(crate) const MAX_VALUE_BYTES: usize = 1024;
 
-/// Entries that one origin may have in one class.
-pub(crate) const SLOTS: usize = 128;
+/// Maximum number of entries that one origin may have in one class.
+pub(crate) const MAX_SLOTS: usize = 128;
 
-/// How far and how soon entries spread; the order of the variants is the order of sending.
+/// Determines how far and by which means an entry spreads.
+///
+/// Entries are sent in the order of the variants, which are also used as array indices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Class {
-    /// Who an instance is and whether it leaves; to the whole fleet, pushed.
+pub enum EntryClass {
+    /// Identity and leaving state of an instance. Fleet-wide; pushed.
     Control,
-    /// Sums over a group; to the whole fleet, pushed.
+    /// Totals of a group. Fleet-wide; pushed.
     Summary,
-    /// What an instance saw and does; within its group, asked for.
+    /// Rollout evidence and the revision in use at an instance. Group-local; sent on request.
     Evidence,
-    /// What accounts ask of an instance; within its group, asked for.
+    /// Demand of accounts at an instance. Group-local; sent on request.
     Demand,
-    /// What targets do; within the group, asked for.
+    /// Load of targets. Group-local; sent on request.
     Load,
 }
 
-impl Class {
+impl EntryClass {
     /// All classes.
     pub const ALL: [Self; 5] = [
         Self::Control,
@@ -35,42 +37,42 @@
         Self::Load,
     ];
 
-    /// The classes that go to the whole fleet.
-    pub const FLEET: [Self; 2] = [Self::Control, Self::Summary];
+    /// The classes that spread to the whole fleet.
+    pub const FLEET_WIDE: [Self; 2] = [Self::Control, Self::Summary];
 
     /// The classes that stay within a group.
-    pub const GROUP: [Self; 3] = [Self::Evidence, Self::Demand, Self::Load];
+    pub const GROUP_LOCAL: [Self; 3] = [Self::Evidence, Self::Demand, Self::Load];
 
-    /// Returns whether new entries are pushed to peers that did not ask.
+    /// Returns whether new entries are pushed to peers without a request.
     pub const fn is_pushed(self) -> bool {
         matches!(self, Self::Control | Self::Summary)
     }
 }
 
-/// What an entry is about.
+/// The subject of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum EntryKind {
-    /// Name, run, address and data centre of the origin.
+    /// The encoded [`Identity`](crate::Identity) of the origin.
     Identity,
-    /// A sign of life, sent only to contradict a claim of death.
+    /// Published only to refute a claim that the origin does not respond.
     Alive,
-    /// The origin takes no new work, for the rest of its run.
+    /// The origin accepts no new work for the rest of its run.
     Leaving,
-    /// A target takes no new work; the key is its name.
+    /// A target accepts no new work; the key is its name.
     TargetLeaving,
-    /// How many of a group act on which revision.
+    /// The number of instances of a group that use each revision.
     ActingSummary,
-    /// Evidence of a group about a version; the key names it.
+    /// Evidence of a group about a version, which is the key.
     EvidenceSummary,
     /// Demand of a group by account.
     DemandSummary,
     /// Load of a group's targets by version.
     LoadSummary,
-    /// The revision that the origin acts on.
+    /// The revision that the origin uses.
     Acting,
-    /// Evidence of one instance about a version; the key names it.
+    /// Evidence of one instance about a version, which is the key.
     Evidence,
-    /// Demand at one instance; the key names the account.
+    /// Demand of an account at one instance; the key is the name of the account.
     Demand,
     /// Load of the targets that the origin watches.
     TargetLoad,
@@ -78,20 +80,22 @@
 
 impl EntryKind {
     /// Returns the class of the kind.
-    pub const fn class(self) -> Class {
+    pub const fn class(self) -> EntryClass {
         match self {
-            Self::Identity | Self::Alive | Self::Leaving | Self::TargetLeaving => Class::Control,
+            Self::Identity | Self::Alive | Self::Leaving | Self::TargetLeaving => {
+                EntryClass::Control
+            }
             Self::ActingSummary
             | Self::EvidenceSummary
             | Self::DemandSummary
-            | Self::LoadSummary => Class::Summary,
-            Self::Acting | Self::Evidence => Class::Evidence,
-            Self::Demand => Class::Demand,
-            Self::TargetLoad => Class::Load,
+            | Self::LoadSummary => EntryClass::Summary,
+            Self::Acting | Self::Evidence => EntryClass::Evidence,
+            Self::Demand => EntryClass::Demand,
+            Self::TargetLoad => EntryClass::Load,
         }
     }
 
-    /// Returns whether news of the kind is pushed at once instead of at the next round.
+    /// Returns whether changes are pushed immediately instead of in the next round.
     pub const fn is_urgent(self) -> bool {
         matches!(self, Self::Leaving | Self::TargetLeaving)
     }
@@ -100,35 +104,35 @@
 /// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// What it is about.
+    /// The kind.
     pub kind: EntryKind,
-    /// What tells it from others of its kind; may be empty.
+    /// Distinguishes entries of one kind; may be empty.
     pub key: SmolStr,
-    /// The value, opaque here.
+    /// The value, which this crate does not interpret.
     pub value: Box<[u8]>,
 }
 
-/// An entry as it travels.
+/// A slot of an origin, as sent to peers.
 ///
-/// An origin numbers its slots and uses a slot again once it is cleared, so that an origin that runs
-/// for months has no more entries than it ever had at once.
+/// An origin reuses cleared slots. Peers therefore never hold more slots for an origin than it had
+/// entries at one time, even if it runs for months.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The place among the entries of its origin and class.
+    /// The index of the slot within its origin and class.
     pub slot: u16,
     /// The sequence number of the last change.
     pub sequence: u64,
-    /// The content; nothing when the slot was cleared.
+    /// The content, or `None` if the slot was cleared.
     pub item: Option<Item>,
 }
 
-/// The ways in which an entry cannot be set.
+/// An error that occurs while setting an entry.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum EntryError {
-    /// The value is longer than the bound.
-    #[error("a value of {0} bytes is too long")]
-    Long(usize),
-    /// The class has all the entries that it may have.
-    #[error("the class has no free slot")]
-    Full,
+    /// The value exceeds the maximum length.
+    #[error("value of {0} bytes exceeds the maximum length")]
+    ValueTooLong(usize),
+    /// The class already has the maximum number of entries.
+    #[error("entry class has no free slot")]
+    ClassFull,
 }
--- a/crates/fleet/src/entry_table.rs
+++ b/crates/fleet/src/entry_table.rs
@@ -1,12 +1,13 @@
-//! The entries of all origins.
+//! Entries of all origins.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{stream::Stream, Class, Delta, EntryError, EntryKind, Item, Origin};
+use crate::{class_entries::ClassEntries, Delta, EntryClass, EntryError, EntryKind, Item, Origin};
 
-type Streams = [Stream; Class::ALL.len()];
+/// Entries of one origin, indexed by class.
+type OriginEntries = [ClassEntries; EntryClass::ALL.len()];
 
-/// The entries of all origins.
+/// Entries of all origins.
 ///
 /// # Examples
 ///
@@ -20,79 +21,83 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct EntryTable {
-    origins: BTreeMap<Origin, Streams>,
+    origins: BTreeMap<Origin, OriginEntries>,
 }
 
 impl EntryTable {
-    /// Sets an entry and returns its sequence number.
+    /// Sets an entry and returns the sequence number of the change.
     ///
     /// # Errors
     ///
-    /// Fails when the value is too long or the class is full.
+    /// Fails if the value is too long or the class is full.
     pub fn set(&mut self, origin: Origin, item: Item) -> Result<u64, EntryError> {
         let class = item.kind.class();
-        self.stream_mut(origin, class).set(item)
+        self.class_entries_mut(origin, class).set(item)
     }
 
-    /// Clears an entry and returns the sequence number, if there was one.
+    /// Clears an entry. Returns the sequence number of the change, or `None` if there is no such entry.
     pub fn clear(&mut self, origin: Origin, kind: EntryKind, key: &str) -> Option<u64> {
-        self.stream_mut(origin, kind.class()).clear(kind, key)
+        self.class_entries_mut(origin, kind.class())
+            .clear(kind, key)
     }
 
     /// Returns the entries of a kind in order of origin.
     pub fn items(&self, kind: EntryKind) -> impl Iterator<Item = (Origin, &Item)> {
-        self.origins.iter().flat_map(move |(origin, streams)| {
-            let items = streams[kind.class() as usize].items();
+        self.origins.iter().flat_map(move |(origin, classes)| {
+            let items = classes[kind.class() as usize].items();
             items
                 .filter(move |item| item.kind == kind)
                 .map(|item| (*origin, item))
         })
     }
 
-    /// Returns the sequence number up to which nothing is missing.
-    pub fn reached(&self, origin: Origin, class: Class) -> u64 {
-        self.stream(origin, class).map_or(0, Stream::reached)
+    /// Returns the sequence number up to which no change of an origin is missing.
+    pub fn reached(&self, origin: Origin, class: EntryClass) -> u64 {
+        self.class_entries(origin, class)
+            .map_or(0, ClassEntries::reached)
     }
 
-    /// Returns the origins from `first` to `last`, `limit` at most.
+    /// Returns the origins from `first` to `last` in order, at most `limit` of them.
     pub(crate) fn between(&self, first: Origin, last: Origin, limit: usize) -> Vec<Origin> {
         let range = self.origins.range(first..=last);
         range.map(|(origin, _)| *origin).take(limit).collect()
     }
 
-    pub(crate) fn stream(&self, origin: Origin, class: Class) -> Option<&Stream> {
-        let streams = self.origins.get(&origin)?;
-        Some(&streams[class as usize])
+    pub(crate) fn class_entries(&self, origin: Origin, class: EntryClass) -> Option<&ClassEntries> {
+        let classes = self.origins.get(&origin)?;
+        Some(&classes[class as usize])
     }
 
-    /// Takes in changes and returns the sequence numbers that are news.
+    /// Applies changes from a peer and returns the sequence numbers of the entries that were stored.
     pub(crate) fn apply(&mut self, delta: Delta) -> Vec<u64> {
-        self.stream_mut(delta.origin, delta.class).apply(delta)
+        self.class_entries_mut(delta.origin, delta.class)
+            .apply(delta)
     }
 
     pub(crate) fn remove(&mut self, origin: Origin) {
         self.origins.remove(&origin);
     }
 
-    /// Drops the group's classes of all origins but these.
+    /// Drops the entries of the group-local classes of all origins outside `group`.
     pub(crate) fn keep_group(&mut self, group: &BTreeSet<Origin>) {
-        for (origin, streams) in &mut self.origins {
+        for (origin, classes) in &mut self.origins {
             if group.contains(origin) {
                 continue;
             }
-            for class in Class::GROUP {
-                streams[class as usize] = Stream::default();
+            for class in EntryClass::GROUP_LOCAL {
+                classes[class as usize] = ClassEntries::default();
             }
         }
     }
 
+    /// Moves the entries of `from` to `to`.
     pub(crate) fn rename(&mut self, from: Origin, to: Origin) {
-        if let Some(streams) = self.origins.remove(&from) {
-            self.origins.insert(to, streams);
+        if let Some(classes) = self.origins.remove(&from) {
+            self.origins.insert(to, classes);
         }
     }
 
-    fn stream_mut(&mut self, origin: Origin, class: Class) -> &mut Stream {
+    fn class_entries_mut(&mut self, origin: Origin, class: EntryClass) -> &mut ClassEntries {
         &mut self.origins.entry(origin).or_default()[class as usize]
     }
 }
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -14,9 +14,9 @@
 
 use crate::{
     choose_instances,
-    rumours::{News, Rank, Rumours},
-    Brake, Budget, Candidate, Class, EntryError, EntryKind, EntryTable, Facts, GossipSettings,
-    Identity, Item, ListedMember, Membership, Message, Origin,
+    push_queue::{PushItem, PushPriority, PushQueue},
+    Brake, ByteBudget, Candidate, EntryClass, EntryError, EntryKind, EntryTable, Facts,
+    GossipSettings, Identity, Item, ListedMember, Membership, Message, Origin,
 };
 
 /// A change that the owner of the state machine may want to act on or log.
@@ -94,8 +94,8 @@
     /// The revision that this instance acts on.
     acting: Revision,
     membership: Membership,
-    rumours: Rumours,
-    budget: Budget,
+    push_queue: PushQueue,
+    budget: ByteBudget,
     group: Vec<InstanceName>,
     cursor: Origin,
     /// Until when more is exchanged than later.
@@ -117,8 +117,8 @@
             fresh: Facts::default(),
             acting: Revision(0),
             membership: Membership::default(),
-            rumours: Rumours::default(),
-            budget: Budget::new(settings.startup_bytes_per_second, now),
+            push_queue: PushQueue::default(),
+            budget: ByteBudget::new(settings.startup_bytes_per_second, now),
             settled: now + settings.startup_duration,
             settings,
             group: Vec::new(),
@@ -271,18 +271,18 @@
         self.fresh.merge(news);
     }
 
-    fn spread(&mut self, origin: Origin, class: Class, is_urgent: bool, sequence: u64) {
+    fn spread(&mut self, origin: Origin, class: EntryClass, is_urgent: bool, sequence: u64) {
         let rank = match class {
-            _ if is_urgent => Rank::Urgent,
-            Class::Control => Rank::Control,
-            Class::Summary => Rank::Summary,
-            Class::Evidence | Class::Demand | Class::Load => return,
+            _ if is_urgent => PushPriority::Urgent,
+            EntryClass::Control => PushPriority::Control,
+            EntryClass::Summary => PushPriority::Summary,
+            EntryClass::Evidence | EntryClass::Demand | EntryClass::Load => return,
         };
-        let news = News::Entry {
+        let news = PushItem::Entry {
             origin,
             class,
             sequence,
         };
-        self.rumours.add(rank, news, self.settings.push_count);
+        self.push_queue.add(rank, news, self.settings.push_count);
     }
 }
--- a/crates/fleet/src/gossip/compose.rs
+++ b/crates/fleet/src/gossip/compose.rs
@@ -4,8 +4,8 @@
 
 use crate::{
     message::size,
-    rumours::{News, Offer, Rank},
-    Claim, Class, Delta, Digest, DigestLine, Gossip, Message, Origin,
+    push_queue::{PushItem, PushOutcome, PushPriority},
+    Claim, Delta, Digest, DigestLine, EntryClass, Gossip, Message, Origin,
 };
 
 impl Gossip {
@@ -22,7 +22,7 @@
         self.cursor = Origin(last.0.wrapping_add(1));
         let lines = window
             .iter()
-            .map(|origin| self.line(*origin, &Class::FLEET));
+            .map(|origin| self.line(*origin, &EntryClass::FLEET_WIDE));
         Digest::Fleet {
             first,
             last,
@@ -36,13 +36,13 @@
             let member = self.membership.by_name(name)?;
             member.origin
         });
-        let lines = origins.map(|origin| self.line(origin, &Class::GROUP));
+        let lines = origins.map(|origin| self.line(origin, &EntryClass::GROUP_LOCAL));
         Digest::Group {
             lines: lines.collect(),
         }
     }
 
-    fn line(&self, origin: Origin, classes: &[Class]) -> DigestLine {
+    fn line(&self, origin: Origin, classes: &[EntryClass]) -> DigestLine {
         let mut reached = [0; 3];
         for (at, class) in classes.iter().enumerate() {
             reached[at] = self.entries.reached(origin, *class);
@@ -58,10 +58,11 @@
     /// Adds what the sender of a digest lacks, as far as it fits into `room` bytes.
     pub(super) fn fill(&mut self, message: &mut Message, digest: &Digest, room: usize) {
         let (mut lines, classes) = match digest {
-            Digest::Fleet { first, last, lines } => {
-                (self.complete(*first, *last, lines), &Class::FLEET[..])
-            }
-            Digest::Group { lines } => (lines.clone(), &Class::GROUP[..]),
+            Digest::Fleet { first, last, lines } => (
+                self.complete(*first, *last, lines),
+                &EntryClass::FLEET_WIDE[..],
+            ),
+            Digest::Group { lines } => (lines.clone(), &EntryClass::GROUP_LOCAL[..]),
         };
         if lines.is_empty() {
             return;
@@ -75,7 +76,7 @@
                 self.add_since(message, *class, line, line.reached[at], &mut left);
             }
         }
-        if *classes == Class::FLEET {
+        if *classes == EntryClass::FLEET_WIDE {
             self.add_claims(message, &lines, &mut left);
         }
     }
@@ -101,18 +102,18 @@
     fn add_since(
         &self,
         message: &mut Message,
-        class: Class,
+        class: EntryClass,
         line: &DigestLine,
         after: u64,
         left: &mut usize,
     ) {
-        let Some(stream) = self.entries.stream(line.origin, class) else {
+        let Some(class_entries) = self.entries.class_entries(line.origin, class) else {
             return;
         };
-        if stream.reached() <= after {
+        if class_entries.reached() <= after {
             return;
         }
-        if let Some(delta) = stream.since(line.origin, class, after, *left) {
+        if let Some(delta) = class_entries.delta_since(line.origin, class, after, *left) {
             *left = left.saturating_sub(size(&delta));
             message.deltas.push(delta);
         }
@@ -136,49 +137,55 @@
         Some(Claim { origin, reached })
     }
 
-    /// Adds rumours, as far as they fit into `room` bytes.
-    pub(super) fn add_rumours(&mut self, message: &mut Message, lowest: Rank, room: usize) {
-        let mut rumours = std::mem::take(&mut self.rumours);
+    /// Adds queued updates of priority `lowest` or higher, as far as they fit into `room` bytes.
+    pub(super) fn add_pushes(&mut self, message: &mut Message, lowest: PushPriority, room: usize) {
+        let mut push_queue = std::mem::take(&mut self.push_queue);
         let mut left = room;
-        rumours.offer(|rank, news| {
+        push_queue.drain_with(|rank, news| {
             if rank > lowest {
-                return Offer::Stop;
+                return PushOutcome::Stop;
             }
-            self.add_news(message, news, &mut left)
+            self.add_push(message, news, &mut left)
         });
-        self.rumours = rumours;
+        self.push_queue = push_queue;
     }
 
-    fn add_news(&self, message: &mut Message, news: News, left: &mut usize) -> Offer {
+    fn add_push(&self, message: &mut Message, news: PushItem, left: &mut usize) -> PushOutcome {
         match news {
-            News::Entry {
+            PushItem::Entry {
                 origin,
                 class,
                 sequence,
             } => {
-                let stream = self.entries.stream(origin, class);
-                let delta = stream.and_then(|stream| stream.one(origin, class, sequence));
+                let class_entries = self.entries.class_entries(origin, class);
+                let delta = class_entries
+                    .and_then(|class_entries| class_entries.single_delta(origin, class, sequence));
                 add(&mut message.deltas, delta, left)
             }
-            News::Claim(origin) => add(&mut message.claims, self.claim(origin), left),
+            PushItem::Claim(origin) => add(&mut message.claims, self.claim(origin), left),
         }
     }
 
     /// Returns all control entries of a run.
     pub(super) fn control(&self, origin: Origin) -> Option<Delta> {
-        let stream = self.entries.stream(origin, Class::Control)?;
-        stream.since(origin, Class::Control, 0, self.settings.max_message_bytes)
+        let class_entries = self.entries.class_entries(origin, EntryClass::Control)?;
+        class_entries.delta_since(
+            origin,
+            EntryClass::Control,
+            0,
+            self.settings.max_message_bytes,
+        )
     }
 }
 
-fn add<T: serde::Serialize>(list: &mut Vec<T>, item: Option<T>, left: &mut usize) -> Offer {
+fn add<T: serde::Serialize>(list: &mut Vec<T>, item: Option<T>, left: &mut usize) -> PushOutcome {
     let Some(item) = item else {
-        return Offer::Stale;
+        return PushOutcome::Stale;
     };
     let Some(rest) = left.checked_sub(size(&item)) else {
-        return Offer::Stop;
+        return PushOutcome::Stop;
     };
     *left = rest;
     list.push(item);
-    Offer::Taken
+    PushOutcome::Added
 }
--- a/crates/fleet/src/gossip/exchange.rs
+++ b/crates/fleet/src/gossip/exchange.rs
@@ -8,8 +8,8 @@
 
 use crate::{
     membership::Admission,
-    rumours::{News, Rank},
-    Claim, Class, Delta, EntryKind, Event, Gossip, Identity, Incarnation, Message, Origin,
+    push_queue::{PushItem, PushPriority},
+    Claim, Delta, EntryClass, EntryKind, Event, Gossip, Identity, Incarnation, Message, Origin,
 };
 
 /// The last exchanges whose outcome is kept.
@@ -43,13 +43,16 @@
             }
         }
         if let Some(digest) = digest {
-            let room = self.budget.room(now).min(self.settings.max_message_bytes);
+            let room = self
+                .budget
+                .available(now)
+                .min(self.settings.max_message_bytes);
             let room = room.saturating_sub(answer.bytes());
             let least = if is_new { GREETING_BYTES } else { 0 };
             let room = room.max(least);
             self.fill(&mut answer, &digest, room);
         }
-        self.budget.take(answer.bytes());
+        self.budget.spend(answer.bytes());
         answer
     }
 
@@ -79,7 +82,7 @@
         if more.facts.is_empty() && more.deltas.is_empty() {
             return None;
         }
-        self.budget.take(more.bytes());
+        self.budget.spend(more.bytes());
         Some(more)
     }
 
@@ -130,7 +133,7 @@
         if !member.is_silent() || member.claim.is_some() || recent || doubt {
             return;
         }
-        let reached = self.entries.reached(origin, Class::Control);
+        let reached = self.entries.reached(origin, EntryClass::Control);
         self.accept(Claim { origin, reached }, now);
     }
 
@@ -139,7 +142,7 @@
             self.contradict(claim);
             return;
         }
-        let reached = self.entries.reached(claim.origin, Class::Control);
+        let reached = self.entries.reached(claim.origin, EntryClass::Control);
         let Some(member) = self.membership.by_origin_mut(claim.origin) else {
             return;
         };
@@ -151,13 +154,13 @@
         }
         member.claim = Some(claim.reached);
         member.claimed = Some(now);
-        let news = News::Claim(claim.origin);
-        self.rumours
-            .add(Rank::Control, news, self.settings.push_count);
+        let news = PushItem::Claim(claim.origin);
+        self.push_queue
+            .add(PushPriority::Control, news, self.settings.push_count);
     }
 
     fn contradict(&mut self, claim: Claim) {
-        if claim.reached >= self.entries.reached(self.origin, Class::Control) {
+        if claim.reached >= self.entries.reached(self.origin, EntryClass::Control) {
             // The control class has few kinds, so a slot is free.
             let _ = self.set_entry(EntryKind::Alive, "", Box::default());
         }
@@ -222,7 +225,7 @@
                 self.mark_leaving(origin);
             }
         }
-        if class == Class::Control && !news.is_empty() {
+        if class == EntryClass::Control && !news.is_empty() {
             self.revive(origin, now);
         }
         None
@@ -279,7 +282,7 @@
 
     /// Takes a change of a run's own entries as its contradiction of every claim before.
     fn revive(&mut self, origin: Origin, now: Instant) {
-        let reached = self.entries.reached(origin, Class::Control);
+        let reached = self.entries.reached(origin, EntryClass::Control);
         let Some(member) = self.membership.by_origin_mut(origin) else {
             return;
         };
--- a/crates/fleet/src/gossip/round.rs
+++ b/crates/fleet/src/gossip/round.rs
@@ -6,7 +6,9 @@
 use rand::{seq::IndexedRandom as _, Rng as _};
 use tokio::time::Instant;
 
-use crate::{message::size, rumours::Rank, Digest, Event, Gossip, Member, Message, Outgoing};
+use crate::{
+    message::size, push_queue::PushPriority, Digest, Event, Gossip, Member, Message, Outgoing,
+};
 
 /// The smallest message that is worth sending in a round, in bytes.
 const SMALLEST_BYTES: usize = 300;
@@ -67,7 +69,7 @@
     /// Call this after every input. A brake or a revision that waited for a round at each of
     /// log(n) hops would reach the last instance seconds after the first.
     pub fn urgent_messages(&mut self, now: Instant) -> Vec<Outgoing> {
-        if self.fresh.is_empty() && !self.rumours.is_urgent() {
+        if self.fresh.is_empty() && !self.push_queue.has_urgent() {
             return Vec::new();
         }
         let live: Vec<InstanceKey> = self.live().map(|(key, _)| key).collect();
@@ -79,13 +81,13 @@
         for key in chosen {
             let mut message = self.begin(key);
             message.facts = self.fresh.clone();
-            let room = self.budget.room(now);
+            let room = self.budget.available(now);
             let room = room.min(self.settings.max_message_bytes);
             let Some(left) = room.checked_sub(message.bytes()) else {
                 // What is left over is tried again after the next input.
                 return sends;
             };
-            self.add_rumours(&mut message, Rank::Urgent, left);
+            self.add_pushes(&mut message, PushPriority::Urgent, left);
             self.send(&mut sends, key, message);
         }
         self.fresh = Default::default();
@@ -94,7 +96,7 @@
 
     fn forget(&mut self, now: Instant) {
         let entries = &self.entries;
-        let reached = |origin| entries.reached(origin, crate::Class::Control);
+        let reached = |origin| entries.reached(origin, crate::EntryClass::Control);
         let gone = self
             .membership
             .remove_unresponsive(self.settings.forget_after, now, reached);
@@ -166,10 +168,10 @@
         self.greet(&mut message);
         message.summary = Some(self.facts.summary());
         message.digest = Some(self.fleet_digest());
-        if self.budget.room(now) < message.bytes() {
+        if self.budget.available(now) < message.bytes() {
             return;
         }
-        self.budget.take(message.bytes());
+        self.budget.spend(message.bytes());
         sends.push(Outgoing {
             member: None,
             to,
@@ -184,7 +186,10 @@
         digest: Option<Digest>,
         now: Instant,
     ) {
-        let room = self.budget.room(now).min(self.settings.max_message_bytes);
+        let room = self
+            .budget
+            .available(now)
+            .min(self.settings.max_message_bytes);
         let mut message = self.begin(key);
         message.summary = Some(self.facts.summary());
         if room >= message.bytes() + size(&digest) {
@@ -194,7 +199,7 @@
             return;
         }
         let left = room.saturating_sub(message.bytes());
-        self.add_rumours(&mut message, Rank::Summary, left);
+        self.add_pushes(&mut message, PushPriority::Summary, left);
         self.send(sends, key, message);
     }
 
@@ -216,7 +221,7 @@
         let Some(member) = self.membership.get(key) else {
             return;
         };
-        self.budget.take(message.bytes());
+        self.budget.spend(message.bytes());
         sends.push(Outgoing {
             member: Some(key),
             to: member.address.clone(),
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -5,6 +5,7 @@
 //! job, [`Subset`] which targets an instance uses, [`DistributionTree`] who tells whom of the store, and [`Peer`] is the service that carries it all.
 
 mod budget;
+mod class_entries;
 mod delta;
 mod digest;
 mod distribution_tree;
@@ -18,16 +19,15 @@
 mod message;
 mod origin;
 mod peer;
+mod push_queue;
 mod rendezvous;
-mod rumours;
-mod stream;
 mod subset;
 
-pub use budget::Budget;
+pub use budget::ByteBudget;
 pub use delta::Delta;
 pub use digest::{Digest, DigestLine};
 pub use distribution_tree::DistributionTree;
-pub use entry::{Class, Entry, EntryError, EntryKind, Item};
+pub use entry::{Entry, EntryClass, EntryError, EntryKind, Item};
 pub use entry_table::EntryTable;
 pub use facts::{Brake, Facts};
 pub use gossip::{Event, Gossip, Outgoing};
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -1,4 +1,4 @@
-//! What instances send each other.
+//! Gossip messages.
 
 use bincode::Options as _;
 use celerypond_types::Revision;
@@ -6,34 +6,34 @@
 
 use crate::{Delta, Digest, Facts, Origin};
 
-/// What a message costs on the wire besides its own bytes: frame, call header and TCP/IP headers of
-/// the segment and of its acknowledgement.
+/// Bytes that a message takes on the wire besides its encoding: frame, RPC header, and the TCP/IP
+/// headers of the segment and of its acknowledgement.
 const OVERHEAD_BYTES: usize = 140;
 
-/// The word of an instance that another one does not answer.
+/// A claim that a run of an instance does not respond.
 ///
-/// It holds until the accused changes an entry of its own: the next sequence number of its control
-/// entries contradicts every claim made before.
+/// The claim holds until the accused run changes one of its control entries: a higher sequence
+/// number than `reached` refutes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The accused.
+    /// The accused run.
     pub origin: Origin,
-    /// The last control sequence number known of it.
+    /// The sequence number of its control entries that the accuser has reached.
     pub reached: u64,
 }
 
-/// One message, either way.
+/// A gossip request or response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// The sender.
     pub from: Origin,
-    /// Whom the sender means to reach, if it knows.
+    /// The intended receiver, if known to the sender.
     pub to: Option<Origin>,
-    /// Whether the sender does not know the receiver; its own entries are then among the deltas.
+    /// Whether the sender does not know the receiver. Its own control entries are then among the deltas.
     pub hello: bool,
-    /// The summary of the sender's facts, when it wants a difference to be sent.
+    /// The fingerprint of the sender's facts, if it requests facts that it lacks.
     pub summary: Option<u64>,
-    /// The revision that the sender itself acts on.
+    /// The revision that the sender uses.
     pub acting: Revision,
     /// Facts that the receiver may lack.
     pub facts: Facts,
@@ -41,11 +41,12 @@
     pub claims: Vec<Claim>,
     /// Entries that the receiver may lack.
     pub deltas: Vec<Delta>,
-    /// What the sender has, when it asks for more.
+    /// The entries that the sender has, if it requests those that it lacks.
     pub digest: Option<Digest>,
 }
 
 impl Message {
+    /// Creates a message that carries only addresses and the revision in use.
     pub(crate) fn new(from: Origin, to: Option<Origin>, acting: Revision) -> Self {
         Self {
             from,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Returns the bytes that the message takes on the wire, headers included.
+    /// Returns the number of bytes that the message takes on the wire, including headers.
     pub fn bytes(&self) -> usize {
         size(self) + OVERHEAD_BYTES
     }
@@ -68,7 +69,7 @@
 
 /// Returns the encoded size of a value in bytes.
 pub(crate) fn size<T: Serialize>(value: &T) -> usize {
-    // The types of this crate are all of known length, so this does not fail.
+    // Fails only for sequences of unknown length, which the messages do not contain.
     bincode::options()
         .serialized_size(value)
         .map_or(usize::MAX, |size| size as usize)
--- a/crates/fleet/src/origin.rs
+++ b/crates/fleet/src/origin.rs
@@ -1,26 +1,26 @@
-//! Who owns an entry: one run of one instance.
+//! Identification of the runs of instances, which own entries.
 
 use celerypond_types::{DataCentre, InstanceName};
 use rapidhash::v3::rapidhash_v3;
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// The ordinal of a run of an instance, usually its start time in milliseconds.
+/// The number of a run of an instance. Usually the start time in milliseconds since the Unix epoch;
+/// of two runs of an instance, the one with the higher number is the later one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation(pub u64);
 
-/// One run of one instance.
+/// The key of one run of an instance, from process start to exit.
 ///
-/// An instance keeps nothing, so its sequence numbers begin again after a restart. If both runs had
-/// the same key, peers would take the new entries for old ones and drop them. A key of its own for
-/// each run rules that out.
+/// An instance stores nothing on disk, so its sequence numbers start again after a restart. If both
+/// runs had the same key, peers would drop the new entries as outdated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Origin(pub u64);
 
 impl Origin {
-    /// Returns the key of a run.
+    /// Returns the key of the given run.
     pub fn of(name: &InstanceName, incarnation: Incarnation) -> Self {
         let mut bytes = name.as_str().as_bytes().to_vec();
         bytes.extend_from_slice(&incarnation.0.to_le_bytes());
@@ -28,14 +28,14 @@
     }
 }
 
-/// What an instance says of itself.
+/// What an instance publishes in its [identity entry](crate::EntryKind::Identity).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// The name, which survives a restart.
+    /// The name, which stays the same across restarts.
     pub name: InstanceName,
-    /// The run.
+    /// The number of the run.
     pub incarnation: Incarnation,
-    /// The address for peers.
+    /// The address at which peers reach the instance.
     pub address: SmolStr,
     /// The data centre.
     pub data_centre: DataCentre,
--- a/crates/fleet/tests/test_entry_table.rs
+++ b/crates/fleet/tests/test_entry_table.rs
@@ -71,12 +71,15 @@
 fn a_class_that_is_full_and_a_value_that_is_long_are_refused() {
     let mut table = EntryTable::default();
     let full = (0..=u8::MAX).find_map(|key| table.set(Origin(1), item(key, 0)).err());
-    assert_eq!(full, Some(EntryError::Full));
+    assert_eq!(full, Some(EntryError::ClassFull));
     let long = Item {
         value: vec![0; 2_000].into(),
         ..item(0, 0)
     };
-    assert_eq!(table.set(Origin(2), long), Err(EntryError::Long(2_000)));
+    assert_eq!(
+        table.set(Origin(2), long),
+        Err(EntryError::ValueTooLong(2_000))
+    );
 }
 
 #[test]
