--- a/crates/fleet/src/distribution_tree.rs
+++ b/crates/fleet/src/distribution_tree.rs
@@ -1,32 +1,34 @@
-//! Who tells whom what the store says.
+//! Distribution of changes of the store among the instances.
 
 use celerypond_types::{DataCentre, InstanceName};
 
 use crate::{choose_instances, Candidate};
 
-/// How many instances watch the store for all. One may die while the others are told by the second.
+/// Number of instances that watch the store for the others. With two, changes still arrive if one
+/// dies.
 const WATCHERS: usize = 2;
-/// The job for which the instances that watch the store are chosen.
-const WATCH_JOB: &[u8] = b"watch the store";
-/// The job for which the instances that tell others of their data centre are chosen.
-const TELL_JOB: &[u8] = b"tell the data centre";
-/// The largest fleet in which the watchers tell all others themselves; each of the others asks them for what
-/// changed, over links of 10 Mbit/s.
-const FLAT_MOST: usize = 100;
-/// How many instances one that tells its data centre tells, about; each is told by two.
-const TOLD: usize = 20;
-/// How many tell one instance.
-const TELLERS: usize = 2;
+/// Hash key by which the watchers are chosen. Must be the same in all instances.
+const WATCHER_KEY: &[u8] = b"watch the store";
+/// Hash key by which the forwarders are chosen. Must be the same in all instances.
+const FORWARDER_KEY: &[u8] = b"tell the data centre";
+/// Maximum size of a fleet without forwarders. In such a fleet, all instances fetch the changes from
+/// the watchers, over links of 10 Mbit/s.
+const MAX_FLAT_SIZE: usize = 100;
+/// Approximate number of recipients of each forwarder.
+const RECIPIENTS_PER_FORWARDER: usize = 20;
+/// Number of forwarders that notify each instance.
+const FORWARDERS_PER_INSTANCE: usize = 2;
 
-/// Who tells whom what the store says.
+/// Determines which instance notifies which others of changes of the store.
 ///
-/// The load it answers: each change of the store has to reach all instances within a part of a second, and
-/// an instance's link carries it to some tens of others only. Two instances watch the store. In a small
-/// fleet they tell all others. In a large one they tell a few in each data centre, and these the others
-/// there, so that a change crosses to a data centre a few times and not once for each instance.
+/// Every change must reach all instances within a fraction of a second, but the link of an instance can
+/// carry it to only a few tens of others. Two instances, the watchers, watch the store. In a small
+/// fleet they notify all others. In a large fleet they notify a few forwarders in each data centre,
+/// which notify the others there, so that a change is sent to a data centre only a few times instead
+/// of once for each instance.
 ///
-/// All who know the same instances agree on it without a message. Whoever is told by nobody watches the store
-/// itself, so nothing depends on that.
+/// Instances that know the same members compute the same tree without communication. Correctness does
+/// not depend on that: an instance that is not notified watches the store itself.
 ///
 /// # Examples
 ///
@@ -45,81 +47,89 @@
 pub struct DistributionTree<'a> {
     all: Vec<Candidate<'a>>,
     watchers: Vec<Candidate<'a>>,
-    /// Those that tell the others of their data centre; empty in a small fleet.
-    tellers: Vec<Candidate<'a>>,
+    /// Instances that notify the others of their data centre; empty in a small fleet.
+    forwarders: Vec<Candidate<'a>>,
 }
 
 impl<'a> DistributionTree<'a> {
-    /// Chooses among these instances.
+    /// Computes the tree for the given instances.
     pub fn new(all: Vec<Candidate<'a>>) -> Self {
-        let watchers = choose_instances(WATCH_JOB, &all, WATCHERS);
-        let tellers = match all.len() > FLAT_MOST {
-            true => tellers(&all),
+        let watchers = choose_instances(WATCHER_KEY, &all, WATCHERS);
+        let forwarders = match all.len() > MAX_FLAT_SIZE {
+            true => choose_forwarders(&all),
             false => Vec::new(),
         };
         Self {
             all,
             watchers,
-            tellers,
+            forwarders,
         }
     }
 
-    /// Returns the instances that watch the store for all.
+    /// Returns the instances that watch the store for the others.
     pub fn watchers(&self) -> &[Candidate<'a>] {
         &self.watchers
     }
 
-    /// Returns over how many instances a change reaches the last one.
+    /// Returns the maximum number of hops from a watcher to an instance.
     pub fn hops(&self) -> u32 {
-        if self.tellers.is_empty() {
+        if self.forwarders.is_empty() {
             1
         } else {
             2
         }
     }
 
-    /// Returns whom an instance tells; `watches` is whether it watches the store, chosen or not.
-    pub fn recipients_of(&self, own: &InstanceName, watches: bool) -> Vec<&'a InstanceName> {
+    /// Returns the instances that `own` notifies, given whether it watches the store, chosen or not.
+    pub fn recipients_of(&self, own: &InstanceName, is_watching: bool) -> Vec<&'a InstanceName> {
         let others = self.all.iter().filter(|one| one.name != own);
-        if self.tellers.is_empty() {
-            let told = others.filter(|_| watches);
-            return told.map(|one| one.name).collect();
+        if self.forwarders.is_empty() {
+            let recipients = others.filter(|_| is_watching);
+            return recipients.map(|one| one.name).collect();
         }
         let is_watcher = contains(&self.watchers, own);
-        let teller = self.tellers.iter().find(|one| one.name == own);
-        let near = teller.map_or_else(Vec::new, |teller| self.tellers_of(teller.data_centre));
-        let told = others.filter(|one| match contains(&self.tellers, one.name) {
+        let forwarder = self.forwarders.iter().find(|one| one.name == own);
+        let local = forwarder.map_or_else(Vec::new, |forwarder| {
+            self.forwarders_in(forwarder.data_centre)
+        });
+        let recipients = others.filter(|one| match contains(&self.forwarders, one.name) {
             true => is_watcher,
-            false => near.first().is_some_and(|first| {
+            false => local.first().is_some_and(|first| {
                 one.data_centre == first.data_centre
                     && contains(
-                        &choose_instances(one.name.as_str().as_bytes(), &near, TELLERS),
+                        &choose_instances(
+                            one.name.as_str().as_bytes(),
+                            &local,
+                            FORWARDERS_PER_INSTANCE,
+                        ),
                         own,
                     )
             }),
         });
-        told.map(|one| one.name).collect()
+        recipients.map(|one| one.name).collect()
     }
 
-    fn tellers_of(&self, data_centre: &DataCentre) -> Vec<Candidate<'a>> {
-        let tellers = self.tellers.iter();
-        let near = tellers.filter(|one| one.data_centre == data_centre);
-        near.copied().collect()
+    fn forwarders_in(&self, data_centre: &DataCentre) -> Vec<Candidate<'a>> {
+        let forwarders = self.forwarders.iter();
+        let local = forwarders.filter(|one| one.data_centre == data_centre);
+        local.copied().collect()
     }
 }
 
-/// Chooses those that tell the others of each data centre.
-fn tellers<'a>(all: &[Candidate<'a>]) -> Vec<Candidate<'a>> {
+/// Chooses the forwarders of each data centre.
+fn choose_forwarders<'a>(all: &[Candidate<'a>]) -> Vec<Candidate<'a>> {
     let mut data_centres: Vec<&DataCentre> = all.iter().map(|one| one.data_centre).collect();
     data_centres.sort();
     data_centres.dedup();
-    let of = |data_centre: &DataCentre| {
-        let near = all.iter().filter(|one| one.data_centre == data_centre);
-        let near: Vec<Candidate<'a>> = near.copied().collect();
-        let count = (near.len() * TELLERS).div_ceil(TOLD).max(TELLERS);
-        choose_instances(TELL_JOB, &near, count)
+    let forwarders_in = |data_centre: &DataCentre| {
+        let local = all.iter().filter(|one| one.data_centre == data_centre);
+        let local: Vec<Candidate<'a>> = local.copied().collect();
+        let count = (local.len() * FORWARDERS_PER_INSTANCE)
+            .div_ceil(RECIPIENTS_PER_FORWARDER)
+            .max(FORWARDERS_PER_INSTANCE);
+        choose_instances(FORWARDER_KEY, &local, count)
     };
-    data_centres.into_iter().flat_map(of).collect()
+    data_centres.into_iter().flat_map(forwarders_in).collect()
 }
 
 fn contains(some: &[Candidate<'_>], name: &InstanceName) -> bool {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,9 @@
-//! Membership, gossip and the service between instances.
+//! Fleet membership, gossip, and the RPC service between instances.
 //!
-//! [`Gossip`] is a pure state machine: it is fed the time, messages and failures, and returns the
-//! messages to be sent. [`choose_instances`] says which instances do a
-//! job, [`Subset`] which targets an instance uses, [`DistributionTree`] who tells whom of the store, and [`Peer`] is the service that carries it all.
+//! [`Gossip`] is a state machine without I/O: its inputs are the time, received messages and failures,
+//! and its outputs are the messages to send. [`choose_instances`] assigns jobs to instances, [`Subset`]
+//! assigns targets to instances, [`DistributionTree`] determines the paths on which changes of the store
+//! spread, and [`Peer`] is the RPC service between instances.
 
 mod budget;
 mod class_entries;
--- a/crates/fleet/src/peer.rs
+++ b/crates/fleet/src/peer.rs
@@ -1,4 +1,4 @@
-//! The service between instances, over TCP.
+//! The RPC service between instances, over TCP.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -17,62 +17,66 @@
 
 use crate::Message;
 
-/// The longest frame, in bytes: a bundle of a megabyte and its frame.
-const FRAME_BYTES: usize = (1 << 20) + (1 << 12);
+/// Maximum length of a frame, in bytes: a bundle of 1 MiB plus encoding.
+const MAX_FRAME_BYTES: usize = (1 << 20) + (1 << 12);
 
-/// Calls that may wait for an answer on one connection.
-const CALLS_LIMIT: usize = 256;
+/// Maximum number of concurrent calls on one connection.
+const MAX_CONCURRENT_CALLS: usize = 256;
 
-/// What instances ask of each other.
+/// Calls between instances.
 ///
-/// Every call carries a deadline (see [`call_context`]); the server drops the work when it passes. None
-/// of these calls decides who may write.
+/// Every call carries a deadline (see [`call_context`]), after which the server cancels the work. No
+/// call decides which instance may write to the store. The order of the methods is part of the wire
+/// format.
 #[tarpc::service]
 pub trait Peer {
-    /// Exchanges gossip.
+    /// Handles a gossip request and returns the response.
     async fn exchange_gossip(message: Message) -> Message;
 
-    /// Keeps a record of a request that the caller drives; returns a higher one that is held
-    /// instead. Records are opaque here.
+    /// Stores a record of a request that the caller executes. If the callee holds one of a later attempt,
+    /// it keeps and returns that one instead. This crate does not interpret records.
     async fn store_record(record: Vec<u8>) -> Option<Vec<u8>>;
 
-    /// Adds tokens to a record. Copies are opaque here.
+    /// Appends tokens to a stored record. This crate does not interpret `copy`.
     async fn append_to_record(copy: Vec<u8>);
 
-    /// Drops the record of a request whose answer has ended, unless it is of a later attempt.
+    /// Removes the record of a request whose response has ended, unless the record is of a later
+    /// attempt.
     async fn remove_record(request: RequestKey, attempt: Attempt);
 
-    /// Returns the record of a request.
+    /// Returns the stored record of a request.
     async fn fetch_record(request: RequestKey) -> Option<Vec<u8>>;
 
-    /// Returns the bundle in force at the callee, if its revision is at least `revision`.
+    /// Returns the bundle that the callee uses, if its revision is at least `revision`.
     async fn fetch_bundle(revision: Revision) -> Option<Vec<u8>>;
 
-    /// Returns what changed in the platform's store after a revision of the store; opaque here.
+    /// Returns the changes to the platform's store after revision `since` of the store. This crate does
+    /// not interpret them.
     async fn fetch_changes(since: u64) -> Option<Vec<u8>>;
 
-    /// Exchanges what is known of rollouts. Both messages are opaque here.
+    /// Exchanges information about rollouts. This crate does not interpret either message.
     async fn exchange_rollouts(news: Vec<u8>) -> Vec<u8>;
 
-    /// Passes a call with a key on to the instance that batches for its shard. Both messages are
-    /// opaque here. A call that gets no answer may have run.
+    /// Forwards a call with an idempotency key to the instance that batches the calls of its shard.
+    /// This crate does not interpret either message. A call without a response may have been executed.
     async fn forward_call(call: Vec<u8>) -> Vec<u8>;
 }
 
-/// The ways in which a connection to a peer fails.
+/// An error that occurs while connecting to a peer.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum PeerError {
-    /// No connection was made in time.
-    #[error("no connection to {0} in time")]
+    /// The connection was not established in time.
+    #[error("timed out connecting to {0}")]
     Timeout(SocketAddr),
-    /// The connection was refused.
-    #[error("the connection to {0} failed")]
+    /// The connection could not be established or set up.
+    #[error("failed to connect to {0}")]
     Connect(SocketAddr),
 }
 
 /// Connects to a peer.
 ///
-/// The second value drives the connection; the caller spawns it and joins it at the end.
+/// Returns the client and a future that drives the connection. The caller must spawn the future, which
+/// ends once all clones of the client have been dropped or the connection has failed.
 ///
 /// # Errors
 ///
@@ -89,20 +93,20 @@
         .set_nodelay(true)
         .change_context(PeerError::Connect(address))?;
     let mut config = client::Config::default();
-    config.max_in_flight_requests = CALLS_LIMIT;
+    config.max_in_flight_requests = MAX_CONCURRENT_CALLS;
     let new = PeerClient::new(config, transport(stream));
-    let drive = async move {
-        // The calls in flight get the error; the connection is then made anew.
+    let driver = async move {
+        // Pending calls return the error, after which the caller connects again.
         let _ = new.dispatch.await;
     };
-    Ok((new.client, drive))
+    Ok((new.client, driver))
 }
 
-/// Serves the calls of one accepted connection until it ends.
+/// Serves the calls on an accepted connection until it ends.
 ///
 /// # Errors
 ///
-/// Fails when the socket cannot be set up.
+/// Fails if the socket cannot be configured.
 pub async fn serve_connection<S>(stream: TcpStream, service: S) -> io::Result<()>
 where
     S: Serve<Req = PeerRequest, Resp = PeerResponse> + Clone,
@@ -112,12 +116,12 @@
     stream.set_nodelay(true)?;
     BaseChannel::with_defaults(transport(stream))
         .execute(service)
-        .for_each_concurrent(CALLS_LIMIT, |call| call)
+        .for_each_concurrent(MAX_CONCURRENT_CALLS, |call| call)
         .await;
     Ok(())
 }
 
-/// Returns the context of a call that must be answered by `deadline`.
+/// Returns the context of a call with the given deadline.
 pub fn call_context(deadline: Instant) -> tarpc::context::Context {
     let mut context = tarpc::context::current();
     context.deadline = deadline.into_std();
@@ -132,7 +136,7 @@
     SinkItem: serde::Serialize,
 {
     let framed = LengthDelimitedCodec::builder()
-        .max_frame_length(FRAME_BYTES)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_framed(stream);
     serde_transport::new(framed, Bincode::default())
 }
--- a/crates/fleet/src/rendezvous.rs
+++ b/crates/fleet/src/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Which instances do a job, agreed on without a message.
+//! Rendezvous hashing, by which instances agree on who does a job without communication.
 
 use celerypond_types::{DataCentre, InstanceName};
 use rapidhash::v3::rapidhash_v3;
@@ -6,17 +6,18 @@
 /// An instance that may be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate<'a> {
-    /// Its name.
+    /// The name.
     pub name: &'a InstanceName,
-    /// Its data centre.
+    /// The data centre.
     pub data_centre: &'a DataCentre,
 }
 
-/// Chooses `count` instances for `key`, each in a data centre of its own as long as there are any.
+/// Chooses `count` instances for `key` by rendezvous hashing, each in a different data centre as far as
+/// possible.
 ///
-/// All who know the same candidates choose the same ones, in the same order, and a candidate that
-/// comes or goes changes only the choices that it is part of. Those who know different candidates
-/// may choose differently: a choice says where to look first and never who may write.
+/// With the same candidates, all instances choose the same ones in the same order. Adding or removing
+/// a candidate affects only the choices that it is part of. Instances that know different candidates
+/// may choose differently, so the result must not decide which instance may write.
 ///
 /// # Examples
 ///
@@ -25,14 +26,14 @@
 /// use celerypond_types::{DataCentre, InstanceName};
 ///
 /// let names = ["a", "b", "c"].map(InstanceName::from);
-/// let centres = ["east", "east", "west"].map(DataCentre::from);
+/// let data_centres = ["east", "east", "west"].map(DataCentre::from);
 /// let all: Vec<Candidate<'_>> = names
 ///     .iter()
-///     .zip(&centres)
+///     .zip(&data_centres)
 ///     .map(|(name, data_centre)| Candidate { name, data_centre })
 ///     .collect();
-/// let keepers = choose_instances(b"request-7", &all, 2);
-/// assert_ne!(keepers[0].data_centre, keepers[1].data_centre);
+/// let chosen = choose_instances(b"request-7", &all, 2);
+/// assert_ne!(chosen[0].data_centre, chosen[1].data_centre);
 /// ```
 pub fn choose_instances<'a>(
     key: &[u8],
@@ -45,28 +46,37 @@
         .map(|candidate| (weight(key, candidate.name), *candidate))
         .collect();
     let mut chosen: Vec<Candidate<'a>> = Vec::with_capacity(count);
-    for apart in [true, false] {
+    for in_new_data_centre in [true, false] {
         while chosen.len() < count {
-            let Some(at) = first(&ranked, &chosen, apart) else {
+            let Some(index) = heaviest(&ranked, &chosen, in_new_data_centre) else {
                 break;
             };
-            chosen.push(ranked.swap_remove(at).1);
+            chosen.push(ranked.swap_remove(index).1);
         }
     }
     chosen
 }
 
-/// Returns the place of the heaviest candidate, if `apart` outside the data centres of the chosen.
+/// Returns the index of the candidate with the highest weight; with `in_new_data_centre`, only among
+/// those in a data centre of which none has been chosen.
 ///
-/// A pass for each choice costs less than to put all in order, as few are chosen of many.
-fn first(ranked: &[(u64, Candidate<'_>)], chosen: &[Candidate<'_>], apart: bool) -> Option<usize> {
-    let near = |candidate: &Candidate<'_>| {
-        let mut centres = chosen.iter().map(|c| c.data_centre);
-        apart && centres.any(|centre| centre == candidate.data_centre)
+/// Since few of many are chosen, one pass for each choice is cheaper than sorting all candidates.
+fn heaviest(
+    ranked: &[(u64, Candidate<'_>)],
+    chosen: &[Candidate<'_>],
+    in_new_data_centre: bool,
+) -> Option<usize> {
+    let is_excluded = |candidate: &Candidate<'_>| {
+        let mut data_centres = chosen.iter().map(|c| c.data_centre);
+        in_new_data_centre && data_centres.any(|data_centre| data_centre == candidate.data_centre)
     };
-    let open = ranked.iter().enumerate().filter(|(_, (_, c))| !near(c));
-    open.max_by_key(|(_, (weight, candidate))| (*weight, candidate.name))
-        .map(|(at, _)| at)
+    let eligible = ranked
+        .iter()
+        .enumerate()
+        .filter(|(_, (_, c))| !is_excluded(c));
+    eligible
+        .max_by_key(|(_, (weight, candidate))| (*weight, candidate.name))
+        .map(|(index, _)| index)
 }
 
 /// Returns the weight of an instance for the hash of a key.
--- a/crates/fleet/src/subset.rs
+++ b/crates/fleet/src/subset.rs
@@ -1,4 +1,4 @@
-//! Which instances share loads, and which targets they use.
+//! Division of instances and targets into groups.
 
 use std::time::Duration;
 
@@ -7,24 +7,24 @@
 
 use crate::{choose_instances, Candidate};
 
-/// Instances a group may have before it is split into two.
-const GROUP_LIMIT: usize = 24;
+/// Maximum number of instances in a group, unless the caller gives another one.
+const MAX_GROUP_INSTANCES: usize = 24;
 
-/// The shortest time between two sums of a group.
-const SUMMARY_LEAST: Duration = Duration::from_secs(4);
+/// The minimum time between two summaries of a group.
+const MIN_SUMMARY_PERIOD: Duration = Duration::from_secs(4);
 
-/// What each group adds to the time between two sums.
-const SUMMARY_STEP: Duration = Duration::from_secs(1);
+/// The time between two summaries of a group, for each group of the fleet.
+const SUMMARY_PERIOD_PER_GROUP: Duration = Duration::from_secs(1);
 
-/// Watchers of each target.
-const WATCHERS: usize = 2;
+/// Number of instances that watch each target.
+const WATCHERS_PER_TARGET: usize = 2;
 
-/// The part of the fleet that one instance deals with.
+/// The group of instances and targets that one instance belongs to.
 ///
-/// Instances and targets are put in order of a hash and cut into groups of equal size; an instance
-/// sends work to the targets of its group and shares loads with the instances of its group. What it
-/// holds and receives so depends on the size of a group and not on instances times targets. One
-/// that joins or leaves moves at most one instance across each border.
+/// Instances and targets are sorted by hash and divided into groups of equal size. An instance sends
+/// work to the targets of its group and shares load reports with the instances of its group. Its
+/// memory and traffic thus depend on the size of a group and not on the product of instances and
+/// targets. An instance that joins or leaves moves at most one other across each group boundary.
 ///
 /// # Examples
 ///
@@ -39,30 +39,30 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Subset {
-    /// The ordinal of the group.
+    /// The index of the group.
     pub group: usize,
     /// The number of groups.
     pub groups: usize,
-    /// The instances of the group, this one too.
+    /// The instances of the group, including this one.
     pub peers: Vec<InstanceName>,
     /// The targets of the group.
     pub targets: Vec<TargetName>,
 }
 
 impl Subset {
-    /// Returns the part of instance `own`.
+    /// Returns the group of instance `own`.
     pub fn of(own: &InstanceName, instances: &[InstanceName], targets: &[TargetName]) -> Self {
-        Self::with_group_limit(GROUP_LIMIT, own, instances, targets)
+        Self::with_group_limit(MAX_GROUP_INSTANCES, own, instances, targets)
     }
 
-    /// Returns the part of instance `own` where a group has at most `limit` instances.
+    /// Returns the group of instance `own`, where a group has at most about `limit` instances.
     pub fn with_group_limit(
         limit: usize,
         own: &InstanceName,
         instances: &[InstanceName],
         targets: &[TargetName],
     ) -> Self {
-        let groups = groups(instances.len(), limit);
+        let groups = group_count(instances.len(), limit);
         let mut instances = by_hash(instances, InstanceName::as_str);
         if !instances.contains(own) {
             instances = by_hash(
@@ -75,32 +75,33 @@
         Self {
             group,
             groups,
-            peers: slice(&instances, group, groups),
-            targets: slice(&by_hash(targets, TargetName::as_str), group, groups),
+            peers: in_group(&instances, group, groups),
+            targets: in_group(&by_hash(targets, TargetName::as_str), group, groups),
         }
     }
 
-    /// Returns how often the leader of a group publishes its sums.
+    /// Returns the time between two summaries that the leader of a group publishes.
     ///
-    /// Sums go to the whole fleet, so what an instance receives of them is the number of groups
-    /// over this time; making the time grow with the groups keeps it the same at any size.
+    /// Summaries go to the whole fleet, so an instance receives one from each group in every period.
+    /// A period that grows with the number of groups keeps that traffic constant.
     pub fn summary_period(&self) -> Duration {
-        SUMMARY_LEAST.max(SUMMARY_STEP * self.groups as u32)
+        MIN_SUMMARY_PERIOD.max(SUMMARY_PERIOD_PER_GROUP * self.groups as u32)
     }
 
-    /// Returns the targets whose load this instance reads and shares.
+    /// Returns the targets of which instance `own` reads and publishes the load.
     pub fn watched_targets(&self, own: &InstanceName, peers: &[Candidate<'_>]) -> Vec<TargetName> {
-        let mine = |target: &&TargetName| {
-            choose_instances(target.as_str().as_bytes(), peers, WATCHERS)
+        let is_watched = |target: &&TargetName| {
+            choose_instances(target.as_str().as_bytes(), peers, WATCHERS_PER_TARGET)
                 .iter()
-                .any(|chosen| chosen.name == own)
+                .any(|watcher| watcher.name == own)
         };
-        self.targets.iter().filter(mine).cloned().collect()
+        self.targets.iter().filter(is_watched).cloned().collect()
     }
 }
 
-/// Returns the number of groups for `instances`: a power of two, so that it changes rarely.
-fn groups(instances: usize, limit: usize) -> usize {
+/// Returns the number of groups for a number of instances. It is a power of two, so that it rarely
+/// changes.
+fn group_count(instances: usize, limit: usize) -> usize {
     let mut groups = 1;
     while instances / groups > limit {
         groups *= 2;
@@ -108,17 +109,19 @@
     groups
 }
 
+/// Returns the names sorted by hash.
 fn by_hash<T: Clone + Ord>(names: &[T], text: fn(&T) -> &str) -> Vec<T> {
     let mut names = names.to_vec();
     names.sort_by_cached_key(|name| (rapidhash_v3(text(name).as_bytes()), name.clone()));
     names
 }
 
-fn slice<T: Clone>(names: &[T], group: usize, groups: usize) -> Vec<T> {
-    let of = |rank: usize| rank * groups / names.len();
+/// Returns the names at the ranks that belong to `group`.
+fn in_group<T: Clone>(names: &[T], group: usize, groups: usize) -> Vec<T> {
+    let group_of = |rank: usize| rank * groups / names.len();
     let ranked = names.iter().enumerate();
     ranked
-        .filter(|(rank, _)| of(*rank) == group)
+        .filter(|(rank, _)| group_of(*rank) == group)
         .map(|(_, name)| name.clone())
         .collect()
 }
