--- a/crates/fleet/src/facts.rs
+++ b/crates/fleet/src/facts.rs
@@ -1,4 +1,4 @@
-//! What holds for the whole fleet, whoever said it first.
+//! Facts that concern the whole fleet and belong to no instance.
 
 use std::collections::BTreeSet;
 
@@ -6,24 +6,24 @@
 use rapidhash::v3::rapidhash_v3;
 use serde::{Deserialize, Serialize};
 
-/// Brakes that are kept, those of the latest revisions.
-const BRAKES_KEPT: usize = 64;
+/// Maximum number of brakes kept. The lowest ones, by revision and version, are dropped first.
+const MAX_BRAKES: usize = 64;
 
-/// A version that gets no more traffic under a revision.
+/// Stops all traffic to a version under a revision.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Brake {
-    /// The revision under which the version was found bad.
+    /// The revision under which the version was found to be faulty.
     pub revision: Revision,
-    /// The version.
+    /// The version that gets no more traffic.
     pub version: VersionName,
 }
 
-/// The highest revision and the brakes; both only grow.
+/// The highest known revision and the brakes.
 ///
-/// These belong to no instance: if a brake were an entry of the instance that tripped it, it would
-/// go when that instance dies, and the bad version would get traffic again. A maximum and a set
-/// merge in any order and any number of times with the same result, so a late or repeated message
-/// cannot take anything back.
+/// Facts belong to no instance: if a brake were an entry of the instance that added it, it would be
+/// removed when that instance dies, and the faulty version would get traffic again. Both parts only
+/// grow (a CRDT): the result of merging does not depend on the order or the number of merges, so a
+/// late or repeated message cannot undo anything.
 ///
 /// # Examples
 ///
@@ -45,62 +45,62 @@
 }
 
 impl Facts {
-    /// Returns the highest revision heard of.
+    /// Returns the highest known revision.
     pub const fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Returns the brakes in order of revision.
+    /// Returns the brakes in order of revision and version.
     pub fn brakes(&self) -> impl Iterator<Item = &Brake> {
         self.brakes.iter()
     }
 
-    /// Returns whether a version is braked under a revision.
+    /// Returns whether the brake is known.
     pub fn is_braked(&self, brake: &Brake) -> bool {
         self.brakes.contains(brake)
     }
 
-    /// Takes in a revision; returns whether it is news.
+    /// Adds a revision. Returns whether it is higher than the highest one known before.
     pub fn raise_revision(&mut self, revision: Revision) -> bool {
-        let news = revision > self.revision;
+        let is_new = revision > self.revision;
         self.revision = self.revision.max(revision);
-        news
+        is_new
     }
 
-    /// Takes in a brake; returns whether it is news.
+    /// Adds a brake. Returns whether it was unknown and is kept.
     ///
-    /// The set keeps the highest ones only, which every instance cuts alike.
+    /// Only the highest brakes are kept, so that all instances drop the same ones.
     pub fn add_brake(&mut self, brake: Brake) -> bool {
         if !self.brakes.insert(brake.clone()) {
             return false;
         }
-        if self.brakes.len() <= BRAKES_KEPT {
+        if self.brakes.len() <= MAX_BRAKES {
             return true;
         }
         self.brakes.pop_first() != Some(brake)
     }
 
-    /// Takes in other facts; returns what was news.
+    /// Merges other facts and returns those that were unknown.
     pub fn merge(&mut self, other: Self) -> Self {
-        let mut news = Self::default();
+        let mut added = Self::default();
         if self.raise_revision(other.revision) {
-            news.revision = other.revision;
+            added.revision = other.revision;
         }
         for brake in other.brakes {
             if self.add_brake(brake.clone()) {
-                news.brakes.insert(brake);
+                added.brakes.insert(brake);
             }
         }
-        news
+        added
     }
 
-    /// Returns whether nothing is known.
+    /// Returns whether no revision and no brake is known.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Returns a number by which two instances see that they know the same.
-    pub fn summary(&self) -> u64 {
+    /// Returns a hash, by which two instances determine whether they know the same facts.
+    pub fn fingerprint(&self) -> u64 {
         let mut bytes = self.revision.0.to_le_bytes().to_vec();
         for brake in &self.brakes {
             bytes.extend_from_slice(&brake.revision.0.to_le_bytes());
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip of one instance.
+//! The gossip protocol of one instance.
 
 mod compose;
 mod exchange;
@@ -19,43 +19,45 @@
     GossipSettings, Identity, Item, ListedMember, Membership, Message, Origin,
 };
 
-/// A change that the owner of the state machine may want to act on or log.
+/// A change that the caller of [`Gossip`] may have to act on or log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Event {
-    /// The highest revision rose.
+    /// The highest known revision has risen.
     Revision(Revision),
-    /// A peer that was heard acts on a revision above the one that this instance acts on.
+    /// A message from a peer shows that the peer uses a higher revision than this instance. Reported
+    /// whenever such a message arrives.
     Ahead(Revision),
-    /// A brake became known.
+    /// A brake has become known.
     Brake(Brake),
-    /// An entry of the kind came, changed or went.
+    /// A peer has set an entry of this kind.
     Changed(EntryKind),
-    /// An instance became known, or a new run of it.
+    /// An instance or a new run of a known instance has become known.
     Joined(InstanceName),
-    /// An instance became suspected.
+    /// An instance does not respond.
     Suspected(InstanceName),
-    /// An instance that was suspected showed a sign of life.
+    /// An instance that did not respond has sent a message or refuted the claim.
     Returned(InstanceName),
-    /// An instance was dropped after a long silence.
+    /// An instance has been removed because it did not respond for a long time.
     Forgotten(InstanceName),
-    /// A later run of this very instance is known, so this run took a still later ordinal.
+    /// Another run of this instance had the same or a higher number, so this run has taken the next one.
     Renumbered,
 }
 
-/// A message to be sent.
+/// A request to send.
 ///
-/// The sender gives the answer to [`Gossip::handle_response`] and a failure to [`Gossip::handle_failure`].
+/// The caller passes the response to [`Gossip::handle_response`] or reports the failure with
+/// [`Gossip::handle_failure`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// The member that is meant; nothing for a seed address.
+    /// The receiving member; `None` for a seed address.
     pub member: Option<InstanceKey>,
-    /// The address.
+    /// The address of the receiver.
     pub to: SmolStr,
     /// The message.
     pub message: Message,
 }
 
-/// Gossip of one instance, as a state machine.
+/// The gossip protocol of one instance, as a state machine without I/O.
 ///
 /// # Examples
 ///
@@ -90,49 +92,53 @@
     settings: GossipSettings,
     entries: EntryTable,
     facts: Facts,
-    fresh: Facts,
-    /// The revision that this instance acts on.
-    acting: Revision,
+    /// Facts that have not been pushed yet.
+    unsent_facts: Facts,
+    /// The revision that this instance uses.
+    acting_revision: Revision,
     membership: Membership,
     push_queue: PushQueue,
     budget: ByteBudget,
+    /// The other instances of the group, sorted.
     group: Vec<InstanceName>,
-    cursor: Origin,
-    /// Until when more is exchanged than later.
-    settled: Instant,
-    round: u64,
-    outcomes: u8,
+    /// The first origin that the next fleet digest covers.
+    digest_cursor: Origin,
+    /// The end of the startup phase.
+    startup_until: Instant,
+    round_number: u64,
+    /// The outcomes of the last exchanges, one bit each, set for a failed one.
+    recent_failures: u8,
     events: BTreeSet<Event>,
     rng: SmallRng,
 }
 
 impl Gossip {
-    /// Makes the gossip of an instance that knows nobody yet.
+    /// Creates the state of an instance that knows no other instance yet.
     pub fn new(identity: Identity, settings: GossipSettings, rng: SmallRng, now: Instant) -> Self {
         let mut gossip = Self {
             origin: identity.origin(),
             identity,
             entries: EntryTable::default(),
             facts: Facts::default(),
-            fresh: Facts::default(),
-            acting: Revision(0),
+            unsent_facts: Facts::default(),
+            acting_revision: Revision(0),
             membership: Membership::default(),
             push_queue: PushQueue::default(),
             budget: ByteBudget::new(settings.startup_bytes_per_second, now),
-            settled: now + settings.startup_duration,
+            startup_until: now + settings.startup_duration,
             settings,
             group: Vec::new(),
-            cursor: Origin(0),
-            round: 0,
-            outcomes: 0,
+            digest_cursor: Origin(0),
+            round_number: 0,
+            recent_failures: 0,
             events: BTreeSet::new(),
             rng,
         };
-        gossip.introduce();
+        gossip.publish_identity();
         gossip
     }
 
-    /// Returns what this instance says of itself.
+    /// Returns what this instance publishes about itself.
     pub const fn identity(&self) -> &Identity {
         &self.identity
     }
@@ -142,27 +148,27 @@
         self.origin
     }
 
-    /// Returns the highest revision and the brakes.
+    /// Returns the highest known revision and the brakes.
     pub const fn facts(&self) -> &Facts {
         &self.facts
     }
 
-    /// Returns the other instances.
+    /// Returns the other known instances.
     pub const fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Returns the entries of all instances, this one's too.
+    /// Returns the entries of all instances, including this one.
     pub const fn entries(&self) -> &EntryTable {
         &self.entries
     }
 
-    /// Returns what changed since the last call.
+    /// Returns the changes since the last call.
     pub fn take_events(&mut self) -> BTreeSet<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// Takes in the platform's list.
+    /// Applies the platform's list of instances.
     pub fn update_listed_members(&mut self, list: &[ListedMember], now: Instant) {
         let others: Vec<ListedMember> = list
             .iter()
@@ -172,10 +178,10 @@
         self.membership.update_listed(&others, now);
     }
 
-    /// Sets the instances that share evidence, demand and load with this one.
+    /// Sets the instances that exchange group-local entries with this one.
     ///
-    /// What was heard of instances that are no longer among them is dropped: nothing would ever
-    /// change it again, and old loads would be taken for present ones.
+    /// The group-local entries of instances that are no longer in the group are dropped. They would
+    /// never be updated again, and outdated loads would be taken for current ones.
     pub fn set_group(&mut self, peers: Vec<InstanceName>) {
         self.group = peers;
         self.group.retain(|name| *name != self.identity.name);
@@ -188,14 +194,14 @@
         self.entries.keep_group(&group);
     }
 
-    /// Returns whether this instance sums up for its group, by the view of this instance.
+    /// Returns whether this instance publishes the summaries of its group, as far as it knows.
     ///
-    /// Two may think so for a while, and their sums then stand twice; readers of sums keep the one
-    /// of each group with the latest value.
+    /// Two instances may consider themselves the leader for a while and both publish summaries; readers
+    /// use the latest one of each group.
     pub fn is_group_leader(&self) -> bool {
         let live = self.group.iter().filter_map(|name| {
             let member = self.membership.by_name(name)?;
-            (!member.is_silent()).then_some(Candidate {
+            (!member.is_unresponsive()).then_some(Candidate {
                 name: &member.name,
                 data_centre: &member.data_centre,
             })
@@ -208,24 +214,24 @@
         choose_instances(b"group leader", &all, 1).first() == Some(&own)
     }
 
-    /// Takes in a revision that this instance acts on; it is pushed to peers if it is news.
+    /// Records that this instance uses a revision. It is pushed to peers if it is the highest known one.
     pub fn raise_acting_revision(&mut self, revision: Revision) {
-        self.acting = self.acting.max(revision);
+        self.acting_revision = self.acting_revision.max(revision);
         let mut facts = Facts::default();
         facts.raise_revision(revision);
-        self.learn(facts);
+        self.merge_facts(facts);
     }
 
-    /// Takes in a brake that this instance trips; it is pushed to peers if it is news.
+    /// Adds a brake. It is pushed to peers if it was unknown.
     pub fn add_brake(&mut self, brake: Brake) {
         let mut facts = Facts::default();
         facts.add_brake(brake);
-        self.learn(facts);
+        self.merge_facts(facts);
     }
 
-    /// Says that this instance takes no new work for the rest of its run.
+    /// Announces that this instance accepts no new work for the rest of its run.
     pub fn announce_leaving(&mut self) {
-        // One empty entry more always fits: the control class has few kinds.
+        // Cannot fail: the value is empty, and the control class has few kinds of entries.
         let _ = self.set_entry(EntryKind::Leaving, "", Box::default());
     }
 
@@ -233,7 +239,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the value is too long or the class is full.
+    /// Fails if the value is too long or the class is full.
     pub fn set_entry(
         &mut self,
         kind: EntryKind,
@@ -242,47 +248,52 @@
     ) -> Result<(), EntryError> {
         let key = key.into();
         let sequence = self.entries.set(self.origin, Item { kind, key, value })?;
-        self.spread(self.origin, kind.class(), kind.is_urgent(), sequence);
+        self.queue_push(self.origin, kind.class(), kind.is_urgent(), sequence);
         Ok(())
     }
 
-    /// Clears an entry of this instance, if there is one.
+    /// Clears an entry of this instance, if it is set.
     pub fn clear_entry(&mut self, kind: EntryKind, key: &str) {
         if let Some(sequence) = self.entries.clear(self.origin, kind, key) {
-            self.spread(self.origin, kind.class(), kind.is_urgent(), sequence);
+            self.queue_push(self.origin, kind.class(), kind.is_urgent(), sequence);
         }
     }
 
-    fn introduce(&mut self) {
+    /// Sets the entry that contains the identity of this instance.
+    fn publish_identity(&mut self) {
         let value = bincode::options()
             .serialize(&self.identity)
             .unwrap_or_default();
-        // A name and an address are far below the bound, and the slot is the first one.
+        // Cannot fail: a name and an address are far below the maximum length, and the entry is the first
+        // of its class.
         let _ = self.set_entry(EntryKind::Identity, "", value.into());
     }
 
-    fn learn(&mut self, facts: Facts) {
-        let news = self.facts.merge(facts);
-        if news.revision() > Revision(0) {
-            self.events.insert(Event::Revision(news.revision()));
+    /// Merges facts from this instance or from a peer, and marks new ones for pushing.
+    fn merge_facts(&mut self, facts: Facts) {
+        let added = self.facts.merge(facts);
+        if added.revision() > Revision(0) {
+            self.events.insert(Event::Revision(added.revision()));
         }
-        let brakes = news.brakes().cloned().map(Event::Brake);
+        let brakes = added.brakes().cloned().map(Event::Brake);
         self.events.extend(brakes);
-        self.fresh.merge(news);
+        self.unsent_facts.merge(added);
     }
 
-    fn spread(&mut self, origin: Origin, class: EntryClass, is_urgent: bool, sequence: u64) {
-        let rank = match class {
+    /// Queues a changed entry for pushing, if its class is pushed.
+    fn queue_push(&mut self, origin: Origin, class: EntryClass, is_urgent: bool, sequence: u64) {
+        let priority = match class {
             _ if is_urgent => PushPriority::Urgent,
             EntryClass::Control => PushPriority::Control,
             EntryClass::Summary => PushPriority::Summary,
             EntryClass::Evidence | EntryClass::Demand | EntryClass::Load => return,
         };
-        let news = PushItem::Entry {
+        let item = PushItem::Entry {
             origin,
             class,
             sequence,
         };
-        self.push_queue.add(rank, news, self.settings.push_count);
+        self.push_queue
+            .add(priority, item, self.settings.push_count);
     }
 }
--- a/crates/fleet/src/gossip/compose.rs
+++ b/crates/fleet/src/gossip/compose.rs
@@ -1,4 +1,4 @@
-//! What goes into a message.
+//! Content of messages.
 
 use rand::Rng as _;
 
@@ -9,20 +9,20 @@
 };
 
 impl Gossip {
-    /// Returns what this instance has of the next window of origins.
+    /// Returns a digest of the next range of origins and advances the range.
     pub(super) fn fleet_digest(&mut self) -> Digest {
         let limit = self.settings.digest_origins;
-        let first = self.cursor;
-        let mut window = self.entries.between(first, Origin(u64::MAX), limit + 1);
-        let last = match window.get(limit) {
+        let first = self.digest_cursor;
+        let mut origins = self.entries.between(first, Origin(u64::MAX), limit + 1);
+        let last = match origins.get(limit) {
             Some(next) => Origin(next.0 - 1),
             None => Origin(u64::MAX),
         };
-        window.truncate(limit);
-        self.cursor = Origin(last.0.wrapping_add(1));
-        let lines = window
+        origins.truncate(limit);
+        self.digest_cursor = Origin(last.0.wrapping_add(1));
+        let lines = origins
             .iter()
-            .map(|origin| self.line(*origin, &EntryClass::FLEET_WIDE));
+            .map(|origin| self.digest_line(*origin, &EntryClass::FLEET_WIDE));
         Digest::Fleet {
             first,
             last,
@@ -30,22 +30,23 @@
         }
     }
 
-    /// Returns what this instance has of its group.
+    /// Returns a digest of the origins of the group.
     pub(super) fn group_digest(&self) -> Digest {
         let origins = self.group.iter().filter_map(|name| {
             let member = self.membership.by_name(name)?;
             member.origin
         });
-        let lines = origins.map(|origin| self.line(origin, &EntryClass::GROUP_LOCAL));
+        let lines = origins.map(|origin| self.digest_line(origin, &EntryClass::GROUP_LOCAL));
         Digest::Group {
             lines: lines.collect(),
         }
     }
 
-    fn line(&self, origin: Origin, classes: &[EntryClass]) -> DigestLine {
+    /// Returns the line of an origin in a digest of the given classes.
+    fn digest_line(&self, origin: Origin, classes: &[EntryClass]) -> DigestLine {
         let mut reached = [0; 3];
-        for (at, class) in classes.iter().enumerate() {
-            reached[at] = self.entries.reached(origin, *class);
+        for (index, class) in classes.iter().enumerate() {
+            reached[index] = self.entries.reached(origin, *class);
         }
         let member = self.membership.by_origin(origin);
         DigestLine {
@@ -55,11 +56,11 @@
         }
     }
 
-    /// Adds what the sender of a digest lacks, as far as it fits into `room` bytes.
-    pub(super) fn fill(&mut self, message: &mut Message, digest: &Digest, room: usize) {
+    /// Adds the changes that the sender of a digest lacks, as far as they fit into `room` bytes.
+    pub(super) fn add_missing(&mut self, message: &mut Message, digest: &Digest, room: usize) {
         let (mut lines, classes) = match digest {
             Digest::Fleet { first, last, lines } => (
-                self.complete(*first, *last, lines),
+                self.with_unknown_origins(*first, *last, lines),
                 &EntryClass::FLEET_WIDE[..],
             ),
             Digest::Group { lines } => (lines.clone(), &EntryClass::GROUP_LOCAL[..]),
@@ -67,13 +68,14 @@
         if lines.is_empty() {
             return;
         }
-        // A message is often full before the end; a random start lets every origin come first.
+        // The message is often full before the last line. Starting at a random line gives every origin
+        // a chance.
         let start = self.rng.random_range(0..lines.len());
         lines.rotate_left(start);
         let mut left = room;
-        for (at, class) in classes.iter().enumerate() {
+        for (index, class) in classes.iter().enumerate() {
             for line in &lines {
-                self.add_since(message, *class, line, line.reached[at], &mut left);
+                self.add_delta(message, *class, line, line.reached[index], &mut left);
             }
         }
         if *classes == EntryClass::FLEET_WIDE {
@@ -81,8 +83,13 @@
         }
     }
 
-    /// Adds lines for the origins in a range that the sender of a digest does not know.
-    fn complete(&self, first: Origin, last: Origin, lines: &[DigestLine]) -> Vec<DigestLine> {
+    /// Returns the lines of a digest, extended by the origins of its range that its sender does not know.
+    fn with_unknown_origins(
+        &self,
+        first: Origin,
+        last: Origin,
+        lines: &[DigestLine],
+    ) -> Vec<DigestLine> {
         let mut all = lines.to_vec();
         for origin in self.entries.between(first, last, usize::MAX) {
             if lines
@@ -99,7 +106,8 @@
         all
     }
 
-    fn add_since(
+    /// Adds the changes of one origin and class after `after`.
+    fn add_delta(
         &self,
         message: &mut Message,
         class: EntryClass,
@@ -119,9 +127,10 @@
         }
     }
 
+    /// Adds the claims of which the sender of a digest does not know.
     fn add_claims(&self, message: &mut Message, lines: &[DigestLine], left: &mut usize) {
         for line in lines.iter().filter(|line| !line.claimed) {
-            let Some(claim) = self.claim(line.origin) else {
+            let Some(claim) = self.claim_about(line.origin) else {
                 continue;
             };
             let Some(rest) = left.checked_sub(size(&claim)) else {
@@ -132,7 +141,8 @@
         }
     }
 
-    fn claim(&self, origin: Origin) -> Option<Claim> {
+    /// Returns the unrefuted claim about a run.
+    fn claim_about(&self, origin: Origin) -> Option<Claim> {
         let reached = self.membership.by_origin(origin)?.claim?;
         Some(Claim { origin, reached })
     }
@@ -141,17 +151,18 @@
     pub(super) fn add_pushes(&mut self, message: &mut Message, lowest: PushPriority, room: usize) {
         let mut push_queue = std::mem::take(&mut self.push_queue);
         let mut left = room;
-        push_queue.drain_with(|rank, news| {
-            if rank > lowest {
+        push_queue.drain_with(|priority, item| {
+            if priority > lowest {
                 return PushOutcome::Stop;
             }
-            self.add_push(message, news, &mut left)
+            self.add_push(message, item, &mut left)
         });
         self.push_queue = push_queue;
     }
 
-    fn add_push(&self, message: &mut Message, news: PushItem, left: &mut usize) -> PushOutcome {
-        match news {
+    /// Adds a queued update, if it is still current and fits into the bytes left.
+    fn add_push(&self, message: &mut Message, item: PushItem, left: &mut usize) -> PushOutcome {
+        match item {
             PushItem::Entry {
                 origin,
                 class,
@@ -160,14 +171,16 @@
                 let class_entries = self.entries.class_entries(origin, class);
                 let delta = class_entries
                     .and_then(|class_entries| class_entries.single_delta(origin, class, sequence));
-                add(&mut message.deltas, delta, left)
+                add_if_room(&mut message.deltas, delta, left)
+            }
+            PushItem::Claim(origin) => {
+                add_if_room(&mut message.claims, self.claim_about(origin), left)
             }
-            PushItem::Claim(origin) => add(&mut message.claims, self.claim(origin), left),
         }
     }
 
-    /// Returns all control entries of a run.
-    pub(super) fn control(&self, origin: Origin) -> Option<Delta> {
+    /// Returns all control entries of a run, as far as they fit into a message.
+    pub(super) fn control_entries(&self, origin: Origin) -> Option<Delta> {
         let class_entries = self.entries.class_entries(origin, EntryClass::Control)?;
         class_entries.delta_since(
             origin,
@@ -178,7 +191,12 @@
     }
 }
 
-fn add<T: serde::Serialize>(list: &mut Vec<T>, item: Option<T>, left: &mut usize) -> PushOutcome {
+/// Adds an item to a list if it fits into the bytes left.
+fn add_if_room<T: serde::Serialize>(
+    list: &mut Vec<T>,
+    item: Option<T>,
+    left: &mut usize,
+) -> PushOutcome {
     let Some(item) = item else {
         return PushOutcome::Stale;
     };
--- a/crates/fleet/src/gossip/exchange.rs
+++ b/crates/fleet/src/gossip/exchange.rs
@@ -1,4 +1,4 @@
-//! What is done with a message, an answer or a failure.
+//! Handling of requests, responses and failures.
 
 use std::time::Duration;
 
@@ -12,34 +12,37 @@
     Claim, Delta, EntryClass, EntryKind, Event, Gossip, Identity, Incarnation, Message, Origin,
 };
 
-/// The last exchanges whose outcome is kept.
-const OUTCOMES: u32 = 8;
+/// Number of recent exchanges whose outcome is kept.
+const OUTCOMES_KEPT: u32 = 8;
 
-/// What a newcomer is told whatever the budget says, in bytes.
+/// Number of bytes of missing entries that a response to an unknown peer may contain even if the
+/// budget is exhausted.
 ///
-/// When many start at once through one seed, its budget goes on the answers alone. If it could then
-/// name nobody, they would all come back to it for ever; a few names send each one elsewhere.
-const GREETING_BYTES: usize = 400;
+/// If many instances start at once with the same seed, the responses alone exhaust its budget. Without
+/// this allowance, the seed could tell them of no other instance, and all would keep contacting it;
+/// a few identities let each continue with other peers.
+const MIN_INTRODUCTION_BYTES: usize = 400;
 
-/// The time between two claims about the same run.
-const CLAIM_PAUSE: Duration = Duration::from_secs(10);
+/// Minimum time between accepting a claim about a run and making another one.
+const CLAIM_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Gossip {
-    /// Takes in a message and returns the answer.
+    /// Handles a request and returns the response.
     pub fn handle_request(&mut self, message: Message, now: Instant) -> Message {
         let digest = message.digest.clone();
         let (from, to, summary, hello) = (message.from, message.to, message.summary, message.hello);
-        let superseding = self.absorb(message, now);
-        let mut answer = Message::new(self.origin, Some(from), self.acting);
-        answer.deltas.extend(superseding);
-        let is_new = hello || to != Some(self.origin) || self.membership.by_origin(from).is_none();
-        if is_new {
-            self.greet(&mut answer);
+        let superseding = self.apply_message(message, now);
+        let mut response = Message::new(self.origin, Some(from), self.acting_revision);
+        response.deltas.extend(superseding);
+        let needs_introduction =
+            hello || to != Some(self.origin) || self.membership.by_origin(from).is_none();
+        if needs_introduction {
+            self.add_introduction(&mut response);
         }
         if let Some(summary) = summary {
-            answer.summary = Some(self.facts.summary());
-            if answer.summary != Some(summary) {
-                answer.facts = self.facts.clone();
+            response.summary = Some(self.facts.fingerprint());
+            if response.summary != Some(summary) {
+                response.facts = self.facts.clone();
             }
         }
         if let Some(digest) = digest {
@@ -47,99 +50,106 @@
                 .budget
                 .available(now)
                 .min(self.settings.max_message_bytes);
-            let room = room.saturating_sub(answer.bytes());
-            let least = if is_new { GREETING_BYTES } else { 0 };
-            let room = room.max(least);
-            self.fill(&mut answer, &digest, room);
+            let room = room.saturating_sub(response.bytes());
+            let min_room = if needs_introduction {
+                MIN_INTRODUCTION_BYTES
+            } else {
+                0
+            };
+            let room = room.max(min_room);
+            self.add_missing(&mut response, &digest, room);
         }
-        self.budget.spend(answer.bytes());
-        answer
+        self.budget.spend(response.bytes());
+        response
     }
 
-    /// Takes in the answer to a message; returns what the peer still lacks, if it does.
+    /// Handles the response to a request. Returns a follow-up request if the peer still lacks something.
     pub fn handle_response(
         &mut self,
         member: Option<InstanceKey>,
-        answer: Message,
+        response: Message,
         now: Instant,
     ) -> Option<Message> {
-        let (from, summary, hello) = (answer.from, answer.summary, answer.hello);
-        self.absorb(answer, now);
+        let (from, summary, hello) = (response.from, response.summary, response.hello);
+        self.apply_message(response, now);
         if let Some(key) = member {
-            self.judge(key, from, now);
+            self.check_responder(key, from, now);
         }
-        self.note(false);
-        // Only a request that asked for differences is followed up, and a follow-up does not ask.
-        // Two instances that cannot come to know each other would otherwise go on without end.
+        self.record_outcome(false);
+        // A response contains a fingerprint only if the request did, which a follow-up does not. Otherwise
+        // two instances that keep rejecting each other's identity would exchange messages forever.
         let summary = summary?;
-        let mut more = Message::new(self.origin, Some(from), self.acting);
+        let mut follow_up = Message::new(self.origin, Some(from), self.acting_revision);
         if hello {
-            more.deltas.extend(self.control(self.origin));
+            follow_up.deltas.extend(self.control_entries(self.origin));
         }
-        if summary != self.facts.summary() {
-            more.facts = self.facts.clone();
+        if summary != self.facts.fingerprint() {
+            follow_up.facts = self.facts.clone();
         }
-        if more.facts.is_empty() && more.deltas.is_empty() {
+        if follow_up.facts.is_empty() && follow_up.deltas.is_empty() {
             return None;
         }
-        self.budget.spend(more.bytes());
-        Some(more)
+        self.budget.spend(follow_up.bytes());
+        Some(follow_up)
     }
 
-    /// Takes in that an exchange failed or ran into its deadline.
+    /// Handles an exchange that failed or exceeded its deadline.
     pub fn handle_failure(&mut self, member: Option<InstanceKey>, now: Instant) {
-        self.note(true);
+        self.record_outcome(true);
         let Some(key) = member else {
             return;
         };
         let Some(member) = self.membership.get_mut(key) else {
             return;
         };
-        let was_silent = member.is_silent();
+        let was_unresponsive = member.is_unresponsive();
         member.failures = member.failures.saturating_add(1);
-        if member.is_silent() && !was_silent {
+        if member.is_unresponsive() && !was_unresponsive {
             let name = member.name.clone();
             self.events.insert(Event::Suspected(name));
         }
-        self.accuse(key, now);
+        self.claim_unresponsive(key, now);
     }
 
-    /// An address may be answered by another run or another instance than the one that was meant;
-    /// that is no sign of life of the one that was meant.
-    fn judge(&mut self, key: InstanceKey, from: Origin, now: Instant) {
-        let meant = self.membership.get(key).and_then(|member| member.origin);
-        if meant.is_some() && meant != Some(from) {
+    /// Counts an exchange as failed if another run or instance responded than the intended one. An
+    /// address may have been taken over, so the response does not show that the intended one is alive.
+    fn check_responder(&mut self, key: InstanceKey, from: Origin, now: Instant) {
+        let intended = self.membership.get(key).and_then(|member| member.origin);
+        if intended.is_some() && intended != Some(from) {
             self.handle_failure(Some(key), now);
         }
     }
 
-    fn note(&mut self, failed: bool) {
-        self.outcomes = self.outcomes << 1 | u8::from(failed);
+    /// Records whether an exchange failed.
+    fn record_outcome(&mut self, failed: bool) {
+        self.recent_failures = self.recent_failures << 1 | u8::from(failed);
     }
 
-    /// Tells the others that a member does not answer.
+    /// Claims that a member does not respond, if that is so from the view of this instance.
     ///
-    /// An instance that is itself cut off would accuse all the others; so one for which half of
-    /// its last exchanges failed keeps its suspicions to itself.
-    fn accuse(&mut self, key: InstanceKey, now: Instant) {
+    /// An instance that is itself cut off would make claims about all others. So an instance of whose
+    /// recent exchanges at least half failed makes none.
+    fn claim_unresponsive(&mut self, key: InstanceKey, now: Instant) {
         let Some(member) = self.membership.get(key) else {
             return;
         };
-        let recent = member.claimed.is_some_and(|t| now - t < CLAIM_PAUSE);
-        let doubt = self.outcomes.count_ones() * 2 >= OUTCOMES;
+        let has_recent_claim = member.last_claim.is_some_and(|t| now - t < CLAIM_INTERVAL);
+        let may_be_cut_off = self.recent_failures.count_ones() * 2 >= OUTCOMES_KEPT;
         let Some(origin) = member.origin else {
             return;
         };
-        if !member.is_silent() || member.claim.is_some() || recent || doubt {
+        if !member.is_unresponsive() || member.claim.is_some() || has_recent_claim || may_be_cut_off
+        {
             return;
         }
         let reached = self.entries.reached(origin, EntryClass::Control);
-        self.accept(Claim { origin, reached }, now);
+        self.apply_claim(Claim { origin, reached }, now);
     }
 
-    fn accept(&mut self, claim: Claim, now: Instant) {
+    /// Applies a claim that a run does not respond, unless it is outdated, and queues it for pushing.
+    fn apply_claim(&mut self, claim: Claim, now: Instant) {
         if claim.origin == self.origin {
-            self.contradict(claim);
+            self.refute(claim);
             return;
         }
         let reached = self.entries.reached(claim.origin, EntryClass::Control);
@@ -149,65 +159,69 @@
         if claim.reached < reached || member.claim.is_some_and(|old| old >= claim.reached) {
             return;
         }
-        if !member.is_silent() {
+        if !member.is_unresponsive() {
             self.events.insert(Event::Suspected(member.name.clone()));
         }
         member.claim = Some(claim.reached);
-        member.claimed = Some(now);
-        let news = PushItem::Claim(claim.origin);
+        member.last_claim = Some(now);
+        let item = PushItem::Claim(claim.origin);
         self.push_queue
-            .add(PushPriority::Control, news, self.settings.push_count);
+            .add(PushPriority::Control, item, self.settings.push_count);
     }
 
-    fn contradict(&mut self, claim: Claim) {
+    /// Refutes a claim about this instance by publishing a change.
+    fn refute(&mut self, claim: Claim) {
         if claim.reached >= self.entries.reached(self.origin, EntryClass::Control) {
-            // The control class has few kinds, so a slot is free.
+            // Cannot fail: the control class has few kinds of entries, so a slot is free.
             let _ = self.set_entry(EntryKind::Alive, "", Box::default());
         }
     }
 
-    /// Takes in all that a message carries; returns the entries of a later run of the sender.
-    fn absorb(&mut self, message: Message, now: Instant) -> Option<Delta> {
+    /// Applies the content of a message. If the sender is an outdated run of its instance, returns the
+    /// control entries of the latest known run.
+    fn apply_message(&mut self, message: Message, now: Instant) -> Option<Delta> {
         let from = message.from;
-        self.learn(message.facts);
-        if message.acting > self.acting {
+        self.merge_facts(message.facts);
+        if message.acting > self.acting_revision {
             self.events.insert(Event::Ahead(message.acting));
         }
         let mut superseding = None;
         for delta in message.deltas {
-            let direct = delta.origin == from;
-            let later = self.take(delta, direct, now);
-            superseding = superseding.or(later.filter(|_| direct));
+            let is_own = delta.origin == from;
+            let later = self.apply_delta(delta, is_own, now);
+            superseding = superseding.or(later.filter(|_| is_own));
         }
-        self.hear(from, now);
+        self.record_contact(from, now);
         for claim in message.claims {
-            self.accept(claim, now);
+            self.apply_claim(claim, now);
         }
-        superseding.and_then(|run| self.control(run))
+        superseding.and_then(|run| self.control_entries(run))
     }
 
-    fn hear(&mut self, from: Origin, now: Instant) {
+    /// Records that a message from a run has arrived.
+    fn record_contact(&mut self, from: Origin, now: Instant) {
         if let Some(member) = self.membership.by_origin_mut(from) {
-            if member.is_silent() {
+            if member.is_unresponsive() {
                 self.events.insert(Event::Returned(member.name.clone()));
             }
             member.failures = 0;
             member.claim = None;
-            member.news = now;
+            member.last_heard = now;
         }
     }
 
-    /// Takes in changes; returns a later run of the same instance if the changes are of an old one.
-    fn take(&mut self, delta: Delta, direct: bool, now: Instant) -> Option<Origin> {
+    /// Applies changes; `is_own` is whether the sender of the message owns them. Returns the latest
+    /// known run of the same instance if the changes are of an earlier one.
+    fn apply_delta(&mut self, delta: Delta, is_own: bool, now: Instant) -> Option<Origin> {
         let (origin, class, upto) = (delta.origin, delta.class, delta.upto);
         if origin == self.origin {
             return None;
         }
         if self.membership.by_origin(origin).is_none() {
-            if !direct && self.membership.is_forgotten(origin, upto) {
+            if !is_own && self.membership.is_forgotten(origin, upto) {
                 return None;
             }
-            if let Some(later) = self.meet(&delta, now)? {
+            if let Some(later) = self.admit_run(&delta, now)? {
                 return Some(later);
             }
         }
@@ -216,24 +230,25 @@
             .iter()
             .map(|entry| (entry.sequence, entry.item.as_ref().map(|item| item.kind)))
             .collect();
-        let news = self.entries.apply(delta);
-        for (sequence, kind) in kinds.into_iter().filter(|(s, _)| news.contains(s)) {
+        let stored = self.entries.apply(delta);
+        for (sequence, kind) in kinds.into_iter().filter(|(s, _)| stored.contains(s)) {
             let is_urgent = kind.is_some_and(EntryKind::is_urgent);
-            self.spread(origin, class, is_urgent, sequence);
+            self.queue_push(origin, class, is_urgent, sequence);
             self.events.extend(kind.map(Event::Changed));
             if kind == Some(EntryKind::Leaving) {
                 self.mark_leaving(origin);
             }
         }
-        if class == EntryClass::Control && !news.is_empty() {
-            self.revive(origin, now);
+        if class == EntryClass::Control && !stored.is_empty() {
+            self.apply_refutation(origin, now);
         }
         None
     }
 
-    /// Takes in a run that is not known yet. Nothing means that its changes are of no use, and
-    /// `Some(Some(run))` that a later run is known.
-    fn meet(&mut self, delta: &Delta, now: Instant) -> Option<Option<Origin>> {
+    /// Admits the unknown run that owns a delta. Returns `None` if the delta does not contain the
+    /// identity of the run, and `Some(Some(run))` with the latest known run of the instance if it is a
+    /// later one.
+    fn admit_run(&mut self, delta: &Delta, now: Instant) -> Option<Option<Origin>> {
         let item = delta.entries.iter().find_map(|entry| {
             let item = entry.item.as_ref()?;
             (item.kind == EntryKind::Identity).then_some(item)
@@ -243,10 +258,10 @@
             return None;
         }
         if identity.name == self.identity.name {
-            return Some(self.meet_self(&identity));
+            return Some(self.resolve_own_run(&identity));
         }
         if self.membership.iter().next().is_none() {
-            self.settled = now + self.settings.startup_duration;
+            self.startup_until = now + self.settings.startup_duration;
         }
         match self.membership.admit(&identity, now) {
             Admission::Superseded(run) => return Some(Some(run)),
@@ -257,39 +272,40 @@
         Some(None)
     }
 
-    /// Meets another run of this very instance.
+    /// Handles the identity of another run of this instance. Returns the key of the current run.
     ///
-    /// A clock that went back gives a new run a lower ordinal than the old one had. Peers would
-    /// refuse all that the new run says, and nobody would route to it; so it takes the next
-    /// ordinal after the one it meets.
-    fn meet_self(&mut self, other: &Identity) -> Option<Origin> {
+    /// If the clock was set back, a new run has a lower number than the previous one. Peers would then
+    /// ignore its entries, and no work would be sent to it. So it takes the number after that of the
+    /// other run.
+    fn resolve_own_run(&mut self, other: &Identity) -> Option<Origin> {
         if other.incarnation >= self.identity.incarnation {
             self.identity.incarnation = Incarnation(other.incarnation.0 + 1);
             let origin = self.identity.origin();
             self.entries.rename(self.origin, origin);
             self.origin = origin;
-            self.introduce();
+            self.publish_identity();
             self.events.insert(Event::Renumbered);
         }
         Some(self.origin)
     }
 
+    /// Marks a run as leaving.
     fn mark_leaving(&mut self, origin: Origin) {
         if let Some(member) = self.membership.by_origin_mut(origin) {
-            member.leaving = true;
+            member.announced_leaving = true;
         }
     }
 
-    /// Takes a change of a run's own entries as its contradiction of every claim before.
-    fn revive(&mut self, origin: Origin, now: Instant) {
+    /// Records a change to the control entries of a run, which refutes earlier claims about the run.
+    fn apply_refutation(&mut self, origin: Origin, now: Instant) {
         let reached = self.entries.reached(origin, EntryClass::Control);
         let Some(member) = self.membership.by_origin_mut(origin) else {
             return;
         };
-        member.news = now;
+        member.last_heard = now;
         if member.claim.is_some_and(|claim| reached > claim) {
             member.claim = None;
-            if !member.is_silent() {
+            if !member.is_unresponsive() {
                 self.events.insert(Event::Returned(member.name.clone()));
             }
         }
--- a/crates/fleet/src/gossip/round.rs
+++ b/crates/fleet/src/gossip/round.rs
@@ -1,4 +1,4 @@
-//! What is sent without being asked.
+//! Requests that this instance initiates.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -10,49 +10,49 @@
     message::size, push_queue::PushPriority, Digest, Event, Gossip, Member, Message, Outgoing,
 };
 
-/// The smallest message that is worth sending in a round, in bytes.
-const SMALLEST_BYTES: usize = 300;
+/// Minimum budget for sending a request in a round, in bytes.
+const MIN_REQUEST_BYTES: usize = 300;
 
 impl Gossip {
-    /// Takes the turn of one round and returns the messages to be sent.
+    /// Runs one round and returns the requests to send.
     pub fn tick(&mut self, now: Instant) -> Vec<Outgoing> {
-        self.round += 1;
+        self.round_number += 1;
         let is_starting = self.is_starting(now);
         if !is_starting {
             self.budget.set_rate(self.settings.bytes_per_second, now);
         }
-        self.forget(now);
-        let mut sends = self.urgent_messages(now);
-        for key in self.partners() {
+        self.remove_unresponsive(now);
+        let mut outgoing = self.urgent_messages(now);
+        for key in self.choose_group_peers() {
             let digest = self.group_digest();
-            self.request(&mut sends, key, Some(digest), now);
+            self.add_request(&mut outgoing, key, Some(digest), now);
         }
-        // One digest a round is enough for what pushes have missed; the others carry news only. An instance
-        // that has just started has missed nearly all.
+        // One fleet digest per round suffices to repair lost pushes; the other requests contain only
+        // updates. During startup an instance lacks almost everything, so every request has a digest.
         let mut digest = Some(self.fleet_digest());
-        for key in self.contacts() {
-            self.request(&mut sends, key, digest.take(), now);
+        for key in self.choose_fleet_peers() {
+            self.add_request(&mut outgoing, key, digest.take(), now);
             if is_starting {
                 digest = Some(self.fleet_digest());
             }
         }
         if self
-            .round
+            .round_number
             .is_multiple_of(self.settings.unresponsive_retry_rounds)
-            || self.live().next().is_none()
+            || self.responsive().next().is_none()
         {
-            self.seek(&mut sends, now);
+            self.contact_seed(&mut outgoing, now);
         }
-        sends
+        outgoing
     }
 
-    /// Returns the time until the next round.
+    /// Returns the time until the next round, which is shorter during startup.
     ///
-    /// The load it answers: a whole fleet loses its power and starts at once. Callers ask for addresses
-    /// within the second; an instance that knows three others names these to all its callers, which then
-    /// press the few that all know while the rest is idle. At the pace that holds a fleet together
-    /// 71 instances need 4.6 s to meet and 900 need 34.6 s; with shorter rounds 0.6 s and 2.1 s, in virtual
-    /// time.
+    /// When a whole fleet starts at once, for example after a power failure, callers request addresses
+    /// of instances within the first second. An instance that knows only three others returns these to
+    /// all its callers, which overloads the few widely known instances while the others are idle. With
+    /// the normal interval, 71 instances need 4.6 s to find each other and 900 need 34.6 s; with the
+    /// startup interval they need 0.6 s and 2.1 s, in virtual time.
     pub fn round_interval(&self, now: Instant) -> Duration {
         match self.is_starting(now) {
             true => self.settings.startup_round_interval,
@@ -60,47 +60,49 @@
         }
     }
 
+    /// Returns whether the startup phase lasts.
     fn is_starting(&self, now: Instant) -> bool {
-        now < self.settled
+        now < self.startup_until
     }
 
-    /// Returns the messages that do not wait for the next round.
+    /// Returns the requests with urgent updates, which do not wait for the next round.
     ///
-    /// Call this after every input. A brake or a revision that waited for a round at each of
-    /// log(n) hops would reach the last instance seconds after the first.
+    /// Must be called after every input. If a brake or a revision waited for the next round at each of
+    /// log(n) hops, it would reach the last instance seconds after the first.
     pub fn urgent_messages(&mut self, now: Instant) -> Vec<Outgoing> {
-        if self.fresh.is_empty() && !self.push_queue.has_urgent() {
+        if self.unsent_facts.is_empty() && !self.push_queue.has_urgent() {
             return Vec::new();
         }
-        let live: Vec<InstanceKey> = self.live().map(|(key, _)| key).collect();
-        let chosen: Vec<InstanceKey> = live
+        let peers: Vec<InstanceKey> = self.responsive().map(|(key, _)| key).collect();
+        let chosen: Vec<InstanceKey> = peers
             .choose_multiple(&mut self.rng, self.settings.urgent_fan_out)
             .copied()
             .collect();
-        let mut sends = Vec::new();
+        let mut outgoing = Vec::new();
         for key in chosen {
-            let mut message = self.begin(key);
-            message.facts = self.fresh.clone();
+            let mut message = self.message_to(key);
+            message.facts = self.unsent_facts.clone();
             let room = self.budget.available(now);
             let room = room.min(self.settings.max_message_bytes);
             let Some(left) = room.checked_sub(message.bytes()) else {
-                // What is left over is tried again after the next input.
-                return sends;
+                // The unsent updates are tried again after the next input.
+                return outgoing;
             };
             self.add_pushes(&mut message, PushPriority::Urgent, left);
-            self.send(&mut sends, key, message);
+            self.add_outgoing(&mut outgoing, key, message);
         }
-        self.fresh = Default::default();
-        sends
+        self.unsent_facts = Default::default();
+        outgoing
     }
 
-    fn forget(&mut self, now: Instant) {
+    /// Removes the members that have not responded for a long time.
+    fn remove_unresponsive(&mut self, now: Instant) {
         let entries = &self.entries;
         let reached = |origin| entries.reached(origin, crate::EntryClass::Control);
-        let gone = self
+        let removed = self
             .membership
             .remove_unresponsive(self.settings.forget_after, now, reached);
-        for member in gone {
+        for member in removed {
             if let Some(origin) = member.origin {
                 self.entries.remove(origin);
             }
@@ -108,80 +110,87 @@
         }
     }
 
-    fn live(&self) -> impl Iterator<Item = (InstanceKey, &Member)> {
+    /// Returns the members that respond, including leaving ones.
+    fn responsive(&self) -> impl Iterator<Item = (InstanceKey, &Member)> {
         self.membership
             .iter()
-            .filter(|(_, member)| !member.is_silent())
+            .filter(|(_, member)| !member.is_unresponsive())
     }
 
-    /// Chooses whom to contact: some live ones, those to be tried a second time, and now and then
-    /// one that is held to be dead. Without the last, two halves of a partition that suspect each
-    /// other would never try again and stay apart after the network is whole.
-    fn contacts(&mut self) -> Vec<InstanceKey> {
-        let (mut live, mut doubtful, mut silent) = (Vec::new(), Vec::new(), Vec::new());
+    /// Chooses the peers of the fleet to contact in this round: some responsive ones, one that is almost
+    /// suspected, and from time to time one that does not respond. Without the last, the two sides of
+    /// a partition would suspect each other forever, even after the network has healed.
+    fn choose_fleet_peers(&mut self) -> Vec<InstanceKey> {
+        let (mut responsive, mut almost_suspected, mut unresponsive) =
+            (Vec::new(), Vec::new(), Vec::new());
         for (key, member) in self.membership.iter() {
             match member {
-                m if m.is_silent() => silent.push(key),
-                m if m.is_doubtful() => doubtful.push(key),
-                _ => live.push(key),
+                m if m.is_unresponsive() => unresponsive.push(key),
+                m if m.is_almost_suspected() => almost_suspected.push(key),
+                _ => responsive.push(key),
             }
         }
         let mut chosen = Vec::new();
-        for _ in 0..self.settings.fan_out.min(live.len()) {
-            let at = self.rng.random_range(0..live.len());
-            chosen.push(live.swap_remove(at));
+        for _ in 0..self.settings.fan_out.min(responsive.len()) {
+            let index = self.rng.random_range(0..responsive.len());
+            chosen.push(responsive.swap_remove(index));
         }
-        chosen.extend(doubtful.choose(&mut self.rng));
+        chosen.extend(almost_suspected.choose(&mut self.rng));
         if self
-            .round
+            .round_number
             .is_multiple_of(self.settings.unresponsive_retry_rounds)
-            || live.is_empty()
+            || responsive.is_empty()
         {
-            chosen.extend(silent.choose(&mut self.rng));
+            chosen.extend(unresponsive.choose(&mut self.rng));
         }
         chosen
     }
 
-    fn partners(&mut self) -> Vec<InstanceKey> {
+    /// Chooses the peers of the group to contact in this round.
+    fn choose_group_peers(&mut self) -> Vec<InstanceKey> {
         let group: Vec<InstanceKey> = self
-            .live()
+            .responsive()
             .filter(|(_, member)| self.group.binary_search(&member.name).is_ok())
             .map(|(key, _)| key)
             .collect();
-        let fan = self.settings.group_fan_out;
-        group.choose_multiple(&mut self.rng, fan).copied().collect()
+        let count = self.settings.group_fan_out;
+        group
+            .choose_multiple(&mut self.rng, count)
+            .copied()
+            .collect()
     }
 
-    /// Tries a seed that is not among the members.
+    /// Adds a request to a random seed that is not the address of a member.
     ///
-    /// If seeds were tried only while nobody is known, instances that began with different seeds
-    /// would form fleets that never hear of each other.
-    fn seek(&mut self, sends: &mut Vec<Outgoing>, now: Instant) {
+    /// If seeds were contacted only while no member is known, instances with different seeds would form
+    /// separate fleets that never learn of each other.
+    fn contact_seed(&mut self, outgoing: &mut Vec<Outgoing>, now: Instant) {
         let own = &self.identity.address;
         let known: BTreeSet<_> = self.membership.iter().map(|(_, m)| &m.address).collect();
         let seeds = self.settings.seeds.iter();
-        let unmet: Vec<_> = seeds.filter(|s| *s != own && !known.contains(s)).collect();
-        let Some(to) = unmet.choose(&mut self.rng).map(|seed| (*seed).clone()) else {
+        let unknown: Vec<_> = seeds.filter(|s| *s != own && !known.contains(s)).collect();
+        let Some(to) = unknown.choose(&mut self.rng).map(|seed| (*seed).clone()) else {
             return;
         };
-        let mut message = Message::new(self.origin, None, self.acting);
-        self.greet(&mut message);
-        message.summary = Some(self.facts.summary());
+        let mut message = Message::new(self.origin, None, self.acting_revision);
+        self.add_introduction(&mut message);
+        message.summary = Some(self.facts.fingerprint());
         message.digest = Some(self.fleet_digest());
         if self.budget.available(now) < message.bytes() {
             return;
         }
         self.budget.spend(message.bytes());
-        sends.push(Outgoing {
+        outgoing.push(Outgoing {
             member: None,
             to,
             message,
         });
     }
 
-    fn request(
+    /// Adds a request to a member, if the budget allows it.
+    fn add_request(
         &mut self,
-        sends: &mut Vec<Outgoing>,
+        outgoing: &mut Vec<Outgoing>,
         key: InstanceKey,
         digest: Option<Digest>,
         now: Instant,
@@ -190,39 +199,43 @@
             .budget
             .available(now)
             .min(self.settings.max_message_bytes);
-        let mut message = self.begin(key);
-        message.summary = Some(self.facts.summary());
+        let mut message = self.message_to(key);
+        message.summary = Some(self.facts.fingerprint());
         if room >= message.bytes() + size(&digest) {
             message.digest = digest;
         }
-        if room < SMALLEST_BYTES {
+        if room < MIN_REQUEST_BYTES {
             return;
         }
         let left = room.saturating_sub(message.bytes());
         self.add_pushes(&mut message, PushPriority::Summary, left);
-        self.send(sends, key, message);
+        self.add_outgoing(outgoing, key, message);
     }
 
-    fn begin(&self, key: InstanceKey) -> Message {
+    /// Creates a message to a member.
+    fn message_to(&self, key: InstanceKey) -> Message {
         let to = self.membership.get(key).and_then(|member| member.origin);
-        let mut message = Message::new(self.origin, to, self.acting);
+        let mut message = Message::new(self.origin, to, self.acting_revision);
         if to.is_none() {
-            self.greet(&mut message);
+            self.add_introduction(&mut message);
         }
         message
     }
 
-    pub(super) fn greet(&self, message: &mut Message) {
+    /// Adds the control entries of this instance for a receiver that may not know it, and requests those
+    /// of the receiver.
+    pub(super) fn add_introduction(&self, message: &mut Message) {
         message.hello = true;
-        message.deltas.extend(self.control(self.origin));
+        message.deltas.extend(self.control_entries(self.origin));
     }
 
-    fn send(&mut self, sends: &mut Vec<Outgoing>, key: InstanceKey, message: Message) {
+    /// Adds a message to a member and deducts it from the budget.
+    fn add_outgoing(&mut self, outgoing: &mut Vec<Outgoing>, key: InstanceKey, message: Message) {
         let Some(member) = self.membership.get(key) else {
             return;
         };
         self.budget.spend(message.bytes());
-        sends.push(Outgoing {
+        outgoing.push(Outgoing {
             member: Some(key),
             to: member.address.clone(),
             message,
--- a/crates/fleet/src/gossip_settings.rs
+++ b/crates/fleet/src/gossip_settings.rs
@@ -1,37 +1,40 @@
-//! Bounds of gossip.
+//! Settings of the gossip protocol.
 
 use std::time::Duration;
 
-/// Bounds of gossip; the defaults are sized for 900 instances.
+/// Intervals and limits of the gossip protocol. The defaults are sized for 900 instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GossipSettings {
-    /// The time between two rounds.
+    /// The time between two rounds after startup.
     pub round_interval: Duration,
-    /// How long an instance that has just met the first other one exchanges more than later.
+    /// How long the startup phase lasts, in which rounds are shorter and more bytes may be sent. It
+    /// begins when the instance starts, and again when it learns of the first other instance.
     pub startup_duration: Duration,
-    /// The time between two rounds in that time.
+    /// The time between two rounds during startup.
     pub startup_round_interval: Duration,
-    /// What may be sent in a second of that time, in bytes.
+    /// Maximum number of bytes sent per second during startup.
     pub startup_bytes_per_second: u64,
-    /// Peers contacted in each round, over the whole fleet.
+    /// Number of live peers of the whole fleet contacted in each round.
     pub fan_out: usize,
-    /// Peers contacted in each round within the group.
+    /// Number of peers of the group contacted in each round.
     pub group_fan_out: usize,
-    /// Peers to which an urgent entry is pushed at once.
+    /// Number of peers to which an urgent update is pushed immediately.
     pub urgent_fan_out: usize,
-    /// Times that a new entry is pushed without being asked for.
+    /// Number of times that an update is pushed.
     pub push_count: u8,
-    /// The largest message, in bytes.
+    /// Maximum size of a message, in bytes.
     pub max_message_bytes: usize,
-    /// What may be sent in a second, in bytes. A peer receives as much on average as it sends.
+    /// Maximum number of bytes sent per second after startup. On average, an instance receives as
+    /// much as it sends.
     pub bytes_per_second: u64,
-    /// Origins that one digest covers.
+    /// Maximum number of origins with a line in one fleet digest.
     pub digest_origins: usize,
-    /// Rounds between two tries to reach a peer that is held to be dead.
+    /// Number of rounds between two attempts to reach an unresponsive peer or an unknown seed.
     pub unresponsive_retry_rounds: u64,
-    /// The time after which an unlisted, silent run is forgotten.
+    /// The time after which an unlisted, unresponsive instance is removed.
     pub forget_after: Duration,
-    /// Addresses that are tried while no peer is known.
+    /// Addresses through which this instance finds the fleet. Those that are not the address of a
+    /// known member are tried from time to time.
     pub seeds: Vec<smol_str::SmolStr>,
 }
 
@@ -39,10 +42,11 @@
     fn default() -> Self {
         Self {
             round_interval: Duration::from_secs(1),
-            // 900 instances that start at once know nine of ten others after 2.1 s in virtual time, 34.6 s without it.
+            // With the startup phase, 900 instances that start at once know 90 % of the others after
+            // 2.1 s of virtual time; without it, after 34.6 s.
             startup_duration: Duration::from_secs(4),
             startup_round_interval: Duration::from_millis(100),
-            // A thirtieth of a link of 10 Mbit/s.
+            // About 1/30 of a 10 Mbit/s link.
             startup_bytes_per_second: 40_000,
             fan_out: 2,
             group_fan_out: 2,
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one instance.
+//! What this instance knows of another one.
 
 use celerypond_types::{DataCentre, InstanceName};
 use smol_str::SmolStr;
@@ -6,68 +6,73 @@
 
 use crate::{Incarnation, Origin};
 
-/// Failed exchanges in a row after which an instance is suspected.
-const FAILURES_LIMIT: u8 = 2;
+/// Number of consecutive failed exchanges after which an instance is suspected.
+const SUSPECT_AFTER_FAILURES: u8 = 2;
 
-/// Whether an instance is worth sending work to.
+/// Whether work should be sent to an instance.
 ///
-/// This only steers. It never decides who may write: a paused instance is suspected and comes back,
-/// and two halves of a partition suspect each other. Who may write is the store's condition alone.
+/// The state is a hint for routing and may be wrong: a paused instance is suspected although it will
+/// resume, and the two sides of a partition suspect each other. It must not decide which instance may
+/// write; only a conditional write to the store decides that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// It answers, or nothing else is known.
+    /// Not known to be unresponsive or leaving.
     Live,
-    /// It does not answer, or a peer says so and it did not contradict.
+    /// It does not respond to this instance, or a peer claims so and it has not refuted the claim.
     Suspected,
-    /// It takes no new work, for the rest of its run.
+    /// It accepts no new work for the rest of its run.
     Leaving,
 }
 
-/// What is known of one instance.
+/// What this instance knows of another one.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its name.
+    /// The name.
     pub name: InstanceName,
-    /// Its address for peers.
+    /// The address at which peers reach it.
     pub address: SmolStr,
-    /// Its data centre.
+    /// The data centre.
     pub data_centre: DataCentre,
-    /// Its run, once known.
+    /// The key of its latest known run; `None` until it has been heard of by gossip.
     pub origin: Option<Origin>,
-    /// The ordinal of its run.
+    /// The number of its latest known run.
     pub incarnation: Incarnation,
-    /// Whether the platform's list has it.
+    /// Whether the platform's list contains it.
     pub(crate) listed: bool,
-    /// Whether the platform's list says that it leaves.
-    pub(crate) list_leaving: bool,
-    /// Whether this run said that it leaves. This is never taken back: the list lags, and would
-    /// send it new work while it drains.
-    pub(crate) leaving: bool,
+    /// Whether the platform's list marks it as leaving.
+    pub(crate) listed_as_leaving: bool,
+    /// Whether this run has announced that it is leaving. Never reset within the run: the list lags
+    /// behind, and would have new work sent to the instance while it drains.
+    pub(crate) announced_leaving: bool,
+    /// Number of consecutive failed exchanges with it.
     pub(crate) failures: u8,
+    /// The sequence number in the claim that it does not respond, unless that has been refuted.
     pub(crate) claim: Option<u64>,
-    pub(crate) claimed: Option<Instant>,
-    pub(crate) news: Instant,
+    /// When the last claim about it was accepted.
+    pub(crate) last_claim: Option<Instant>,
+    /// When it last sent a message or published a control entry.
+    pub(crate) last_heard: Instant,
 }
 
 impl Member {
-    /// Returns whether the instance is worth sending work to.
+    /// Returns whether work should be sent to the instance.
     pub const fn state(&self) -> MemberState {
-        if self.leaving || self.list_leaving {
+        if self.announced_leaving || self.listed_as_leaving {
             MemberState::Leaving
-        } else if self.is_silent() {
+        } else if self.is_unresponsive() {
             MemberState::Suspected
         } else {
             MemberState::Live
         }
     }
 
-    /// Returns whether the instance seems not to answer, leaving or not.
-    pub(crate) const fn is_silent(&self) -> bool {
-        self.failures >= FAILURES_LIMIT || self.claim.is_some()
+    /// Returns whether the instance seems not to respond, whether or not it is leaving.
+    pub(crate) const fn is_unresponsive(&self) -> bool {
+        self.failures >= SUSPECT_AFTER_FAILURES || self.claim.is_some()
     }
 
-    /// Returns whether one exchange failed and a second one would make it suspected.
-    pub(crate) const fn is_doubtful(&self) -> bool {
-        self.failures == FAILURES_LIMIT - 1
+    /// Returns whether one more failed exchange would make it suspected.
+    pub(crate) const fn is_almost_suspected(&self) -> bool {
+        self.failures == SUSPECT_AFTER_FAILURES - 1
     }
 }
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,4 +1,4 @@
-//! All instances that are known.
+//! The known instances of the fleet.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,63 +9,65 @@
 
 use crate::{Identity, Incarnation, Member, MemberState, Origin};
 
-/// An instance in the platform's list.
+/// An instance in the platform's list of instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedMember {
-    /// Its name.
+    /// The name.
     pub name: InstanceName,
-    /// Its address for peers.
+    /// The address at which peers reach it.
     pub address: SmolStr,
-    /// Its data centre.
+    /// The data centre.
     pub data_centre: DataCentre,
-    /// Whether the list says that it leaves.
+    /// Whether the list marks it as leaving.
     pub leaving: bool,
 }
 
-/// What became of a run that was heard of.
+/// Result of admitting a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
-    /// It is the latest run of its instance.
+    /// The run is the latest known one of its instance.
     Admitted,
-    /// It is the latest run, in place of this one.
+    /// The run is the latest known one and replaced the contained earlier run.
     Replaced(Origin),
-    /// A later run of its instance is known.
+    /// The contained later run of the same instance is already known.
     Superseded(Origin),
 }
 
-/// All instances that are known but this one.
+/// All known instances except this one.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
     members: SlotMap<InstanceKey, Member>,
     names: BTreeMap<InstanceName, InstanceKey>,
     origins: BTreeMap<Origin, InstanceKey>,
+    /// Runs of removed members, each with the sequence number that its control entries had reached
+    /// and the time until which it is remembered.
     forgotten: BTreeMap<Origin, (u64, Instant)>,
 }
 
 impl Membership {
-    /// Returns the members in order of name.
+    /// Returns the members ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = (InstanceKey, &Member)> {
         self.names.values().map(|key| (*key, &self.members[*key]))
     }
 
-    /// Returns the members in a state.
+    /// Returns the members in the given state, ordered by name.
     pub fn in_state(&self, state: MemberState) -> impl Iterator<Item = &Member> {
         self.iter()
             .map(|(_, member)| member)
             .filter(move |member| member.state() == state)
     }
 
-    /// Returns a member by its key.
+    /// Returns the member with the given key.
     pub fn get(&self, key: InstanceKey) -> Option<&Member> {
         self.members.get(key)
     }
 
-    /// Returns a member by its name.
+    /// Returns the member with the given name.
     pub fn by_name(&self, name: &InstanceName) -> Option<&Member> {
         self.names.get(name).map(|key| &self.members[*key])
     }
 
-    /// Returns a member by its run.
+    /// Returns the member whose latest known run has the given key.
     pub fn by_origin(&self, origin: Origin) -> Option<&Member> {
         self.origins.get(&origin).map(|key| &self.members[*key])
     }
@@ -79,11 +81,11 @@
         self.members.get_mut(key)
     }
 
-    /// Takes in a run that was heard of.
+    /// Adds a run that was heard of by gossip, unless a later run of the instance is known.
     pub(crate) fn admit(&mut self, identity: &Identity, now: Instant) -> Admission {
         let origin = identity.origin();
         let Some(key) = self.names.get(&identity.name).copied() else {
-            let key = self.insert(member(identity, false, now));
+            let key = self.insert(member_of(identity, false, now));
             self.origins.insert(origin, key);
             return Admission::Admitted;
         };
@@ -92,7 +94,7 @@
             Some(run) if run == origin => Admission::Admitted,
             Some(run) if old.incarnation >= identity.incarnation => Admission::Superseded(run),
             run => {
-                *old = member(identity, old.listed, now);
+                *old = member_of(identity, old.listed, now);
                 self.origins.insert(origin, key);
                 run.map_or(Admission::Admitted, |run| {
                     self.origins.remove(&run);
@@ -102,70 +104,78 @@
         }
     }
 
-    /// Takes in the platform's list, which is some seconds late.
+    /// Applies the platform's list, which lags behind by some seconds.
+    ///
+    /// The listed address is used only until a run of the instance has told its own.
     pub(crate) fn update_listed(&mut self, list: &[ListedMember], now: Instant) {
         for member in self.members.values_mut() {
             member.listed = false;
-            member.list_leaving = false;
+            member.listed_as_leaving = false;
         }
         for listed in list {
             let key = match self.names.get(&listed.name) {
                 Some(key) => *key,
-                None => self.insert(unmet(listed, now)),
+                None => self.insert(listed_only_member(listed, now)),
             };
             let member = &mut self.members[key];
             member.listed = true;
-            member.list_leaving = listed.leaving;
+            member.listed_as_leaving = listed.leaving;
             if member.origin.is_none() {
                 member.address = listed.address.clone();
             }
         }
     }
 
-    /// Drops the members that nobody has heard of for `after`; returns them.
+    /// Removes and returns the unlisted, unresponsive members that were last heard of more than `after`
+    /// ago.
     ///
-    /// Peers forget at slightly different times. One that forgot early would learn the dead run
-    /// again from one that has not yet, and so on for ever; so the run is remembered as forgotten
-    /// for twice the time, unless it shows a sequence number that nobody had seen.
+    /// Peers remove a member at slightly different times. Without a record of removed runs, a peer
+    /// would learn the run again from one that has not removed it yet, and it would never disappear.
+    /// A removed run is therefore ignored for twice `after`, unless it has a sequence number higher
+    /// than the last one known here.
     pub(crate) fn remove_unresponsive(
         &mut self,
         after: Duration,
         now: Instant,
-        reached: impl Fn(Origin) -> u64,
+        control_reached: impl Fn(Origin) -> u64,
     ) -> Vec<Member> {
         self.forgotten.retain(|_, (_, until)| *until > now);
-        let is_old = |member: &Member| {
-            !member.listed && member.is_silent() && now.duration_since(member.news) > after
+        let is_expired = |member: &Member| {
+            !member.listed
+                && member.is_unresponsive()
+                && now.duration_since(member.last_heard) > after
         };
-        let old: Vec<InstanceKey> = self
+        let expired: Vec<InstanceKey> = self
             .members
             .iter()
-            .filter(|(_, member)| is_old(member))
+            .filter(|(_, member)| is_expired(member))
             .map(|(key, _)| key)
             .collect();
-        let mut gone: Vec<Member> = old
+        let mut removed: Vec<Member> = expired
             .into_iter()
             .filter_map(|key| self.members.remove(key))
             .collect();
-        gone.sort_by(|a, b| a.name.cmp(&b.name));
-        for member in &gone {
+        removed.sort_by(|a, b| a.name.cmp(&b.name));
+        for member in &removed {
             self.names.remove(&member.name);
             if let Some(origin) = member.origin {
                 self.origins.remove(&origin);
                 self.forgotten
-                    .insert(origin, (reached(origin), now + 2 * after));
+                    .insert(origin, (control_reached(origin), now + 2 * after));
             }
         }
-        gone
+        removed
     }
 
-    /// Returns whether a run was forgotten and `reached` is no news of it.
+    /// Returns whether a run was removed and has published no control entry since, given the sequence
+    /// number `reached`.
     pub(crate) fn is_forgotten(&self, origin: Origin, reached: u64) -> bool {
         self.forgotten
             .get(&origin)
             .is_some_and(|(known, _)| reached <= *known)
     }
 
+    /// Adds a member under a name that is not in use.
     fn insert(&mut self, member: Member) -> InstanceKey {
         let name = member.name.clone();
         let key = self.members.insert(member);
@@ -174,7 +184,8 @@
     }
 }
 
-fn member(identity: &Identity, listed: bool, now: Instant) -> Member {
+/// Creates the member for a run that has been heard of.
+fn member_of(identity: &Identity, listed: bool, now: Instant) -> Member {
     Member {
         name: identity.name.clone(),
         address: identity.address.clone(),
@@ -182,16 +193,17 @@
         origin: Some(identity.origin()),
         incarnation: identity.incarnation,
         listed,
-        list_leaving: false,
-        leaving: false,
+        listed_as_leaving: false,
+        announced_leaving: false,
         failures: 0,
         claim: None,
-        claimed: None,
-        news: now,
+        last_claim: None,
+        last_heard: now,
     }
 }
 
-fn unmet(listed: &ListedMember, now: Instant) -> Member {
+/// Creates the member for an instance that is known only from the list.
+fn listed_only_member(listed: &ListedMember, now: Instant) -> Member {
     let identity = Identity {
         name: listed.name.clone(),
         incarnation: Incarnation::default(),
@@ -200,6 +212,6 @@
     };
     Member {
         origin: None,
-        ..member(&identity, true, now)
+        ..member_of(&identity, true, now)
     }
 }
--- a/crates/fleet/tests/test_entry_table.rs
+++ b/crates/fleet/tests/test_entry_table.rs
@@ -102,7 +102,7 @@
             for brake in &brakes {
                 facts.add_brake(brake.clone());
             }
-            facts.summary()
+            facts.fingerprint()
         })
         .collect();
     summaries.dedup();
--- a/crates/fleet/tests/test_gossip.rs
+++ b/crates/fleet/tests/test_gossip.rs
@@ -70,8 +70,10 @@
     simulation.partition.fill(0);
     simulation.loss_rate = 0.0;
     let agreed = |simulation: &Simulation| {
-        let first = simulation.nodes[0].as_ref().map(|g| g.facts().summary());
-        simulation.all_instances(|gossip| Some(gossip.facts().summary()) == first)
+        let first = simulation.nodes[0]
+            .as_ref()
+            .map(|g| g.facts().fingerprint());
+        simulation.all_instances(|gossip| Some(gossip.facts().fingerprint()) == first)
             && all_live(simulation)
     };
     assert!(simulation.run_until(90 * SECOND, agreed));
