--- a/daemon/src/gossip.rs
+++ b/daemon/src/gossip.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use celerypond_fleet::{
-    choose, Candidate, EntryKind, Event, Listed, MemberState, Outgoing, Subset,
+    choose_instances, Candidate, EntryKind, Event, ListedMember, MemberState, Outgoing, Subset,
 };
 use celerypond_platform::Presence;
 use celerypond_telemetry::{Counter, Gauge};
@@ -28,9 +28,9 @@
         let now = Instant::now();
         let sends = {
             let mut gossip = node.gossip();
-            gossip.list(&list, now);
+            gossip.update_listed_members(&list, now);
             gossip.set_group(group);
-            round = now + gossip.pause(now);
+            round = now + gossip.round_interval(now);
             gossip.tick(now)
         };
         deliver(&node, sends);
@@ -40,13 +40,13 @@
 
 /// Says to all instances that this one takes no new work.
 pub fn leave(node: &Arc<Node>) {
-    node.gossip().leave();
+    node.gossip().announce_leaving();
     after(node);
 }
 
 /// Sets an entry of this instance, which spreads to the others.
 pub fn set(node: &Arc<Node>, kind: EntryKind, key: &str, value: Vec<u8>) {
-    if let Err(error) = node.gossip().set(kind, key, value.into()) {
+    if let Err(error) = node.gossip().set_entry(kind, key, value.into()) {
         log::warn!("an entry of kind {kind:?} cannot be spread: {error}");
     }
     after(node);
@@ -56,7 +56,7 @@
 pub fn after(node: &Arc<Node>) {
     let (events, sends) = {
         let mut gossip = node.gossip();
-        (gossip.events(), gossip.pushes(Instant::now()))
+        (gossip.take_events(), gossip.urgent_messages(Instant::now()))
     };
     deliver(node, sends);
     for event in events {
@@ -91,7 +91,9 @@
 
 async fn send(node: Arc<Node>, outgoing: Outgoing) {
     let Ok(to) = outgoing.to.parse::<SocketAddr>() else {
-        return node.gossip().failed(outgoing.member, Instant::now());
+        return node
+            .gossip()
+            .handle_failure(outgoing.member, Instant::now());
     };
     let mut next = Some(outgoing.message);
     while let Some(message) = next.take() {
@@ -102,11 +104,12 @@
             Ok(answer) => {
                 next = node
                     .gossip()
-                    .answered(outgoing.member, answer, Instant::now());
+                    .handle_response(outgoing.member, answer, Instant::now());
             }
             Err(_) => {
                 node.metrics.add(Counter::GossipFailures, 1);
-                node.gossip().failed(outgoing.member, Instant::now());
+                node.gossip()
+                    .handle_failure(outgoing.member, Instant::now());
             }
         }
     }
@@ -114,11 +117,16 @@
 }
 
 /// Returns the instances that share evidence, demand and load with this one.
-fn group(node: &Node, list: &[Listed]) -> Vec<InstanceName> {
+fn group(node: &Node, list: &[ListedMember]) -> Vec<InstanceName> {
     // After a restart in an outage there is no list, only those that were heard of.
     let mut names: Vec<InstanceName> = list.iter().map(|listed| listed.name.clone()).collect();
     let heard = node.gossip();
-    names.extend(heard.roster().iter().map(|(_, member)| member.name.clone()));
+    names.extend(
+        heard
+            .membership()
+            .iter()
+            .map(|(_, member)| member.name.clone()),
+    );
     names.sort();
     names.dedup();
     drop(heard);
@@ -130,11 +138,11 @@
     subset.peers
 }
 
-fn listed(node: &Node) -> Vec<Listed> {
+fn listed(node: &Node) -> Vec<ListedMember> {
     let list = node.list.load();
     let instances = list.instances.iter();
     instances
-        .map(|instance| Listed {
+        .map(|instance| ListedMember {
             name: instance.name.clone(),
             address: smol_str::format_smolstr!("{}", instance.peer_address),
             data_centre: instance.data_centre.clone(),
@@ -157,7 +165,7 @@
 /// Returns the instances that are worth work, this one among them unless it is leaving.
 pub fn live(node: &Node) -> Vec<Near> {
     let gossip = node.gossip();
-    let members = gossip.roster().of_state(MemberState::Live);
+    let members = gossip.membership().in_state(MemberState::Live);
     let others = members.filter_map(|member| {
         Some(Near {
             name: member.name.clone(),
@@ -182,7 +190,7 @@
 /// a condition of the store as well.
 pub fn falls_to(node: &Node, job: &str) -> Option<Near> {
     let all = live(node);
-    let chosen = choose(job.as_bytes(), &candidates(&all), 1);
+    let chosen = choose_instances(job.as_bytes(), &candidates(&all), 1);
     let name = chosen.first()?.name;
     all.iter().find(|near| near.name == *name).cloned()
 }
@@ -201,7 +209,7 @@
     let all = live(node);
     let candidates = candidates(&all);
     // One more than needed: the driver itself may be among them, and its own copy dies with it.
-    let chosen = choose(request.as_str().as_bytes(), &candidates, KEEPERS + 1);
+    let chosen = choose_instances(request.as_str().as_bytes(), &candidates, KEEPERS + 1);
     let address = |name: &InstanceName| all.iter().find(|near| near.name == *name)?.address;
     chosen
         .iter()
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -196,7 +196,7 @@
     pub fn hear_acting(&self, node: &Node) {
         let words: Vec<AppliedState> = {
             let gossip = node.gossip();
-            let items = gossip.state().items(EntryKind::Acting);
+            let items = gossip.entries().items(EntryKind::Acting);
             items
                 .filter_map(|(_, item)| serde_json::from_slice(&item.value).ok())
                 .collect()
@@ -243,7 +243,7 @@
     fn spread(&self, node: &Arc<Node>) {
         let brakes: Vec<Brake> = brakes(node, &self.controller());
         for brake in brakes {
-            node.gossip().trip(brake);
+            node.gossip().add_brake(brake);
         }
         gossip::after(node);
         self.push(node, FAN_OUT, |_| true);
--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -181,7 +181,7 @@
         let now_ms = view.clock().millis(Instant::now());
         let words: Vec<(TargetName, Vec<DepartureNotice>)> = {
             let gossip = self.node.gossip();
-            let items = gossip.state().items(EntryKind::TargetLeaving);
+            let items = gossip.entries().items(EntryKind::TargetLeaving);
             items
                 .filter_map(|(_, item)| {
                     let relays = serde_json::from_slice(&item.value).ok()?;
@@ -245,7 +245,9 @@
         let name = target.name.as_str();
         let relays: Vec<DepartureNotice> = departure.notices(self.node.now_ms()).collect();
         if relays.is_empty() {
-            self.node.gossip().clear(EntryKind::TargetLeaving, name);
+            self.node
+                .gossip()
+                .clear_entry(EntryKind::TargetLeaving, name);
             return;
         }
         let value = serde_json::to_vec(&relays).unwrap_or_default();
