--- a/crates/answer/src/input.rs
+++ b/crates/answer/src/input.rs
@@ -40,7 +40,7 @@
     NoTarget,
     /// The caller's connection was closed.
     CallerDisconnected,
-    /// A keeper or an instance holds a higher record of the request.
+    /// A keeper or another instance has a record of a higher attempt.
     Fenced(KeeperRecord),
     /// The record of the keepers, in reply to `Effect::QueryRecord`.
     RecordQueried(Option<KeeperRecord>),
--- a/crates/answer/src/lib.rs
+++ b/crates/answer/src/lib.rs
@@ -2,12 +2,13 @@
 //!
 //! An answer is one sequence of tokens of one model version. Engines and instances can fail while
 //! it is generated; the types here decide which token goes to the caller next, and what to do when
-//! none arrives. They are state machines without I/O, tasks or clocks: the caller of
-//! [`Generation::step`] passes in an [`Input`] with the current time and carries out the returned
+//! none arrives. They are state machines without I/O, tasks or clocks: an instance passes each
+//! [`Input`] to [`Generation::step`] with the current time, and carries out the resulting
 //! [`Effect`]s.
 //!
 //! Terms:
 //!
+//! - caller: the client that sent the request and receives the answer.
 //! - attempt: one run of the request at one engine. A failed attempt is followed by another one,
 //!   which starts with the tokens generated so far as its prefix.
 //! - driver: an instance that generates the answer for one connection of the caller. Another
--- a/crates/answer/src/record.rs
+++ b/crates/answer/src/record.rs
@@ -16,7 +16,7 @@
 /// their later tokens, as [`RecordExtension`]s.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeeperRecord {
-    /// The request.
+    /// The key of the request.
     pub key: RequestKey,
     /// The driver's latest attempt number, the stream, version and seed.
     pub origin: Origin,
@@ -35,7 +35,7 @@
 /// Tokens that are appended to a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordExtension {
-    /// The request.
+    /// The key of the request.
     pub key: RequestKey,
     /// The driver's latest attempt number.
     pub attempt: Attempt,
