--- a/crates/relay/src/stale.rs
+++ b/crates/relay/src/stale.rs
@@ -29,8 +29,8 @@
 
 /// The time that a request waits until it can be served with the known state.
 ///
-/// A request only waits for conditions that end without its retry at another instance, and not if
-/// it is known that they end too late.
+/// A request waits only for conditions that end by themselves and that a retry at another instance
+/// would not avoid, and only if they are not known to end too late.
 ///
 /// # Examples
 ///
