--- a/crates/answer/src/caller_output.rs
+++ b/crates/answer/src/caller_output.rs
@@ -10,10 +10,14 @@
 #[derive(Clone, Debug)]
 pub(crate) struct CallerOutput {
     mode: DeliveryMode,
+    /// The number of tokens that the caller has.
     delivered: Position,
+    /// The digest of those tokens.
     digest: ChainDigest,
+    /// Whether the tokens read so far were verified to start with those of the caller.
     prefix_verified: bool,
     encoder: Option<AttemptTokenEncoder>,
+    /// The text so far of a buffered answer.
     text: String,
 }
 
--- a/crates/answer/src/generation.rs
+++ b/crates/answer/src/generation.rs
@@ -66,7 +66,9 @@
     /// The number of the next attempt to start, or `None` when they are exhausted.
     next_attempt: Option<Attempt>,
     last_connection: u32,
+    /// The number of attempts since the last new token that failed before their first one.
     failed_attempts: u32,
+    /// Targets that failed since the last time that no target was available.
     excluded: Vec<TargetName>,
     /// Another stream that may have the tokens of the caller.
     fallback: Option<Origin>,
--- a/crates/answer/src/stream_reader.rs
+++ b/crates/answer/src/stream_reader.rs
@@ -29,6 +29,7 @@
     connection: Option<ConnectionId>,
     /// The connection of a probe that the engine has not yet responded to.
     probe: Option<ConnectionId>,
+    /// When to probe or give up the stream if nothing arrives.
     deadline: Instant,
     /// Whether the engine ever responded.
     accepted: bool,
