--- a/crates/fleet/src/facts.rs
+++ b/crates/fleet/src/facts.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns whether the brake is known.
-    pub fn is_braked(&self, brake: &Brake) -> bool {
+    pub fn has_brake(&self, brake: &Brake) -> bool {
         self.brakes.contains(brake)
     }
 
--- a/crates/fleet/src/peer.rs
+++ b/crates/fleet/src/peer.rs
@@ -37,8 +37,8 @@
     /// it keeps and returns that one instead. This crate does not interpret records.
     async fn store_record(record: Vec<u8>) -> Option<Vec<u8>>;
 
-    /// Appends tokens to a stored record. This crate does not interpret `copy`.
-    async fn append_to_record(copy: Vec<u8>);
+    /// Appends tokens to a stored record. This crate does not interpret `extension`.
+    async fn append_to_record(extension: Vec<u8>);
 
     /// Removes the record of a request whose response has ended, unless the record is of a later
     /// attempt.
--- a/crates/fleet/tests/runner.rs
+++ b/crates/fleet/tests/runner.rs
@@ -1,4 +1,4 @@
-//! Runs the tests of the crate.
+//! Integration tests of the crate, built as one binary.
 
 mod simulation;
 mod test_budget;
--- a/crates/fleet/tests/simulation.rs
+++ b/crates/fleet/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! A few instances and the messages between them, in virtual time.
+//! Simulation of a fleet and of the network between its instances, in virtual time.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,50 +15,62 @@
 /// The time after which an exchange counts as failed.
 const DEADLINE: Duration = Duration::from_millis(500);
 
-/// The time between two looks at the state of all.
-const CHECK: Duration = Duration::from_millis(5);
+/// Minimum virtual time between two evaluations of the condition of [`Simulation::run_until`].
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-const CENTRES: [&str; 3] = ["east", "west", "north"];
+const DATA_CENTRES: [&str; 3] = ["east", "west", "north"];
 
+/// An event that takes place at a scheduled time.
 #[derive(Debug)]
-enum What {
+enum SimEvent {
+    /// An instance runs a round.
     Tick(usize),
-    Request(Call, Message),
-    Answer(Call, Message),
-    Last(usize, Message),
-    Failed(Call),
+    /// A request arrives at `Exchange::to`.
+    Request(Exchange, Message),
+    /// A response arrives at `Exchange::from`.
+    Response(Exchange, Message),
+    /// A request arrives at an instance, whose response nobody waits for.
+    FollowUp(usize, Message),
+    /// `Exchange::from` notices that the exchange has failed.
+    Failure(Exchange),
 }
 
+/// A request and its response.
 #[derive(Clone, Copy, Debug)]
-struct Call {
+struct Exchange {
     from: usize,
-    life: u64,
+    /// How often `from` had been started when it sent the request.
+    start_number: u64,
     to: usize,
-    key: Option<InstanceKey>,
+    member: Option<InstanceKey>,
 }
 
-/// Instances and the messages between them.
+/// A fleet of instances and the messages between them.
 #[derive(Debug)]
 pub(crate) struct Simulation {
+    /// The instances by index; `None` for one that is down.
     pub(crate) nodes: Vec<Option<Gossip>>,
-    /// The part of messages that are lost.
+    /// The fraction of messages that are lost.
     pub(crate) loss_rate: f64,
-    /// Instances on different sides do not reach each other.
+    /// The side of the partition that each instance is on. Instances on different sides cannot reach
+    /// each other.
     pub(crate) partition: Vec<u8>,
-    /// Bytes that each instance sent in each second.
+    /// The number of bytes that each instance sent, by second since the start.
     pub(crate) bytes_sent: Vec<BTreeMap<u64, u64>>,
     pub(crate) start: Instant,
     pub(crate) now: Instant,
     settings: GossipSettings,
-    lives: Vec<u64>,
+    /// How often each instance has been started.
+    start_numbers: Vec<u64>,
     paused: BTreeSet<usize>,
-    queue: BTreeMap<(Instant, u64), What>,
-    count: u64,
+    /// Events by time and order of scheduling.
+    queue: BTreeMap<(Instant, u64), SimEvent>,
+    event_count: u64,
     rng: SmallRng,
 }
 
 impl Simulation {
-    /// Starts `n` instances that know the first one as a seed.
+    /// Starts `n` instances whose seeds are the first two.
     pub(crate) fn new(n: usize, settings: GossipSettings, seed: u64) -> Self {
         let start = Instant::now();
         let mut simulation = Self {
@@ -69,60 +81,60 @@
             start,
             now: start,
             settings,
-            lives: vec![0; n],
+            start_numbers: vec![0; n],
             paused: BTreeSet::new(),
             queue: BTreeMap::new(),
-            count: 0,
+            event_count: 0,
             rng: SmallRng::seed_from_u64(seed),
         };
-        for at in 0..n {
+        for index in 0..n {
             simulation.nodes.push(None);
-            simulation.start_instance(at, 1);
+            simulation.start_instance(index, 1);
         }
         simulation
     }
 
-    /// Starts an instance anew, without anything that it knew.
-    pub(crate) fn start_instance(&mut self, at: usize, incarnation: u64) {
+    /// Starts or restarts an instance without any state.
+    pub(crate) fn start_instance(&mut self, index: usize, incarnation: u64) {
         let seeds = [0, 1].map(|seed| instance_name(seed).as_str().into());
         let settings = GossipSettings {
             seeds: seeds.to_vec(),
             ..self.settings.clone()
         };
         let identity = Identity {
-            name: instance_name(at),
+            name: instance_name(index),
             incarnation: Incarnation(incarnation),
-            address: instance_name(at).as_str().into(),
-            data_centre: CENTRES[at % CENTRES.len()].into(),
+            address: instance_name(index).as_str().into(),
+            data_centre: DATA_CENTRES[index % DATA_CENTRES.len()].into(),
         };
         let rng = SmallRng::seed_from_u64(self.rng.random());
-        self.nodes[at] = Some(Gossip::new(identity, settings, rng, self.now));
-        self.lives[at] += 1;
+        self.nodes[index] = Some(Gossip::new(identity, settings, rng, self.now));
+        self.start_numbers[index] += 1;
         let offset = self
             .rng
             .random_range(Duration::ZERO..self.settings.startup_round_interval);
-        self.put(offset, What::Tick(at));
+        self.schedule(offset, SimEvent::Tick(index));
     }
 
-    /// Ends an instance without a word.
-    pub(crate) fn kill(&mut self, at: usize) {
-        self.nodes[at] = None;
+    /// Stops an instance without an announcement.
+    pub(crate) fn kill(&mut self, index: usize) {
+        self.nodes[index] = None;
     }
 
-    /// Holds an instance up, or lets it go on; what comes meanwhile waits.
-    pub(crate) fn set_paused(&mut self, at: usize, paused: bool) {
+    /// Pauses or resumes an instance. Its events are delayed until it resumes.
+    pub(crate) fn set_paused(&mut self, index: usize, paused: bool) {
         if paused {
-            self.paused.insert(at);
+            self.paused.insert(index);
         } else {
-            self.paused.remove(&at);
+            self.paused.remove(&index);
         }
     }
 
-    pub(crate) fn node(&mut self, at: usize) -> &mut Gossip {
-        self.nodes[at].as_mut().unwrap()
+    pub(crate) fn node(&mut self, index: usize) -> &mut Gossip {
+        self.nodes[index].as_mut().unwrap()
     }
 
-    /// Gives every instance the list of all.
+    /// Gives every instance a platform's list that contains all instances.
     pub(crate) fn update_all_lists(&mut self) {
         let list: Vec<ListedMember> = (0..self.nodes.len()).map(listed_member).collect();
         for node in self.nodes.iter_mut().flatten() {
@@ -130,14 +142,14 @@
         }
     }
 
-    /// Sends what an instance has to push after a change made from outside.
-    pub(crate) fn send_urgent(&mut self, at: usize) {
+    /// Sends the urgent messages of an instance. Must be called after each change made from outside.
+    pub(crate) fn send_urgent(&mut self, index: usize) {
         let now = self.now;
-        let sends = self.node(at).urgent_messages(now);
-        self.send(at, sends);
+        let outgoing = self.node(index).urgent_messages(now);
+        self.send(index, outgoing);
     }
 
-    /// Runs for a time, or until `done` says so after a message; returns whether it did.
+    /// Runs for a time or until `done` holds, and returns whether it holds at the end.
     pub(crate) fn run_until(&mut self, time: Duration, done: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + time;
         let mut check = self.now;
@@ -145,14 +157,14 @@
             if entry.key().0 > end {
                 break;
             }
-            let ((at, _), what) = entry.remove_entry();
-            self.now = at;
-            self.step(what);
+            let ((time, _), event) = entry.remove_entry();
+            self.now = time;
+            self.dispatch(event);
             if self.now >= check {
                 if done(self) {
                     return true;
                 }
-                check = self.now + CHECK;
+                check = self.now + CHECK_INTERVAL;
             }
         }
         self.now = end;
@@ -169,111 +181,133 @@
         self.nodes.iter().flatten().all(check)
     }
 
-    fn step(&mut self, what: What) {
-        let target = match &what {
-            What::Tick(at) | What::Last(at, _) => *at,
-            What::Request(call, _) => call.to,
-            What::Answer(call, _) | What::Failed(call) => call.from,
+    /// Processes an event, unless its instance is paused or down.
+    fn dispatch(&mut self, event: SimEvent) {
+        let receiver = match &event {
+            SimEvent::Tick(index) | SimEvent::FollowUp(index, _) => *index,
+            SimEvent::Request(exchange, _) => exchange.to,
+            SimEvent::Response(exchange, _) | SimEvent::Failure(exchange) => exchange.from,
         };
-        if self.paused.contains(&target) {
-            let late = match what {
-                What::Request(call, message) => {
-                    self.put(DEADLINE, What::Failed(call));
-                    What::Last(call.to, message)
+        if self.paused.contains(&receiver) {
+            let late = match event {
+                // The request is handled once the instance resumes, when the exchange has failed.
+                SimEvent::Request(exchange, message) => {
+                    self.schedule(DEADLINE, SimEvent::Failure(exchange));
+                    SimEvent::FollowUp(exchange.to, message)
                 }
                 other => other,
             };
-            self.put(Duration::from_millis(100), late);
+            self.schedule(Duration::from_millis(100), late);
             return;
         }
-        if self.nodes[target].is_none() {
-            if let What::Request(call, _) = what {
-                self.put(DEADLINE, What::Failed(call));
+        if self.nodes[receiver].is_none() {
+            if let SimEvent::Request(exchange, _) = event {
+                self.schedule(DEADLINE, SimEvent::Failure(exchange));
             }
             return;
         }
-        self.act(what);
-        self.send_urgent(target);
+        self.process(event);
+        self.send_urgent(receiver);
     }
 
-    fn act(&mut self, what: What) {
+    fn process(&mut self, event: SimEvent) {
         let now = self.now;
-        match what {
-            What::Tick(at) => {
-                let sends = self.node(at).tick(now);
-                self.send(at, sends);
-                let pause = self.node(at).round_interval(now);
-                self.put(pause, What::Tick(at));
+        match event {
+            SimEvent::Tick(index) => {
+                let outgoing = self.node(index).tick(now);
+                self.send(index, outgoing);
+                let interval = self.node(index).round_interval(now);
+                self.schedule(interval, SimEvent::Tick(index));
             }
-            What::Request(call, message) => {
-                let answer = self.node(call.to).handle_request(message, now);
-                self.account(call.to, &answer);
-                self.pass(call.to, call.from, What::Answer(call, answer), call);
+            SimEvent::Request(exchange, message) => {
+                let response = self.node(exchange.to).handle_request(message, now);
+                self.count_bytes(exchange.to, &response);
+                self.transmit(
+                    exchange.to,
+                    exchange.from,
+                    SimEvent::Response(exchange, response),
+                    exchange,
+                );
             }
-            What::Answer(call, answer) if self.lives[call.from] == call.life => {
-                let more = self.node(call.from).handle_response(call.key, answer, now);
-                if let Some(more) = more {
-                    self.account(call.from, &more);
-                    let lost = call;
-                    self.pass(call.from, call.to, What::Last(call.to, more), lost);
+            SimEvent::Response(exchange, response)
+                if self.start_numbers[exchange.from] == exchange.start_number =>
+            {
+                let follow_up =
+                    self.node(exchange.from)
+                        .handle_response(exchange.member, response, now);
+                if let Some(follow_up) = follow_up {
+                    self.count_bytes(exchange.from, &follow_up);
+                    self.transmit(
+                        exchange.from,
+                        exchange.to,
+                        SimEvent::FollowUp(exchange.to, follow_up),
+                        exchange,
+                    );
                 }
             }
-            What::Last(at, message) => {
-                self.node(at).handle_request(message, now);
+            SimEvent::FollowUp(index, message) => {
+                self.node(index).handle_request(message, now);
             }
-            What::Failed(call) if self.lives[call.from] == call.life => {
-                self.node(call.from).handle_failure(call.key, now);
+            SimEvent::Failure(exchange)
+                if self.start_numbers[exchange.from] == exchange.start_number =>
+            {
+                self.node(exchange.from)
+                    .handle_failure(exchange.member, now);
             }
-            What::Answer(..) | What::Failed(_) => {}
+            SimEvent::Response(..) | SimEvent::Failure(_) => {}
         }
     }
 
-    fn send(&mut self, from: usize, sends: Vec<Outgoing>) {
-        for out in sends {
+    fn send(&mut self, from: usize, outgoing: Vec<Outgoing>) {
+        for out in outgoing {
             let to = out.to[1..].parse().unwrap();
-            self.account(from, &out.message);
-            let call = Call {
+            self.count_bytes(from, &out.message);
+            let exchange = Exchange {
                 from,
-                life: self.lives[from],
+                start_number: self.start_numbers[from],
                 to,
-                key: out.member,
+                member: out.member,
             };
-            self.pass(from, to, What::Request(call, out.message), call);
+            self.transmit(from, to, SimEvent::Request(exchange, out.message), exchange);
         }
     }
 
-    fn pass(&mut self, from: usize, to: usize, what: What, call: Call) {
-        let lost =
+    /// Schedules the arrival of a message, or the failure of its exchange if it is lost.
+    fn transmit(&mut self, from: usize, to: usize, event: SimEvent, exchange: Exchange) {
+        let is_lost =
             self.rng.random_bool(self.loss_rate) || self.partition[from] != self.partition[to];
-        if lost {
-            self.put(DEADLINE, What::Failed(call));
+        if is_lost {
+            self.schedule(DEADLINE, SimEvent::Failure(exchange));
             return;
         }
         let latency = self.rng.random_range(500..3000);
-        self.put(Duration::from_micros(latency), what);
+        self.schedule(Duration::from_micros(latency), event);
     }
 
-    fn account(&mut self, from: usize, message: &Message) {
+    /// Counts the bytes of a sent message.
+    fn count_bytes(&mut self, from: usize, message: &Message) {
         let second = (self.now - self.start).as_secs();
         *self.bytes_sent[from].entry(second).or_default() += message.bytes() as u64;
     }
 
-    fn put(&mut self, after: Duration, what: What) {
-        self.count += 1;
-        self.queue.insert((self.now + after, self.count), what);
+    fn schedule(&mut self, after: Duration, event: SimEvent) {
+        self.event_count += 1;
+        self.queue
+            .insert((self.now + after, self.event_count), event);
     }
 }
 
-/// Returns the name of an instance, which is also its address here.
-pub(crate) fn instance_name(at: usize) -> InstanceName {
-    format!("i{at}").as_str().into()
+/// Returns the name of an instance, which is also its address in the simulation.
+pub(crate) fn instance_name(index: usize) -> InstanceName {
+    format!("i{index}").as_str().into()
 }
 
-pub(crate) fn listed_member(at: usize) -> ListedMember {
+/// Returns the entry of an instance in the platform's list.
+pub(crate) fn listed_member(index: usize) -> ListedMember {
     ListedMember {
-        name: instance_name(at),
-        address: instance_name(at).as_str().into(),
-        data_centre: CENTRES[at % CENTRES.len()].into(),
+        name: instance_name(index),
+        address: instance_name(index).as_str().into(),
+        data_centre: DATA_CENTRES[index % DATA_CENTRES.len()].into(),
         leaving: false,
     }
 }
--- a/crates/fleet/tests/test_budget.rs
+++ b/crates/fleet/tests/test_budget.rs
@@ -1,4 +1,4 @@
-//! Bounds on bytes.
+//! Rate limits on bytes sent.
 
 use std::time::Duration;
 
@@ -8,26 +8,28 @@
 
 use crate::simulation::{instance_name, Simulation};
 
-const WARM: Duration = Duration::from_secs(40);
-const FLOOD_SECONDS: u64 = 20;
+/// The time that the simulation runs before entries are changed.
+const WARM_UP: Duration = Duration::from_secs(40);
+/// The time for which all instances change large entries, in seconds.
+const OVERLOAD_SECONDS: u64 = 20;
 
-/// Runs instances that all change large entries every second, and returns the time that a brake
-/// then takes to reach all of them.
-fn flood(n: usize, seed: u64) -> (Simulation, Duration) {
+/// Runs `n` instances that all change large entries every second, then adds a brake at one of them.
+/// Returns the time that the brake takes to reach all others.
+fn run_overloaded(n: usize, seed: u64) -> (Simulation, Duration) {
     let mut simulation = Simulation::new(n, GossipSettings::default(), seed);
     simulation.update_all_lists();
-    for at in 0..n {
+    for index in 0..n {
         simulation
-            .node(at)
+            .node(index)
             .set_group((0..n).map(instance_name).collect());
     }
-    simulation.run(WARM);
-    for second in 0..FLOOD_SECONDS {
-        for at in 0..n {
+    simulation.run(WARM_UP);
+    for second in 0..OVERLOAD_SECONDS {
+        for index in 0..n {
             let value = vec![second as u8; 300].into_boxed_slice();
             for kind in [EntryKind::TargetLoad, EntryKind::LoadSummary] {
                 simulation
-                    .node(at)
+                    .node(index)
                     .set_entry(kind, "", value.clone())
                     .unwrap();
             }
@@ -42,28 +44,31 @@
     simulation.node(n / 2).add_brake(brake.clone());
     simulation.send_urgent(n / 2);
     let everywhere = |simulation: &Simulation| {
-        simulation.all_instances(|g: &Gossip| g.facts().is_braked(&brake))
+        simulation.all_instances(|g: &Gossip| g.facts().has_brake(&brake))
     };
     assert!(simulation.run_until(Duration::from_secs(10), everywhere));
     let time = simulation.now - start;
     (simulation, time)
 }
 
-// Every instance has more to tell in a second than its budget lets through. Callers see nothing of
-// it, but a brake tripped now must not queue behind load reports: the bad version would go on
-// getting traffic. It is pushed at once at every hop instead of waiting for the round.
+// Guards against a brake that waits behind load reports while every instance has more to send than its
+// budget allows, so that the faulty version keeps getting traffic. Brakes are pushed immediately at
+// every hop.
 #[rstest]
 #[case(1)]
 #[case(2)]
 #[case(3)]
-fn a_brake_passes_a_flood_and_bytes_stay_bounded(#[case] seed: u64) {
-    let (simulation, time) = flood(40, seed);
+fn brake_is_not_delayed_and_rate_limit_holds_under_overload(#[case] seed: u64) {
+    let (simulation, time) = run_overloaded(40, seed);
     assert!(time < Duration::from_secs(1), "{time:?}");
     let limit = GossipSettings::default().bytes_per_second;
-    let first = WARM.as_secs();
+    let first = WARM_UP.as_secs();
     for sent in &simulation.bytes_sent {
-        let total: u64 = sent.range(first..first + FLOOD_SECONDS).map(|s| s.1).sum();
-        let mean = total / FLOOD_SECONDS;
+        let total: u64 = sent
+            .range(first..first + OVERLOAD_SECONDS)
+            .map(|s| s.1)
+            .sum();
+        let mean = total / OVERLOAD_SECONDS;
         assert!(mean < limit * 11 / 10, "{mean} bytes a second");
         let most = sent.range(first..).map(|s| *s.1).max().unwrap();
         assert!(most < 3 * limit, "{most} bytes in a second");
--- a/crates/fleet/tests/test_choice.rs
+++ b/crates/fleet/tests/test_choice.rs
@@ -1,4 +1,4 @@
-//! Which instances do a job, and which targets an instance uses.
+//! Choice of instances and division of the fleet into groups.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,25 +7,29 @@
 use rstest::rstest;
 
 fn names(n: usize) -> Vec<InstanceName> {
-    (0..n).map(|at| format!("i{at}").as_str().into()).collect()
+    (0..n)
+        .map(|index| format!("i{index}").as_str().into())
+        .collect()
 }
 
 fn targets(n: usize) -> Vec<TargetName> {
-    (0..n).map(|at| format!("t{at}").as_str().into()).collect()
+    (0..n)
+        .map(|index| format!("t{index}").as_str().into())
+        .collect()
 }
 
-fn candidates<'a>(names: &'a [InstanceName], centres: &'a [DataCentre]) -> Vec<Candidate<'a>> {
-    let pairs = names.iter().zip(centres.iter().cycle());
+fn candidates<'a>(names: &'a [InstanceName], data_centres: &'a [DataCentre]) -> Vec<Candidate<'a>> {
+    let pairs = names.iter().zip(data_centres.iter().cycle());
     pairs
         .map(|(name, data_centre)| Candidate { name, data_centre })
         .collect()
 }
 
 #[test]
-fn two_keepers_are_in_two_data_centres_and_change_only_with_their_own() {
+fn two_chosen_instances_are_in_two_data_centres_and_change_only_if_one_is_removed() {
     let names = names(30);
-    let centres = ["east", "west", "north"].map(DataCentre::from);
-    let all = candidates(&names, &centres);
+    let data_centres = ["east", "west", "north"].map(DataCentre::from);
+    let all = candidates(&names, &data_centres);
     let without: Vec<Candidate<'_>> = all
         .iter()
         .copied()
@@ -43,15 +47,15 @@
 }
 
 #[test]
-fn one_data_centre_still_gives_two_keepers() {
+fn instances_of_one_data_centre_are_chosen_if_there_is_no_other() {
     let names = names(3);
-    let centres = [DataCentre::from("east")];
+    let data_centres = [DataCentre::from("east")];
     assert_eq!(
-        choose_instances(b"k", &candidates(&names, &centres), 2).len(),
+        choose_instances(b"k", &candidates(&names, &data_centres), 2).len(),
         2
     );
     assert_eq!(
-        choose_instances(b"k", &candidates(&names, &centres), 5).len(),
+        choose_instances(b"k", &candidates(&names, &data_centres), 5).len(),
         3
     );
 }
@@ -60,22 +64,22 @@
 #[case::today(7, 40, 1, 40)]
 #[case::middle(200, 500, 16, 32)]
 #[case::planned(900, 11_000, 64, 172)]
-fn a_group_stays_small_and_every_target_is_watched_twice(
+fn groups_stay_small_and_every_target_has_two_watchers(
     #[case] instances: usize,
     #[case] target_count: usize,
     #[case] groups: usize,
-    #[case] most: usize,
+    #[case] max_targets: usize,
 ) {
     let names = names(instances);
     let all = targets(target_count);
-    let centres = ["east", "west", "north"].map(DataCentre::from);
+    let data_centres = ["east", "west", "north"].map(DataCentre::from);
     let mut watchers: BTreeMap<TargetName, usize> = BTreeMap::new();
     let group = Subset::of(&names[0], &names, &all);
     for own in &group.peers {
         let subset = Subset::of(own, &names, &all);
         assert_eq!(subset.groups, groups);
-        assert!(subset.targets.len() <= most);
-        let peers = candidates(&subset.peers, &centres);
+        assert!(subset.targets.len() <= max_targets);
+        let peers = candidates(&subset.peers, &data_centres);
         for target in subset.watched_targets(own, &peers) {
             *watchers.entry(target).or_default() += 1;
         }
@@ -85,12 +89,12 @@
 }
 
 #[test]
-fn one_instance_more_moves_few_others() {
+fn added_instance_moves_few_others() {
     let before = names(400);
     let after = names(401);
     let groups = |names: &[InstanceName]| -> Vec<usize> {
-        let of = |own| Subset::of(own, names, &[]).group;
-        before.iter().map(of).collect()
+        let group_of = |own| Subset::of(own, names, &[]).group;
+        before.iter().map(group_of).collect()
     };
     let pairs = groups(&before).into_iter().zip(groups(&after));
     let moved = pairs.filter(|(a, b)| a != b).count();
--- a/crates/fleet/tests/test_distribution_tree.rs
+++ b/crates/fleet/tests/test_distribution_tree.rs
@@ -1,4 +1,4 @@
-//! Who tells whom what the store says.
+//! Distribution of changes of the store.
 
 use std::collections::{HashMap, HashSet};
 
@@ -6,19 +6,24 @@
 use celerypond_types::{DataCentre, InstanceName};
 use rstest::rstest;
 
-/// Instances in data centres of different size.
+/// Instances in data centres of different sizes.
 struct Fleet {
     instances: Vec<(InstanceName, DataCentre)>,
 }
 
 impl Fleet {
     fn new(n: usize) -> Self {
-        let home = |at: usize| match at % 10 {
+        let data_centre = |index: usize| match index % 10 {
             0..=4 => "east",
             5..=7 => "mid",
             _ => "west",
         };
-        let named = (0..n).map(|at| (format!("i{at}").as_str().into(), home(at).into()));
+        let named = (0..n).map(|index| {
+            (
+                format!("i{index}").as_str().into(),
+                data_centre(index).into(),
+            )
+        });
         Self {
             instances: named.collect(),
         }
@@ -30,48 +35,53 @@
         DistributionTree::new(all.collect())
     }
 
-    /// Returns by how many each instance is told, and how many the busiest tells.
-    fn told(&self) -> (HashMap<&InstanceName, usize>, usize) {
+    /// Returns the number of notifiers of each instance, and the highest number of recipients of one.
+    fn notifier_counts(&self) -> (HashMap<&InstanceName, usize>, usize) {
         let tree = self.tree();
         let watchers: HashSet<_> = tree.watchers().iter().map(|one| one.name).collect();
-        let (mut told, mut most) = (HashMap::new(), 0);
+        let (mut notifiers, mut max_recipients) = (HashMap::new(), 0);
         for (name, _) in &self.instances {
-            let heirs = tree.recipients_of(name, watchers.contains(name));
-            most = most.max(heirs.len());
-            for heir in heirs {
-                *told.entry(heir).or_default() += 1;
+            let recipients = tree.recipients_of(name, watchers.contains(name));
+            max_recipients = max_recipients.max(recipients.len());
+            for recipient in recipients {
+                *notifiers.entry(recipient).or_default() += 1;
             }
         }
-        (told, most)
+        (notifiers, max_recipients)
     }
 }
 
-/// A change reaches all instances, each by two ways, so that one of them may be cut off.
+// Each instance is notified of a change by two others, so that one of them may be cut off.
 #[rstest]
-fn each_instance_but_the_watchers_is_told_by_two(#[values(3, 7, 71, 100, 101, 300, 904)] n: usize) {
+fn each_instance_but_the_watchers_is_notified_by_two(
+    #[values(3, 7, 71, 100, 101, 300, 904)] n: usize,
+) {
     let fleet = Fleet::new(n);
     let tree = fleet.tree();
-    let (told, _) = fleet.told();
+    let (notifiers, _) = fleet.notifier_counts();
     for (name, _) in &fleet.instances {
         if !tree.watchers().iter().any(|one| one.name == name) {
-            assert_eq!(told.get(name), Some(&2), "{name:?}");
+            assert_eq!(notifiers.get(name), Some(&2), "{name:?}");
         }
     }
 }
 
-/// A data centre's engines die and start again, and all instances ask those that told them for what
-/// changed. One link of 10 Mbit/s carries that to some tens.
+// When the engines of a data centre die and start again, all instances request the changes from their
+// notifiers. A 10 Mbit/s link can carry that to a few tens of instances.
 #[rstest]
 #[case(300, 75)]
 #[case(904, 110)]
-fn nobody_tells_more_than_its_link_carries(#[case] n: usize, #[case] limit: usize) {
-    let (_, most) = Fleet::new(n).told();
-    assert!(most <= limit, "{most} are told by one");
+fn no_instance_notifies_more_than_its_link_can_carry(#[case] n: usize, #[case] limit: usize) {
+    let (_, max_recipients) = Fleet::new(n).notifier_counts();
+    assert!(
+        max_recipients <= limit,
+        "{max_recipients} recipients of one instance"
+    );
 }
 
-/// In a small fleet an instance that hears of no watcher watches for itself, and tells the others.
+// In a small fleet, an instance that is not notified watches the store itself and notifies the others.
 #[test]
-fn in_a_small_fleet_whoever_watches_tells_all() {
+fn in_a_small_fleet_every_watching_instance_notifies_all() {
     let fleet = Fleet::new(7);
     let tree = fleet.tree();
     let is_watcher = |name: &InstanceName| tree.watchers().iter().any(|one| one.name == name);
@@ -81,18 +91,21 @@
     assert_eq!(tree.recipients_of(name, true).len(), 6);
 }
 
-/// One instance dies. Those that it told hear from the other teller; few others are told anew.
+// When an instance dies, its recipients still have their other forwarder, and few instances change
+// theirs.
 #[test]
-fn few_are_told_by_others_when_one_dies() {
+fn removal_of_an_instance_changes_few_recipients() {
     let mut fleet = Fleet::new(300);
     let pairs = |fleet: &Fleet| -> HashSet<(InstanceName, InstanceName)> {
         let tree = fleet.tree();
         let names = fleet.instances.iter().map(|(name, _)| name);
-        let told = names.flat_map(|own| {
-            let heirs = tree.recipients_of(own, false);
-            heirs.into_iter().map(|heir| (own.clone(), heir.clone()))
+        let pairs = names.flat_map(|own| {
+            let recipients = tree.recipients_of(own, false);
+            recipients
+                .into_iter()
+                .map(|recipient| (own.clone(), recipient.clone()))
         });
-        told.collect()
+        pairs.collect()
     };
     let before = pairs(&fleet);
     fleet.instances.remove(17);
--- a/crates/fleet/tests/test_entry_table.rs
+++ b/crates/fleet/tests/test_entry_table.rs
@@ -1,4 +1,4 @@
-//! Entries that arrive in pieces, out of order and not at all.
+//! Entries that are lost or arrive out of order, limits on entries, and merging of facts.
 
 use celerypond_fleet::{EntryError, EntryKind, EntryTable, Facts, GossipSettings, Item, Origin};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
@@ -15,11 +15,11 @@
     }
 }
 
-// One instance changes its entries all the time while a third of the messages are lost, so pushes
-// arrive with holes before them. A receiver that took a push for all that came before it would
-// never ask for the hole again: an instance would act on old evidence for good.
+// Changes entries of one instance while a third of the messages are lost, so that pushes arrive with
+// gaps before them. Guards against a receiver that takes a push to include all earlier changes and
+// never requests the missing ones: it would use outdated evidence forever.
 #[rstest]
-fn holes_left_by_lost_pushes_are_filled(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
+fn changes_of_lost_pushes_are_requested_again(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut simulation = Simulation::new(9, GossipSettings::default(), seed);
     let mut rng = SmallRng::seed_from_u64(seed);
     simulation.update_all_lists();
@@ -49,18 +49,18 @@
 }
 
 #[test]
-fn an_origin_that_sets_and_clears_for_ever_stays_small() {
+fn cleared_slots_are_reused() {
     let mut table = EntryTable::default();
-    for at in 0..10_000_u32 {
-        let key = format!("rollout-{at}");
+    for index in 0..10_000_u32 {
+        let key = format!("rollout-{index}");
         let item = Item {
             kind: EntryKind::Evidence,
             key: key.as_str().into(),
             value: Box::new([1]),
         };
         table.set(Origin(1), item).unwrap();
-        if at >= 3 {
-            let old = format!("rollout-{}", at - 3);
+        if index >= 3 {
+            let old = format!("rollout-{}", index - 3);
             table.clear(Origin(1), EntryKind::Evidence, &old).unwrap();
         }
     }
@@ -68,34 +68,34 @@
 }
 
 #[test]
-fn a_class_that_is_full_and_a_value_that_is_long_are_refused() {
+fn full_class_and_oversized_value_are_rejected() {
     let mut table = EntryTable::default();
     let full = (0..=u8::MAX).find_map(|key| table.set(Origin(1), item(key, 0)).err());
     assert_eq!(full, Some(EntryError::ClassFull));
-    let long = Item {
+    let oversized = Item {
         value: vec![0; 2_000].into(),
         ..item(0, 0)
     };
     assert_eq!(
-        table.set(Origin(2), long),
+        table.set(Origin(2), oversized),
         Err(EntryError::ValueTooLong(2_000))
     );
 }
 
 #[test]
-fn facts_merge_to_the_same_in_any_order_beyond_their_bound() {
+fn facts_converge_in_any_order_beyond_the_maximum_number_of_brakes() {
     use celerypond_fleet::Brake;
     use celerypond_types::Revision;
     use rand::seq::SliceRandom as _;
 
     let mut brakes: Vec<Brake> = (0..200)
-        .map(|at| Brake {
-            revision: Revision(at / 2),
-            version: format!("v{}", at % 2).as_str().into(),
+        .map(|index| Brake {
+            revision: Revision(index / 2),
+            version: format!("v{}", index % 2).as_str().into(),
         })
         .collect();
     let mut rng = SmallRng::seed_from_u64(4);
-    let mut summaries: Vec<u64> = (0..20)
+    let mut fingerprints: Vec<u64> = (0..20)
         .map(|_| {
             brakes.shuffle(&mut rng);
             let mut facts = Facts::default();
@@ -105,6 +105,6 @@
             facts.fingerprint()
         })
         .collect();
-    summaries.dedup();
-    assert_eq!(summaries.len(), 1);
+    fingerprints.dedup();
+    assert_eq!(fingerprints.len(), 1);
 }
--- a/crates/fleet/tests/test_gossip.rs
+++ b/crates/fleet/tests/test_gossip.rs
@@ -1,4 +1,4 @@
-//! Convergence under loss, partition and restart.
+//! Convergence despite message loss, partitions and restarts.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use crate::simulation::{instance_name, Simulation};
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Half of what a link of 10 Mbit/s carries in a second, in bytes.
-const HALF_LINK: u64 = 625_000;
+/// Half the capacity of a 10 Mbit/s link, in bytes per second.
+const HALF_LINK_BYTES: u64 = 625_000;
 
 fn brake(revision: u64) -> Brake {
     Brake {
@@ -26,11 +26,11 @@
         .all_instances(|gossip| gossip.membership().in_state(MemberState::Live).count() == others)
 }
 
-// Operators raise the revision and instances trip brakes while messages are lost, the network
-// splits in two, and instances restart with nothing. At no instance may the revision go back or a
-// brake be lifted within a run; once the network is whole all know the same and see each other.
+// Raises revisions and adds brakes while messages are lost, the network is partitioned and instances
+// restart without state. Within a run, the revision of an instance must never decrease and no brake
+// may disappear. Once the network has healed, all instances must know the same facts and each other.
 #[rstest]
-fn all_agree_after_loss_partition_and_restarts(
+fn facts_converge_after_loss_partitions_and_restarts(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] seed: u64,
 ) {
     let n = 12;
@@ -41,29 +41,29 @@
     let mut seen = vec![Facts::default(); n];
     let mut truth = Facts::default();
     for step in 1..=60 {
-        let at = rng.random_range(0..n);
+        let index = rng.random_range(0..n);
         match rng.random_range(0..6) {
             0 => {
-                simulation.node(at).raise_acting_revision(Revision(step));
+                simulation.node(index).raise_acting_revision(Revision(step));
                 truth.raise_revision(Revision(step));
             }
             1 => {
-                simulation.node(at).add_brake(brake(step));
+                simulation.node(index).add_brake(brake(step));
                 truth.add_brake(brake(step));
             }
             2 => simulation.partition.fill_with(|| rng.random_range(0..2)),
             3 => simulation.partition.fill(0),
-            4 if simulation.node(at).facts() != &truth => {
-                // Only what one instance alone knows may be lost with it.
-                simulation.start_instance(at, step + 1);
-                seen[at] = Facts::default();
+            4 if simulation.node(index).facts() != &truth => {
+                // An instance with all facts may be the only one with some of them, which a restart would lose.
+                simulation.start_instance(index, step + 1);
+                seen[index] = Facts::default();
             }
-            _ => simulation.send_urgent(at),
+            _ => simulation.send_urgent(index),
         }
         simulation.run(SECOND);
         for (node, seen) in simulation.nodes.iter().flatten().zip(&mut seen) {
             assert!(node.facts().revision() >= seen.revision());
-            assert!(seen.brakes().all(|brake| node.facts().is_braked(brake)));
+            assert!(seen.brakes().all(|brake| node.facts().has_brake(brake)));
             *seen = node.facts().clone();
         }
     }
@@ -79,11 +79,10 @@
     assert!(simulation.run_until(90 * SECOND, agreed));
 }
 
-// Both halves of a fleet suspect the other half while the network is split for minutes. Callers of
-// each half are still served. When the network is whole again, each half must see the other without
-// help from the platform's list, which may be down.
+// Guards against two sides of a partition that suspect each other and never try again after the network
+// has healed. They must reconnect without the platform's list, which may be unavailable.
 #[rstest]
-fn halves_of_a_partition_find_each_other(#[values(1, 2, 3, 4)] seed: u64) {
+fn sides_of_a_partition_reconnect(#[values(1, 2, 3, 4)] seed: u64) {
     let mut simulation = Simulation::new(10, GossipSettings::default(), seed);
     simulation.run(15 * SECOND);
     assert!(all_live(&simulation));
@@ -95,10 +94,10 @@
     assert!(simulation.run_until(60 * SECOND, all_live));
 }
 
-// An instance trips a brake and dies a moment later. If the brake were its own entry, it would go
-// with it, and the bad version would get traffic again.
+// Guards against a brake that is dropped with the instance that added it, after which the faulty version
+// would get traffic again.
 #[rstest]
-fn a_brake_outlives_the_instance_that_tripped_it(#[values(1, 2, 3)] seed: u64) {
+fn brake_outlives_the_instance_that_added_it(#[values(1, 2, 3)] seed: u64) {
     let settings = GossipSettings {
         forget_after: 20 * SECOND,
         ..GossipSettings::default()
@@ -110,64 +109,68 @@
     simulation.run(Duration::from_millis(10));
     simulation.kill(3);
     simulation.run(60 * SECOND);
-    assert!(simulation.all_instances(|gossip| gossip.facts().is_braked(&brake(1))));
+    assert!(simulation.all_instances(|gossip| gossip.facts().has_brake(&brake(1))));
     assert!(
         simulation.all_instances(|gossip| gossip.membership().by_name(&instance_name(3)).is_none())
     );
 }
 
-// All instances are replaced one after the other while the platform is down, each with nothing but
-// two seeds. The revision must be known to all the new ones, from their peers alone.
+// Replaces all instances one after the other while the platform is unavailable. The new ones start with
+// nothing but two seeds and must learn the revision from their peers.
 #[test]
-fn a_fleet_without_disks_keeps_the_revision_while_the_store_is_down() {
+fn revision_survives_the_replacement_of_all_instances() {
     let mut simulation = Simulation::new(7, GossipSettings::default(), 1);
     simulation.node(6).raise_acting_revision(Revision(41));
     simulation.run(10 * SECOND);
-    for at in 0..7 {
-        simulation.kill(at);
+    for index in 0..7 {
+        simulation.kill(index);
         simulation.run(2 * SECOND);
-        simulation.start_instance(at, 2);
+        simulation.start_instance(index, 2);
         simulation.run(6 * SECOND);
-        assert_eq!(simulation.node(at).facts().revision(), Revision(41));
+        assert_eq!(simulation.node(index).facts().revision(), Revision(41));
         assert!(simulation
-            .node(at)
+            .node(index)
             .take_events()
             .contains(&Event::Revision(Revision(41))));
     }
 }
 
-// Some instances know one seed and some another. Before seeds were tried again, they formed two
-// fleets that never heard of each other, and a brake tripped in one did not reach the other.
+// Guards against a split fleet. If seeds are not tried again, instances that first contacted different
+// seeds form two fleets that never learn of each other, and brakes do not reach the other one.
 #[rstest]
-fn instances_with_different_seeds_form_one_fleet(#[values(1, 2, 3, 4, 5)] seed: u64) {
+fn instances_that_contact_different_seeds_form_one_fleet(#[values(1, 2, 3, 4, 5)] seed: u64) {
     let mut simulation = Simulation::new(20, GossipSettings::default(), seed);
     assert!(simulation.run_until(60 * SECOND, all_live));
 }
 
 #[test]
-fn entries_of_a_group_stay_in_it_and_summaries_reach_all() {
+fn group_local_entries_stay_in_the_group_and_summaries_reach_all() {
     let mut simulation = Simulation::new(12, GossipSettings::default(), 1);
     simulation.update_all_lists();
-    for at in 0..12 {
-        let start = at / 6 * 6;
+    for index in 0..12 {
+        let start = index / 6 * 6;
         simulation
-            .node(at)
+            .node(index)
             .set_group((start..start + 6).map(instance_name).collect());
         simulation
-            .node(at)
-            .set_entry(EntryKind::TargetLoad, "", Box::new([at as u8]))
+            .node(index)
+            .set_entry(EntryKind::TargetLoad, "", Box::new([index as u8]))
             .unwrap();
     }
     simulation.run(20 * SECOND);
-    let leaders = (0..12).filter(|at| simulation.nodes[*at].as_ref().unwrap().is_group_leader());
+    let leaders =
+        (0..12).filter(|index| simulation.nodes[*index].as_ref().unwrap().is_group_leader());
     let leaders: Vec<usize> = leaders.collect();
-    assert_eq!(leaders.iter().map(|at| at / 6).collect::<Vec<_>>(), [0, 1]);
-    for at in leaders {
+    assert_eq!(
+        leaders.iter().map(|index| index / 6).collect::<Vec<_>>(),
+        [0, 1]
+    );
+    for index in leaders {
         simulation
-            .node(at)
+            .node(index)
             .set_entry(
                 EntryKind::LoadSummary,
-                &format!("{}", at / 6),
+                &format!("{}", index / 6),
                 Box::new([1]),
             )
             .unwrap();
@@ -176,7 +179,8 @@
     let count = |gossip: &Gossip, kind| gossip.entries().items(kind).count();
     assert!(simulation.all_instances(|gossip| count(gossip, EntryKind::TargetLoad) == 6));
     assert!(simulation.all_instances(|gossip| count(gossip, EntryKind::LoadSummary) == 2));
-    // An instance that changes its group must not go on with loads that nobody renews there.
+    // After a change of group, an instance must not use the loads of its previous group, which are no longer
+    // updated.
     simulation
         .node(0)
         .set_group((6..12).map(instance_name).collect());
@@ -185,62 +189,72 @@
     assert_eq!(count(simulation.node(0), EntryKind::TargetLoad), 7);
 }
 
-// A whole fleet starts at once while the platform's list is out of reach, so all come to the same
-// two seeds, whose budget cannot answer them all at length.
+// Starts all instances at once without the platform's list, so that all contact the same two seeds, whose
+// budgets do not suffice to tell each of all others.
 #[test]
-fn many_that_start_at_once_through_two_seeds_all_meet() {
+fn instances_started_at_once_with_two_seeds_find_each_other() {
     let mut simulation = Simulation::new(150, GossipSettings::default(), 1);
     assert!(simulation.run_until(60 * SECOND, all_live));
 }
 
-// All instances lose their power and start at once, and each knows two seeds. Callers ask for addresses
-// within the second: an instance that knows only the seeds sends them all there. So all must know each
-// other within seconds, at any size, over links of 10 Mbit/s.
+// Starts all instances at once, as after a power failure, each with two seeds. Callers request addresses
+// within the first second, and an instance that knows only the seeds would send them all there. So
+// nearly all must be known within seconds, at any size, over links of 10 Mbit/s.
 #[rstest]
 #[case::today(71, 1_000)]
 #[case::next(300, 1_500)]
 #[case::planned(900, 2_500)]
-fn a_fleet_that_starts_at_once_meets_within_seconds(#[case] n: usize, #[case] millis: u64) {
+fn instances_started_at_once_know_each_other_within_seconds(
+    #[case] n: usize,
+    #[case] limit_ms: u64,
+) {
     let mut simulation = Simulation::new(n, GossipSettings::default(), 1);
-    let nearly = |simulation: &Simulation| {
+    let most_are_known = |simulation: &Simulation| {
         let live = |gossip: &Gossip| gossip.membership().in_state(MemberState::Live).count();
         simulation.all_instances(|gossip| live(gossip) * 10 >= n * 9)
     };
-    assert!(simulation.run_until(Duration::from_millis(millis), nearly));
+    assert!(simulation.run_until(Duration::from_millis(limit_ms), most_are_known));
     let most = simulation
         .bytes_sent
         .iter()
         .flat_map(|sent| sent.values())
         .max();
-    assert!(most.is_some_and(|most| *most < HALF_LINK), "{most:?} bytes");
+    assert!(
+        most.is_some_and(|most| *most < HALF_LINK_BYTES),
+        "{most:?} bytes"
+    );
 }
 
-// Two instances answer each other, and one says every time that it does not know the other, as it
-// refuses what the other says of itself. Each exchange must end; before, one led to the next at once
-// and without end, and both spent their whole budget on it.
+// Guards against an endless exchange between two instances of which one always claims not to know the
+// other, because it rejects the identity of the other. If follow-ups were followed up, each response
+// would immediately lead to another request, and both instances would use up their budgets.
 #[test]
-fn an_exchange_ends_with_its_follow_up() {
+fn exchange_ends_after_one_follow_up() {
     let mut simulation = Simulation::new(2, GossipSettings::default(), 1);
     simulation.node(1).raise_acting_revision(Revision(3));
     let now = simulation.now;
     let request = simulation.node(0).tick(now).remove(0);
-    let mut answer = simulation.node(1).handle_request(request.message, now);
-    answer.hello = true;
-    answer.facts = Facts::default();
+    let mut response = simulation.node(1).handle_request(request.message, now);
+    response.hello = true;
+    response.facts = Facts::default();
     simulation.node(0).raise_acting_revision(Revision(5));
-    let more = simulation
+    let follow_up = simulation
         .node(0)
-        .handle_response(None, answer, now)
+        .handle_response(None, response, now)
         .unwrap();
-    let mut last = simulation.node(1).handle_request(more, now);
+    let mut last_response = simulation.node(1).handle_request(follow_up, now);
     assert_eq!(simulation.node(1).facts().revision(), Revision(5));
-    last.hello = true;
-    assert_eq!(simulation.node(0).handle_response(None, last, now), None);
+    last_response.hello = true;
+    assert_eq!(
+        simulation.node(0).handle_response(None, last_response, now),
+        None
+    );
 }
 
-// Guards against an instance that hears of a revision once and cannot tell whether anyone still acts on it.
+// Guards against an instance that learns of a revision once and cannot determine whether any peer still
+// uses it.
 #[test]
-fn peer_that_acts_on_a_later_revision_says_so_for_as_long_as_it_lives() {
+fn peer_that_uses_a_higher_revision_is_reported_as_long_as_it_is_alive() {
     let mut simulation = Simulation::new(3, GossipSettings::default(), 1);
     simulation.run(5 * SECOND);
     simulation.node(2).raise_acting_revision(Revision(9));
@@ -256,7 +270,7 @@
     simulation.kill(2);
     simulation.run(SECOND);
     is_ahead(&mut simulation);
-    // The other one has heard of the revision as well, and does not act on it.
+    // The remaining peer knows of the revision as well but does not use it.
     simulation.run(5 * SECOND);
     assert!(!is_ahead(&mut simulation));
     simulation.node(0).raise_acting_revision(Revision(9));
--- a/crates/fleet/tests/test_membership.rs
+++ b/crates/fleet/tests/test_membership.rs
@@ -1,4 +1,4 @@
-//! Who is live, who leaves, and which run of an instance counts.
+//! States of members, and runs of one instance that follow each other.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn fleet(n: usize, seed: u64) -> Simulation {
+/// Starts `n` instances and runs them until they know each other.
+fn started_fleet(n: usize, seed: u64) -> Simulation {
     let settings = GossipSettings {
         forget_after: 60 * SECOND,
         ..GossipSettings::default()
@@ -19,10 +20,11 @@
     simulation
 }
 
-fn state(simulation: &Simulation, of: usize) -> Vec<Option<MemberState>> {
+/// Returns the states of an instance as seen by all others.
+fn states_of(simulation: &Simulation, of: usize) -> Vec<Option<MemberState>> {
     let nodes = simulation.nodes.iter().enumerate();
     nodes
-        .filter(|(at, _)| *at != of)
+        .filter(|(index, _)| *index != of)
         .filter_map(|(_, node)| node.as_ref())
         .map(|node| {
             node.membership()
@@ -33,14 +35,16 @@
 }
 
 fn are_all(simulation: &Simulation, of: usize, expected: MemberState) -> bool {
-    state(simulation, of).iter().all(|s| *s == Some(expected))
+    states_of(simulation, of)
+        .iter()
+        .all(|s| *s == Some(expected))
 }
 
-// An instance is paused for half a minute: it gets no new callers meanwhile. When it goes on, it
-// hears that it is held to be dead, contradicts, and is used again everywhere.
+// Pauses an instance for half a minute, during which it must be suspected. When it resumes, it learns of
+// the claims about it, refutes them, and must be live again everywhere.
 #[rstest]
-fn a_paused_instance_is_suspected_and_returns(#[values(1, 2, 3, 4)] seed: u64) {
-    let mut simulation = fleet(9, seed);
+fn paused_instance_is_suspected_and_returns(#[values(1, 2, 3, 4)] seed: u64) {
+    let mut simulation = started_fleet(9, seed);
     simulation.set_paused(4, true);
     assert!(simulation.run_until(15 * SECOND, |m| are_all(m, 4, MemberState::Suspected)));
     simulation.run(15 * SECOND);
@@ -48,11 +52,11 @@
     assert!(simulation.run_until(20 * SECOND, |m| are_all(m, 4, MemberState::Live)));
 }
 
-// An instance loses all its connections and so sees every other one as dead, then gets them back.
-// If it spread what it saw, callers would be sent away from a healthy fleet.
+// Guards against an instance that loses all its connections, suspects all others, and spreads that when
+// it is connected again. Callers would be directed away from a healthy fleet.
 #[rstest]
-fn an_instance_that_is_cut_off_accuses_nobody(#[values(1, 2, 3, 4)] seed: u64) {
-    let mut simulation = fleet(12, seed);
+fn isolated_instance_makes_no_claims_about_others(#[values(1, 2, 3, 4)] seed: u64) {
+    let mut simulation = started_fleet(12, seed);
     simulation.partition[5] = 1;
     simulation.run(40 * SECOND);
     for node in simulation.nodes.iter_mut().flatten() {
@@ -61,19 +65,19 @@
     simulation.partition[5] = 0;
     simulation.run(30 * SECOND);
     assert!(are_all(&simulation, 5, MemberState::Live));
-    for (at, node) in simulation.nodes.iter_mut().flatten().enumerate() {
+    for (index, node) in simulation.nodes.iter_mut().flatten().enumerate() {
         let events = node.take_events();
         let suspected =
             |event: &Event| matches!(event, Event::Suspected(of) if *of != instance_name(5));
-        assert!(!events.iter().any(suspected), "{at}: {events:?}");
+        assert!(!events.iter().any(suspected), "{index}: {events:?}");
     }
 }
 
-// An instance says that it leaves. The platform's list is seconds behind and still has it as live;
-// a caller sent there now would have its request cut off by the stop.
+// Guards against an announcement of leaving that is overridden by the platform's list, which lags behind
+// by seconds and still shows the instance as live. Requests sent to it would be cut off when it stops.
 #[rstest]
-fn a_leaving_word_holds_for_the_run_whatever_the_list_says(#[values(1, 2, 3)] seed: u64) {
-    let mut simulation = fleet(9, seed);
+fn leaving_announcement_holds_for_the_run_whatever_the_list_shows(#[values(1, 2, 3)] seed: u64) {
+    let mut simulation = started_fleet(9, seed);
     simulation.node(2).announce_leaving();
     simulation.send_urgent(2);
     assert!(simulation.run_until(3 * SECOND, |m| are_all(m, 2, MemberState::Leaving)));
@@ -86,11 +90,11 @@
     assert!(simulation.run_until(20 * SECOND, |m| are_all(m, 2, MemberState::Live)));
 }
 
-// An instance is replaced by a run that begins its sequence numbers again at 1. Peers hold entries
-// of the old run with higher numbers; these must go and the new ones must be taken.
+// Replaces an instance by a run that starts again with sequence number 1. Peers hold entries of the
+// previous run with higher numbers, which must be replaced by the new ones.
 #[rstest]
-fn a_new_run_takes_the_place_of_the_old_one(#[values(1, 2, 3)] seed: u64) {
-    let mut simulation = fleet(7, seed);
+fn new_run_replaces_the_previous_one(#[values(1, 2, 3)] seed: u64) {
+    let mut simulation = started_fleet(7, seed);
     for value in 0..50 {
         simulation
             .node(3)
@@ -111,11 +115,11 @@
     }
 }
 
-// The clock of a replaced instance is behind that of its old run, so its run has a lower ordinal.
-// Peers would refuse it for ever, and the fleet would be one instance short with nothing failing.
+// Guards against a run that peers ignore forever, because its clock is behind that of the previous run
+// and so its number is lower. The fleet would lack an instance without any visible failure.
 #[test]
-fn a_run_whose_clock_went_back_takes_a_later_ordinal() {
-    let mut simulation = fleet(7, 1);
+fn run_whose_clock_was_set_back_takes_a_higher_number() {
+    let mut simulation = started_fleet(7, 1);
     simulation.start_instance(3, 5);
     simulation.run(10 * SECOND);
     simulation.start_instance(3, 2);
@@ -126,28 +130,28 @@
         .contains(&Event::Renumbered));
     assert_eq!(simulation.node(3).identity().incarnation, Incarnation(6));
     let run = simulation.node(3).origin();
-    for (at, node) in simulation.nodes.iter().flatten().enumerate() {
+    for (index, node) in simulation.nodes.iter().flatten().enumerate() {
         let member = node.membership().by_name(&instance_name(3));
-        assert!(at == 3 || member.unwrap().origin == Some(run));
+        assert!(index == 3 || member.unwrap().origin == Some(run));
     }
 }
 
-// An instance dies for good. Peers drop it at slightly different times, and one that still has it
-// must not bring it back to one that has dropped it.
+// Guards against a dead instance that never disappears. Peers remove it at slightly different times, and
+// one that still has it must not restore it at one that has removed it.
 #[rstest]
-fn a_dead_instance_is_forgotten_and_stays_so(#[values(1, 2, 3)] seed: u64) {
-    let mut simulation = fleet(9, seed);
+fn dead_instance_is_removed_for_good(#[values(1, 2, 3)] seed: u64) {
+    let mut simulation = started_fleet(9, seed);
     simulation.kill(4);
     simulation.run(100 * SECOND);
     for _ in 0..200 {
-        assert!(state(&simulation, 4).iter().all(Option::is_none));
+        assert!(states_of(&simulation, 4).iter().all(Option::is_none));
         simulation.run(SECOND);
     }
 }
 
 #[test]
-fn a_listed_instance_that_never_answered_is_suspected_until_it_does() {
-    let mut simulation = fleet(3, 1);
+fn listed_instance_that_never_responded_is_suspected() {
+    let mut simulation = started_fleet(3, 1);
     simulation.nodes.push(None);
     simulation.partition.push(0);
     simulation.bytes_sent.push(Default::default());
--- a/crates/fleet/tests/test_peer.rs
+++ b/crates/fleet/tests/test_peer.rs
@@ -1,4 +1,4 @@
-//! The service over loopback.
+//! The RPC service over loopback.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -44,6 +44,7 @@
     }
 }
 
+/// Accepts one connection and serves it.
 async fn serve() -> (SocketAddr, tokio::task::JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -54,40 +55,46 @@
     (address, task)
 }
 
-fn soon(ms: u64) -> Context {
+/// Returns the context of a call with a deadline in `ms` milliseconds.
+fn deadline_in(ms: u64) -> Context {
     call_context(Instant::now() + Duration::from_millis(ms))
 }
 
 #[tokio::test]
-async fn a_call_is_answered_or_ends_at_its_deadline() {
+async fn call_returns_its_response_or_fails_at_its_deadline() {
     let (address, server) = serve().await;
-    let (client, drive) = connect(address, Duration::from_secs(1)).await.unwrap();
-    let drive = tokio::spawn(drive);
+    let (client, driver) = connect(address, Duration::from_secs(1)).await.unwrap();
+    let driver = tokio::spawn(driver);
     let megabyte = client
-        .fetch_bundle(soon(5_000), Revision(1 << 20))
+        .fetch_bundle(deadline_in(5_000), Revision(1 << 20))
         .await
         .unwrap();
     assert_eq!(megabyte.unwrap().len(), 1 << 20);
-    let late = client.fetch_record(soon(20), "r".into()).await;
+    let late = client.fetch_record(deadline_in(20), "r".into()).await;
     assert!(matches!(late, Err(RpcError::DeadlineExceeded)), "{late:?}");
     assert_eq!(
-        client.forward_call(soon(5_000), vec![1, 2]).await.unwrap(),
+        client
+            .forward_call(deadline_in(5_000), vec![1, 2])
+            .await
+            .unwrap(),
         [1, 2]
     );
     drop(client);
-    drive.await.unwrap();
+    driver.await.unwrap();
     server.await.unwrap();
 }
 
-// A frame beyond the bound would make the receiver hold as much memory as the sender likes.
+// Guards against a frame of unlimited length, for which the receiver would have to allocate memory.
 #[tokio::test]
-async fn a_frame_beyond_the_bound_is_refused() {
+async fn frame_that_exceeds_the_maximum_length_is_rejected() {
     let (address, server) = serve().await;
-    let (client, drive) = connect(address, Duration::from_secs(1)).await.unwrap();
-    let drive = tokio::spawn(drive);
-    let long = client.forward_call(soon(1_000), vec![0; 3 << 20]).await;
+    let (client, driver) = connect(address, Duration::from_secs(1)).await.unwrap();
+    let driver = tokio::spawn(driver);
+    let long = client
+        .forward_call(deadline_in(1_000), vec![0; 3 << 20])
+        .await;
     assert!(long.is_err());
     drop(client);
-    drive.await.unwrap();
+    driver.await.unwrap();
     server.await.unwrap();
 }
--- a/crates/fleet/tests/test_scripts.rs
+++ b/crates/fleet/tests/test_scripts.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios.
+//! Scenarios in tests/scripts, compared with their recorded output.
 
 use std::{error::Error, fmt::Write as _, time::Duration};
 
@@ -8,10 +8,12 @@
 
 use crate::simulation::Simulation;
 
+/// The simulation that a script controls, once started.
 struct Script(Option<Simulation>);
 
 type Output = Result<String, Box<dyn Error>>;
 
+/// Parses the next argument of a command.
 fn number<T: std::str::FromStr>(args: &mut ArgumentConsumer<'_>) -> Result<T, Box<dyn Error>> {
     let text = args.next_pos().ok_or("a number is missing")?;
     text.parse().map_err(|_| "not a number".into())
@@ -22,19 +24,21 @@
         self.0.as_mut().unwrap()
     }
 
+    /// Returns one line about each instance.
     fn show(&mut self) -> String {
         let mut text = String::new();
-        for (at, node) in self.simulation().nodes.iter().enumerate() {
+        for (index, node) in self.simulation().nodes.iter().enumerate() {
             match node {
-                Some(node) => writeln!(text, "i{at}: {}", line(node)).unwrap(),
-                None => writeln!(text, "i{at}: down").unwrap(),
+                Some(node) => writeln!(text, "i{index}: {}", describe(node)).unwrap(),
+                None => writeln!(text, "i{index}: down").unwrap(),
             }
         }
         text
     }
 }
 
-fn line(node: &Gossip) -> String {
+/// Returns what an instance knows.
+fn describe(node: &Gossip) -> String {
     let names = |state| {
         let members = node.membership().in_state(state);
         let names: Vec<&str> = members.map(|m| m.name.as_str()).collect();
@@ -71,39 +75,41 @@
             }
             "list" => self.simulation().update_all_lists(),
             "kill" => {
-                let at = number(&mut args)?;
-                self.simulation().kill(at);
+                let index = number(&mut args)?;
+                self.simulation().kill(index);
             }
-            "boot" => {
-                let (at, incarnation) = (number(&mut args)?, number(&mut args)?);
-                self.simulation().start_instance(at, incarnation);
+            "start-instance" => {
+                let (index, incarnation) = (number(&mut args)?, number(&mut args)?);
+                self.simulation().start_instance(index, incarnation);
             }
-            "side" => {
-                let (at, side): (usize, u8) = (number(&mut args)?, number(&mut args)?);
-                self.simulation().partition[at] = side;
+            "partition" => {
+                let (index, side): (usize, u8) = (number(&mut args)?, number(&mut args)?);
+                self.simulation().partition[index] = side;
             }
-            "raise" => {
-                let at = number(&mut args)?;
+            "raise-revision" => {
+                let index = number(&mut args)?;
                 let revision = Revision(number(&mut args)?);
-                self.simulation().node(at).raise_acting_revision(revision);
-                self.simulation().send_urgent(at);
+                self.simulation()
+                    .node(index)
+                    .raise_acting_revision(revision);
+                self.simulation().send_urgent(index);
             }
-            "trip" => {
-                let at = number(&mut args)?;
+            "add-brake" => {
+                let index = number(&mut args)?;
                 let revision = Revision(number(&mut args)?);
                 let version = args.next_pos().unwrap_or("v2").into();
                 self.simulation()
-                    .node(at)
+                    .node(index)
                     .add_brake(Brake { revision, version });
-                self.simulation().send_urgent(at);
+                self.simulation().send_urgent(index);
             }
             "leave" => {
-                let at = number(&mut args)?;
-                self.simulation().node(at).announce_leaving();
-                self.simulation().send_urgent(at);
+                let index = number(&mut args)?;
+                self.simulation().node(index).announce_leaving();
+                self.simulation().send_urgent(index);
             }
             "show" => return Ok(self.show()),
-            name => return Err(format!("no command {name}").into()),
+            name => return Err(format!("unknown command {name}").into()),
         }
         args.reject_next()?;
         Ok(String::new())
@@ -113,6 +119,6 @@
 #[rstest::rstest]
 #[case("outage")]
 #[case("partition")]
-fn a_scenario_ends_as_written(#[case] name: &str) {
+fn script_output_is_as_recorded(#[case] name: &str) {
     goldenscript::run(&mut Script(None), format!("tests/scripts/{name}.txt")).unwrap();
 }
