--- a/crates/fleet/src/distribution_tree.rs
+++ b/crates/fleet/src/distribution_tree.rs
@@ -82,23 +82,23 @@
 
     /// Returns the instances that `own` notifies, given whether it watches the store, chosen or not.
     pub fn recipients_of(&self, own: &InstanceName, is_watching: bool) -> Vec<&'a InstanceName> {
-        let others = self.all.iter().filter(|one| one.name != own);
+        let others = self.all.iter().filter(|peer| peer.name != own);
         if self.forwarders.is_empty() {
             let recipients = others.filter(|_| is_watching);
-            return recipients.map(|one| one.name).collect();
+            return recipients.map(|peer| peer.name).collect();
         }
         let is_watcher = contains(&self.watchers, own);
-        let forwarder = self.forwarders.iter().find(|one| one.name == own);
+        let forwarder = self.forwarders.iter().find(|peer| peer.name == own);
         let local = forwarder.map_or_else(Vec::new, |forwarder| {
             self.forwarders_in(forwarder.data_centre)
         });
-        let recipients = others.filter(|one| match contains(&self.forwarders, one.name) {
+        let recipients = others.filter(|peer| match contains(&self.forwarders, peer.name) {
             true => is_watcher,
             false => local.first().is_some_and(|first| {
-                one.data_centre == first.data_centre
+                peer.data_centre == first.data_centre
                     && contains(
                         &choose_instances(
-                            one.name.as_str().as_bytes(),
+                            peer.name.as_str().as_bytes(),
                             &local,
                             FORWARDERS_PER_INSTANCE,
                         ),
@@ -106,23 +106,27 @@
                     )
             }),
         });
-        recipients.map(|one| one.name).collect()
+        recipients.map(|peer| peer.name).collect()
     }
 
+    /// Returns the forwarders in a data centre.
     fn forwarders_in(&self, data_centre: &DataCentre) -> Vec<Candidate<'a>> {
         let forwarders = self.forwarders.iter();
-        let local = forwarders.filter(|one| one.data_centre == data_centre);
+        let local = forwarders.filter(|candidate| candidate.data_centre == data_centre);
         local.copied().collect()
     }
 }
 
 /// Chooses the forwarders of each data centre.
 fn choose_forwarders<'a>(all: &[Candidate<'a>]) -> Vec<Candidate<'a>> {
-    let mut data_centres: Vec<&DataCentre> = all.iter().map(|one| one.data_centre).collect();
+    let mut data_centres: Vec<&DataCentre> =
+        all.iter().map(|candidate| candidate.data_centre).collect();
     data_centres.sort();
     data_centres.dedup();
     let forwarders_in = |data_centre: &DataCentre| {
-        let local = all.iter().filter(|one| one.data_centre == data_centre);
+        let local = all
+            .iter()
+            .filter(|candidate| candidate.data_centre == data_centre);
         let local: Vec<Candidate<'a>> = local.copied().collect();
         let count = (local.len() * FORWARDERS_PER_INSTANCE)
             .div_ceil(RECIPIENTS_PER_FORWARDER)
@@ -133,5 +137,5 @@
 }
 
 fn contains(some: &[Candidate<'_>], name: &InstanceName) -> bool {
-    some.iter().any(|one| one.name == name)
+    some.iter().any(|candidate| candidate.name == name)
 }
--- a/crates/fleet/src/gossip/compose.rs
+++ b/crates/fleet/src/gossip/compose.rs
@@ -151,7 +151,7 @@
     pub(super) fn add_pushes(&mut self, message: &mut Message, lowest: PushPriority, room: usize) {
         let mut push_queue = std::mem::take(&mut self.push_queue);
         let mut left = room;
-        push_queue.drain_with(|priority, item| {
+        push_queue.try_push_each(|priority, item| {
             if priority > lowest {
                 return PushOutcome::Stop;
             }
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -106,7 +106,7 @@
 
     /// Applies the platform's list, which lags behind by some seconds.
     ///
-    /// The listed address is used only until a run of the instance has told its own.
+    /// The listed address is used only until a run of the instance has published its own.
     pub(crate) fn update_listed(&mut self, list: &[ListedMember], now: Instant) {
         for member in self.members.values_mut() {
             member.listed = false;
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -29,7 +29,8 @@
     pub from: Origin,
     /// The intended receiver, if known to the sender.
     pub to: Option<Origin>,
-    /// Whether the sender does not know the receiver. Its own control entries are then among the deltas.
+    /// Whether the sender asks for the control entries of the receiver, which may be unknown to it. Its
+    /// own ones are then among the deltas.
     pub hello: bool,
     /// The fingerprint of the sender's facts, if it requests facts that it lacks.
     pub summary: Option<u64>,
--- a/crates/fleet/src/peer.rs
+++ b/crates/fleet/src/peer.rs
@@ -55,7 +55,7 @@
     async fn fetch_changes(since: u64) -> Option<Vec<u8>>;
 
     /// Exchanges information about rollouts. This crate does not interpret either message.
-    async fn exchange_rollouts(news: Vec<u8>) -> Vec<u8>;
+    async fn exchange_rollouts(updates: Vec<u8>) -> Vec<u8>;
 
     /// Forwards a call with an idempotency key to the instance that batches the calls of its shard.
     /// This crate does not interpret either message. A call without a response may have been executed.
--- a/crates/fleet/src/push_queue.rs
+++ b/crates/fleet/src/push_queue.rs
@@ -72,7 +72,7 @@
 
     /// Passes the updates in order to `try_push` until it returns [`PushOutcome::Stop`]. Removes those
     /// that are stale or have been sent as often as requested.
-    pub(crate) fn drain_with(
+    pub(crate) fn try_push_each(
         &mut self,
         mut try_push: impl FnMut(PushPriority, PushItem) -> PushOutcome,
     ) {
--- a/crates/fleet/tests/test_distribution_tree.rs
+++ b/crates/fleet/tests/test_distribution_tree.rs
@@ -38,7 +38,11 @@
     /// Returns the number of notifiers of each instance, and the highest number of recipients of one.
     fn notifier_counts(&self) -> (HashMap<&InstanceName, usize>, usize) {
         let tree = self.tree();
-        let watchers: HashSet<_> = tree.watchers().iter().map(|one| one.name).collect();
+        let watchers: HashSet<_> = tree
+            .watchers()
+            .iter()
+            .map(|candidate| candidate.name)
+            .collect();
         let (mut notifiers, mut max_recipients) = (HashMap::new(), 0);
         for (name, _) in &self.instances {
             let recipients = tree.recipients_of(name, watchers.contains(name));
@@ -60,7 +64,11 @@
     let tree = fleet.tree();
     let (notifiers, _) = fleet.notifier_counts();
     for (name, _) in &fleet.instances {
-        if !tree.watchers().iter().any(|one| one.name == name) {
+        if !tree
+            .watchers()
+            .iter()
+            .any(|candidate| candidate.name == name)
+        {
             assert_eq!(notifiers.get(name), Some(&2), "{name:?}");
         }
     }
@@ -84,7 +92,11 @@
 fn in_a_small_fleet_every_watching_instance_notifies_all() {
     let fleet = Fleet::new(7);
     let tree = fleet.tree();
-    let is_watcher = |name: &InstanceName| tree.watchers().iter().any(|one| one.name == name);
+    let is_watcher = |name: &InstanceName| {
+        tree.watchers()
+            .iter()
+            .any(|candidate| candidate.name == name)
+    };
     let other = fleet.instances.iter().find(|(name, _)| !is_watcher(name));
     let (name, _) = other.unwrap();
     assert_eq!(tree.recipients_of(name, false).len(), 0);
--- a/crates/fleet/tests/test_peer.rs
+++ b/crates/fleet/tests/test_peer.rs
@@ -35,8 +35,8 @@
         Some(since.to_le_bytes().to_vec())
     }
 
-    async fn exchange_rollouts(self, _: Context, news: Vec<u8>) -> Vec<u8> {
-        news
+    async fn exchange_rollouts(self, _: Context, updates: Vec<u8>) -> Vec<u8> {
+        updates
     }
 
     async fn forward_call(self, _: Context, call: Vec<u8>) -> Vec<u8> {
