--- a/crates/fleet/src/peer.rs
+++ b/crates/fleet/src/peer.rs
@@ -37,8 +37,8 @@
     /// it keeps and returns that one instead. This crate does not interpret records.
     async fn store_record(record: Vec<u8>) -> Option<Vec<u8>>;
 
-    /// Appends tokens to a stored record. This crate does not interpret `copy`.
-    async fn append_to_record(copy: Vec<u8>);
+    /// Appends tokens to a stored record. This crate does not interpret `extension`.
+    async fn append_to_record(extension: Vec<u8>);
 
     /// Removes the record of a request whose response has ended, unless the record is of a later
     /// attempt.
@@ -55,7 +55,7 @@
     async fn fetch_changes(since: u64) -> Option<Vec<u8>>;
 
     /// Exchanges information about rollouts. This crate does not interpret either message.
-    async fn exchange_rollouts(news: Vec<u8>) -> Vec<u8>;
+    async fn exchange_rollouts(updates: Vec<u8>) -> Vec<u8>;
 
     /// Forwards a call with an idempotency key to the instance that batches the calls of its shard.
     /// This crate does not interpret either message. A call without a response may have been executed.
