--- a/bench/src/ledger.rs
+++ b/bench/src/ledger.rs
@@ -8,8 +8,8 @@
 };
 
 use celerypond_ledger::{
-    BodyTag, Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply, Reply, Settings,
-    Shard, ShardNumber, WriteReply,
+    BodyTag, Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply, ServiceResponse,
+    Settings, Shard, ShardNumber, WriteReply,
 };
 use celerypond_platform::{Object, Version};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
@@ -288,7 +288,7 @@
         if let Some(from) = self.from.remove(&id) {
             self.figures.added_ms.push(millis(self.now - from));
         }
-        let reply = Reply::new(200, "application/json", "{\"hold\":17}");
+        let reply = ServiceResponse::new(200, "application/json", "{\"hold\":17}");
         let finished = match unsent.send(self.now) {
             Ok(sent) => sent.answered(reply, Duration::ZERO, &Proof::default()),
             Err(finished) => finished,
--- a/crates/ledger/src/batch.rs
+++ b/crates/ledger/src/batch.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::{BodyTag, CallKey, Reply};
+use crate::{BodyTag, CallKey, ServiceResponse};
 
 /// The part of an object's size that does not depend on bodies, in bytes a record.
 const RECORD_BYTES: usize = 180;
@@ -65,7 +65,7 @@
         ttl_ms: u64,
     },
     /// The call ran.
-    Ran(Reply),
+    Ran(ServiceResponse),
     /// The call may have run and is never sent again.
     Unknown,
     /// The call was never sent and never will be; the key is free. Only the writer of the intent
@@ -101,7 +101,7 @@
     /// Returns about how many bytes this record takes in an object.
     pub(crate) fn size(&self) -> usize {
         match &self.state {
-            State::Ran(reply) => RECORD_BYTES + reply.media.len() + reply.body.len() * 4 / 3,
+            State::Ran(reply) => RECORD_BYTES + reply.media_type.len() + reply.body.len() * 4 / 3,
             State::Started { .. } | State::Unknown | State::Released => RECORD_BYTES,
         }
     }
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -187,7 +187,7 @@
         };
         let outcome = finished.outcome();
         let state = match &outcome {
-            Outcome::Ran(reply) => State::Ran(reply.kept()),
+            Outcome::Ran(reply) => State::Ran(reply.truncated_for_storage()),
             Outcome::NotRun { .. } => State::Released,
             Outcome::Unknown => State::Unknown,
         };
--- a/crates/ledger/src/call.rs
+++ b/crates/ledger/src/call.rs
@@ -5,7 +5,7 @@
 use celerypond_types::{NotRunReason, Outcome};
 use tokio::time::Instant;
 
-use crate::{failure::is_unclear, CallKey, Proof, Reply};
+use crate::{failure::is_unclear, CallKey, Proof, ServiceResponse};
 
 /// A call of which no byte can have reached a service.
 ///
@@ -68,7 +68,7 @@
 #[must_use = "the caller waits for the outcome"]
 pub struct Finished {
     intent: Option<Intent>,
-    outcome: Outcome<Reply>,
+    outcome: Outcome<ServiceResponse>,
 }
 
 /// An intent that this process has written, told from a later one of the same key.
@@ -133,7 +133,12 @@
     ///
     /// An answer that the service's `proof` names is a call that did not run. Any other answer that
     /// the service failed, or wants the call later, says nothing about what ran before it.
-    pub fn answered(self, reply: Reply, retry_after: Duration, proof: &Proof) -> Finished {
+    pub fn answered(
+        self,
+        reply: ServiceResponse,
+        retry_after: Duration,
+        proof: &Proof,
+    ) -> Finished {
         let outcome = if proof.covers(reply.status) {
             Outcome::NotRun {
                 reason: NotRunReason::Refused,
@@ -173,7 +178,7 @@
     }
 
     /// Returns the outcome.
-    pub fn outcome(self) -> Outcome<Reply> {
+    pub fn outcome(self) -> Outcome<ServiceResponse> {
         self.outcome
     }
 }
--- a/crates/ledger/src/callers.rs
+++ b/crates/ledger/src/callers.rs
@@ -5,7 +5,7 @@
 use celerypond_types::{NotRunReason, Outcome};
 use tokio::time::Instant;
 
-use crate::{Answer, BodyTag, Call, CallId, CallKey, Effect, Reply};
+use crate::{Answer, BodyTag, Call, CallId, CallKey, Effect, ServiceResponse};
 
 /// A call that is not sent yet, with all who wait for it.
 #[derive(Clone, Debug)]
@@ -57,7 +57,7 @@
         }));
     }
 
-    pub(crate) fn outcome(&mut self, callers: &[CallId], outcome: Outcome<Reply>) {
+    pub(crate) fn outcome(&mut self, callers: &[CallId], outcome: Outcome<ServiceResponse>) {
         self.answer(callers, &Answer::Outcome(outcome));
     }
 
--- a/crates/ledger/src/effect.rs
+++ b/crates/ledger/src/effect.rs
@@ -8,7 +8,7 @@
 use smol_str::SmolStr;
 use tokio::time::Instant;
 
-use crate::{BatchError, BodyTag, CallKey, Reply, Unsent};
+use crate::{BatchError, BodyTag, CallKey, ServiceResponse, Unsent};
 
 /// A waiting caller, in the terms of the user of the shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -34,7 +34,7 @@
 pub enum Answer {
     /// What became of the call. `NotRun` speaks of this attempt; an earlier one that ended as
     /// unknown stays so.
-    Outcome(Outcome<Reply>),
+    Outcome(Outcome<ServiceResponse>),
     /// The key was used for a call with another body; nothing was sent.
     KeyReused,
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -14,7 +14,7 @@
 mod key;
 mod log;
 mod proof;
-mod reply;
+mod response;
 mod schedule;
 mod settings;
 mod shard;
@@ -26,6 +26,6 @@
 pub use failure::{Advice, Failure};
 pub use key::{BodyTag, CallKey};
 pub use proof::Proof;
-pub use reply::Reply;
+pub use response::ServiceResponse;
 pub use settings::Settings;
 pub use shard::{Shard, ShardNumber};
--- a/crates/ledger/tests/test_scripts.rs
+++ b/crates/ledger/tests/test_scripts.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, error::Error, fmt::Write as _, time::Duration};
 
 use celerypond_ledger::{
-    Answer, BodyTag, Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply, Reply,
-    Sent, Settings, Shard, ShardNumber, Unsent, WriteReply,
+    Answer, BodyTag, Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply, Sent,
+    ServiceResponse, Settings, Shard, ShardNumber, Unsent, WriteReply,
 };
 use celerypond_types::{NotRunReason, Outcome};
 use goldenscript::{Command, Context, Runner};
@@ -194,7 +194,7 @@
                 let sent = self.sent.remove(&id).ok_or("not sent")?;
                 let status = args.next_pos().unwrap_or("200").parse()?;
                 let proof = Proof::new(&[429]);
-                let reply = Reply::new(status, "text/plain", "");
+                let reply = ServiceResponse::new(status, "text/plain", "");
                 self.finish(&node, sent.answered(reply, Duration::ZERO, &proof))
             }
             "unanswered" => {
--- a/crates/ledger/tests/test_shard.rs
+++ b/crates/ledger/tests/test_shard.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use celerypond_ledger::{
-    Answer, BodyTag, Call, CallId, CallKey, Effect, ListReply, Proof, Reply, Settings, Shard,
-    ShardNumber, Unsent, WriteReply,
+    Answer, BodyTag, Call, CallId, CallKey, Effect, ListReply, Proof, ServiceResponse, Settings,
+    Shard, ShardNumber, Unsent, WriteReply,
 };
 use celerypond_platform::Object;
 use celerypond_types::{NotRunReason, Outcome};
@@ -77,7 +77,7 @@
 
     fn answer(&mut self, store: &mut Store, unsent: Unsent, body: Vec<u8>, now: Instant) {
         let sent = unsent.send(now).unwrap();
-        let reply = Reply::new(200, "text/plain", body);
+        let reply = ServiceResponse::new(200, "text/plain", body);
         let finished = sent.answered(reply, Duration::ZERO, &Proof::default());
         let effects = self.shard.finish(finished, now);
         self.go(store, effects, now);
--- a/crates/ledger/tests/test_sockets.rs
+++ b/crates/ledger/tests/test_sockets.rs
@@ -7,8 +7,8 @@
 };
 
 use celerypond_ledger::{
-    Answer, BodyTag, Call, CallId, CallKey, Effect, ListReply, Proof, Reply, Settings, Shard,
-    ShardNumber,
+    Answer, BodyTag, Call, CallId, CallKey, Effect, ListReply, Proof, ServiceResponse, Settings,
+    Shard, ShardNumber,
 };
 use celerypond_platform::{Client, Rates, Settings as ClientSettings};
 use celerypond_testutils::{fault::PlatformFault, platform::Platform, roster::Listing};
@@ -47,7 +47,7 @@
         call(seed, client, &runs)
     });
     let answers = futures::future::join_all(calls).await;
-    let reply = Reply::new(200, "text/plain", "held");
+    let reply = ServiceResponse::new(200, "text/plain", "held");
     for answer in answers {
         assert_eq!(answer, Answer::Outcome(Outcome::Ran(reply.clone())));
     }
@@ -103,7 +103,7 @@
             Effect::Dispatch { unsent, .. } => {
                 let sent = unsent.send(Instant::now()).unwrap();
                 runs.fetch_add(1, Relaxed);
-                let reply = Reply::new(200, "text/plain", "held");
+                let reply = ServiceResponse::new(200, "text/plain", "held");
                 shard.finish(
                     sent.answered(reply, TIMEOUT, &Proof::default()),
                     Instant::now(),
--- a/crates/ledger/tests/world.rs
+++ b/crates/ledger/tests/world.rs
@@ -7,8 +7,8 @@
 };
 
 use celerypond_ledger::{
-    Answer, BodyTag, Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply, Reply,
-    Settings, Shard, ShardNumber, Unsent, WriteReply,
+    Answer, BodyTag, Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply,
+    ServiceResponse, Settings, Shard, ShardNumber, Unsent, WriteReply,
 };
 use celerypond_platform::Object;
 use celerypond_types::{NotRunReason, Outcome};
@@ -381,7 +381,7 @@
         };
         let proof = Proof::new(&[REFUSED]);
         let number = id.0.to_string();
-        let reply = |status| Reply::new(status, "text/plain", number.clone());
+        let reply = |status| ServiceResponse::new(status, "text/plain", number.clone());
         let fails = self.chance(self.faults.service * 4.0);
         let kind = if fails {
             self.rng.random_range(1..6)
--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -6,7 +6,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use bytes::Bytes;
-use celerypond_ledger::{Answer, CallKey, Reply};
+use celerypond_ledger::{Answer, CallKey, ServiceResponse};
 use celerypond_telemetry::{hop, TraceContext};
 use celerypond_types::{NotRunReason, Outcome, ServiceName};
 use gotham::hyper::{HeaderMap, Method};
@@ -39,7 +39,7 @@
 /// What became of it.
 #[derive(Serialize, Deserialize)]
 enum Came {
-    Ran(Reply),
+    Ran(ServiceResponse),
     NotRun { reason: Reason, retry_after_ms: u64 },
     Unknown,
     KeyReused,
--- a/daemon/src/front/services.rs
+++ b/daemon/src/front/services.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use celerypond_bundle::Service;
-use celerypond_ledger::{Answer, CallKey, Reply as ServiceReply, Unsent};
+use celerypond_ledger::{Answer, CallKey, ServiceResponse, Unsent};
 use celerypond_telemetry::Counter;
 use celerypond_types::{NotRunReason, Outcome, ServiceName};
 use gotham::hyper::{Response, StatusCode};
@@ -93,7 +93,7 @@
     node: &Arc<Node>,
     key: CallKey,
     send: ServiceCall,
-) -> Result<Outcome<ServiceReply>, Problem> {
+) -> Result<Outcome<ServiceResponse>, Problem> {
     match forward::call(node, key, send).await {
         Answer::Outcome(outcome) => Ok(outcome),
         Answer::KeyReused => {
@@ -103,15 +103,15 @@
     }
 }
 
-fn ran(answer: ServiceReply) -> Reply {
+fn ran(answer: ServiceResponse) -> Reply {
     let mut reply = Response::new(body::whole(answer.body));
     *reply.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let headers = reply.headers_mut();
     headers.insert(OUTCOME, HeaderValue::from_static("ran"));
-    if let Ok(media) = HeaderValue::from_str(&answer.media) {
+    if let Ok(media) = HeaderValue::from_str(&answer.media_type) {
         headers.insert(header::CONTENT_TYPE, media);
     }
-    if answer.cut {
+    if answer.truncated {
         // The whole answer went to the first caller; only its start was kept.
         headers.insert("celerypond-body", HeaderValue::from_static("cut"));
     }
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use celerypond_bundle::Service;
-use celerypond_ledger::{BodyTag, Finished, Proof, Reply, Unsent};
+use celerypond_ledger::{BodyTag, Finished, Proof, ServiceResponse, Unsent};
 use celerypond_route::{Ask, Blame, Failure, InFlight, Route, Target, Verdict, View};
 use celerypond_telemetry::{hop, Counter, TraceContext};
 use celerypond_types::{NotRunReason, Outcome, TargetKey};
@@ -63,7 +63,7 @@
 
 /// What one try brought.
 enum Tried {
-    Answer(Reply, Option<Duration>),
+    Answer(ServiceResponse, Option<Duration>),
     Failed(Failure),
 }
 
@@ -73,7 +73,7 @@
     excluded: Vec<TargetKey>,
     /// How many tries were sent.
     sent: u32,
-    last: Option<Reply>,
+    last: Option<ServiceResponse>,
     /// The target of the last try.
     target: Option<Arc<Target>>,
 }
@@ -91,7 +91,7 @@
     }
 
     /// Ends the call; one that was sent is never said not to have run.
-    fn give_up(self, reason: NotRunReason) -> Outcome<Reply> {
+    fn give_up(self, reason: NotRunReason) -> Outcome<ServiceResponse> {
         match self.last {
             Some(reply) => Outcome::Ran(reply),
             None if self.sent > 0 => Outcome::Unknown,
@@ -159,7 +159,7 @@
     }
 
     /// Sends a call that may be repeated, again while the deadline and the retry budget allow it.
-    pub async fn send_idempotent(&self, node: &Node) -> Outcome<Reply> {
+    pub async fn send_idempotent(&self, node: &Node) -> Outcome<ServiceResponse> {
         let mut tries = Tries::default();
         let mut rng = node.rng();
         let mut pause = Duration::ZERO;
@@ -192,7 +192,11 @@
     }
 
     /// Tries once; `Err(None)` when no target is left.
-    async fn try_once(&self, node: &Node, tries: &mut Tries) -> Result<Reply, Option<Failure>> {
+    async fn try_once(
+        &self,
+        node: &Node,
+        tries: &mut Tries,
+    ) -> Result<ServiceResponse, Option<Failure>> {
         let connected = self
             .connect(node, &mut tries.excluded)
             .await
@@ -306,7 +310,7 @@
             Ok(Ok((head, value))) => {
                 let media = text(&head.headers, &header::CONTENT_TYPE);
                 let after = text(&head.headers, &header::RETRY_AFTER).parse().ok();
-                let reply = Reply::new(head.status.as_u16(), media, value);
+                let reply = ServiceResponse::new(head.status.as_u16(), media, value);
                 Tried::Answer(reply, after.map(Duration::from_secs))
             }
             Ok(Err(report)) => Tried::Failed(match report.current_context() {
@@ -337,7 +341,7 @@
     }
 }
 
-fn status(reply: &Reply, retry_after: Option<Duration>) -> Failure {
+fn status(reply: &ServiceResponse, retry_after: Option<Duration>) -> Failure {
     Failure::Status {
         code: reply.status,
         retry_after,
