--- a/bench/src/ledger.rs
+++ b/bench/src/ledger.rs
@@ -8,8 +8,8 @@
 };
 
 use celerypond_ledger::{
-    BodyTag, Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply, ServiceResponse,
-    Settings, Shard, ShardNumber, WriteReply,
+    Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply, RequestFingerprint,
+    ServiceResponse, Settings, Shard, ShardNumber, WriteReply,
 };
 use celerypond_platform::{Object, Version};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
@@ -255,9 +255,9 @@
         let call = Call {
             id,
             key,
-            body: BodyTag::of("POST", "/holds", b""),
-            by: self.now + PATIENCE,
-            run: SERVICE * 2,
+            fingerprint: RequestFingerprint::of("POST", "/holds", b""),
+            send_by: self.now + PATIENCE,
+            service_timeout: SERVICE * 2,
         };
         let node = instance * usize::from(self.shards) + shard;
         self.with(node, |shard, now| shard.call(call, now));
@@ -372,9 +372,9 @@
     let call = Call {
         id: CallId(0),
         key: CallKey::of(&"account".into(), &"new".into()),
-        body: BodyTag::of("POST", "/holds", b""),
-        by: now + PATIENCE,
-        run: SERVICE,
+        fingerprint: RequestFingerprint::of("POST", "/holds", b""),
+        send_by: now + PATIENCE,
+        service_timeout: SERVICE,
     };
     shard.call(call, now);
     let start = std::time::Instant::now();
--- a/crates/ledger/src/batch.rs
+++ b/crates/ledger/src/batch.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::{BodyTag, CallKey, ServiceResponse};
+use crate::{CallKey, RequestFingerprint, ServiceResponse};
 
 /// The part of an object's size that does not depend on bodies, in bytes a record.
 const RECORD_BYTES: usize = 180;
@@ -51,7 +51,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Record {
     pub(crate) key: CallKey,
-    pub(crate) body: BodyTag,
+    #[serde(rename = "body")]
+    pub(crate) fingerprint: RequestFingerprint,
     pub(crate) state: State,
 }
 
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -15,7 +15,7 @@
     health::Health,
     log::{Entry, Log},
     stored::Stored,
-    Answer, BodyTag, CallKey, Effect, Finished, Settings, Unsent, WriterId,
+    Answer, CallKey, Effect, Finished, RequestFingerprint, Settings, Unsent, WriterId,
 };
 
 /// The size at which a batch is full, in bytes; an object holds a megabyte.
@@ -83,7 +83,7 @@
 
     fn meet(&mut self, entry: &Entry, pending: Pending, now: Instant) {
         let callers = &mut self.callers;
-        if entry.body != pending.body {
+        if entry.fingerprint != pending.fingerprint {
             callers.answer(&pending.callers, &Answer::KeyReused);
             return;
         }
@@ -131,7 +131,7 @@
         let reason = wait.map_or(NotRunReason::Overload, |_| NotRunReason::StoreDown);
         let wait = wait.unwrap_or(self.settings.retry);
         self.callers.expire_queue(reason, wait, now);
-        self.callers.give_up(|call| call.by <= now);
+        self.callers.give_up(|call| call.send_by <= now);
         let over = |running: &Running| running.until <= now;
         let lost = self
             .callers
@@ -139,12 +139,19 @@
             .extract_if(.., |_, running| over(running));
         for (key, running) in lost.collect::<Vec<_>>() {
             self.callers.outcome(&running.callers, Outcome::Unknown);
-            let (body, state) = (running.body, State::Unknown);
+            let (fingerprint, state) = (running.fingerprint, State::Unknown);
             let since = now;
             self.callers
                 .late
-                .insert(running.number, Late { body, since });
-            self.end(Record { key, body, state }, now);
+                .insert(running.number, Late { fingerprint, since });
+            self.end(
+                Record {
+                    key,
+                    fingerprint,
+                    state,
+                },
+                now,
+            );
         }
         let retention = self.settings.retention;
         self.callers
@@ -175,14 +182,14 @@
             .callers
             .late
             .remove(&number)
-            .map(|late| (late.body, Vec::new()));
+            .map(|late| (late.fingerprint, Vec::new()));
         let running = self.callers.running.get(&key);
         let running = match running.filter(|running| running.number == number) {
             Some(_) => self.callers.running.remove(&key),
             None => None,
         };
-        let running = running.map(|running| (running.body, running.callers));
-        let Some((body, callers)) = running.or(late) else {
+        let running = running.map(|running| (running.fingerprint, running.callers));
+        let Some((fingerprint, callers)) = running.or(late) else {
             return;
         };
         let outcome = finished.outcome();
@@ -193,31 +200,50 @@
         };
         // Nobody else waits for this key: who asked meanwhile joined the call.
         self.callers.outcome(&callers, outcome);
-        self.end(Record { key, body, state }, now);
+        self.end(
+            Record {
+                key,
+                fingerprint,
+                state,
+            },
+            now,
+        );
     }
 
     /// Lets a call be sent whose intent is in the log.
     pub(crate) fn dispatch(&mut self, call: Pending, now: Instant) {
-        let (key, body) = (call.key, call.body);
-        let Some(id) = call.callers.first().copied().filter(|_| now <= call.by) else {
+        let (key, fingerprint) = (call.key, call.fingerprint);
+        let Some(id) = call
+            .callers
+            .first()
+            .copied()
+            .filter(|_| now <= call.send_by)
+        else {
             // The callers gave up, or the process was paused between the write and its reply. The
             // call was not sent, and the record makes the key free for a retry.
             let wait = self.settings.retry;
             self.callers
                 .refuse(&call.callers, NotRunReason::Overload, wait);
             let state = State::Released;
-            return self.end(Record { key, body, state }, now);
+            return self.end(
+                Record {
+                    key,
+                    fingerprint,
+                    state,
+                },
+                now,
+            );
         };
         self.intents += 1;
         let number = self.intents;
         let running = Running {
             number,
-            body,
-            until: call.by + call.run + self.settings.margin,
+            fingerprint,
+            until: call.send_by + call.service_timeout + self.settings.margin,
             callers: call.callers,
         };
         self.callers.running.insert(key, running);
-        let unsent = Unsent::keyed(Intent { key, number }, call.by);
+        let unsent = Unsent::keyed(Intent { key, number }, call.send_by);
         self.callers.effects.push(Effect::Dispatch { id, unsent });
     }
 
@@ -225,11 +251,18 @@
     ///
     /// Such an intent was in a write that seemed to have no effect. It was not sent, and only its
     /// writer may say so; left alone it would make the call unknown for good.
-    pub(crate) fn release(&mut self, open: Vec<(CallKey, BodyTag)>, now: Instant) {
-        for (key, body) in open {
+    pub(crate) fn release(&mut self, open: Vec<(CallKey, RequestFingerprint)>, now: Instant) {
+        for (key, fingerprint) in open {
             if !self.callers.running.contains_key(&key) {
                 let state = State::Released;
-                self.end(Record { key, body, state }, now);
+                self.end(
+                    Record {
+                        key,
+                        fingerprint,
+                        state,
+                    },
+                    now,
+                );
             }
         }
     }
@@ -349,10 +382,10 @@
 }
 
 fn intent(call: &Pending, settings: &Settings, now: Instant) -> Record {
-    let ttl = call.by.saturating_duration_since(now) + call.run + settings.margin;
+    let ttl = call.send_by.saturating_duration_since(now) + call.service_timeout + settings.margin;
     Record {
         key: call.key,
-        body: call.body,
+        fingerprint: call.fingerprint,
         state: State::Started {
             ttl_ms: ttl.as_millis() as u64,
         },
--- a/crates/ledger/src/call.rs
+++ b/crates/ledger/src/call.rs
@@ -53,7 +53,7 @@
 #[must_use = "the caller waits for the outcome"]
 pub struct Unsent {
     intent: Option<Intent>,
-    by: Instant,
+    send_by: Instant,
 }
 
 /// A call of which bytes may have reached a service.
@@ -80,14 +80,17 @@
 
 impl Unsent {
     /// Makes a call without a key, which needs no record. It must be sent by `by`.
-    pub const fn unkeyed(by: Instant) -> Self {
-        Self { intent: None, by }
+    pub const fn unkeyed(send_by: Instant) -> Self {
+        Self {
+            intent: None,
+            send_by,
+        }
     }
 
-    pub(crate) const fn keyed(intent: Intent, by: Instant) -> Self {
+    pub(crate) const fn keyed(intent: Intent, send_by: Instant) -> Self {
         Self {
             intent: Some(intent),
-            by,
+            send_by,
         }
     }
 
@@ -107,7 +110,7 @@
     /// been paused since the intent was recorded. Others were told by then that the call is
     /// unknown and have moved on; sent now, it would take effect long after its caller gave up.
     pub fn send(self, now: Instant) -> Result<Sent, Finished> {
-        if now > self.by {
+        if now > self.send_by {
             return Err(self.not_run(NotRunReason::Overload, Duration::ZERO));
         }
         Ok(Sent {
--- a/crates/ledger/src/key.rs
+++ b/crates/ledger/src/call_key.rs
@@ -21,7 +21,7 @@
 
 /// A digest of a call's body, by which the reuse of a key for another call is found.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-pub struct BodyTag(u64);
+pub struct RequestFingerprint(u64);
 
 impl CallKey {
     /// Makes the key of a call.
@@ -38,7 +38,7 @@
     }
 }
 
-impl BodyTag {
+impl RequestFingerprint {
     /// Makes the tag of a call from its method, path and body.
     pub fn of(method: &str, path: &str, body: &[u8]) -> Self {
         let head = format!("{method} {path}\n");
@@ -83,4 +83,4 @@
 }
 
 hex!(CallKey, u128, "{:032x}");
-hex!(BodyTag, u64, "{:016x}");
+hex!(RequestFingerprint, u64, "{:016x}");
--- a/crates/ledger/src/callers.rs
+++ b/crates/ledger/src/callers.rs
@@ -5,15 +5,15 @@
 use celerypond_types::{NotRunReason, Outcome};
 use tokio::time::Instant;
 
-use crate::{Answer, BodyTag, Call, CallId, CallKey, Effect, ServiceResponse};
+use crate::{Answer, Call, CallId, CallKey, Effect, RequestFingerprint, ServiceResponse};
 
 /// A call that is not sent yet, with all who wait for it.
 #[derive(Clone, Debug)]
 pub(crate) struct Pending {
     pub(crate) key: CallKey,
-    pub(crate) body: BodyTag,
-    pub(crate) by: Instant,
-    pub(crate) run: Duration,
+    pub(crate) fingerprint: RequestFingerprint,
+    pub(crate) send_by: Instant,
+    pub(crate) service_timeout: Duration,
     pub(crate) callers: Vec<CallId>,
 }
 
@@ -22,7 +22,7 @@
 pub(crate) struct Running {
     /// The number of its intent.
     pub(crate) number: u64,
-    pub(crate) body: BodyTag,
+    pub(crate) fingerprint: RequestFingerprint,
     pub(crate) until: Instant,
     pub(crate) callers: Vec<CallId>,
 }
@@ -30,7 +30,7 @@
 /// A call whose callers were told unknown while its outcome may still come.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Late {
-    pub(crate) body: BodyTag,
+    pub(crate) fingerprint: RequestFingerprint,
     /// When they were told.
     pub(crate) since: Instant,
 }
@@ -82,7 +82,7 @@
         let Some(same) = open.find(|call| call.key == pending.key) else {
             return false;
         };
-        if same.body == pending.body {
+        if same.fingerprint == pending.fingerprint {
             same.callers.extend(&pending.callers);
         } else {
             self.answer(&pending.callers, &Answer::KeyReused);
@@ -95,7 +95,7 @@
         let Some(running) = self.running.get_mut(&pending.key) else {
             return false;
         };
-        if running.body == pending.body {
+        if running.fingerprint == pending.fingerprint {
             running.callers.extend(&pending.callers);
         } else {
             self.answer(&pending.callers, &Answer::KeyReused);
@@ -110,7 +110,7 @@
         retry_after: Duration,
         now: Instant,
     ) {
-        let late = self.queue.extract_if(.., |call| call.by <= now);
+        let late = self.queue.extract_if(.., |call| call.send_by <= now);
         for call in late.collect::<Vec<_>>() {
             self.refuse(&call.callers, reason, retry_after);
         }
@@ -128,7 +128,7 @@
     pub(crate) fn first_end(&self) -> Option<Instant> {
         let waiting = self.queue.iter().chain(&self.followers);
         let running = self.running.values().map(|running| running.until);
-        waiting.map(|call| call.by).chain(running).min()
+        waiting.map(|call| call.send_by).chain(running).min()
     }
 }
 
@@ -136,9 +136,9 @@
     fn from(call: Call) -> Self {
         Self {
             key: call.key,
-            body: call.body,
-            by: call.by,
-            run: call.run,
+            fingerprint: call.fingerprint,
+            send_by: call.send_by,
+            service_timeout: call.service_timeout,
             callers: vec![call.id],
         }
     }
--- a/crates/ledger/src/effect.rs
+++ b/crates/ledger/src/effect.rs
@@ -8,7 +8,7 @@
 use smol_str::SmolStr;
 use tokio::time::Instant;
 
-use crate::{BatchError, BodyTag, CallKey, ServiceResponse, Unsent};
+use crate::{BatchError, CallKey, RequestFingerprint, ServiceResponse, Unsent};
 
 /// A waiting caller, in the terms of the user of the shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -22,11 +22,11 @@
     /// The key of the call.
     pub key: CallKey,
     /// The tag of its body.
-    pub body: BodyTag,
+    pub fingerprint: RequestFingerprint,
     /// When it must have been sent; later it ends as not run.
-    pub by: Instant,
+    pub send_by: Instant,
     /// How long the service may take after that.
-    pub run: Duration,
+    pub service_timeout: Duration,
 }
 
 /// What a caller is told.
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -6,12 +6,12 @@
 mod batch;
 mod book;
 mod call;
+mod call_key;
 mod callers;
 mod effect;
 mod failure;
 mod flight;
 mod health;
-mod key;
 mod log;
 mod proof;
 mod response;
@@ -22,9 +22,9 @@
 
 pub use batch::{BatchError, Sequence, Slot, WriterId};
 pub use call::{Finished, Sent, Unsent};
+pub use call_key::{CallKey, RequestFingerprint};
 pub use effect::{Answer, Call, CallId, Effect, ListReply, ReadReply, WriteReply};
 pub use failure::{Advice, Failure};
-pub use key::{BodyTag, CallKey};
 pub use proof::Proof;
 pub use response::ServiceResponse;
 pub use settings::Settings;
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -12,7 +12,7 @@
 use crate::{
     batch::{Batch, Record, State},
     stored::{Place, Stored},
-    BodyTag, CallKey, Sequence, Slot, WriterId,
+    CallKey, RequestFingerprint, Sequence, Slot, WriterId,
 };
 
 /// The log of a shard as far as it was read, and the keys it remembers.
@@ -39,7 +39,7 @@
 /// What is known of one key.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
-    pub(crate) body: BodyTag,
+    pub(crate) fingerprint: RequestFingerprint,
     pub(crate) state: State,
     pub(crate) writer: WriterId,
     sequence: Sequence,
@@ -131,12 +131,12 @@
         &self,
         writer: WriterId,
         keys: impl Iterator<Item = CallKey>,
-    ) -> Vec<(CallKey, BodyTag)> {
+    ) -> Vec<(CallKey, RequestFingerprint)> {
         let entries = keys.filter_map(|key| Some((key, self.entry(key)?)));
         let open = entries.filter(|(_, entry)| {
             entry.writer == writer && matches!(entry.state, State::Started { .. })
         });
-        open.map(|(key, entry)| (key, entry.body)).collect()
+        open.map(|(key, entry)| (key, entry.fingerprint)).collect()
     }
 
     /// Returns whether the writer of the intent has sent it and heard of it, or given up.
@@ -237,7 +237,7 @@
             return;
         }
         let entry = Entry {
-            body: record.body,
+            fingerprint: record.fingerprint,
             state: record.state.clone(),
             writer: batch.writer,
             sequence: batch.sequence,
--- a/crates/ledger/src/shard.rs
+++ b/crates/ledger/src/shard.rs
@@ -29,7 +29,7 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use celerypond_ledger::{BodyTag, Call, CallId, CallKey, Effect, ListReply};
+/// use celerypond_ledger::{RequestFingerprint, Call, CallId, CallKey, Effect, ListReply};
 /// use celerypond_ledger::{Settings, Shard, ShardNumber, WriteReply};
 /// use celerypond_platform::Version;
 /// use tokio::time::Instant;
@@ -39,9 +39,9 @@
 /// let call = Call {
 ///     id: CallId(1),
 ///     key: CallKey::of(&"holding".into(), &"hold-17".into()),
-///     body: BodyTag::of("POST", "/holds", b"{}"),
-///     by: now + Duration::from_secs(2),
-///     run: Duration::from_secs(5),
+///     fingerprint: RequestFingerprint::of("POST", "/holds", b"{}"),
+///     send_by: now + Duration::from_secs(2),
+///     service_timeout: Duration::from_secs(5),
 /// };
 /// assert!(matches!(shard.call(call, now)[..], [Effect::List { .. }]));
 /// let effects = shard.listed(ListReply::Listed(Vec::new()), now);
--- a/crates/ledger/tests/history.rs
+++ b/crates/ledger/tests/history.rs
@@ -16,7 +16,7 @@
     pub(crate) key: CallKey,
     pub(crate) from: Instant,
     /// Until when the service may begin.
-    pub(crate) by: Instant,
+    pub(crate) send_by: Instant,
     /// `None` as long as there is no answer; its instance may have crashed.
     pub(crate) answer: Option<(Instant, Answer)>,
     pub(crate) crashed: bool,
@@ -74,7 +74,7 @@
             if attempt.told_not_run() {
                 faults.push(format!("{:?} ran and was told not run", execution.id));
             }
-            if execution.at > attempt.by + crate::world::SERVICE_MOST {
+            if execution.at > attempt.send_by + crate::world::SERVICE_MOST {
                 faults.push(format!("{:?} ran after its time", execution.id));
             }
         }
--- a/crates/ledger/tests/test_scripts.rs
+++ b/crates/ledger/tests/test_scripts.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, error::Error, fmt::Write as _, time::Duration};
 
 use celerypond_ledger::{
-    Answer, BodyTag, Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply, Sent,
-    ServiceResponse, Settings, Shard, ShardNumber, Unsent, WriteReply,
+    Answer, Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply,
+    RequestFingerprint, Sent, ServiceResponse, Settings, Shard, ShardNumber, Unsent, WriteReply,
 };
 use celerypond_types::{NotRunReason, Outcome};
 use goldenscript::{Command, Context, Runner};
@@ -161,9 +161,9 @@
                 let call = Call {
                     id: CallId(id),
                     key,
-                    body: BodyTag::of("POST", "/holds", body.as_bytes()),
-                    by: now + Duration::from_secs(2),
-                    run: Duration::from_secs(5),
+                    fingerprint: RequestFingerprint::of("POST", "/holds", body.as_bytes()),
+                    send_by: now + Duration::from_secs(2),
+                    service_timeout: Duration::from_secs(5),
                 };
                 self.shard(&node).call(call, now)
             }
--- a/crates/ledger/tests/test_shard.rs
+++ b/crates/ledger/tests/test_shard.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use celerypond_ledger::{
-    Answer, BodyTag, Call, CallId, CallKey, Effect, ListReply, Proof, ServiceResponse, Settings,
-    Shard, ShardNumber, Unsent, WriteReply,
+    Answer, Call, CallId, CallKey, Effect, ListReply, Proof, RequestFingerprint, ServiceResponse,
+    Settings, Shard, ShardNumber, Unsent, WriteReply,
 };
 use celerypond_platform::Object;
 use celerypond_types::{NotRunReason, Outcome};
@@ -88,9 +88,9 @@
     Call {
         id: CallId(id),
         key: CallKey::of(&"account".into(), &key.into()),
-        body: BodyTag::of("POST", "/holds", b""),
-        by: now + Duration::from_secs(2),
-        run: Duration::from_secs(5),
+        fingerprint: RequestFingerprint::of("POST", "/holds", b""),
+        send_by: now + Duration::from_secs(2),
+        service_timeout: Duration::from_secs(5),
     }
 }
 
@@ -311,9 +311,9 @@
         let unsent = a.unsent().pop().unwrap();
         a.answer(&mut store, unsent, Vec::new(), now);
     }
-    let body = BodyTag::of("POST", "/holds", b"another");
+    let fingerprint = RequestFingerprint::of("POST", "/holds", b"another");
     let other = Call {
-        body,
+        fingerprint,
         ..call(2, "x", now)
     };
     let effects = a.shard.call(other, now);
--- a/crates/ledger/tests/test_sockets.rs
+++ b/crates/ledger/tests/test_sockets.rs
@@ -7,8 +7,8 @@
 };
 
 use celerypond_ledger::{
-    Answer, BodyTag, Call, CallId, CallKey, Effect, ListReply, Proof, ServiceResponse, Settings,
-    Shard, ShardNumber,
+    Answer, Call, CallId, CallKey, Effect, ListReply, Proof, RequestFingerprint, ServiceResponse,
+    Settings, Shard, ShardNumber,
 };
 use celerypond_platform::{Client, Rates, Settings as ClientSettings};
 use celerypond_testutils::{fault::PlatformFault, platform::Platform, roster::Listing};
@@ -61,9 +61,9 @@
     let call = Call {
         id: CallId(seed),
         key: CallKey::of(&"account".into(), &"key".into()),
-        body: BodyTag::of("POST", "/holds", b""),
-        by: now + Duration::from_secs(3),
-        run: Duration::from_secs(1),
+        fingerprint: RequestFingerprint::of("POST", "/holds", b""),
+        send_by: now + Duration::from_secs(3),
+        service_timeout: Duration::from_secs(1),
     };
     let mut effects = VecDeque::from(shard.call(call, now));
     let mut told = None;
--- a/crates/ledger/tests/world.rs
+++ b/crates/ledger/tests/world.rs
@@ -7,8 +7,8 @@
 };
 
 use celerypond_ledger::{
-    Answer, BodyTag, Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply,
-    ServiceResponse, Settings, Shard, ShardNumber, Unsent, WriteReply,
+    Answer, Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply,
+    RequestFingerprint, ServiceResponse, Settings, Shard, ShardNumber, Unsent, WriteReply,
 };
 use celerypond_platform::Object;
 use celerypond_types::{NotRunReason, Outcome};
@@ -223,22 +223,22 @@
     fn attempt(&mut self, node: usize, key: CallKey, tries: u32) {
         self.count += 1;
         let id = CallId(self.count);
-        let by = self.now + Duration::from_secs(2);
+        let send_by = self.now + Duration::from_secs(2);
         let attempt = Attempt {
             key,
             from: self.now,
-            by,
+            send_by,
             answer: None,
             crashed: false,
         };
         self.history.attempts.insert(id, attempt);
-        let body = BodyTag::of("POST", "/holds", b"");
+        let fingerprint = RequestFingerprint::of("POST", "/holds", b"");
         let call = Call {
             id,
             key,
-            body,
-            by,
-            run: RUN,
+            fingerprint,
+            send_by,
+            service_timeout: RUN,
         };
         let patience = self.millis(500, 6000);
         self.after(patience, Event::Patience(id, tries));
--- a/daemon/src/ledger.rs
+++ b/daemon/src/ledger.rs
@@ -78,13 +78,13 @@
     pub async fn call(&self, node: &Arc<Node>, key: CallKey, send: ServiceCall) -> Option<Answer> {
         let now = Instant::now();
         let left = send.deadline.saturating_duration_since(now);
-        let run = left / RUN_PART;
+        let service_timeout = left / RUN_PART;
         let call = Call {
             id: CallId(self.calls.fetch_add(1, Relaxed)),
             key,
-            body: send.tag(),
-            by: now + (left - run),
-            run,
+            fingerprint: send.fingerprint(),
+            send_by: now + (left - service_timeout),
+            service_timeout,
         };
         let (answer, answered) = oneshot::channel();
         let command = Command::Call { call, send, answer };
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use celerypond_bundle::Service;
-use celerypond_ledger::{BodyTag, Finished, Proof, ServiceResponse, Unsent};
+use celerypond_ledger::{Finished, Proof, RequestFingerprint, ServiceResponse, Unsent};
 use celerypond_route::{Ask, Blame, Failure, InFlight, Route, Target, Verdict, View};
 use celerypond_telemetry::{hop, Counter, TraceContext};
 use celerypond_types::{NotRunReason, Outcome, TargetKey};
@@ -153,9 +153,9 @@
     }
 
     /// Returns the tag by which the reuse of a key for another call is found.
-    pub fn tag(&self) -> BodyTag {
+    pub fn fingerprint(&self) -> RequestFingerprint {
         let path = format!("{}{}", self.service.name, self.path);
-        BodyTag::of(self.method.as_str(), &path, &self.body)
+        RequestFingerprint::of(self.method.as_str(), &path, &self.body)
     }
 
     /// Sends a call that may be repeated, again while the deadline and the retry budget allow it.
