--- a/bench/src/ledger.rs
+++ b/bench/src/ledger.rs
@@ -8,7 +8,7 @@
 };
 
 use celerypond_ledger::{
-    Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply, RequestFingerprint,
+    Call, CallId, CallKey, Effect, FinishedCall, ListReply, Proof, ReadReply, RequestFingerprint,
     ServiceResponse, Settings, Shard, ShardNumber, WriteReply,
 };
 use celerypond_platform::{Object, Version};
@@ -141,7 +141,7 @@
     Arrive(CallId),
     Request(usize, Effect),
     Reply(usize, Input),
-    Finish(usize, Finished),
+    Finish(usize, FinishedCall),
     Tick(usize, Instant),
 }
 
@@ -284,12 +284,12 @@
         }
     }
 
-    fn dispatch(&mut self, node: usize, id: CallId, unsent: celerypond_ledger::Unsent) {
+    fn dispatch(&mut self, node: usize, id: CallId, unsent: celerypond_ledger::UnsentCall) {
         if let Some(from) = self.from.remove(&id) {
             self.figures.added_ms.push(millis(self.now - from));
         }
         let reply = ServiceResponse::new(200, "application/json", "{\"hold\":17}");
-        let finished = match unsent.send(self.now) {
+        let finished = match unsent.mark_sent(self.now) {
             Ok(sent) => sent.answered(reply, Duration::ZERO, &Proof::default()),
             Err(finished) => finished,
         };
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -9,13 +9,13 @@
 
 use crate::{
     batch::{Record, State},
-    call::Intent,
+    call_state::Intent,
     callers::{Callers, Late, Pending, Running},
     flight::Flight,
     health::Health,
     log::{Entry, Log},
     stored::Stored,
-    Answer, CallKey, Effect, Finished, RequestFingerprint, Settings, Unsent, WriterId,
+    Answer, CallKey, Effect, FinishedCall, RequestFingerprint, Settings, UnsentCall, WriterId,
 };
 
 /// The size at which a batch is full, in bytes; an object holds a megabyte.
@@ -174,7 +174,7 @@
     ///
     /// An outcome that comes after its callers were told unknown still goes into the log: the process
     /// was paused, and a retry gets the result, or a free key.
-    pub(crate) fn finish(&mut self, finished: Finished, now: Instant) {
+    pub(crate) fn finish(&mut self, finished: FinishedCall, now: Instant) {
         let Some(Intent { key, number }) = finished.intent() else {
             return;
         };
@@ -243,7 +243,7 @@
             callers: call.callers,
         };
         self.callers.running.insert(key, running);
-        let unsent = Unsent::keyed(Intent { key, number }, call.send_by);
+        let unsent = UnsentCall::keyed(Intent { key, number }, call.send_by);
         self.callers.effects.push(Effect::Dispatch { id, unsent });
     }
 
--- a/crates/ledger/src/call.rs
+++ b/crates/ledger/src/call_state.rs
@@ -9,30 +9,30 @@
 
 /// A call of which no byte can have reached a service.
 ///
-/// It can't be cloned, and only [`Unsent::send`] makes a [`Sent`], so a call is sent at most once.
+/// It can't be cloned, and only [`UnsentCall::mark_sent`] makes a [`SentCall`], so a call is sent at most once.
 /// Only an unsent call can end as not run, as the state that lost that right has no such function:
 ///
 /// ```
 /// use std::time::Duration;
 ///
-/// use celerypond_ledger::Unsent;
+/// use celerypond_ledger::UnsentCall;
 /// use celerypond_types::{NotRunReason, Outcome};
 /// use tokio::time::Instant;
 ///
 /// let by = Instant::now() + Duration::from_secs(1);
-/// let finished = Unsent::unkeyed(by).not_run(NotRunReason::NotConnected, Duration::ZERO);
+/// let finished = UnsentCall::unkeyed(by).not_run(NotRunReason::NotConnected, Duration::ZERO);
 /// assert!(matches!(finished.outcome(), Outcome::NotRun { .. }));
 /// ```
 ///
 /// ```compile_fail,E0599
 /// use std::time::Duration;
 ///
-/// use celerypond_ledger::Unsent;
+/// use celerypond_ledger::UnsentCall;
 /// use celerypond_types::NotRunReason;
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let sent = Unsent::unkeyed(now + Duration::from_secs(1)).send(now).unwrap();
+/// let sent = UnsentCall::unkeyed(now + Duration::from_secs(1)).mark_sent(now).unwrap();
 /// sent.not_run(NotRunReason::NotConnected, Duration::ZERO);
 /// ```
 ///
@@ -41,17 +41,17 @@
 /// ```compile_fail,E0382
 /// use std::time::Duration;
 ///
-/// use celerypond_ledger::Unsent;
+/// use celerypond_ledger::UnsentCall;
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let unsent = Unsent::unkeyed(now + Duration::from_secs(1));
-/// let first = unsent.send(now);
-/// let second = unsent.send(now);
+/// let unsent = UnsentCall::unkeyed(now + Duration::from_secs(1));
+/// let first = unsent.mark_sent(now);
+/// let second = unsent.mark_sent(now);
 /// ```
 #[derive(Debug)]
 #[must_use = "the caller waits for the outcome"]
-pub struct Unsent {
+pub struct UnsentCall {
     intent: Option<Intent>,
     send_by: Instant,
 }
@@ -59,14 +59,14 @@
 /// A call of which bytes may have reached a service.
 #[derive(Debug)]
 #[must_use = "the caller waits for the outcome"]
-pub struct Sent {
+pub struct SentCall {
     intent: Option<Intent>,
 }
 
 /// A call with its outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[must_use = "the caller waits for the outcome"]
-pub struct Finished {
+pub struct FinishedCall {
     intent: Option<Intent>,
     outcome: Outcome<ServiceResponse>,
 }
@@ -78,7 +78,7 @@
     pub(crate) number: u64,
 }
 
-impl Unsent {
+impl UnsentCall {
     /// Makes a call without a key, which needs no record. It must be sent by `by`.
     pub const fn unkeyed(send_by: Instant) -> Self {
         Self {
@@ -109,29 +109,29 @@
     /// The call as not run, when the time by which it must be sent has passed. The process may have
     /// been paused since the intent was recorded. Others were told by then that the call is
     /// unknown and have moved on; sent now, it would take effect long after its caller gave up.
-    pub fn send(self, now: Instant) -> Result<Sent, Finished> {
+    pub fn mark_sent(self, now: Instant) -> Result<SentCall, FinishedCall> {
         if now > self.send_by {
             return Err(self.not_run(NotRunReason::Overload, Duration::ZERO));
         }
-        Ok(Sent {
+        Ok(SentCall {
             intent: self.intent,
         })
     }
 
     /// Ends the call as not run.
-    pub fn not_run(self, reason: NotRunReason, retry_after: Duration) -> Finished {
+    pub fn not_run(self, reason: NotRunReason, retry_after: Duration) -> FinishedCall {
         let outcome = Outcome::NotRun {
             reason,
             retry_after,
         };
-        Finished {
+        FinishedCall {
             intent: self.intent,
             outcome,
         }
     }
 }
 
-impl Sent {
+impl SentCall {
     /// Ends the call with the answer of its service.
     ///
     /// An answer that the service's `proof` names is a call that did not run. Any other answer that
@@ -141,7 +141,7 @@
         reply: ServiceResponse,
         retry_after: Duration,
         proof: &Proof,
-    ) -> Finished {
+    ) -> FinishedCall {
         let outcome = if proof.covers(reply.status) {
             Outcome::NotRun {
                 reason: NotRunReason::Refused,
@@ -152,22 +152,22 @@
         } else {
             Outcome::Ran(reply)
         };
-        Finished {
+        FinishedCall {
             intent: self.intent,
             outcome,
         }
     }
 
     /// Ends the call without an answer: a reset, a timeout, an answer that broke off.
-    pub const fn unanswered(self) -> Finished {
-        Finished {
+    pub const fn unanswered(self) -> FinishedCall {
+        FinishedCall {
             intent: self.intent,
             outcome: Outcome::Unknown,
         }
     }
 }
 
-impl Finished {
+impl FinishedCall {
     /// Returns the key, by which the outcome finds its shard.
     pub const fn key(&self) -> Option<CallKey> {
         match self.intent {
--- a/crates/ledger/src/effect.rs
+++ b/crates/ledger/src/effect.rs
@@ -8,7 +8,7 @@
 use smol_str::SmolStr;
 use tokio::time::Instant;
 
-use crate::{BatchError, CallKey, RequestFingerprint, ServiceResponse, Unsent};
+use crate::{BatchError, CallKey, RequestFingerprint, ServiceResponse, UnsentCall};
 
 /// A waiting caller, in the terms of the user of the shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -82,7 +82,7 @@
         /// Whose call it is.
         id: CallId,
         /// The permission to send it.
-        unsent: Unsent,
+        unsent: UnsentCall,
     },
     /// Answer a caller.
     Answer {
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -5,8 +5,8 @@
 
 mod batch;
 mod book;
-mod call;
 mod call_key;
+mod call_state;
 mod callers;
 mod effect;
 mod failure;
@@ -21,8 +21,8 @@
 mod stored;
 
 pub use batch::{BatchError, Sequence, Slot, WriterId};
-pub use call::{Finished, Sent, Unsent};
 pub use call_key::{CallKey, RequestFingerprint};
+pub use call_state::{FinishedCall, SentCall, UnsentCall};
 pub use effect::{Answer, Call, CallId, Effect, ListReply, ReadReply, WriteReply};
 pub use failure::{Advice, Failure};
 pub use proof::Proof;
--- a/crates/ledger/src/shard.rs
+++ b/crates/ledger/src/shard.rs
@@ -11,7 +11,8 @@
     log::Log,
     schedule::{Due, Schedule},
     stored::Stored,
-    BatchError, Call, Effect, Finished, ListReply, ReadReply, Settings, Slot, WriteReply, WriterId,
+    BatchError, Call, Effect, FinishedCall, ListReply, ReadReply, Settings, Slot, WriteReply,
+    WriterId,
 };
 
 /// The ordinal of a shard.
@@ -80,7 +81,7 @@
     }
 
     /// Takes the outcome of a call that was to be sent.
-    pub fn finish(&mut self, finished: Finished, now: Instant) -> Vec<Effect> {
+    pub fn finish(&mut self, finished: FinishedCall, now: Instant) -> Vec<Effect> {
         self.book.finish(finished, now);
         self.advance(now)
     }
--- a/crates/ledger/tests/test_scripts.rs
+++ b/crates/ledger/tests/test_scripts.rs
@@ -3,8 +3,9 @@
 use std::{collections::BTreeMap, error::Error, fmt::Write as _, time::Duration};
 
 use celerypond_ledger::{
-    Answer, Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply,
-    RequestFingerprint, Sent, ServiceResponse, Settings, Shard, ShardNumber, Unsent, WriteReply,
+    Answer, Call, CallId, CallKey, Effect, FinishedCall, ListReply, Proof, ReadReply,
+    RequestFingerprint, SentCall, ServiceResponse, Settings, Shard, ShardNumber, UnsentCall,
+    WriteReply,
 };
 use celerypond_types::{NotRunReason, Outcome};
 use goldenscript::{Command, Context, Runner};
@@ -31,8 +32,8 @@
     store: Store,
     shards: BTreeMap<String, Shard>,
     requests: BTreeMap<String, Effect>,
-    unsent: BTreeMap<u64, Unsent>,
-    sent: BTreeMap<u64, Sent>,
+    unsent: BTreeMap<u64, UnsentCall>,
+    sent: BTreeMap<u64, SentCall>,
     names: BTreeMap<CallKey, String>,
 }
 
@@ -82,7 +83,7 @@
         })
     }
 
-    fn finish(&mut self, node: &str, finished: Finished) -> Vec<Effect> {
+    fn finish(&mut self, node: &str, finished: FinishedCall) -> Vec<Effect> {
         let now = self.now;
         self.shard(node).finish(finished, now)
     }
@@ -178,7 +179,12 @@
                 self.now += Duration::from_millis(node.parse()?);
                 return Ok(String::new());
             }
-            "send" => match self.unsent.remove(&id).ok_or("no permission")?.send(now) {
+            "send" => match self
+                .unsent
+                .remove(&id)
+                .ok_or("no permission")?
+                .mark_sent(now)
+            {
                 Ok(sent) => {
                     self.sent.insert(id, sent);
                     return Ok(format!("service: run {id}\n"));
--- a/crates/ledger/tests/test_shard.rs
+++ b/crates/ledger/tests/test_shard.rs
@@ -4,7 +4,7 @@
 
 use celerypond_ledger::{
     Answer, Call, CallId, CallKey, Effect, ListReply, Proof, RequestFingerprint, ServiceResponse,
-    Settings, Shard, ShardNumber, Unsent, WriteReply,
+    Settings, Shard, ShardNumber, UnsentCall, WriteReply,
 };
 use celerypond_platform::Object;
 use celerypond_types::{NotRunReason, Outcome};
@@ -66,7 +66,7 @@
     }
 
     /// Takes the permissions to send that came so far.
-    fn unsent(&mut self) -> Vec<Unsent> {
+    fn unsent(&mut self) -> Vec<UnsentCall> {
         let seen = std::mem::take(&mut self.seen);
         let unsent = seen.into_iter().filter_map(|effect| match effect {
             Effect::Dispatch { unsent, .. } => Some(unsent),
@@ -75,8 +75,8 @@
         unsent.collect()
     }
 
-    fn answer(&mut self, store: &mut Store, unsent: Unsent, body: Vec<u8>, now: Instant) {
-        let sent = unsent.send(now).unwrap();
+    fn answer(&mut self, store: &mut Store, unsent: UnsentCall, body: Vec<u8>, now: Instant) {
+        let sent = unsent.mark_sent(now).unwrap();
         let reply = ServiceResponse::new(200, "text/plain", body);
         let finished = sent.answered(reply, Duration::ZERO, &Proof::default());
         let effects = self.shard.finish(finished, now);
--- a/crates/ledger/tests/test_sockets.rs
+++ b/crates/ledger/tests/test_sockets.rs
@@ -101,7 +101,7 @@
                 )
             }
             Effect::Dispatch { unsent, .. } => {
-                let sent = unsent.send(Instant::now()).unwrap();
+                let sent = unsent.mark_sent(Instant::now()).unwrap();
                 runs.fetch_add(1, Relaxed);
                 let reply = ServiceResponse::new(200, "text/plain", "held");
                 shard.finish(
--- a/crates/ledger/tests/world.rs
+++ b/crates/ledger/tests/world.rs
@@ -7,8 +7,8 @@
 };
 
 use celerypond_ledger::{
-    Answer, Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply,
-    RequestFingerprint, ServiceResponse, Settings, Shard, ShardNumber, Unsent, WriteReply,
+    Answer, Call, CallId, CallKey, Effect, FinishedCall, ListReply, Proof, ReadReply,
+    RequestFingerprint, ServiceResponse, Settings, Shard, ShardNumber, UnsentCall, WriteReply,
 };
 use celerypond_platform::Object;
 use celerypond_types::{NotRunReason, Outcome};
@@ -51,9 +51,9 @@
     Wrote(usize, u64, WriteReply),
     Read(usize, u64, ReadReply),
     Listed(usize, u64, ListReply),
-    Send(usize, u64, CallId, Unsent),
-    Execute(usize, u64, CallId, CallKey, Finished),
-    Finish(usize, u64, Finished),
+    Send(usize, u64, CallId, UnsentCall),
+    Execute(usize, u64, CallId, CallKey, FinishedCall),
+    Finish(usize, u64, FinishedCall),
     Tick(usize, Instant),
     Arrive(usize, CallKey, u32),
     Patience(CallId, u32),
@@ -366,7 +366,7 @@
         }
     }
 
-    fn send(&mut self, node: usize, run: u64, id: CallId, unsent: Unsent) {
+    fn send(&mut self, node: usize, run: u64, id: CallId, unsent: UnsentCall) {
         if self.nodes[node].run != run {
             return;
         }
@@ -375,7 +375,7 @@
             let finished = unsent.not_run(NotRunReason::NotConnected, Duration::ZERO);
             return self.after(Duration::ZERO, Event::Finish(node, run, finished));
         }
-        let sent = match unsent.send(self.now) {
+        let sent = match unsent.mark_sent(self.now) {
             Ok(sent) => sent,
             Err(finished) => return self.after(Duration::ZERO, Event::Finish(node, run, finished)),
         };
@@ -404,7 +404,7 @@
         }
     }
 
-    fn execute(&mut self, node: usize, run: u64, id: CallId, key: CallKey, finished: Finished) {
+    fn execute(&mut self, node: usize, run: u64, id: CallId, key: CallKey, finished: FinishedCall) {
         self.history.executions.push(Execution {
             key,
             id,
--- a/daemon/src/front/services.rs
+++ b/daemon/src/front/services.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use celerypond_bundle::Service;
-use celerypond_ledger::{Answer, CallKey, ServiceResponse, Unsent};
+use celerypond_ledger::{Answer, CallKey, ServiceResponse, UnsentCall};
 use celerypond_telemetry::Counter;
 use celerypond_types::{NotRunReason, Outcome, ServiceName};
 use gotham::hyper::{Response, StatusCode};
@@ -62,7 +62,7 @@
     let outcome = match key {
         _ if is_idempotent => send.send_idempotent(node).await,
         None => {
-            let finished = send.send_once(node, Unsent::unkeyed(deadline)).await;
+            let finished = send.send_once(node, UnsentCall::unkeyed(deadline)).await;
             finished.outcome()
         }
         Some(key) => run_keyed(node, CallKey::of(&account.name, &key), send).await?,
--- a/daemon/src/ledger.rs
+++ b/daemon/src/ledger.rs
@@ -11,7 +11,7 @@
 };
 
 use celerypond_ledger::{
-    Answer, Call, CallId, CallKey, Effect, Finished, ListReply, ReadReply, Settings, Shard,
+    Answer, Call, CallId, CallKey, Effect, FinishedCall, ListReply, ReadReply, Settings, Shard,
     ShardNumber, WriteReply,
 };
 use celerypond_platform::{Client, PlatformError};
@@ -49,7 +49,7 @@
         send: ServiceCall,
         answer: oneshot::Sender<Answer>,
     },
-    Finish(Finished),
+    Finish(FinishedCall),
 }
 
 /// The reply to the one store call that a shard may have under way.
@@ -230,7 +230,7 @@
         self.store = Some(store);
     }
 
-    fn dispatch(&mut self, id: CallId, unsent: celerypond_ledger::Unsent) {
+    fn dispatch(&mut self, id: CallId, unsent: celerypond_ledger::UnsentCall) {
         let Some(wait) = self.waiting.get(&id) else {
             return;
         };
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use celerypond_bundle::Service;
-use celerypond_ledger::{Finished, Proof, RequestFingerprint, ServiceResponse, Unsent};
+use celerypond_ledger::{FinishedCall, Proof, RequestFingerprint, ServiceResponse, UnsentCall};
 use celerypond_route::{Ask, Blame, Failure, InFlight, Route, Target, Verdict, View};
 use celerypond_telemetry::{hop, Counter, TraceContext};
 use celerypond_types::{NotRunReason, Outcome, TargetKey};
@@ -134,12 +134,12 @@
     ///
     /// Until a connection stands no byte can have reached a service, so another target may be
     /// tried. From the first write on, only an answer tells what became of the call.
-    pub async fn send_once(&self, node: &Node, unsent: Unsent) -> Finished {
+    pub async fn send_once(&self, node: &Node, unsent: UnsentCall) -> FinishedCall {
         let connected = match self.connect(node, &mut Vec::new()).await {
             Ok(connected) => connected,
             Err(reason) => return unsent.not_run(reason, COME_BACK),
         };
-        let sent = match unsent.send(Instant::now()) {
+        let sent = match unsent.mark_sent(Instant::now()) {
             Ok(sent) => sent,
             Err(finished) => return finished,
         };
