--- a/bench/src/ledger.rs
+++ b/bench/src/ledger.rs
@@ -8,8 +8,8 @@
 };
 
 use celerypond_ledger::{
-    Call, CallId, CallKey, Effect, FinishedCall, ListReply, Proof, ReadReply, RequestFingerprint,
-    ServiceResponse, Settings, Shard, ShardNumber, WriteReply,
+    Call, CallId, CallKey, Effect, FinishedCall, ListReply, NotRunCodes, ReadReply,
+    RequestFingerprint, ServiceResponse, Settings, Shard, ShardNumber, WriteReply,
 };
 use celerypond_platform::{Object, Version};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
@@ -290,7 +290,7 @@
         }
         let reply = ServiceResponse::new(200, "application/json", "{\"hold\":17}");
         let finished = match unsent.mark_sent(self.now) {
-            Ok(sent) => sent.answered(reply, Duration::ZERO, &Proof::default()),
+            Ok(sent) => sent.answered(reply, Duration::ZERO, &NotRunCodes::default()),
             Err(finished) => finished,
         };
         self.at(self.now + SERVICE, Event::Finish(node, finished));
--- a/crates/ledger/src/call_state.rs
+++ b/crates/ledger/src/call_state.rs
@@ -5,7 +5,7 @@
 use celerypond_types::{NotRunReason, Outcome};
 use tokio::time::Instant;
 
-use crate::{failure::is_unclear, CallKey, Proof, ServiceResponse};
+use crate::{failure::is_inconclusive, CallKey, NotRunCodes, ServiceResponse};
 
 /// A call of which no byte can have reached a service.
 ///
@@ -140,14 +140,14 @@
         self,
         reply: ServiceResponse,
         retry_after: Duration,
-        proof: &Proof,
+        not_run_codes: &NotRunCodes,
     ) -> FinishedCall {
-        let outcome = if proof.covers(reply.status) {
+        let outcome = if not_run_codes.contains(reply.status) {
             Outcome::NotRun {
                 reason: NotRunReason::Refused,
                 retry_after,
             }
-        } else if is_unclear(reply.status) {
+        } else if is_inconclusive(reply.status) {
             Outcome::Unknown
         } else {
             Outcome::Ran(reply)
--- a/crates/ledger/src/failure.rs
+++ b/crates/ledger/src/failure.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-use crate::Proof;
+use crate::NotRunCodes;
 
 /// A failed exchange, by what was seen of it.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, Hash)]
@@ -21,7 +21,7 @@
     Timeout,
     /// The answer broke off.
     #[error("the answer broke off")]
-    CutOff,
+    Truncated,
     /// The answer has a status of failure.
     #[error("the answer has the status {0}")]
     Status(u16),
@@ -29,11 +29,11 @@
 
 /// What may be done after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Advice {
+pub enum RetryDecision {
     /// The call did not run: send it to another target, or later to the same one.
-    Resend,
+    RetryNotRun,
     /// The call may have run; as it is idempotent, repeat it after a wait.
-    Repeat,
+    RetryIdempotent,
     /// The call may have run and must not be sent again.
     Unknown,
     /// The service's answer is final.
@@ -53,27 +53,29 @@
     /// # Examples
     ///
     /// ```
-    /// use celerypond_ledger::{Advice, Failure, Proof};
+    /// use celerypond_ledger::{RetryDecision, Failure, NotRunCodes};
     ///
-    /// let proof = Proof::new(&[429]);
-    /// assert_eq!(Failure::Refused.advice(false, &proof), Advice::Resend);
-    /// assert_eq!(Failure::Timeout.advice(false, &proof), Advice::Unknown);
-    /// assert_eq!(Failure::Status(503).advice(false, &proof), Advice::Unknown);
-    /// assert_eq!(Failure::Status(429).advice(false, &proof), Advice::Resend);
+    /// let not_run_codes = NotRunCodes::new(&[429]);
+    /// assert_eq!(Failure::Refused.retry_decision(false, &not_run_codes), RetryDecision::RetryNotRun);
+    /// assert_eq!(Failure::Timeout.retry_decision(false, &not_run_codes), RetryDecision::Unknown);
+    /// assert_eq!(Failure::Status(503).retry_decision(false, &not_run_codes), RetryDecision::Unknown);
+    /// assert_eq!(Failure::Status(429).retry_decision(false, &not_run_codes), RetryDecision::RetryNotRun);
     /// ```
-    pub fn advice(self, idempotent: bool, proof: &Proof) -> Advice {
+    pub fn retry_decision(self, idempotent: bool, not_run_codes: &NotRunCodes) -> RetryDecision {
         match self {
-            Self::Refused | Self::NotConnected => Advice::Resend,
-            Self::Status(status) if proof.covers(status) => Advice::Resend,
-            Self::Status(status) if !is_unclear(status) => Advice::Final,
-            _ if idempotent => Advice::Repeat,
-            Self::Closed | Self::Timeout | Self::CutOff | Self::Status(_) => Advice::Unknown,
+            Self::Refused | Self::NotConnected => RetryDecision::RetryNotRun,
+            Self::Status(status) if not_run_codes.contains(status) => RetryDecision::RetryNotRun,
+            Self::Status(status) if !is_inconclusive(status) => RetryDecision::Final,
+            _ if idempotent => RetryDecision::RetryIdempotent,
+            Self::Closed | Self::Timeout | Self::Truncated | Self::Status(_) => {
+                RetryDecision::Unknown
+            }
         }
     }
 }
 
 /// Returns whether an answer says that the service failed or wants the call later, neither of
 /// which tells whether the call ran.
-pub(crate) const fn is_unclear(status: u16) -> bool {
+pub(crate) const fn is_inconclusive(status: u16) -> bool {
     matches!(status, 408 | 429 | 500..)
 }
--- a/crates/ledger/tests/test_failure.rs
+++ b/crates/ledger/tests/test_failure.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_ledger::{Advice, Failure, Proof};
+use celerypond_ledger::{Failure, NotRunCodes, RetryDecision};
 use rstest::rstest;
 use tokio::{
     io::{AsyncReadExt as _, AsyncWriteExt as _},
@@ -41,9 +41,9 @@
     for (steps, runs) in [(idle, 0), (ran, 1)] {
         assert_eq!(exchange(steps).await, (failure, runs), "{steps:?}");
     }
-    let advice = |idempotent| failure.advice(idempotent, &Proof::default());
-    assert_eq!(advice(false), Advice::Unknown);
-    assert_eq!(advice(true), Advice::Repeat);
+    let decision = |idempotent| failure.retry_decision(idempotent, &NotRunCodes::default());
+    assert_eq!(decision(false), RetryDecision::Unknown);
+    assert_eq!(decision(true), RetryDecision::RetryIdempotent);
 }
 
 #[tokio::test]
@@ -54,24 +54,27 @@
     let error = TcpStream::connect(address).await.unwrap_err();
     assert_eq!(error.kind(), std::io::ErrorKind::ConnectionRefused);
     for idempotent in [false, true] {
-        let advice = Failure::Refused.advice(idempotent, &Proof::default());
-        assert_eq!(advice, Advice::Resend);
+        let decision = Failure::Refused.retry_decision(idempotent, &NotRunCodes::default());
+        assert_eq!(decision, RetryDecision::RetryNotRun);
     }
 }
 
 #[rstest]
-#[case::word_of_the_bundle(429, &[429], Advice::Resend)]
-#[case::no_word(429, &[], Advice::Unknown)]
-#[case::another_word(503, &[429], Advice::Unknown)]
-#[case::done_is_no_word(200, &[200], Advice::Final)]
-#[case::rejected(422, &[], Advice::Final)]
+#[case::word_of_the_bundle(429, &[429], RetryDecision::RetryNotRun)]
+#[case::no_word(429, &[], RetryDecision::Unknown)]
+#[case::another_word(503, &[429], RetryDecision::Unknown)]
+#[case::done_is_no_word(200, &[200], RetryDecision::Final)]
+#[case::rejected(422, &[], RetryDecision::Final)]
 fn a_status_proves_what_the_bundle_says(
     #[case] status: u16,
     #[case] codes: &[u16],
-    #[case] advice: Advice,
+    #[case] decision: RetryDecision,
 ) {
     let failure = Failure::Status(status);
-    assert_eq!(failure.advice(false, &Proof::new(codes)), advice);
+    assert_eq!(
+        failure.retry_decision(false, &NotRunCodes::new(codes)),
+        decision
+    );
 }
 
 /// Sends one request to a service that goes through `steps`, and returns what the caller sees and
--- a/crates/ledger/tests/test_scripts.rs
+++ b/crates/ledger/tests/test_scripts.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, error::Error, fmt::Write as _, time::Duration};
 
 use celerypond_ledger::{
-    Answer, Call, CallId, CallKey, Effect, FinishedCall, ListReply, Proof, ReadReply,
+    Answer, Call, CallId, CallKey, Effect, FinishedCall, ListReply, NotRunCodes, ReadReply,
     RequestFingerprint, SentCall, ServiceResponse, Settings, Shard, ShardNumber, UnsentCall,
     WriteReply,
 };
@@ -199,9 +199,9 @@
             "answered" => {
                 let sent = self.sent.remove(&id).ok_or("not sent")?;
                 let status = args.next_pos().unwrap_or("200").parse()?;
-                let proof = Proof::new(&[429]);
+                let not_run_codes = NotRunCodes::new(&[429]);
                 let reply = ServiceResponse::new(status, "text/plain", "");
-                self.finish(&node, sent.answered(reply, Duration::ZERO, &proof))
+                self.finish(&node, sent.answered(reply, Duration::ZERO, &not_run_codes))
             }
             "unanswered" => {
                 let sent = self.sent.remove(&id).ok_or("not sent")?;
--- a/crates/ledger/tests/test_shard.rs
+++ b/crates/ledger/tests/test_shard.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use celerypond_ledger::{
-    Answer, Call, CallId, CallKey, Effect, ListReply, Proof, RequestFingerprint, ServiceResponse,
-    Settings, Shard, ShardNumber, UnsentCall, WriteReply,
+    Answer, Call, CallId, CallKey, Effect, ListReply, NotRunCodes, RequestFingerprint,
+    ServiceResponse, Settings, Shard, ShardNumber, UnsentCall, WriteReply,
 };
 use celerypond_platform::Object;
 use celerypond_types::{NotRunReason, Outcome};
@@ -78,7 +78,7 @@
     fn answer(&mut self, store: &mut Store, unsent: UnsentCall, body: Vec<u8>, now: Instant) {
         let sent = unsent.mark_sent(now).unwrap();
         let reply = ServiceResponse::new(200, "text/plain", body);
-        let finished = sent.answered(reply, Duration::ZERO, &Proof::default());
+        let finished = sent.answered(reply, Duration::ZERO, &NotRunCodes::default());
         let effects = self.shard.finish(finished, now);
         self.go(store, effects, now);
     }
--- a/crates/ledger/tests/test_sockets.rs
+++ b/crates/ledger/tests/test_sockets.rs
@@ -7,8 +7,8 @@
 };
 
 use celerypond_ledger::{
-    Answer, Call, CallId, CallKey, Effect, ListReply, Proof, RequestFingerprint, ServiceResponse,
-    Settings, Shard, ShardNumber,
+    Answer, Call, CallId, CallKey, Effect, ListReply, NotRunCodes, RequestFingerprint,
+    ServiceResponse, Settings, Shard, ShardNumber,
 };
 use celerypond_platform::{Client, Rates, Settings as ClientSettings};
 use celerypond_testutils::{fault::PlatformFault, platform::Platform, roster::Listing};
@@ -105,7 +105,7 @@
                 runs.fetch_add(1, Relaxed);
                 let reply = ServiceResponse::new(200, "text/plain", "held");
                 shard.finish(
-                    sent.answered(reply, TIMEOUT, &Proof::default()),
+                    sent.answered(reply, TIMEOUT, &NotRunCodes::default()),
                     Instant::now(),
                 )
             }
--- a/crates/ledger/tests/world.rs
+++ b/crates/ledger/tests/world.rs
@@ -7,7 +7,7 @@
 };
 
 use celerypond_ledger::{
-    Answer, Call, CallId, CallKey, Effect, FinishedCall, ListReply, Proof, ReadReply,
+    Answer, Call, CallId, CallKey, Effect, FinishedCall, ListReply, NotRunCodes, ReadReply,
     RequestFingerprint, ServiceResponse, Settings, Shard, ShardNumber, UnsentCall, WriteReply,
 };
 use celerypond_platform::Object;
@@ -379,7 +379,7 @@
             Ok(sent) => sent,
             Err(finished) => return self.after(Duration::ZERO, Event::Finish(node, run, finished)),
         };
-        let proof = Proof::new(&[REFUSED]);
+        let not_run_codes = NotRunCodes::new(&[REFUSED]);
         let number = id.0.to_string();
         let reply = |status| ServiceResponse::new(status, "text/plain", number.clone());
         let fails = self.chance(self.faults.service * 4.0);
@@ -390,12 +390,12 @@
         };
         let wait = self.millis(1, 300);
         let (runs, finished) = match kind {
-            0 => (true, sent.answered(reply(200), RUN, &proof)),
-            1 => (true, sent.answered(reply(500), RUN, &proof)),
+            0 => (true, sent.answered(reply(200), RUN, &not_run_codes)),
+            1 => (true, sent.answered(reply(500), RUN, &not_run_codes)),
             2 => (true, sent.unanswered()),
             3 => (false, sent.unanswered()),
-            4 => (false, sent.answered(reply(503), RUN, &proof)),
-            _ => (false, sent.answered(reply(REFUSED), RUN, &proof)),
+            4 => (false, sent.answered(reply(503), RUN, &not_run_codes)),
+            _ => (false, sent.answered(reply(REFUSED), RUN, &not_run_codes)),
         };
         if runs {
             self.after(wait, Event::Execute(node, run, id, key, finished));
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -4,7 +4,9 @@
 
 use bytes::Bytes;
 use celerypond_bundle::Service;
-use celerypond_ledger::{FinishedCall, Proof, RequestFingerprint, ServiceResponse, UnsentCall};
+use celerypond_ledger::{
+    FinishedCall, NotRunCodes, RequestFingerprint, ServiceResponse, UnsentCall,
+};
 use celerypond_route::{Ask, Blame, Failure, InFlight, Route, Target, Verdict, View};
 use celerypond_telemetry::{hop, Counter, TraceContext};
 use celerypond_types::{NotRunReason, Outcome, TargetKey};
@@ -145,8 +147,8 @@
         };
         match self.exchange(node, connected).await {
             Tried::Answer(reply, after) => {
-                let proof = Proof::new(&self.service.not_run_codes);
-                sent.answered(reply, after.unwrap_or(COME_BACK), &proof)
+                let not_run_codes = NotRunCodes::new(&self.service.not_run_codes);
+                sent.answered(reply, after.unwrap_or(COME_BACK), &not_run_codes)
             }
             Tried::Failed(_) => sent.unanswered(),
         }
