--- a/bench/src/ledger.rs
+++ b/bench/src/ledger.rs
@@ -270,7 +270,7 @@
                 Effect::Answer { id, .. } => {
                     self.figures.refused += u64::from(self.from.remove(&id).is_some())
                 }
-                Effect::Broken { .. } => {}
+                Effect::ReportCorruption { .. } => {}
                 request => self.at(self.now + self.latency / 2, Event::Request(node, request)),
             }
         }
@@ -313,12 +313,16 @@
                 Input::Listed(under.map(|(_, object)| object.clone()).collect())
             }
             Effect::Create { key, value } => self.put(key, None, value),
-            Effect::Update { key, before, value } => self.put(key, Some(before), value),
+            Effect::Update {
+                key,
+                expected_version,
+                value,
+            } => self.put(key, Some(expected_version), value),
             Effect::Get { key } => {
                 let found = self.objects.get(&key).cloned();
                 Input::Read(found.map_or(ReadReply::Missing, ReadReply::Found))
             }
-            Effect::Dispatch { .. } | Effect::Answer { .. } | Effect::Broken { .. } => {
+            Effect::Dispatch { .. } | Effect::Answer { .. } | Effect::ReportCorruption { .. } => {
                 Input::Read(ReadReply::Failed)
             }
         }
--- a/crates/ledger/src/batch.rs
+++ b/crates/ledger/src/batch.rs
@@ -20,7 +20,7 @@
 /// The ordinal of a batch in its shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Sequence(pub u64);
+pub struct SequenceNumber(pub u64);
 
 /// An object of a shard, used again for a later batch when its records have expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Batch {
     /// The place in the log.
-    pub(crate) sequence: Sequence,
+    pub(crate) sequence: SequenceNumber,
     /// The oldest batch that is still in the log.
-    pub(crate) first: Sequence,
+    pub(crate) first: SequenceNumber,
     /// The slot that takes the next batch.
     pub(crate) next: Slot,
     /// Who wrote this batch.
@@ -77,7 +77,7 @@
 /// An object that is not a batch.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("the object at version {0} is not a batch")]
-pub struct BatchError(pub Version);
+pub struct BatchDecodeError(pub Version);
 
 impl Batch {
     pub(crate) fn encode(&self) -> Bytes {
@@ -85,8 +85,8 @@
         serde_json::to_vec(self).unwrap_or_default().into()
     }
 
-    pub(crate) fn decode(version: Version, value: &[u8]) -> Result<Self, BatchError> {
-        serde_json::from_slice(value).map_err(|_| BatchError(version))
+    pub(crate) fn decode(version: Version, value: &[u8]) -> Result<Self, BatchDecodeError> {
+        serde_json::from_slice(value).map_err(|_| BatchDecodeError(version))
     }
 
     pub(crate) fn is(&self, other: &Self) -> bool {
--- a/crates/ledger/src/effect.rs
+++ b/crates/ledger/src/effect.rs
@@ -8,7 +8,7 @@
 use smol_str::SmolStr;
 use tokio::time::Instant;
 
-use crate::{BatchError, CallKey, RequestFingerprint, ServiceResponse, UnsentCall};
+use crate::{BatchDecodeError, CallKey, RequestFingerprint, ServiceResponse, UnsentCall};
 
 /// A waiting caller, in the terms of the user of the shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -71,7 +71,7 @@
         /// The key.
         key: SmolStr,
         /// The version it must have.
-        before: Version,
+        expected_version: Version,
         /// The value.
         value: Bytes,
     },
@@ -92,9 +92,9 @@
         answer: Answer,
     },
     /// Report an object that cannot be read; the shard refuses calls until it can.
-    Broken {
+    ReportCorruption {
         /// What is wrong.
-        error: BatchError,
+        error: BatchDecodeError,
     },
 }
 
@@ -108,9 +108,9 @@
     /// It may have taken effect, or still may.
     Ambiguous,
     /// It took no effect, as the store is down.
-    Down,
+    NotApplied,
     /// It was not sent, as the rate is used up.
-    Later {
+    RateLimited {
         /// When to come back.
         retry_after: Duration,
     },
@@ -144,8 +144,8 @@
             Err(
                 PlatformError::OverBudget { retry_after }
                 | PlatformError::RateLimited { retry_after },
-            ) => Self::Later { retry_after },
-            Err(error) if error.no_effect() => Self::Down,
+            ) => Self::RateLimited { retry_after },
+            Err(error) if error.no_effect() => Self::NotApplied,
             Err(_) => Self::Ambiguous,
         }
     }
--- a/crates/ledger/src/flight.rs
+++ b/crates/ledger/src/flight.rs
@@ -45,7 +45,11 @@
     pub(crate) fn write(&self, key: SmolStr) -> Effect {
         let value = self.value.clone();
         match self.place.before {
-            Some(before) => Effect::Update { key, before, value },
+            Some(expected_version) => Effect::Update {
+                key,
+                expected_version,
+                value,
+            },
             None => Effect::Create { key, value },
         }
     }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -20,7 +20,7 @@
 mod shard;
 mod stored;
 
-pub use batch::{BatchError, Sequence, Slot, WriterId};
+pub use batch::{BatchDecodeError, SequenceNumber, Slot, WriterId};
 pub use call_key::{CallKey, RequestFingerprint};
 pub use call_state::{FinishedCall, SentCall, UnsentCall};
 pub use effect::{Answer, Call, CallId, Effect, ListReply, ReadReply, WriteReply};
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -12,7 +12,7 @@
 use crate::{
     batch::{Batch, Record, State},
     stored::{Place, Stored},
-    CallKey, RequestFingerprint, Sequence, Slot, WriterId,
+    CallKey, RequestFingerprint, SequenceNumber, Slot, WriterId,
 };
 
 /// The log of a shard as far as it was read, and the keys it remembers.
@@ -42,13 +42,13 @@
     pub(crate) fingerprint: RequestFingerprint,
     pub(crate) state: State,
     pub(crate) writer: WriterId,
-    sequence: Sequence,
+    sequence: SequenceNumber,
     at: Duration,
 }
 
 #[derive(Debug)]
 struct Applied {
-    sequence: Sequence,
+    sequence: SequenceNumber,
     slot: Slot,
     version: Version,
     next: Slot,
@@ -162,12 +162,12 @@
     pub(crate) fn place(&self) -> Place {
         self.batches.back().map_or(
             Place {
-                sequence: Sequence(0),
+                sequence: SequenceNumber(0),
                 slot: Slot(0),
                 before: None,
             },
             |last| Place {
-                sequence: Sequence(last.sequence.0 + 1),
+                sequence: SequenceNumber(last.sequence.0 + 1),
                 slot: last.next,
                 before: self.before,
             },
@@ -189,7 +189,7 @@
         let fresh = Slot(self.slots.max(place.slot.0 + 1));
         Batch {
             sequence: place.sequence,
-            first: Sequence(first.0 + u64::from(expired.is_some())),
+            first: SequenceNumber(first.0 + u64::from(expired.is_some())),
             next: expired.map_or(fresh, |oldest| oldest.slot),
             writer,
             nonce,
@@ -268,7 +268,7 @@
     }
 }
 
-fn whole(batches: &BTreeMap<Sequence, Stored>, last: &Stored) -> bool {
+fn whole(batches: &BTreeMap<SequenceNumber, Stored>, last: &Stored) -> bool {
     let (first, end) = (last.batch.first, last.batch.sequence);
     first <= end && batches.range(first..=end).count() as u64 == end.0 - first.0 + 1
 }
--- a/crates/ledger/src/shard.rs
+++ b/crates/ledger/src/shard.rs
@@ -11,7 +11,7 @@
     log::Log,
     schedule::{Due, Schedule},
     stored::Stored,
-    BatchError, Call, Effect, FinishedCall, ListReply, ReadReply, Settings, Slot, WriteReply,
+    BatchDecodeError, Call, Effect, FinishedCall, ListReply, ReadReply, Settings, Slot, WriteReply,
     WriterId,
 };
 
@@ -220,11 +220,11 @@
                 flight.doubtful = true;
                 self.check(flight);
             }
-            WriteReply::Down => self.stuck(flight, now),
-            WriteReply::Later { retry_after } if flight.doubtful => {
+            WriteReply::NotApplied => self.stuck(flight, now),
+            WriteReply::RateLimited { retry_after } if flight.doubtful => {
                 self.step = Step::Uncertain(flight, now + retry_after);
             }
-            WriteReply::Later { retry_after } => {
+            WriteReply::RateLimited { retry_after } => {
                 self.schedule.write_after(now + retry_after);
                 self.put_back(flight, now);
             }
@@ -346,13 +346,19 @@
         }
     }
 
-    fn broken(&mut self, flight: Flight, error: BatchError, now: Instant) {
-        self.book.callers.effects.push(Effect::Broken { error });
+    fn broken(&mut self, flight: Flight, error: BatchDecodeError, now: Instant) {
+        self.book
+            .callers
+            .effects
+            .push(Effect::ReportCorruption { error });
         self.stuck(flight, now);
     }
 
-    fn report(&mut self, error: BatchError, now: Instant) {
-        self.book.callers.effects.push(Effect::Broken { error });
+    fn report(&mut self, error: BatchDecodeError, now: Instant) {
+        self.book
+            .callers
+            .effects
+            .push(Effect::ReportCorruption { error });
         self.store_failed(now);
     }
 
--- a/crates/ledger/src/stored.rs
+++ b/crates/ledger/src/stored.rs
@@ -2,12 +2,12 @@
 
 use celerypond_platform::{Object, Version};
 
-use crate::{batch::Batch, BatchError, Sequence, Slot};
+use crate::{batch::Batch, BatchDecodeError, SequenceNumber, Slot};
 
 /// Where the next batch goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Place {
-    pub(crate) sequence: Sequence,
+    pub(crate) sequence: SequenceNumber,
     pub(crate) slot: Slot,
     pub(crate) before: Option<Version>,
 }
@@ -22,7 +22,7 @@
 
 impl Stored {
     /// Reads the object of a slot.
-    pub(crate) fn read(slot: Slot, object: &Object) -> Result<Self, BatchError> {
+    pub(crate) fn read(slot: Slot, object: &Object) -> Result<Self, BatchDecodeError> {
         Ok(Self {
             slot,
             version: object.version,
@@ -31,12 +31,12 @@
     }
 
     /// Reads an object of a list, whose key ends with the slot.
-    pub(crate) fn listed(object: &Object) -> Result<Self, BatchError> {
+    pub(crate) fn listed(object: &Object) -> Result<Self, BatchDecodeError> {
         let slot = object
             .key
             .rsplit('/')
             .next()
             .and_then(|slot| slot.parse().ok());
-        Self::read(Slot(slot.ok_or(BatchError(object.version))?), object)
+        Self::read(Slot(slot.ok_or(BatchDecodeError(object.version))?), object)
     }
 }
--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/store.rs
@@ -29,7 +29,11 @@
     pub(crate) fn write(&mut self, effect: &Effect) -> WriteReply {
         let (key, before, value) = match effect {
             Effect::Create { key, value } => (key, None, value),
-            Effect::Update { key, before, value } => (key, Some(*before), value),
+            Effect::Update {
+                key,
+                expected_version,
+                value,
+            } => (key, Some(*expected_version), value),
             other => panic!("not a write: {other:?}"),
         };
         self.put(key, before, value.clone())
--- a/crates/ledger/tests/test_replies.rs
+++ b/crates/ledger/tests/test_replies.rs
@@ -13,14 +13,14 @@
 #[rstest]
 #[case(Ok(Version(3)), WriteReply::Written(Version(3)))]
 #[case(Err(PlatformError::Conflict), WriteReply::Conflict)]
-#[case(Err(PlatformError::Down), WriteReply::Down)]
-#[case(Err(PlatformError::TooLarge), WriteReply::Down)]
-#[case(Err(PlatformError::Status(428)), WriteReply::Down)]
+#[case(Err(PlatformError::Down), WriteReply::NotApplied)]
+#[case(Err(PlatformError::TooLarge), WriteReply::NotApplied)]
+#[case(Err(PlatformError::Status(428)), WriteReply::NotApplied)]
 #[case(Err(PlatformError::Status(500)), WriteReply::Ambiguous)]
 #[case(Err(PlatformError::Ambiguous), WriteReply::Ambiguous)]
 #[case(Err(PlatformError::Malformed), WriteReply::Ambiguous)]
-#[case(Err(PlatformError::OverBudget { retry_after: WAIT }), WriteReply::Later { retry_after: WAIT })]
-#[case(Err(PlatformError::RateLimited { retry_after: WAIT }), WriteReply::Later { retry_after: WAIT })]
+#[case(Err(PlatformError::OverBudget { retry_after: WAIT }), WriteReply::RateLimited { retry_after: WAIT })]
+#[case(Err(PlatformError::RateLimited { retry_after: WAIT }), WriteReply::RateLimited { retry_after: WAIT })]
 fn an_error_says_no_more_than_it_proves(
     #[case] result: Result<Version, PlatformError>,
     #[case] reply: WriteReply,
--- a/crates/ledger/tests/test_scripts.rs
+++ b/crates/ledger/tests/test_scripts.rs
@@ -75,7 +75,7 @@
                 let reply = reaches.then(|| self.store.write(&write));
                 let heard = match (how, reply) {
                     ("", Some(reply)) => reply,
-                    ("down", _) => WriteReply::Down,
+                    ("down", _) => WriteReply::NotApplied,
                     _ => WriteReply::Ambiguous,
                 };
                 shard.written(heard, now)
@@ -96,7 +96,7 @@
             _ = writeln!(out, "{node}: {line}");
             match effect {
                 Effect::Dispatch { id, unsent } => _ = self.unsent.insert(id.0, unsent),
-                Effect::Answer { .. } | Effect::Broken { .. } => {}
+                Effect::Answer { .. } | Effect::ReportCorruption { .. } => {}
                 request => _ = self.requests.insert(node.to_owned(), request),
             }
         }
@@ -108,11 +108,18 @@
             Effect::List { prefix } => format!("list {prefix}"),
             Effect::Get { key } => format!("get {key}"),
             Effect::Create { key, value } => format!("create {key} [{}]", self.records(value)),
-            Effect::Update { key, before, value } => {
-                format!("update {key} at {before} [{}]", self.records(value))
+            Effect::Update {
+                key,
+                expected_version,
+                value,
+            } => {
+                format!(
+                    "update {key} at {expected_version} [{}]",
+                    self.records(value)
+                )
             }
             Effect::Dispatch { id, .. } => format!("dispatch {}", id.0),
-            Effect::Broken { error } => error.to_string(),
+            Effect::ReportCorruption { error } => error.to_string(),
             Effect::Answer { id, answer } => match answer {
                 Answer::KeyReused => format!("answer {}: key reused", id.0),
                 Answer::Outcome(Outcome::Ran(reply)) => {
--- a/crates/ledger/tests/test_shard.rs
+++ b/crates/ledger/tests/test_shard.rs
@@ -138,7 +138,7 @@
     for write in &effects {
         store.write(write);
     }
-    let effects = a.shard.written(WriteReply::Down, now);
+    let effects = a.shard.written(WriteReply::NotApplied, now);
     a.go(&mut store, effects, now);
     let mut b = Node::new(2, now);
     b.call(&mut store, 2, "x", now);
@@ -332,7 +332,7 @@
     a.call(&mut store, 1, "x", now);
     now += STEP;
     a.shard.call(call(2, "y", now), now);
-    a.shard.written(WriteReply::Down, now);
+    a.shard.written(WriteReply::NotApplied, now);
     let effects = a.shard.call(call(3, "z", now), now);
     let [Effect::Answer { answer, .. }] = &effects[..] else {
         panic!("{effects:?}");
--- a/crates/ledger/tests/test_sockets.rs
+++ b/crates/ledger/tests/test_sockets.rs
@@ -93,8 +93,12 @@
                     .map_err(|e| *e.current_context());
                 shard.written(done.into(), Instant::now())
             }
-            Effect::Update { key, before, value } => {
-                let done = client.update(&key, before, value).await;
+            Effect::Update {
+                key,
+                expected_version,
+                value,
+            } => {
+                let done = client.update(&key, expected_version, value).await;
                 shard.written(
                     done.map_err(|e| *e.current_context()).into(),
                     Instant::now(),
@@ -113,7 +117,7 @@
                 told = Some(answer);
                 Vec::new()
             }
-            Effect::Broken { error } => panic!("{error}"),
+            Effect::ReportCorruption { error } => panic!("{error}"),
         };
         effects.extend(next);
     }
--- a/crates/ledger/tests/world.rs
+++ b/crates/ledger/tests/world.rs
@@ -283,7 +283,7 @@
                 let run = self.nodes[node].run;
                 self.after(wait, Event::Send(node, run, id, unsent));
             }
-            Effect::Broken { error } => self.history.faults.push(error.to_string()),
+            Effect::ReportCorruption { error } => self.history.faults.push(error.to_string()),
             request => {
                 self.nodes[node].call += 1;
                 let call = self.nodes[node].call;
@@ -318,7 +318,7 @@
             let refused = match effect {
                 Effect::Get { .. } => Event::Read(node, call, ReadReply::Failed),
                 Effect::List { .. } => Event::Listed(node, call, ListReply::Failed),
-                _ => Event::Wrote(node, call, WriteReply::Down),
+                _ => Event::Wrote(node, call, WriteReply::NotApplied),
             };
             // Else the request is lost.
             if self.rng.random_bool(0.5) {
@@ -332,7 +332,15 @@
             write => {
                 let reply = self.store.write(&write);
                 let hidden = self.chance(self.faults.false_down);
-                Event::Wrote(node, call, if hidden { WriteReply::Down } else { reply })
+                Event::Wrote(
+                    node,
+                    call,
+                    if hidden {
+                        WriteReply::NotApplied
+                    } else {
+                        reply
+                    },
+                )
             }
         };
         if !self.chance(self.faults.lost_reply) {
--- a/daemon/src/ledger.rs
+++ b/daemon/src/ledger.rs
@@ -210,9 +210,11 @@
                 self.node.metrics.add(Counter::LedgerBatches, 1);
                 async move { written(client.create(&key, value).await) }.boxed()
             }
-            Effect::Update { key, before, value } => {
-                async move { written(client.update(&key, before, value).await) }.boxed()
-            }
+            Effect::Update {
+                key,
+                expected_version,
+                value,
+            } => async move { written(client.update(&key, expected_version, value).await) }.boxed(),
             Effect::Dispatch { id, unsent } => return self.dispatch(id, unsent),
             Effect::Answer { id, answer } => {
                 if let Some(wait) = self.waiting.remove(&id) {
@@ -221,7 +223,7 @@
                 }
                 return;
             }
-            Effect::Broken { error } => {
+            Effect::ReportCorruption { error } => {
                 log::error!("the shard cannot be read: {error}");
                 return;
             }
