--- a/bench/src/ledger.rs
+++ b/bench/src/ledger.rs
@@ -173,9 +173,11 @@
     fn new(shards: u16, instances: usize, latency: Duration, seed: u64) -> Self {
         let now = Instant::now();
         let settings = Settings {
-            pace: Duration::from_secs_f64(f64::from(shards) * instances as f64 / WRITES),
+            min_write_interval: Duration::from_secs_f64(
+                f64::from(shards) * instances as f64 / WRITES,
+            ),
             retention: RETENTION,
-            keys: usize::MAX,
+            max_keys: usize::MAX,
             ..Settings::default()
         };
         let node = |index| {
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -98,13 +98,13 @@
     }
 
     fn enqueue(&mut self, pending: Pending, now: Instant) {
-        let full =
-            self.callers.queue.len() >= self.settings.queue || self.keys() >= self.settings.keys;
+        let full = self.callers.queue.len() >= self.settings.max_queued_calls
+            || self.keys() >= self.settings.max_keys;
         let callers = &mut self.callers;
         match self.health.wait(now) {
             Some(wait) => callers.refuse(&pending.callers, NotRunReason::StoreDown, wait),
             None if full => {
-                let wait = self.settings.retry;
+                let wait = self.settings.min_store_retry_delay;
                 callers.refuse(&pending.callers, NotRunReason::Overload, wait);
             }
             None => callers.queue.push(pending),
@@ -129,7 +129,7 @@
     pub(crate) fn expire(&mut self, now: Instant) {
         let wait = self.health.wait(now);
         let reason = wait.map_or(NotRunReason::Overload, |_| NotRunReason::StoreDown);
-        let wait = wait.unwrap_or(self.settings.retry);
+        let wait = wait.unwrap_or(self.settings.min_store_retry_delay);
         self.callers.expire_queue(reason, wait, now);
         self.callers.give_up(|call| call.send_by <= now);
         let over = |running: &Running| running.until <= now;
@@ -221,7 +221,7 @@
         else {
             // The callers gave up, or the process was paused between the write and its reply. The
             // call was not sent, and the record makes the key free for a retry.
-            let wait = self.settings.retry;
+            let wait = self.settings.min_store_retry_delay;
             self.callers
                 .refuse(&call.callers, NotRunReason::Overload, wait);
             let state = State::Released;
@@ -239,7 +239,7 @@
         let running = Running {
             number,
             fingerprint,
-            until: call.send_by + call.service_timeout + self.settings.margin,
+            until: call.send_by + call.service_timeout + self.settings.timeout_margin,
             callers: call.callers,
         };
         self.callers.running.insert(key, running);
@@ -357,7 +357,10 @@
 
     /// Refuses calls whose intents the store may or may not have, and returns the time to come back.
     pub(crate) fn let_go(&mut self, calls: &mut [Pending], now: Instant) -> Duration {
-        let wait = self.health.wait(now).unwrap_or(self.settings.retry);
+        let wait = self
+            .health
+            .wait(now)
+            .unwrap_or(self.settings.min_store_retry_delay);
         for call in calls {
             let callers = std::mem::take(&mut call.callers);
             self.callers.refuse(&callers, NotRunReason::StoreDown, wait);
@@ -382,7 +385,9 @@
 }
 
 fn intent(call: &Pending, settings: &Settings, now: Instant) -> Record {
-    let ttl = call.send_by.saturating_duration_since(now) + call.service_timeout + settings.margin;
+    let ttl = call.send_by.saturating_duration_since(now)
+        + call.service_timeout
+        + settings.timeout_margin;
     Record {
         key: call.key,
         fingerprint: call.fingerprint,
--- a/crates/ledger/src/health.rs
+++ b/crates/ledger/src/health.rs
@@ -22,10 +22,10 @@
 
 impl Health {
     pub(crate) fn failed(self, settings: &Settings, rng: &mut SmallRng, now: Instant) -> Self {
-        let wait = settings.retry * 2u32.pow(self.failures.min(DOUBLINGS));
+        let wait = settings.min_store_retry_delay * 2u32.pow(self.failures.min(DOUBLINGS));
         // Without jitter the instances that failed together would ask again together.
         let wait = wait
-            .min(settings.retry_most)
+            .min(settings.max_store_retry_delay)
             .mul_f64(rng.random_range(0.5..1.0));
         Self {
             failures: self.failures + 1,
--- a/crates/ledger/src/schedule.rs
+++ b/crates/ledger/src/schedule.rs
@@ -38,7 +38,7 @@
             next_write: now,
             hold: now,
             poll_at: now,
-            poll_wait: settings.poll,
+            poll_wait: settings.min_poll_delay,
             reload: true,
             behind: 0,
         }
@@ -57,7 +57,7 @@
 
     /// A call came, and the result it may wait for can be there already.
     pub(crate) fn called(&mut self, settings: &Settings, now: Instant) {
-        self.poll_wait = settings.poll;
+        self.poll_wait = settings.min_poll_delay;
         self.poll_at = self.poll_at.min(now + self.poll_wait);
     }
 
@@ -87,7 +87,7 @@
     pub(crate) fn at_head(&mut self, settings: &Settings, now: Instant) {
         self.behind = 0;
         self.poll_at = now + self.poll_wait;
-        self.poll_wait = (self.poll_wait * 2).min(settings.poll_most);
+        self.poll_wait = (self.poll_wait * 2).min(settings.max_poll_delay);
     }
 
     /// The log was listed.
--- a/crates/ledger/src/settings.rs
+++ b/crates/ledger/src/settings.rs
@@ -9,38 +9,38 @@
     /// the call run again, so this must be longer than any caller retries.
     pub retention: Duration,
     /// The least time between two writes, by which the write rate is kept.
-    pub pace: Duration,
+    pub min_write_interval: Duration,
     /// How long a result may wait for an intent to ride with.
     pub linger: Duration,
     /// What is added to the time a call may take before others give it up.
-    pub margin: Duration,
-    /// The first wait after the store failed; it doubles up to `retry_most`.
-    pub retry: Duration,
+    pub timeout_margin: Duration,
+    /// The first wait after the store failed; it doubles up to `max_store_retry_delay`.
+    pub min_store_retry_delay: Duration,
     /// The longest wait after the store failed.
-    pub retry_most: Duration,
+    pub max_store_retry_delay: Duration,
     /// The first wait before the log is read again for the result of another writer's call.
-    pub poll: Duration,
+    pub min_poll_delay: Duration,
     /// The longest such wait.
-    pub poll_most: Duration,
+    pub max_poll_delay: Duration,
     /// How many calls may wait for their intent.
-    pub queue: usize,
+    pub max_queued_calls: usize,
     /// How many keys are remembered; more are refused. A key takes about 300 bytes and its result.
-    pub keys: usize,
+    pub max_keys: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             retention: Duration::from_secs(15 * 60),
-            pace: Duration::from_millis(20),
+            min_write_interval: Duration::from_millis(20),
             linger: Duration::from_millis(200),
-            margin: Duration::from_secs(1),
-            retry: Duration::from_millis(200),
-            retry_most: Duration::from_secs(5),
-            poll: Duration::from_millis(20),
-            poll_most: Duration::from_millis(500),
-            queue: 4096,
-            keys: 25_000,
+            timeout_margin: Duration::from_secs(1),
+            min_store_retry_delay: Duration::from_millis(200),
+            max_store_retry_delay: Duration::from_secs(5),
+            min_poll_delay: Duration::from_millis(20),
+            max_poll_delay: Duration::from_millis(500),
+            max_queued_calls: 4096,
+            max_keys: 25_000,
         }
     }
 }
--- a/crates/ledger/src/shard.rs
+++ b/crates/ledger/src/shard.rs
@@ -192,8 +192,8 @@
     }
 
     fn write(&mut self, now: Instant) {
-        let pace = self.book.settings.pace;
-        self.schedule.write_after(now + pace);
+        let min_interval = self.book.settings.min_write_interval;
+        self.schedule.write_after(now + min_interval);
         if let Some(flight) = self.book.flight(self.rng.random(), now) {
             self.send(flight);
         }
@@ -260,7 +260,9 @@
                 self.put_back(flight, now);
             }
             // The write has not taken effect and still may, or an old value was read.
-            Some(_) | None => self.step = Step::Uncertain(flight, now + self.book.settings.poll),
+            Some(_) | None => {
+                self.step = Step::Uncertain(flight, now + self.book.settings.min_poll_delay)
+            }
         }
     }
 
@@ -342,7 +344,7 @@
                 self.book.take_over(log, now);
                 self.admit_again(now);
             }
-            Err(_gap) => self.schedule.hold(now + self.book.settings.poll),
+            Err(_gap) => self.schedule.hold(now + self.book.settings.min_poll_delay),
         }
     }
 
--- a/daemon/src/ledger.rs
+++ b/daemon/src/ledger.rs
@@ -30,7 +30,7 @@
 /// Few shards make large batches; `docs/design/ledger.md` has the measurement.
 pub const SHARDS: u16 = 4;
 /// The least time between two writes of a shard, so that all shards keep to the store's write rate.
-const PACE: Duration = Duration::from_millis(14);
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(14);
 /// How many commands may wait for a shard.
 const COMMANDS: usize = 1024;
 /// The part of a call's deadline that is left for the service after the intent is recorded.
@@ -122,7 +122,7 @@
         let seed = node.rng().random();
         let number = ShardNumber(number);
         let settings = Settings {
-            pace: PACE,
+            min_write_interval: MIN_WRITE_INTERVAL,
             ..Settings::default()
         };
         Self {
