--- a/bench/src/ledger.rs
+++ b/bench/src/ledger.rs
@@ -232,12 +232,12 @@
                 self.at(self.now + self.latency / 2, Event::Reply(node, reply));
             }
             Event::Reply(node, reply) => self.with(node, |shard, now| match reply {
-                Input::Listed(objects) => shard.listed(ListReply::Listed(objects), now),
-                Input::Read(reply) => shard.read(reply, now),
-                Input::Written(reply) => shard.written(reply, now),
+                Input::Listed(objects) => shard.handle_list_reply(ListReply::Listed(objects), now),
+                Input::Read(reply) => shard.handle_read_reply(reply, now),
+                Input::Written(reply) => shard.handle_write_reply(reply, now),
             }),
             Event::Finish(node, finished) => {
-                self.with(node, |shard, now| shard.finish(finished, now));
+                self.with(node, |shard, now| shard.handle_finished_call(finished, now));
             }
             // Another tick is due earlier, or was.
             Event::Tick(node, at) if self.nodes[node].1 != Some(at) => {}
@@ -262,7 +262,7 @@
             service_timeout: SERVICE * 2,
         };
         let node = instance * usize::from(self.shards) + shard;
-        self.with(node, |shard, now| shard.call(call, now));
+        self.with(node, |shard, now| shard.handle_call(call, now));
     }
 
     fn with(&mut self, node: usize, input: impl FnOnce(&mut Shard, Instant) -> Vec<Effect>) {
@@ -382,9 +382,9 @@
         send_by: now + PATIENCE,
         service_timeout: SERVICE,
     };
-    shard.call(call, now);
+    shard.handle_call(call, now);
     let start = std::time::Instant::now();
-    shard.listed(ListReply::Listed(objects), now);
+    shard.handle_list_reply(ListReply::Listed(objects), now);
     (shard, start.elapsed().as_secs_f64() * 1e3)
 }
 
--- a/crates/ledger/src/effect.rs
+++ b/crates/ledger/src/effect.rs
@@ -41,12 +41,12 @@
 
 /// What the user of a shard does for it.
 ///
-/// Of the first four, one at a time is under way, and its reply goes to [`Shard::listed`],
-/// [`Shard::read`] or [`Shard::written`].
+/// Of the first four, one at a time is under way, and its reply goes to [`Shard::handle_list_reply`],
+/// [`Shard::handle_read_reply`] or [`Shard::handle_write_reply`].
 ///
-/// [`Shard::listed`]: crate::Shard::listed
-/// [`Shard::read`]: crate::Shard::read
-/// [`Shard::written`]: crate::Shard::written
+/// [`Shard::handle_list_reply`]: crate::Shard::handle_list_reply
+/// [`Shard::handle_read_reply`]: crate::Shard::handle_read_reply
+/// [`Shard::handle_write_reply`]: crate::Shard::handle_write_reply
 #[derive(Debug)]
 pub enum Effect {
     /// List all objects under the prefix.
@@ -75,9 +75,9 @@
         /// The value.
         value: Bytes,
     },
-    /// Send the call of this caller, and give the outcome to [`Shard::finish`].
+    /// Send the call of this caller, and give the outcome to [`Shard::handle_finished_call`].
     ///
-    /// [`Shard::finish`]: crate::Shard::finish
+    /// [`Shard::handle_finished_call`]: crate::Shard::handle_finished_call
     Dispatch {
         /// Whose call it is.
         id: CallId,
--- a/crates/ledger/src/shard.rs
+++ b/crates/ledger/src/shard.rs
@@ -44,10 +44,10 @@
 ///     send_by: now + Duration::from_secs(2),
 ///     service_timeout: Duration::from_secs(5),
 /// };
-/// assert!(matches!(shard.call(call, now)[..], [Effect::List { .. }]));
-/// let effects = shard.listed(ListReply::Listed(Vec::new()), now);
+/// assert!(matches!(shard.handle_call(call, now)[..], [Effect::List { .. }]));
+/// let effects = shard.handle_list_reply(ListReply::Listed(Vec::new()), now);
 /// assert!(matches!(effects[..], [Effect::Create { .. }]));
-/// let effects = shard.written(WriteReply::Written(Version(1)), now);
+/// let effects = shard.handle_write_reply(WriteReply::Written(Version(1)), now);
 /// assert!(matches!(effects[..], [Effect::Dispatch { id: CallId(1), .. }]));
 /// ```
 #[derive(Debug)]
@@ -74,20 +74,20 @@
     }
 
     /// Takes a call that arrives.
-    pub fn call(&mut self, call: Call, now: Instant) -> Vec<Effect> {
+    pub fn handle_call(&mut self, call: Call, now: Instant) -> Vec<Effect> {
         self.book.admit(self.step.calls(), call.into(), now);
         self.schedule.called(&self.book.settings, now);
         self.advance(now)
     }
 
     /// Takes the outcome of a call that was to be sent.
-    pub fn finish(&mut self, finished: FinishedCall, now: Instant) -> Vec<Effect> {
+    pub fn handle_finished_call(&mut self, finished: FinishedCall, now: Instant) -> Vec<Effect> {
         self.book.finish(finished, now);
         self.advance(now)
     }
 
     /// Takes the reply to a list.
-    pub fn listed(&mut self, reply: ListReply, now: Instant) -> Vec<Effect> {
+    pub fn handle_list_reply(&mut self, reply: ListReply, now: Instant) -> Vec<Effect> {
         if matches!(self.step, Step::Loading) {
             self.step = Step::Idle;
             match reply {
@@ -99,7 +99,7 @@
     }
 
     /// Takes the reply to a get.
-    pub fn read(&mut self, reply: ReadReply, now: Instant) -> Vec<Effect> {
+    pub fn handle_read_reply(&mut self, reply: ReadReply, now: Instant) -> Vec<Effect> {
         match std::mem::take(&mut self.step) {
             Step::Polling => self.polled(reply, now),
             Step::Checking(flight) => self.checked(flight, reply, now),
@@ -109,7 +109,7 @@
     }
 
     /// Takes the reply to a create or update.
-    pub fn written(&mut self, reply: WriteReply, now: Instant) -> Vec<Effect> {
+    pub fn handle_write_reply(&mut self, reply: WriteReply, now: Instant) -> Vec<Effect> {
         match std::mem::take(&mut self.step) {
             Step::Writing(flight) => self.wrote(flight, reply, now),
             other => self.step = other,
@@ -140,12 +140,12 @@
     }
 
     /// Returns how many keys are remembered.
-    pub fn keys(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.book.keys()
     }
 
     /// Returns how many objects the shard has.
-    pub fn slots(&self) -> u32 {
+    pub fn slot_count(&self) -> u32 {
         self.book.log.as_ref().map_or(0, Log::slots)
     }
 
--- a/crates/ledger/tests/test_scripts.rs
+++ b/crates/ledger/tests/test_scripts.rs
@@ -66,11 +66,13 @@
         Ok(match request {
             Effect::List { .. } if how.is_empty() => {
                 let objects = self.store.page("", usize::MAX);
-                shard.listed(ListReply::Listed(objects), now)
+                shard.handle_list_reply(ListReply::Listed(objects), now)
             }
-            Effect::List { .. } => shard.listed(ListReply::Failed, now),
-            Effect::Get { key } if how.is_empty() => shard.read(self.store.get(&key), now),
-            Effect::Get { .. } => shard.read(ReadReply::Failed, now),
+            Effect::List { .. } => shard.handle_list_reply(ListReply::Failed, now),
+            Effect::Get { key } if how.is_empty() => {
+                shard.handle_read_reply(self.store.get(&key), now)
+            }
+            Effect::Get { .. } => shard.handle_read_reply(ReadReply::Failed, now),
             write => {
                 let reply = reaches.then(|| self.store.write(&write));
                 let heard = match (how, reply) {
@@ -78,14 +80,14 @@
                     ("down", _) => WriteReply::NotApplied,
                     _ => WriteReply::Ambiguous,
                 };
-                shard.written(heard, now)
+                shard.handle_write_reply(heard, now)
             }
         })
     }
 
     fn finish(&mut self, node: &str, finished: FinishedCall) -> Vec<Effect> {
         let now = self.now;
-        self.shard(node).finish(finished, now)
+        self.shard(node).handle_finished_call(finished, now)
     }
 
     fn show(&mut self, node: &str, effects: Vec<Effect>) -> String {
@@ -173,7 +175,7 @@
                     send_by: now + Duration::from_secs(2),
                     service_timeout: Duration::from_secs(5),
                 };
-                self.shard(&node).call(call, now)
+                self.shard(&node).handle_call(call, now)
             }
             "store" => self.store(&node, &word)?,
             "tick" => self.shard(&node).tick(now),
--- a/crates/ledger/tests/test_shard.rs
+++ b/crates/ledger/tests/test_shard.rs
@@ -36,7 +36,7 @@
     }
 
     fn call(&mut self, store: &mut Store, id: u64, key: &str, now: Instant) {
-        let effects = self.shard.call(call(id, key, now), now);
+        let effects = self.shard.handle_call(call(id, key, now), now);
         self.go(store, effects, now);
     }
 
@@ -50,11 +50,11 @@
             let next = match effect {
                 Effect::List { .. } => {
                     let all = store.page("", usize::MAX);
-                    self.shard.listed(ListReply::Listed(all), now)
+                    self.shard.handle_list_reply(ListReply::Listed(all), now)
                 }
-                Effect::Get { key } => self.shard.read(store.get(&key), now),
+                Effect::Get { key } => self.shard.handle_read_reply(store.get(&key), now),
                 write @ (Effect::Create { .. } | Effect::Update { .. }) => {
-                    self.shard.written(store.write(&write), now)
+                    self.shard.handle_write_reply(store.write(&write), now)
                 }
                 other => {
                     self.seen.push(other);
@@ -79,7 +79,7 @@
         let sent = unsent.mark_sent(now).unwrap();
         let reply = ServiceResponse::new(200, "text/plain", body);
         let finished = sent.answered(reply, Duration::ZERO, &NotRunCodes::default());
-        let effects = self.shard.finish(finished, now);
+        let effects = self.shard.handle_finished_call(finished, now);
         self.go(store, effects, now);
     }
 }
@@ -114,7 +114,7 @@
         a.answer(&mut store, unsent, vec![b'x'; 16 << 10], now);
     }
     let refused = x.not_run(NotRunReason::NotConnected, Duration::ZERO);
-    a.shard.finish(refused, now);
+    a.shard.handle_finished_call(refused, now);
     a.call(&mut store, 22, "x", now);
     for _ in 0..4 {
         now += STEP;
@@ -134,11 +134,11 @@
     let mut a = Node::new(1, now);
     a.call(&mut store, 0, "other", now);
     now += STEP;
-    let effects = a.shard.call(call(1, "x", now), now);
+    let effects = a.shard.handle_call(call(1, "x", now), now);
     for write in &effects {
         store.write(write);
     }
-    let effects = a.shard.written(WriteReply::NotApplied, now);
+    let effects = a.shard.handle_write_reply(WriteReply::NotApplied, now);
     a.go(&mut store, effects, now);
     let mut b = Node::new(2, now);
     b.call(&mut store, 2, "x", now);
@@ -185,7 +185,7 @@
     a.call(&mut store, 1, "x", now);
     let x = a.unsent().pop().unwrap();
     a.shard
-        .finish(x.not_run(NotRunReason::NotConnected, Duration::ZERO), now);
+        .handle_finished_call(x.not_run(NotRunReason::NotConnected, Duration::ZERO), now);
     for id in 10..20 {
         now += RETENTION / 5;
         b.call(&mut store, id, &format!("k{id}"), now);
@@ -223,7 +223,7 @@
     a.tick(&mut store, now);
     assert_eq!(a.unsent().len(), 1, "the key was not forgotten");
     let finished = old.not_run(NotRunReason::NotConnected, Duration::ZERO);
-    let effects = a.shard.finish(finished, now);
+    let effects = a.shard.handle_finished_call(finished, now);
     a.go(&mut store, effects, now);
     now += STEP;
     a.tick(&mut store, now);
@@ -268,8 +268,8 @@
 /// Lets a new instance read `list` and take a call; returns the last batch if its write succeeds.
 fn write_after(store: &Store, list: &[Object], key: &str, now: Instant) -> Option<u64> {
     let mut b = Node::new(2, now).shard;
-    b.call(call(99, key, now), now);
-    let effects = b.listed(ListReply::Listed(list.to_vec()), now);
+    b.handle_call(call(99, key, now), now);
+    let effects = b.handle_list_reply(ListReply::Listed(list.to_vec()), now);
     let [write @ (Effect::Create { .. } | Effect::Update { .. })] = &effects[..] else {
         return None;
     };
@@ -300,9 +300,11 @@
 fn a_key_with_another_body_is_refused_at_every_stage(#[case] stage: usize) {
     let (mut store, now) = (Store::new(), Instant::now());
     let mut a = Node::new(1, now);
-    let mut effects = a.shard.call(call(1, "x", now), now);
+    let mut effects = a.shard.handle_call(call(1, "x", now), now);
     if stage > 0 {
-        effects = a.shard.listed(ListReply::Listed(Vec::new()), now);
+        effects = a
+            .shard
+            .handle_list_reply(ListReply::Listed(Vec::new()), now);
     }
     if stage > 1 {
         a.go(&mut store, effects, now);
@@ -316,7 +318,7 @@
         fingerprint,
         ..call(2, "x", now)
     };
-    let effects = a.shard.call(other, now);
+    let effects = a.shard.handle_call(other, now);
     let [Effect::Answer { id, answer }] = &effects[..] else {
         panic!("{effects:?}");
     };
@@ -331,9 +333,9 @@
     let mut a = Node::new(1, now);
     a.call(&mut store, 1, "x", now);
     now += STEP;
-    a.shard.call(call(2, "y", now), now);
-    a.shard.written(WriteReply::NotApplied, now);
-    let effects = a.shard.call(call(3, "z", now), now);
+    a.shard.handle_call(call(2, "y", now), now);
+    a.shard.handle_write_reply(WriteReply::NotApplied, now);
+    let effects = a.shard.handle_call(call(3, "z", now), now);
     let [Effect::Answer { answer, .. }] = &effects[..] else {
         panic!("{effects:?}");
     };
--- a/crates/ledger/tests/test_sockets.rs
+++ b/crates/ledger/tests/test_sockets.rs
@@ -65,7 +65,7 @@
         send_by: now + Duration::from_secs(3),
         service_timeout: Duration::from_secs(1),
     };
-    let mut effects = VecDeque::from(shard.call(call, now));
+    let mut effects = VecDeque::from(shard.handle_call(call, now));
     let mut told = None;
     loop {
         let Some(effect) = effects.pop_front() else {
@@ -80,18 +80,18 @@
             Effect::List { prefix } => {
                 let list = client.list_all(&prefix).await;
                 let reply = list.map_or(ListReply::Failed, |all| ListReply::Listed(all.objects));
-                shard.listed(reply, Instant::now())
+                shard.handle_list_reply(reply, Instant::now())
             }
             Effect::Get { key } => {
                 let found = client.get(&key).await.map_err(|e| *e.current_context());
-                shard.read(found.into(), Instant::now())
+                shard.handle_read_reply(found.into(), Instant::now())
             }
             Effect::Create { key, value } => {
                 let done = client
                     .create(&key, value)
                     .await
                     .map_err(|e| *e.current_context());
-                shard.written(done.into(), Instant::now())
+                shard.handle_write_reply(done.into(), Instant::now())
             }
             Effect::Update {
                 key,
@@ -99,7 +99,7 @@
                 value,
             } => {
                 let done = client.update(&key, expected_version, value).await;
-                shard.written(
+                shard.handle_write_reply(
                     done.map_err(|e| *e.current_context()).into(),
                     Instant::now(),
                 )
@@ -108,7 +108,7 @@
                 let sent = unsent.mark_sent(Instant::now()).unwrap();
                 runs.fetch_add(1, Relaxed);
                 let reply = ServiceResponse::new(200, "text/plain", "held");
-                shard.finish(
+                shard.handle_finished_call(
                     sent.answered(reply, TIMEOUT, &NotRunCodes::default()),
                     Instant::now(),
                 )
--- a/crates/ledger/tests/world.rs
+++ b/crates/ledger/tests/world.rs
@@ -185,18 +185,20 @@
             Event::Request(node, call, effect) => self.request(node, call, effect),
             Event::Page(node, call, prefix, objects) => self.page(node, call, prefix, objects),
             Event::Wrote(node, call, reply) => {
-                self.reply(node, call, |s, now| s.written(reply, now))
+                self.reply(node, call, |s, now| s.handle_write_reply(reply, now))
+            }
+            Event::Read(node, call, reply) => {
+                self.reply(node, call, |s, now| s.handle_read_reply(reply, now))
             }
-            Event::Read(node, call, reply) => self.reply(node, call, |s, now| s.read(reply, now)),
             Event::Listed(node, call, reply) => {
-                self.reply(node, call, |s, now| s.listed(reply, now))
+                self.reply(node, call, |s, now| s.handle_list_reply(reply, now))
             }
             Event::Send(node, run, id, unsent) => self.send(node, run, id, unsent),
             Event::Execute(node, run, id, key, finished) => {
                 self.execute(node, run, id, key, finished)
             }
             Event::Finish(node, run, finished) if run == self.nodes[node].run => {
-                self.with(node, |shard, now| shard.finish(finished, now));
+                self.with(node, |shard, now| shard.handle_finished_call(finished, now));
             }
             Event::Tick(node, at) if self.nodes[node].wake == Some(at) => {
                 self.nodes[node].wake = None;
@@ -242,7 +244,7 @@
         };
         let patience = self.millis(500, 6000);
         self.after(patience, Event::Patience(id, tries));
-        self.with(node, |shard, now| shard.call(call, now));
+        self.with(node, |shard, now| shard.handle_call(call, now));
     }
 
     /// A caller who has no result tries again at some instance, also while the first one may
--- a/daemon/src/ledger.rs
+++ b/daemon/src/ledger.rs
@@ -181,22 +181,22 @@
         match command {
             Command::Call { call, send, answer } => {
                 self.waiting.insert(call.id, Wait { send, answer });
-                self.shard.call(call, now)
+                self.shard.handle_call(call, now)
             }
-            Command::Finish(finished) => self.shard.finish(finished, now),
+            Command::Finish(finished) => self.shard.handle_finished_call(finished, now),
         }
     }
 
     fn stored(&mut self, stored: Stored) -> Vec<Effect> {
         let now = Instant::now();
         match stored {
-            Stored::Listed(reply) => self.shard.listed(reply, now),
-            Stored::Read(reply) => self.shard.read(reply, now),
+            Stored::Listed(reply) => self.shard.handle_list_reply(reply, now),
+            Stored::Read(reply) => self.shard.handle_read_reply(reply, now),
             Stored::Written(reply) => {
                 if reply == WriteReply::Conflict {
                     self.node.metrics.add(Counter::LedgerRaces, 1);
                 }
-                self.shard.written(reply, now)
+                self.shard.handle_write_reply(reply, now)
             }
         }
     }
