--- a/bench/src/ledger.rs
+++ b/bench/src/ledger.rs
@@ -8,8 +8,8 @@
 };
 
 use celerypond_ledger::{
-    BodyTag, Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply, Reply, Settings,
-    Shard, ShardNumber, WriteReply,
+    Call, CallId, CallKey, Effect, FinishedCall, ListReply, NotRunCodes, ReadReply,
+    RequestFingerprint, ServiceResponse, Settings, Shard, ShardNumber, WriteReply,
 };
 use celerypond_platform::{Object, Version};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
@@ -141,7 +141,7 @@
     Arrive(CallId),
     Request(usize, Effect),
     Reply(usize, Input),
-    Finish(usize, Finished),
+    Finish(usize, FinishedCall),
     Tick(usize, Instant),
 }
 
@@ -173,9 +173,11 @@
     fn new(shards: u16, instances: usize, latency: Duration, seed: u64) -> Self {
         let now = Instant::now();
         let settings = Settings {
-            pace: Duration::from_secs_f64(f64::from(shards) * instances as f64 / WRITES),
+            min_write_interval: Duration::from_secs_f64(
+                f64::from(shards) * instances as f64 / WRITES,
+            ),
             retention: RETENTION,
-            keys: usize::MAX,
+            max_keys: usize::MAX,
             ..Settings::default()
         };
         let node = |index| {
@@ -230,12 +232,12 @@
                 self.at(self.now + self.latency / 2, Event::Reply(node, reply));
             }
             Event::Reply(node, reply) => self.with(node, |shard, now| match reply {
-                Input::Listed(objects) => shard.listed(ListReply::Listed(objects), now),
-                Input::Read(reply) => shard.read(reply, now),
-                Input::Written(reply) => shard.written(reply, now),
+                Input::Listed(objects) => shard.handle_list_reply(ListReply::Listed(objects), now),
+                Input::Read(reply) => shard.handle_read_reply(reply, now),
+                Input::Written(reply) => shard.handle_write_reply(reply, now),
             }),
             Event::Finish(node, finished) => {
-                self.with(node, |shard, now| shard.finish(finished, now));
+                self.with(node, |shard, now| shard.handle_finished_call(finished, now));
             }
             // Another tick is due earlier, or was.
             Event::Tick(node, at) if self.nodes[node].1 != Some(at) => {}
@@ -255,12 +257,12 @@
         let call = Call {
             id,
             key,
-            body: BodyTag::of("POST", "/holds", b""),
-            by: self.now + PATIENCE,
-            run: SERVICE * 2,
+            fingerprint: RequestFingerprint::of("POST", "/holds", b""),
+            send_by: self.now + PATIENCE,
+            service_timeout: SERVICE * 2,
         };
         let node = instance * usize::from(self.shards) + shard;
-        self.with(node, |shard, now| shard.call(call, now));
+        self.with(node, |shard, now| shard.handle_call(call, now));
     }
 
     fn with(&mut self, node: usize, input: impl FnOnce(&mut Shard, Instant) -> Vec<Effect>) {
@@ -270,7 +272,7 @@
                 Effect::Answer { id, .. } => {
                     self.figures.refused += u64::from(self.from.remove(&id).is_some())
                 }
-                Effect::Broken { .. } => {}
+                Effect::ReportCorruption { .. } => {}
                 request => self.at(self.now + self.latency / 2, Event::Request(node, request)),
             }
         }
@@ -284,13 +286,13 @@
         }
     }
 
-    fn dispatch(&mut self, node: usize, id: CallId, unsent: celerypond_ledger::Unsent) {
+    fn dispatch(&mut self, node: usize, id: CallId, unsent: celerypond_ledger::UnsentCall) {
         if let Some(from) = self.from.remove(&id) {
             self.figures.added_ms.push(millis(self.now - from));
         }
-        let reply = Reply::new(200, "application/json", "{\"hold\":17}");
-        let finished = match unsent.send(self.now) {
-            Ok(sent) => sent.answered(reply, Duration::ZERO, &Proof::default()),
+        let reply = ServiceResponse::new(200, "application/json", "{\"hold\":17}");
+        let finished = match unsent.mark_sent(self.now) {
+            Ok(sent) => sent.answered(reply, Duration::ZERO, &NotRunCodes::default()),
             Err(finished) => finished,
         };
         self.at(self.now + SERVICE, Event::Finish(node, finished));
@@ -313,12 +315,16 @@
                 Input::Listed(under.map(|(_, object)| object.clone()).collect())
             }
             Effect::Create { key, value } => self.put(key, None, value),
-            Effect::Update { key, before, value } => self.put(key, Some(before), value),
+            Effect::Update {
+                key,
+                expected_version,
+                value,
+            } => self.put(key, Some(expected_version), value),
             Effect::Get { key } => {
                 let found = self.objects.get(&key).cloned();
                 Input::Read(found.map_or(ReadReply::Missing, ReadReply::Found))
             }
-            Effect::Dispatch { .. } | Effect::Answer { .. } | Effect::Broken { .. } => {
+            Effect::Dispatch { .. } | Effect::Answer { .. } | Effect::ReportCorruption { .. } => {
                 Input::Read(ReadReply::Failed)
             }
         }
@@ -372,13 +378,13 @@
     let call = Call {
         id: CallId(0),
         key: CallKey::of(&"account".into(), &"new".into()),
-        body: BodyTag::of("POST", "/holds", b""),
-        by: now + PATIENCE,
-        run: SERVICE,
+        fingerprint: RequestFingerprint::of("POST", "/holds", b""),
+        send_by: now + PATIENCE,
+        service_timeout: SERVICE,
     };
-    shard.call(call, now);
+    shard.handle_call(call, now);
     let start = std::time::Instant::now();
-    shard.listed(ListReply::Listed(objects), now);
+    shard.handle_list_reply(ListReply::Listed(objects), now);
     (shard, start.elapsed().as_secs_f64() * 1e3)
 }
 
--- a/crates/ledger/src/batch.rs
+++ b/crates/ledger/src/batch.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::{BodyTag, CallKey, Reply};
+use crate::{CallKey, RequestFingerprint, ServiceResponse};
 
 /// The part of an object's size that does not depend on bodies, in bytes a record.
 const RECORD_BYTES: usize = 180;
@@ -20,7 +20,7 @@
 /// The ordinal of a batch in its shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Sequence(pub u64);
+pub struct SequenceNumber(pub u64);
 
 /// An object of a shard, used again for a later batch when its records have expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Batch {
     /// The place in the log.
-    pub(crate) sequence: Sequence,
+    pub(crate) sequence: SequenceNumber,
     /// The oldest batch that is still in the log.
-    pub(crate) first: Sequence,
+    pub(crate) first: SequenceNumber,
     /// The slot that takes the next batch.
     pub(crate) next: Slot,
     /// Who wrote this batch.
@@ -51,7 +51,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Record {
     pub(crate) key: CallKey,
-    pub(crate) body: BodyTag,
+    #[serde(rename = "body")]
+    pub(crate) fingerprint: RequestFingerprint,
     pub(crate) state: State,
 }
 
@@ -65,7 +66,7 @@
         ttl_ms: u64,
     },
     /// The call ran.
-    Ran(Reply),
+    Ran(ServiceResponse),
     /// The call may have run and is never sent again.
     Unknown,
     /// The call was never sent and never will be; the key is free. Only the writer of the intent
@@ -76,7 +77,7 @@
 /// An object that is not a batch.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("the object at version {0} is not a batch")]
-pub struct BatchError(pub Version);
+pub struct BatchDecodeError(pub Version);
 
 impl Batch {
     pub(crate) fn encode(&self) -> Bytes {
@@ -84,8 +85,8 @@
         serde_json::to_vec(self).unwrap_or_default().into()
     }
 
-    pub(crate) fn decode(version: Version, value: &[u8]) -> Result<Self, BatchError> {
-        serde_json::from_slice(value).map_err(|_| BatchError(version))
+    pub(crate) fn decode(version: Version, value: &[u8]) -> Result<Self, BatchDecodeError> {
+        serde_json::from_slice(value).map_err(|_| BatchDecodeError(version))
     }
 
     pub(crate) fn is(&self, other: &Self) -> bool {
@@ -101,7 +102,7 @@
     /// Returns about how many bytes this record takes in an object.
     pub(crate) fn size(&self) -> usize {
         match &self.state {
-            State::Ran(reply) => RECORD_BYTES + reply.media.len() + reply.body.len() * 4 / 3,
+            State::Ran(reply) => RECORD_BYTES + reply.media_type.len() + reply.body.len() * 4 / 3,
             State::Started { .. } | State::Unknown | State::Released => RECORD_BYTES,
         }
     }
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -9,13 +9,13 @@
 
 use crate::{
     batch::{Record, State},
-    call::Intent,
+    call_state::Intent,
     callers::{Callers, Late, Pending, Running},
     flight::Flight,
     health::Health,
     log::{Entry, Log},
     stored::Stored,
-    Answer, BodyTag, CallKey, Effect, Finished, Settings, Unsent, WriterId,
+    Answer, CallKey, Effect, FinishedCall, RequestFingerprint, Settings, UnsentCall, WriterId,
 };
 
 /// The size at which a batch is full, in bytes; an object holds a megabyte.
@@ -83,7 +83,7 @@
 
     fn meet(&mut self, entry: &Entry, pending: Pending, now: Instant) {
         let callers = &mut self.callers;
-        if entry.body != pending.body {
+        if entry.fingerprint != pending.fingerprint {
             callers.answer(&pending.callers, &Answer::KeyReused);
             return;
         }
@@ -98,13 +98,13 @@
     }
 
     fn enqueue(&mut self, pending: Pending, now: Instant) {
-        let full =
-            self.callers.queue.len() >= self.settings.queue || self.keys() >= self.settings.keys;
+        let full = self.callers.queue.len() >= self.settings.max_queued_calls
+            || self.keys() >= self.settings.max_keys;
         let callers = &mut self.callers;
         match self.health.wait(now) {
             Some(wait) => callers.refuse(&pending.callers, NotRunReason::StoreDown, wait),
             None if full => {
-                let wait = self.settings.retry;
+                let wait = self.settings.min_store_retry_delay;
                 callers.refuse(&pending.callers, NotRunReason::Overload, wait);
             }
             None => callers.queue.push(pending),
@@ -129,9 +129,9 @@
     pub(crate) fn expire(&mut self, now: Instant) {
         let wait = self.health.wait(now);
         let reason = wait.map_or(NotRunReason::Overload, |_| NotRunReason::StoreDown);
-        let wait = wait.unwrap_or(self.settings.retry);
+        let wait = wait.unwrap_or(self.settings.min_store_retry_delay);
         self.callers.expire_queue(reason, wait, now);
-        self.callers.give_up(|call| call.by <= now);
+        self.callers.give_up(|call| call.send_by <= now);
         let over = |running: &Running| running.until <= now;
         let lost = self
             .callers
@@ -139,12 +139,19 @@
             .extract_if(.., |_, running| over(running));
         for (key, running) in lost.collect::<Vec<_>>() {
             self.callers.outcome(&running.callers, Outcome::Unknown);
-            let (body, state) = (running.body, State::Unknown);
+            let (fingerprint, state) = (running.fingerprint, State::Unknown);
             let since = now;
             self.callers
                 .late
-                .insert(running.number, Late { body, since });
-            self.end(Record { key, body, state }, now);
+                .insert(running.number, Late { fingerprint, since });
+            self.end(
+                Record {
+                    key,
+                    fingerprint,
+                    state,
+                },
+                now,
+            );
         }
         let retention = self.settings.retention;
         self.callers
@@ -167,7 +174,7 @@
     ///
     /// An outcome that comes after its callers were told unknown still goes into the log: the process
     /// was paused, and a retry gets the result, or a free key.
-    pub(crate) fn finish(&mut self, finished: Finished, now: Instant) {
+    pub(crate) fn finish(&mut self, finished: FinishedCall, now: Instant) {
         let Some(Intent { key, number }) = finished.intent() else {
             return;
         };
@@ -175,49 +182,68 @@
             .callers
             .late
             .remove(&number)
-            .map(|late| (late.body, Vec::new()));
+            .map(|late| (late.fingerprint, Vec::new()));
         let running = self.callers.running.get(&key);
         let running = match running.filter(|running| running.number == number) {
             Some(_) => self.callers.running.remove(&key),
             None => None,
         };
-        let running = running.map(|running| (running.body, running.callers));
-        let Some((body, callers)) = running.or(late) else {
+        let running = running.map(|running| (running.fingerprint, running.callers));
+        let Some((fingerprint, callers)) = running.or(late) else {
             return;
         };
         let outcome = finished.outcome();
         let state = match &outcome {
-            Outcome::Ran(reply) => State::Ran(reply.kept()),
+            Outcome::Ran(reply) => State::Ran(reply.truncated_for_storage()),
             Outcome::NotRun { .. } => State::Released,
             Outcome::Unknown => State::Unknown,
         };
         // Nobody else waits for this key: who asked meanwhile joined the call.
         self.callers.outcome(&callers, outcome);
-        self.end(Record { key, body, state }, now);
+        self.end(
+            Record {
+                key,
+                fingerprint,
+                state,
+            },
+            now,
+        );
     }
 
     /// Lets a call be sent whose intent is in the log.
     pub(crate) fn dispatch(&mut self, call: Pending, now: Instant) {
-        let (key, body) = (call.key, call.body);
-        let Some(id) = call.callers.first().copied().filter(|_| now <= call.by) else {
+        let (key, fingerprint) = (call.key, call.fingerprint);
+        let Some(id) = call
+            .callers
+            .first()
+            .copied()
+            .filter(|_| now <= call.send_by)
+        else {
             // The callers gave up, or the process was paused between the write and its reply. The
             // call was not sent, and the record makes the key free for a retry.
-            let wait = self.settings.retry;
+            let wait = self.settings.min_store_retry_delay;
             self.callers
                 .refuse(&call.callers, NotRunReason::Overload, wait);
             let state = State::Released;
-            return self.end(Record { key, body, state }, now);
+            return self.end(
+                Record {
+                    key,
+                    fingerprint,
+                    state,
+                },
+                now,
+            );
         };
         self.intents += 1;
         let number = self.intents;
         let running = Running {
             number,
-            body,
-            until: call.by + call.run + self.settings.margin,
+            fingerprint,
+            until: call.send_by + call.service_timeout + self.settings.timeout_margin,
             callers: call.callers,
         };
         self.callers.running.insert(key, running);
-        let unsent = Unsent::keyed(Intent { key, number }, call.by);
+        let unsent = UnsentCall::keyed(Intent { key, number }, call.send_by);
         self.callers.effects.push(Effect::Dispatch { id, unsent });
     }
 
@@ -225,11 +251,18 @@
     ///
     /// Such an intent was in a write that seemed to have no effect. It was not sent, and only its
     /// writer may say so; left alone it would make the call unknown for good.
-    pub(crate) fn release(&mut self, open: Vec<(CallKey, BodyTag)>, now: Instant) {
-        for (key, body) in open {
+    pub(crate) fn release(&mut self, open: Vec<(CallKey, RequestFingerprint)>, now: Instant) {
+        for (key, fingerprint) in open {
             if !self.callers.running.contains_key(&key) {
                 let state = State::Released;
-                self.end(Record { key, body, state }, now);
+                self.end(
+                    Record {
+                        key,
+                        fingerprint,
+                        state,
+                    },
+                    now,
+                );
             }
         }
     }
@@ -324,7 +357,10 @@
 
     /// Refuses calls whose intents the store may or may not have, and returns the time to come back.
     pub(crate) fn let_go(&mut self, calls: &mut [Pending], now: Instant) -> Duration {
-        let wait = self.health.wait(now).unwrap_or(self.settings.retry);
+        let wait = self
+            .health
+            .wait(now)
+            .unwrap_or(self.settings.min_store_retry_delay);
         for call in calls {
             let callers = std::mem::take(&mut call.callers);
             self.callers.refuse(&callers, NotRunReason::StoreDown, wait);
@@ -349,10 +385,12 @@
 }
 
 fn intent(call: &Pending, settings: &Settings, now: Instant) -> Record {
-    let ttl = call.by.saturating_duration_since(now) + call.run + settings.margin;
+    let ttl = call.send_by.saturating_duration_since(now)
+        + call.service_timeout
+        + settings.timeout_margin;
     Record {
         key: call.key,
-        body: call.body,
+        fingerprint: call.fingerprint,
         state: State::Started {
             ttl_ms: ttl.as_millis() as u64,
         },
--- a/crates/ledger/src/effect.rs
+++ b/crates/ledger/src/effect.rs
@@ -8,7 +8,7 @@
 use smol_str::SmolStr;
 use tokio::time::Instant;
 
-use crate::{BatchError, BodyTag, CallKey, Reply, Unsent};
+use crate::{BatchDecodeError, CallKey, RequestFingerprint, ServiceResponse, UnsentCall};
 
 /// A waiting caller, in the terms of the user of the shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -22,11 +22,11 @@
     /// The key of the call.
     pub key: CallKey,
     /// The tag of its body.
-    pub body: BodyTag,
+    pub fingerprint: RequestFingerprint,
     /// When it must have been sent; later it ends as not run.
-    pub by: Instant,
+    pub send_by: Instant,
     /// How long the service may take after that.
-    pub run: Duration,
+    pub service_timeout: Duration,
 }
 
 /// What a caller is told.
@@ -34,19 +34,19 @@
 pub enum Answer {
     /// What became of the call. `NotRun` speaks of this attempt; an earlier one that ended as
     /// unknown stays so.
-    Outcome(Outcome<Reply>),
+    Outcome(Outcome<ServiceResponse>),
     /// The key was used for a call with another body; nothing was sent.
     KeyReused,
 }
 
 /// What the user of a shard does for it.
 ///
-/// Of the first four, one at a time is under way, and its reply goes to [`Shard::listed`],
-/// [`Shard::read`] or [`Shard::written`].
+/// Of the first four, one at a time is under way, and its reply goes to [`Shard::handle_list_reply`],
+/// [`Shard::handle_read_reply`] or [`Shard::handle_write_reply`].
 ///
-/// [`Shard::listed`]: crate::Shard::listed
-/// [`Shard::read`]: crate::Shard::read
-/// [`Shard::written`]: crate::Shard::written
+/// [`Shard::handle_list_reply`]: crate::Shard::handle_list_reply
+/// [`Shard::handle_read_reply`]: crate::Shard::handle_read_reply
+/// [`Shard::handle_write_reply`]: crate::Shard::handle_write_reply
 #[derive(Debug)]
 pub enum Effect {
     /// List all objects under the prefix.
@@ -71,18 +71,18 @@
         /// The key.
         key: SmolStr,
         /// The version it must have.
-        before: Version,
+        expected_version: Version,
         /// The value.
         value: Bytes,
     },
-    /// Send the call of this caller, and give the outcome to [`Shard::finish`].
+    /// Send the call of this caller, and give the outcome to [`Shard::handle_finished_call`].
     ///
-    /// [`Shard::finish`]: crate::Shard::finish
+    /// [`Shard::handle_finished_call`]: crate::Shard::handle_finished_call
     Dispatch {
         /// Whose call it is.
         id: CallId,
         /// The permission to send it.
-        unsent: Unsent,
+        unsent: UnsentCall,
     },
     /// Answer a caller.
     Answer {
@@ -92,9 +92,9 @@
         answer: Answer,
     },
     /// Report an object that cannot be read; the shard refuses calls until it can.
-    Broken {
+    ReportCorruption {
         /// What is wrong.
-        error: BatchError,
+        error: BatchDecodeError,
     },
 }
 
@@ -108,9 +108,9 @@
     /// It may have taken effect, or still may.
     Ambiguous,
     /// It took no effect, as the store is down.
-    Down,
+    NotApplied,
     /// It was not sent, as the rate is used up.
-    Later {
+    RateLimited {
         /// When to come back.
         retry_after: Duration,
     },
@@ -144,8 +144,8 @@
             Err(
                 PlatformError::OverBudget { retry_after }
                 | PlatformError::RateLimited { retry_after },
-            ) => Self::Later { retry_after },
-            Err(error) if error.no_effect() => Self::Down,
+            ) => Self::RateLimited { retry_after },
+            Err(error) if error.no_effect() => Self::NotApplied,
             Err(_) => Self::Ambiguous,
         }
     }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -5,27 +5,27 @@
 
 mod batch;
 mod book;
-mod call;
+mod call_key;
+mod call_state;
 mod callers;
 mod effect;
 mod failure;
 mod flight;
 mod health;
-mod key;
 mod log;
-mod proof;
-mod reply;
+mod not_run_codes;
+mod response;
 mod schedule;
 mod settings;
 mod shard;
 mod stored;
 
-pub use batch::{BatchError, Sequence, Slot, WriterId};
-pub use call::{Finished, Sent, Unsent};
+pub use batch::{BatchDecodeError, SequenceNumber, Slot, WriterId};
+pub use call_key::{CallKey, RequestFingerprint};
+pub use call_state::{FinishedCall, SentCall, UnsentCall};
 pub use effect::{Answer, Call, CallId, Effect, ListReply, ReadReply, WriteReply};
-pub use failure::{Advice, Failure};
-pub use key::{BodyTag, CallKey};
-pub use proof::Proof;
-pub use reply::Reply;
+pub use failure::{Failure, RetryDecision};
+pub use not_run_codes::NotRunCodes;
+pub use response::ServiceResponse;
 pub use settings::Settings;
 pub use shard::{Shard, ShardNumber};
--- a/crates/ledger/src/shard.rs
+++ b/crates/ledger/src/shard.rs
@@ -11,7 +11,8 @@
     log::Log,
     schedule::{Due, Schedule},
     stored::Stored,
-    BatchError, Call, Effect, Finished, ListReply, ReadReply, Settings, Slot, WriteReply, WriterId,
+    BatchDecodeError, Call, Effect, FinishedCall, ListReply, ReadReply, Settings, Slot, WriteReply,
+    WriterId,
 };
 
 /// The ordinal of a shard.
@@ -29,7 +30,7 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use celerypond_ledger::{BodyTag, Call, CallId, CallKey, Effect, ListReply};
+/// use celerypond_ledger::{RequestFingerprint, Call, CallId, CallKey, Effect, ListReply};
 /// use celerypond_ledger::{Settings, Shard, ShardNumber, WriteReply};
 /// use celerypond_platform::Version;
 /// use tokio::time::Instant;
@@ -39,14 +40,14 @@
 /// let call = Call {
 ///     id: CallId(1),
 ///     key: CallKey::of(&"holding".into(), &"hold-17".into()),
-///     body: BodyTag::of("POST", "/holds", b"{}"),
-///     by: now + Duration::from_secs(2),
-///     run: Duration::from_secs(5),
+///     fingerprint: RequestFingerprint::of("POST", "/holds", b"{}"),
+///     send_by: now + Duration::from_secs(2),
+///     service_timeout: Duration::from_secs(5),
 /// };
-/// assert!(matches!(shard.call(call, now)[..], [Effect::List { .. }]));
-/// let effects = shard.listed(ListReply::Listed(Vec::new()), now);
+/// assert!(matches!(shard.handle_call(call, now)[..], [Effect::List { .. }]));
+/// let effects = shard.handle_list_reply(ListReply::Listed(Vec::new()), now);
 /// assert!(matches!(effects[..], [Effect::Create { .. }]));
-/// let effects = shard.written(WriteReply::Written(Version(1)), now);
+/// let effects = shard.handle_write_reply(WriteReply::Written(Version(1)), now);
 /// assert!(matches!(effects[..], [Effect::Dispatch { id: CallId(1), .. }]));
 /// ```
 #[derive(Debug)]
@@ -73,20 +74,20 @@
     }
 
     /// Takes a call that arrives.
-    pub fn call(&mut self, call: Call, now: Instant) -> Vec<Effect> {
+    pub fn handle_call(&mut self, call: Call, now: Instant) -> Vec<Effect> {
         self.book.admit(self.step.calls(), call.into(), now);
         self.schedule.called(&self.book.settings, now);
         self.advance(now)
     }
 
     /// Takes the outcome of a call that was to be sent.
-    pub fn finish(&mut self, finished: Finished, now: Instant) -> Vec<Effect> {
+    pub fn handle_finished_call(&mut self, finished: FinishedCall, now: Instant) -> Vec<Effect> {
         self.book.finish(finished, now);
         self.advance(now)
     }
 
     /// Takes the reply to a list.
-    pub fn listed(&mut self, reply: ListReply, now: Instant) -> Vec<Effect> {
+    pub fn handle_list_reply(&mut self, reply: ListReply, now: Instant) -> Vec<Effect> {
         if matches!(self.step, Step::Loading) {
             self.step = Step::Idle;
             match reply {
@@ -98,7 +99,7 @@
     }
 
     /// Takes the reply to a get.
-    pub fn read(&mut self, reply: ReadReply, now: Instant) -> Vec<Effect> {
+    pub fn handle_read_reply(&mut self, reply: ReadReply, now: Instant) -> Vec<Effect> {
         match std::mem::take(&mut self.step) {
             Step::Polling => self.polled(reply, now),
             Step::Checking(flight) => self.checked(flight, reply, now),
@@ -108,7 +109,7 @@
     }
 
     /// Takes the reply to a create or update.
-    pub fn written(&mut self, reply: WriteReply, now: Instant) -> Vec<Effect> {
+    pub fn handle_write_reply(&mut self, reply: WriteReply, now: Instant) -> Vec<Effect> {
         match std::mem::take(&mut self.step) {
             Step::Writing(flight) => self.wrote(flight, reply, now),
             other => self.step = other,
@@ -139,12 +140,12 @@
     }
 
     /// Returns how many keys are remembered.
-    pub fn keys(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.book.keys()
     }
 
     /// Returns how many objects the shard has.
-    pub fn slots(&self) -> u32 {
+    pub fn slot_count(&self) -> u32 {
         self.book.log.as_ref().map_or(0, Log::slots)
     }
 
@@ -191,8 +192,8 @@
     }
 
     fn write(&mut self, now: Instant) {
-        let pace = self.book.settings.pace;
-        self.schedule.write_after(now + pace);
+        let min_interval = self.book.settings.min_write_interval;
+        self.schedule.write_after(now + min_interval);
         if let Some(flight) = self.book.flight(self.rng.random(), now) {
             self.send(flight);
         }
@@ -219,11 +220,11 @@
                 flight.doubtful = true;
                 self.check(flight);
             }
-            WriteReply::Down => self.stuck(flight, now),
-            WriteReply::Later { retry_after } if flight.doubtful => {
+            WriteReply::NotApplied => self.stuck(flight, now),
+            WriteReply::RateLimited { retry_after } if flight.doubtful => {
                 self.step = Step::Uncertain(flight, now + retry_after);
             }
-            WriteReply::Later { retry_after } => {
+            WriteReply::RateLimited { retry_after } => {
                 self.schedule.write_after(now + retry_after);
                 self.put_back(flight, now);
             }
@@ -259,7 +260,9 @@
                 self.put_back(flight, now);
             }
             // The write has not taken effect and still may, or an old value was read.
-            Some(_) | None => self.step = Step::Uncertain(flight, now + self.book.settings.poll),
+            Some(_) | None => {
+                self.step = Step::Uncertain(flight, now + self.book.settings.min_poll_delay)
+            }
         }
     }
 
@@ -341,17 +344,23 @@
                 self.book.take_over(log, now);
                 self.admit_again(now);
             }
-            Err(_gap) => self.schedule.hold(now + self.book.settings.poll),
+            Err(_gap) => self.schedule.hold(now + self.book.settings.min_poll_delay),
         }
     }
 
-    fn broken(&mut self, flight: Flight, error: BatchError, now: Instant) {
-        self.book.callers.effects.push(Effect::Broken { error });
+    fn broken(&mut self, flight: Flight, error: BatchDecodeError, now: Instant) {
+        self.book
+            .callers
+            .effects
+            .push(Effect::ReportCorruption { error });
         self.stuck(flight, now);
     }
 
-    fn report(&mut self, error: BatchError, now: Instant) {
-        self.book.callers.effects.push(Effect::Broken { error });
+    fn report(&mut self, error: BatchDecodeError, now: Instant) {
+        self.book
+            .callers
+            .effects
+            .push(Effect::ReportCorruption { error });
         self.store_failed(now);
     }
 
--- a/crates/ledger/tests/test_scripts.rs
+++ b/crates/ledger/tests/test_scripts.rs
@@ -3,8 +3,9 @@
 use std::{collections::BTreeMap, error::Error, fmt::Write as _, time::Duration};
 
 use celerypond_ledger::{
-    Answer, BodyTag, Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply, Reply,
-    Sent, Settings, Shard, ShardNumber, Unsent, WriteReply,
+    Answer, Call, CallId, CallKey, Effect, FinishedCall, ListReply, NotRunCodes, ReadReply,
+    RequestFingerprint, SentCall, ServiceResponse, Settings, Shard, ShardNumber, UnsentCall,
+    WriteReply,
 };
 use celerypond_types::{NotRunReason, Outcome};
 use goldenscript::{Command, Context, Runner};
@@ -31,8 +32,8 @@
     store: Store,
     shards: BTreeMap<String, Shard>,
     requests: BTreeMap<String, Effect>,
-    unsent: BTreeMap<u64, Unsent>,
-    sent: BTreeMap<u64, Sent>,
+    unsent: BTreeMap<u64, UnsentCall>,
+    sent: BTreeMap<u64, SentCall>,
     names: BTreeMap<CallKey, String>,
 }
 
@@ -65,26 +66,28 @@
         Ok(match request {
             Effect::List { .. } if how.is_empty() => {
                 let objects = self.store.page("", usize::MAX);
-                shard.listed(ListReply::Listed(objects), now)
+                shard.handle_list_reply(ListReply::Listed(objects), now)
             }
-            Effect::List { .. } => shard.listed(ListReply::Failed, now),
-            Effect::Get { key } if how.is_empty() => shard.read(self.store.get(&key), now),
-            Effect::Get { .. } => shard.read(ReadReply::Failed, now),
+            Effect::List { .. } => shard.handle_list_reply(ListReply::Failed, now),
+            Effect::Get { key } if how.is_empty() => {
+                shard.handle_read_reply(self.store.get(&key), now)
+            }
+            Effect::Get { .. } => shard.handle_read_reply(ReadReply::Failed, now),
             write => {
                 let reply = reaches.then(|| self.store.write(&write));
                 let heard = match (how, reply) {
                     ("", Some(reply)) => reply,
-                    ("down", _) => WriteReply::Down,
+                    ("down", _) => WriteReply::NotApplied,
                     _ => WriteReply::Ambiguous,
                 };
-                shard.written(heard, now)
+                shard.handle_write_reply(heard, now)
             }
         })
     }
 
-    fn finish(&mut self, node: &str, finished: Finished) -> Vec<Effect> {
+    fn finish(&mut self, node: &str, finished: FinishedCall) -> Vec<Effect> {
         let now = self.now;
-        self.shard(node).finish(finished, now)
+        self.shard(node).handle_finished_call(finished, now)
     }
 
     fn show(&mut self, node: &str, effects: Vec<Effect>) -> String {
@@ -95,7 +98,7 @@
             _ = writeln!(out, "{node}: {line}");
             match effect {
                 Effect::Dispatch { id, unsent } => _ = self.unsent.insert(id.0, unsent),
-                Effect::Answer { .. } | Effect::Broken { .. } => {}
+                Effect::Answer { .. } | Effect::ReportCorruption { .. } => {}
                 request => _ = self.requests.insert(node.to_owned(), request),
             }
         }
@@ -107,11 +110,18 @@
             Effect::List { prefix } => format!("list {prefix}"),
             Effect::Get { key } => format!("get {key}"),
             Effect::Create { key, value } => format!("create {key} [{}]", self.records(value)),
-            Effect::Update { key, before, value } => {
-                format!("update {key} at {before} [{}]", self.records(value))
+            Effect::Update {
+                key,
+                expected_version,
+                value,
+            } => {
+                format!(
+                    "update {key} at {expected_version} [{}]",
+                    self.records(value)
+                )
             }
             Effect::Dispatch { id, .. } => format!("dispatch {}", id.0),
-            Effect::Broken { error } => error.to_string(),
+            Effect::ReportCorruption { error } => error.to_string(),
             Effect::Answer { id, answer } => match answer {
                 Answer::KeyReused => format!("answer {}: key reused", id.0),
                 Answer::Outcome(Outcome::Ran(reply)) => {
@@ -161,11 +171,11 @@
                 let call = Call {
                     id: CallId(id),
                     key,
-                    body: BodyTag::of("POST", "/holds", body.as_bytes()),
-                    by: now + Duration::from_secs(2),
-                    run: Duration::from_secs(5),
+                    fingerprint: RequestFingerprint::of("POST", "/holds", body.as_bytes()),
+                    send_by: now + Duration::from_secs(2),
+                    service_timeout: Duration::from_secs(5),
                 };
-                self.shard(&node).call(call, now)
+                self.shard(&node).handle_call(call, now)
             }
             "store" => self.store(&node, &word)?,
             "tick" => self.shard(&node).tick(now),
@@ -178,7 +188,12 @@
                 self.now += Duration::from_millis(node.parse()?);
                 return Ok(String::new());
             }
-            "send" => match self.unsent.remove(&id).ok_or("no permission")?.send(now) {
+            "send" => match self
+                .unsent
+                .remove(&id)
+                .ok_or("no permission")?
+                .mark_sent(now)
+            {
                 Ok(sent) => {
                     self.sent.insert(id, sent);
                     return Ok(format!("service: run {id}\n"));
@@ -193,9 +208,9 @@
             "answered" => {
                 let sent = self.sent.remove(&id).ok_or("not sent")?;
                 let status = args.next_pos().unwrap_or("200").parse()?;
-                let proof = Proof::new(&[429]);
-                let reply = Reply::new(status, "text/plain", "");
-                self.finish(&node, sent.answered(reply, Duration::ZERO, &proof))
+                let not_run_codes = NotRunCodes::new(&[429]);
+                let reply = ServiceResponse::new(status, "text/plain", "");
+                self.finish(&node, sent.answered(reply, Duration::ZERO, &not_run_codes))
             }
             "unanswered" => {
                 let sent = self.sent.remove(&id).ok_or("not sent")?;
--- a/crates/ledger/tests/test_sockets.rs
+++ b/crates/ledger/tests/test_sockets.rs
@@ -7,8 +7,8 @@
 };
 
 use celerypond_ledger::{
-    Answer, BodyTag, Call, CallId, CallKey, Effect, ListReply, Proof, Reply, Settings, Shard,
-    ShardNumber,
+    Answer, Call, CallId, CallKey, Effect, ListReply, NotRunCodes, RequestFingerprint,
+    ServiceResponse, Settings, Shard, ShardNumber,
 };
 use celerypond_platform::{Client, Rates, Settings as ClientSettings};
 use celerypond_testutils::{fault::PlatformFault, platform::Platform, roster::Listing};
@@ -47,7 +47,7 @@
         call(seed, client, &runs)
     });
     let answers = futures::future::join_all(calls).await;
-    let reply = Reply::new(200, "text/plain", "held");
+    let reply = ServiceResponse::new(200, "text/plain", "held");
     for answer in answers {
         assert_eq!(answer, Answer::Outcome(Outcome::Ran(reply.clone())));
     }
@@ -61,11 +61,11 @@
     let call = Call {
         id: CallId(seed),
         key: CallKey::of(&"account".into(), &"key".into()),
-        body: BodyTag::of("POST", "/holds", b""),
-        by: now + Duration::from_secs(3),
-        run: Duration::from_secs(1),
+        fingerprint: RequestFingerprint::of("POST", "/holds", b""),
+        send_by: now + Duration::from_secs(3),
+        service_timeout: Duration::from_secs(1),
     };
-    let mut effects = VecDeque::from(shard.call(call, now));
+    let mut effects = VecDeque::from(shard.handle_call(call, now));
     let mut told = None;
     loop {
         let Some(effect) = effects.pop_front() else {
@@ -80,32 +80,36 @@
             Effect::List { prefix } => {
                 let list = client.list_all(&prefix).await;
                 let reply = list.map_or(ListReply::Failed, |all| ListReply::Listed(all.objects));
-                shard.listed(reply, Instant::now())
+                shard.handle_list_reply(reply, Instant::now())
             }
             Effect::Get { key } => {
                 let found = client.get(&key).await.map_err(|e| *e.current_context());
-                shard.read(found.into(), Instant::now())
+                shard.handle_read_reply(found.into(), Instant::now())
             }
             Effect::Create { key, value } => {
                 let done = client
                     .create(&key, value)
                     .await
                     .map_err(|e| *e.current_context());
-                shard.written(done.into(), Instant::now())
+                shard.handle_write_reply(done.into(), Instant::now())
             }
-            Effect::Update { key, before, value } => {
-                let done = client.update(&key, before, value).await;
-                shard.written(
+            Effect::Update {
+                key,
+                expected_version,
+                value,
+            } => {
+                let done = client.update(&key, expected_version, value).await;
+                shard.handle_write_reply(
                     done.map_err(|e| *e.current_context()).into(),
                     Instant::now(),
                 )
             }
             Effect::Dispatch { unsent, .. } => {
-                let sent = unsent.send(Instant::now()).unwrap();
+                let sent = unsent.mark_sent(Instant::now()).unwrap();
                 runs.fetch_add(1, Relaxed);
-                let reply = Reply::new(200, "text/plain", "held");
-                shard.finish(
-                    sent.answered(reply, TIMEOUT, &Proof::default()),
+                let reply = ServiceResponse::new(200, "text/plain", "held");
+                shard.handle_finished_call(
+                    sent.answered(reply, TIMEOUT, &NotRunCodes::default()),
                     Instant::now(),
                 )
             }
@@ -113,7 +117,7 @@
                 told = Some(answer);
                 Vec::new()
             }
-            Effect::Broken { error } => panic!("{error}"),
+            Effect::ReportCorruption { error } => panic!("{error}"),
         };
         effects.extend(next);
     }
--- a/crates/ledger/tests/world.rs
+++ b/crates/ledger/tests/world.rs
@@ -7,8 +7,8 @@
 };
 
 use celerypond_ledger::{
-    Answer, BodyTag, Call, CallId, CallKey, Effect, Finished, ListReply, Proof, ReadReply, Reply,
-    Settings, Shard, ShardNumber, Unsent, WriteReply,
+    Answer, Call, CallId, CallKey, Effect, FinishedCall, ListReply, NotRunCodes, ReadReply,
+    RequestFingerprint, ServiceResponse, Settings, Shard, ShardNumber, UnsentCall, WriteReply,
 };
 use celerypond_platform::Object;
 use celerypond_types::{NotRunReason, Outcome};
@@ -51,9 +51,9 @@
     Wrote(usize, u64, WriteReply),
     Read(usize, u64, ReadReply),
     Listed(usize, u64, ListReply),
-    Send(usize, u64, CallId, Unsent),
-    Execute(usize, u64, CallId, CallKey, Finished),
-    Finish(usize, u64, Finished),
+    Send(usize, u64, CallId, UnsentCall),
+    Execute(usize, u64, CallId, CallKey, FinishedCall),
+    Finish(usize, u64, FinishedCall),
     Tick(usize, Instant),
     Arrive(usize, CallKey, u32),
     Patience(CallId, u32),
@@ -185,18 +185,20 @@
             Event::Request(node, call, effect) => self.request(node, call, effect),
             Event::Page(node, call, prefix, objects) => self.page(node, call, prefix, objects),
             Event::Wrote(node, call, reply) => {
-                self.reply(node, call, |s, now| s.written(reply, now))
+                self.reply(node, call, |s, now| s.handle_write_reply(reply, now))
+            }
+            Event::Read(node, call, reply) => {
+                self.reply(node, call, |s, now| s.handle_read_reply(reply, now))
             }
-            Event::Read(node, call, reply) => self.reply(node, call, |s, now| s.read(reply, now)),
             Event::Listed(node, call, reply) => {
-                self.reply(node, call, |s, now| s.listed(reply, now))
+                self.reply(node, call, |s, now| s.handle_list_reply(reply, now))
             }
             Event::Send(node, run, id, unsent) => self.send(node, run, id, unsent),
             Event::Execute(node, run, id, key, finished) => {
                 self.execute(node, run, id, key, finished)
             }
             Event::Finish(node, run, finished) if run == self.nodes[node].run => {
-                self.with(node, |shard, now| shard.finish(finished, now));
+                self.with(node, |shard, now| shard.handle_finished_call(finished, now));
             }
             Event::Tick(node, at) if self.nodes[node].wake == Some(at) => {
                 self.nodes[node].wake = None;
@@ -223,26 +225,26 @@
     fn attempt(&mut self, node: usize, key: CallKey, tries: u32) {
         self.count += 1;
         let id = CallId(self.count);
-        let by = self.now + Duration::from_secs(2);
+        let send_by = self.now + Duration::from_secs(2);
         let attempt = Attempt {
             key,
             from: self.now,
-            by,
+            send_by,
             answer: None,
             crashed: false,
         };
         self.history.attempts.insert(id, attempt);
-        let body = BodyTag::of("POST", "/holds", b"");
+        let fingerprint = RequestFingerprint::of("POST", "/holds", b"");
         let call = Call {
             id,
             key,
-            body,
-            by,
-            run: RUN,
+            fingerprint,
+            send_by,
+            service_timeout: RUN,
         };
         let patience = self.millis(500, 6000);
         self.after(patience, Event::Patience(id, tries));
-        self.with(node, |shard, now| shard.call(call, now));
+        self.with(node, |shard, now| shard.handle_call(call, now));
     }
 
     /// A caller who has no result tries again at some instance, also while the first one may
@@ -283,7 +285,7 @@
                 let run = self.nodes[node].run;
                 self.after(wait, Event::Send(node, run, id, unsent));
             }
-            Effect::Broken { error } => self.history.faults.push(error.to_string()),
+            Effect::ReportCorruption { error } => self.history.faults.push(error.to_string()),
             request => {
                 self.nodes[node].call += 1;
                 let call = self.nodes[node].call;
@@ -318,7 +320,7 @@
             let refused = match effect {
                 Effect::Get { .. } => Event::Read(node, call, ReadReply::Failed),
                 Effect::List { .. } => Event::Listed(node, call, ListReply::Failed),
-                _ => Event::Wrote(node, call, WriteReply::Down),
+                _ => Event::Wrote(node, call, WriteReply::NotApplied),
             };
             // Else the request is lost.
             if self.rng.random_bool(0.5) {
@@ -332,7 +334,15 @@
             write => {
                 let reply = self.store.write(&write);
                 let hidden = self.chance(self.faults.false_down);
-                Event::Wrote(node, call, if hidden { WriteReply::Down } else { reply })
+                Event::Wrote(
+                    node,
+                    call,
+                    if hidden {
+                        WriteReply::NotApplied
+                    } else {
+                        reply
+                    },
+                )
             }
         };
         if !self.chance(self.faults.lost_reply) {
@@ -366,7 +376,7 @@
         }
     }
 
-    fn send(&mut self, node: usize, run: u64, id: CallId, unsent: Unsent) {
+    fn send(&mut self, node: usize, run: u64, id: CallId, unsent: UnsentCall) {
         if self.nodes[node].run != run {
             return;
         }
@@ -375,13 +385,13 @@
             let finished = unsent.not_run(NotRunReason::NotConnected, Duration::ZERO);
             return self.after(Duration::ZERO, Event::Finish(node, run, finished));
         }
-        let sent = match unsent.send(self.now) {
+        let sent = match unsent.mark_sent(self.now) {
             Ok(sent) => sent,
             Err(finished) => return self.after(Duration::ZERO, Event::Finish(node, run, finished)),
         };
-        let proof = Proof::new(&[REFUSED]);
+        let not_run_codes = NotRunCodes::new(&[REFUSED]);
         let number = id.0.to_string();
-        let reply = |status| Reply::new(status, "text/plain", number.clone());
+        let reply = |status| ServiceResponse::new(status, "text/plain", number.clone());
         let fails = self.chance(self.faults.service * 4.0);
         let kind = if fails {
             self.rng.random_range(1..6)
@@ -390,12 +400,12 @@
         };
         let wait = self.millis(1, 300);
         let (runs, finished) = match kind {
-            0 => (true, sent.answered(reply(200), RUN, &proof)),
-            1 => (true, sent.answered(reply(500), RUN, &proof)),
+            0 => (true, sent.answered(reply(200), RUN, &not_run_codes)),
+            1 => (true, sent.answered(reply(500), RUN, &not_run_codes)),
             2 => (true, sent.unanswered()),
             3 => (false, sent.unanswered()),
-            4 => (false, sent.answered(reply(503), RUN, &proof)),
-            _ => (false, sent.answered(reply(REFUSED), RUN, &proof)),
+            4 => (false, sent.answered(reply(503), RUN, &not_run_codes)),
+            _ => (false, sent.answered(reply(REFUSED), RUN, &not_run_codes)),
         };
         if runs {
             self.after(wait, Event::Execute(node, run, id, key, finished));
@@ -404,7 +414,7 @@
         }
     }
 
-    fn execute(&mut self, node: usize, run: u64, id: CallId, key: CallKey, finished: Finished) {
+    fn execute(&mut self, node: usize, run: u64, id: CallId, key: CallKey, finished: FinishedCall) {
         self.history.executions.push(Execution {
             key,
             id,
--- a/daemon/src/ledger.rs
+++ b/daemon/src/ledger.rs
@@ -11,7 +11,7 @@
 };
 
 use celerypond_ledger::{
-    Answer, Call, CallId, CallKey, Effect, Finished, ListReply, ReadReply, Settings, Shard,
+    Answer, Call, CallId, CallKey, Effect, FinishedCall, ListReply, ReadReply, Settings, Shard,
     ShardNumber, WriteReply,
 };
 use celerypond_platform::{Client, PlatformError};
@@ -30,7 +30,7 @@
 /// Few shards make large batches; `docs/design/ledger.md` has the measurement.
 pub const SHARDS: u16 = 4;
 /// The least time between two writes of a shard, so that all shards keep to the store's write rate.
-const PACE: Duration = Duration::from_millis(14);
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(14);
 /// How many commands may wait for a shard.
 const COMMANDS: usize = 1024;
 /// The part of a call's deadline that is left for the service after the intent is recorded.
@@ -49,7 +49,7 @@
         send: ServiceCall,
         answer: oneshot::Sender<Answer>,
     },
-    Finish(Finished),
+    Finish(FinishedCall),
 }
 
 /// The reply to the one store call that a shard may have under way.
@@ -78,13 +78,13 @@
     pub async fn call(&self, node: &Arc<Node>, key: CallKey, send: ServiceCall) -> Option<Answer> {
         let now = Instant::now();
         let left = send.deadline.saturating_duration_since(now);
-        let run = left / RUN_PART;
+        let service_timeout = left / RUN_PART;
         let call = Call {
             id: CallId(self.calls.fetch_add(1, Relaxed)),
             key,
-            body: send.tag(),
-            by: now + (left - run),
-            run,
+            fingerprint: send.fingerprint(),
+            send_by: now + (left - service_timeout),
+            service_timeout,
         };
         let (answer, answered) = oneshot::channel();
         let command = Command::Call { call, send, answer };
@@ -122,7 +122,7 @@
         let seed = node.rng().random();
         let number = ShardNumber(number);
         let settings = Settings {
-            pace: PACE,
+            min_write_interval: MIN_WRITE_INTERVAL,
             ..Settings::default()
         };
         Self {
@@ -181,22 +181,22 @@
         match command {
             Command::Call { call, send, answer } => {
                 self.waiting.insert(call.id, Wait { send, answer });
-                self.shard.call(call, now)
+                self.shard.handle_call(call, now)
             }
-            Command::Finish(finished) => self.shard.finish(finished, now),
+            Command::Finish(finished) => self.shard.handle_finished_call(finished, now),
         }
     }
 
     fn stored(&mut self, stored: Stored) -> Vec<Effect> {
         let now = Instant::now();
         match stored {
-            Stored::Listed(reply) => self.shard.listed(reply, now),
-            Stored::Read(reply) => self.shard.read(reply, now),
+            Stored::Listed(reply) => self.shard.handle_list_reply(reply, now),
+            Stored::Read(reply) => self.shard.handle_read_reply(reply, now),
             Stored::Written(reply) => {
                 if reply == WriteReply::Conflict {
                     self.node.metrics.add(Counter::LedgerRaces, 1);
                 }
-                self.shard.written(reply, now)
+                self.shard.handle_write_reply(reply, now)
             }
         }
     }
@@ -210,9 +210,11 @@
                 self.node.metrics.add(Counter::LedgerBatches, 1);
                 async move { written(client.create(&key, value).await) }.boxed()
             }
-            Effect::Update { key, before, value } => {
-                async move { written(client.update(&key, before, value).await) }.boxed()
-            }
+            Effect::Update {
+                key,
+                expected_version,
+                value,
+            } => async move { written(client.update(&key, expected_version, value).await) }.boxed(),
             Effect::Dispatch { id, unsent } => return self.dispatch(id, unsent),
             Effect::Answer { id, answer } => {
                 if let Some(wait) = self.waiting.remove(&id) {
@@ -221,7 +223,7 @@
                 }
                 return;
             }
-            Effect::Broken { error } => {
+            Effect::ReportCorruption { error } => {
                 log::error!("the shard cannot be read: {error}");
                 return;
             }
@@ -230,7 +232,7 @@
         self.store = Some(store);
     }
 
-    fn dispatch(&mut self, id: CallId, unsent: celerypond_ledger::Unsent) {
+    fn dispatch(&mut self, id: CallId, unsent: celerypond_ledger::UnsentCall) {
         let Some(wait) = self.waiting.get(&id) else {
             return;
         };
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -4,7 +4,9 @@
 
 use bytes::Bytes;
 use celerypond_bundle::Service;
-use celerypond_ledger::{BodyTag, Finished, Proof, Reply, Unsent};
+use celerypond_ledger::{
+    FinishedCall, NotRunCodes, RequestFingerprint, ServiceResponse, UnsentCall,
+};
 use celerypond_route::{Ask, Blame, Failure, InFlight, Route, Target, Verdict, View};
 use celerypond_telemetry::{hop, Counter, TraceContext};
 use celerypond_types::{NotRunReason, Outcome, TargetKey};
@@ -63,7 +65,7 @@
 
 /// What one try brought.
 enum Tried {
-    Answer(Reply, Option<Duration>),
+    Answer(ServiceResponse, Option<Duration>),
     Failed(Failure),
 }
 
@@ -73,7 +75,7 @@
     excluded: Vec<TargetKey>,
     /// How many tries were sent.
     sent: u32,
-    last: Option<Reply>,
+    last: Option<ServiceResponse>,
     /// The target of the last try.
     target: Option<Arc<Target>>,
 }
@@ -91,7 +93,7 @@
     }
 
     /// Ends the call; one that was sent is never said not to have run.
-    fn give_up(self, reason: NotRunReason) -> Outcome<Reply> {
+    fn give_up(self, reason: NotRunReason) -> Outcome<ServiceResponse> {
         match self.last {
             Some(reply) => Outcome::Ran(reply),
             None if self.sent > 0 => Outcome::Unknown,
@@ -134,32 +136,32 @@
     ///
     /// Until a connection stands no byte can have reached a service, so another target may be
     /// tried. From the first write on, only an answer tells what became of the call.
-    pub async fn send_once(&self, node: &Node, unsent: Unsent) -> Finished {
+    pub async fn send_once(&self, node: &Node, unsent: UnsentCall) -> FinishedCall {
         let connected = match self.connect(node, &mut Vec::new()).await {
             Ok(connected) => connected,
             Err(reason) => return unsent.not_run(reason, COME_BACK),
         };
-        let sent = match unsent.send(Instant::now()) {
+        let sent = match unsent.mark_sent(Instant::now()) {
             Ok(sent) => sent,
             Err(finished) => return finished,
         };
         match self.exchange(node, connected).await {
             Tried::Answer(reply, after) => {
-                let proof = Proof::new(&self.service.not_run_codes);
-                sent.answered(reply, after.unwrap_or(COME_BACK), &proof)
+                let not_run_codes = NotRunCodes::new(&self.service.not_run_codes);
+                sent.answered(reply, after.unwrap_or(COME_BACK), &not_run_codes)
             }
             Tried::Failed(_) => sent.unanswered(),
         }
     }
 
     /// Returns the tag by which the reuse of a key for another call is found.
-    pub fn tag(&self) -> BodyTag {
+    pub fn fingerprint(&self) -> RequestFingerprint {
         let path = format!("{}{}", self.service.name, self.path);
-        BodyTag::of(self.method.as_str(), &path, &self.body)
+        RequestFingerprint::of(self.method.as_str(), &path, &self.body)
     }
 
     /// Sends a call that may be repeated, again while the deadline and the retry budget allow it.
-    pub async fn send_idempotent(&self, node: &Node) -> Outcome<Reply> {
+    pub async fn send_idempotent(&self, node: &Node) -> Outcome<ServiceResponse> {
         let mut tries = Tries::default();
         let mut rng = node.rng();
         let mut pause = Duration::ZERO;
@@ -192,7 +194,11 @@
     }
 
     /// Tries once; `Err(None)` when no target is left.
-    async fn try_once(&self, node: &Node, tries: &mut Tries) -> Result<Reply, Option<Failure>> {
+    async fn try_once(
+        &self,
+        node: &Node,
+        tries: &mut Tries,
+    ) -> Result<ServiceResponse, Option<Failure>> {
         let connected = self
             .connect(node, &mut tries.excluded)
             .await
@@ -306,7 +312,7 @@
             Ok(Ok((head, value))) => {
                 let media = text(&head.headers, &header::CONTENT_TYPE);
                 let after = text(&head.headers, &header::RETRY_AFTER).parse().ok();
-                let reply = Reply::new(head.status.as_u16(), media, value);
+                let reply = ServiceResponse::new(head.status.as_u16(), media, value);
                 Tried::Answer(reply, after.map(Duration::from_secs))
             }
             Ok(Err(report)) => Tried::Failed(match report.current_context() {
@@ -337,7 +343,7 @@
     }
 }
 
-fn status(reply: &Reply, retry_after: Option<Duration>) -> Failure {
+fn status(reply: &ServiceResponse, retry_after: Option<Duration>) -> Failure {
     Failure::Status {
         code: reply.status,
         retry_after,
