--- a/crates/rollout/src/in_force.rs
+++ b/crates/rollout/src/bundle_tracker.rs
@@ -8,10 +8,10 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-use crate::record::Headline;
+use crate::record::BundleHeader;
 
 /// How long a request for a body may take before another source is asked.
-pub const ASK_TIMEOUT: Duration = Duration::from_millis(500);
+pub const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
 /// The mean time between two polls of an instance that holds no watch.
 pub const POLL_INTERVAL: Duration = Duration::from_secs(10);
 
@@ -29,7 +29,7 @@
 pub enum BodyError {
     /// The body is not the one that the digest is of.
     #[error("the body has digest {found}, not {wanted}")]
-    Digest {
+    DigestMismatch {
         /// The digest that the store names.
         wanted: Digest,
         /// The digest of the body.
@@ -37,7 +37,7 @@
     },
     /// No body was wanted.
     #[error("the body is not wanted any more")]
-    Unwanted,
+    NotRequested,
 }
 
 /// The bundle that one instance has in force, and the newer one that it wants.
@@ -45,68 +45,68 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_rollout::{Headline, InForce, Source};
+/// use celerypond_rollout::{BundleHeader, BundleTracker, Source};
 /// use celerypond_types::{Digest, Revision};
 ///
-/// let headline = |revision| Headline {
+/// let header = |revision| BundleHeader {
 ///     revision: Revision(revision),
 ///     digest: Digest::of(b""),
 ///     parts: Default::default(),
 /// };
-/// let mut in_force = InForce::default();
-/// assert!(in_force.hear(headline(5), Source::Store));
+/// let mut tracker = BundleTracker::default();
+/// assert!(tracker.note_header(header(5), Source::Store));
 /// // A stale read, or a peer that lags, changes nothing.
-/// assert!(!in_force.hear(headline(4), Source::Store));
+/// assert!(!tracker.note_header(header(4), Source::Store));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct InForce {
-    held: Option<(Headline, Arc<Bundle>)>,
-    wanted: Option<Wanted>,
+pub struct BundleTracker {
+    active: Option<(BundleHeader, Arc<Bundle>)>,
+    pending: Option<PendingFetch>,
     poll_at: Option<Instant>,
-    answers: BTreeSet<Source>,
+    answered: BTreeSet<Source>,
 }
 
 #[derive(Clone, Debug)]
-struct Wanted {
-    headline: Headline,
+struct PendingFetch {
+    header: BundleHeader,
     peer: Option<InstanceName>,
-    asked_at: Option<Instant>,
-    asks: u32,
+    requested_at: Option<Instant>,
+    attempts: u32,
 }
 
-impl InForce {
+impl BundleTracker {
     /// Takes note of a bundle; returns whether it is newer than all heard of.
     ///
     /// The revision is merged by maximum, whatever the source: a stale read, a peer that was cut off
     /// or a restart during an outage can name an older bundle, which must never come back in force.
-    pub fn hear(&mut self, headline: Headline, source: Source) -> bool {
-        if headline.revision <= self.heard() {
+    pub fn note_header(&mut self, header: BundleHeader, source: Source) -> bool {
+        if header.revision <= self.newest_revision() {
             return false;
         }
         let same = self
-            .held
-            .take_if(|(held, _)| held.digest == headline.digest);
+            .active
+            .take_if(|(active, _)| active.digest == header.digest);
         if let Some((_, bundle)) = same {
-            self.held = Some((headline, bundle));
-            self.wanted = None;
+            self.active = Some((header, bundle));
+            self.pending = None;
             return true;
         }
         let peer = match source {
             Source::Peer(peer) => Some(peer),
             Source::Store => None,
         };
-        self.wanted = Some(Wanted {
-            headline,
+        self.pending = Some(PendingFetch {
+            header,
             peer,
-            asked_at: None,
-            asks: 0,
+            requested_at: None,
+            attempts: 0,
         });
         true
     }
 
     /// Takes note that a source was asked since the start and has told all it knows.
-    pub fn answered(&mut self, source: Source) {
-        self.answers.insert(source);
+    pub fn mark_answered(&mut self, source: Source) {
+        self.answered.insert(source);
     }
 
     /// Returns whether a starting instance knows enough to serve.
@@ -114,13 +114,13 @@
     /// Before its restart it may have served a revision that some peers have not heard of yet. If it
     /// served on the word of the first peer, its callers would see that revision revert. The store
     /// knows the newest; while it is down, all reachable peers together know as much as can be known.
-    pub fn is_settled(&self, peers: &[InstanceName]) -> bool {
-        let is_held = self.held.is_some() && self.wanted.is_none();
-        let all = |peers: &[InstanceName]| {
+    pub fn is_ready(&self, peers: &[InstanceName]) -> bool {
+        let is_current = self.active.is_some() && self.pending.is_none();
+        let all_answered = |peers: &[InstanceName]| {
             let mut sources = peers.iter().cloned().map(Source::Peer);
-            !peers.is_empty() && sources.all(|source| self.answers.contains(&source))
+            !peers.is_empty() && sources.all(|source| self.answered.contains(&source))
         };
-        is_held && (self.answers.contains(&Source::Store) || all(peers))
+        is_current && (self.answered.contains(&Source::Store) || all_answered(peers))
     }
 
     /// Returns whom to ask for the wanted body now, if anyone.
@@ -128,53 +128,56 @@
     /// The peer that told of the bundle comes first and then in turn with the store, so that neither
     /// an outage of the store nor the death of the peer keeps the bundle away. `peers` stand in for
     /// a peer that is gone.
-    pub fn ask(
+    pub fn next_fetch(
         &mut self,
         now: Instant,
         peers: &[InstanceName],
         rng: &mut impl Rng,
     ) -> Option<(Source, Digest)> {
-        let wanted = self.wanted.as_mut()?;
-        let is_open = |at: Instant| now.saturating_duration_since(at) < ASK_TIMEOUT;
-        if wanted.asked_at.is_some_and(is_open) {
+        let pending = self.pending.as_mut()?;
+        let is_in_flight = |at: Instant| now.saturating_duration_since(at) < FETCH_TIMEOUT;
+        if pending.requested_at.is_some_and(is_in_flight) {
             return None;
         }
-        let is_peer_turn = wanted.asks % 2 == u32::from(wanted.peer.is_none());
-        wanted.asked_at = Some(now);
-        wanted.asks += 1;
-        let digest = wanted.headline.digest;
+        let is_peer_turn = pending.attempts % 2 == u32::from(pending.peer.is_none());
+        pending.requested_at = Some(now);
+        pending.attempts += 1;
+        let digest = pending.header.digest;
         if !is_peer_turn {
             return Some((Source::Store, digest));
         }
-        let first = wanted.peer.take();
-        let any = || (!peers.is_empty()).then(|| peers[rng.random_range(0..peers.len())].clone());
-        let source = first.or_else(any).map_or(Source::Store, Source::Peer);
+        let announcer = pending.peer.take();
+        let any_peer =
+            || (!peers.is_empty()).then(|| peers[rng.random_range(0..peers.len())].clone());
+        let source = announcer
+            .or_else(any_peer)
+            .map_or(Source::Store, Source::Peer);
         Some((source, digest))
     }
 
     /// Takes a body; returns the bundle that is in force from now on.
-    pub fn take(&mut self, bundle: Bundle) -> Result<Arc<Bundle>, BodyError> {
-        let wanted = self.wanted.take().ok_or(BodyError::Unwanted)?;
+    pub fn accept_bundle(&mut self, bundle: Bundle) -> Result<Arc<Bundle>, BodyError> {
+        let pending = self.pending.take().ok_or(BodyError::NotRequested)?;
         let found = bundle.digest();
-        if found != wanted.headline.digest {
+        if found != pending.header.digest {
             // A damaged or mistaken body must not come into force; the next source is asked at once.
-            let error = BodyError::Digest {
-                wanted: wanted.headline.digest,
+            let error = BodyError::DigestMismatch {
+                wanted: pending.header.digest,
                 found,
             };
-            self.wanted = Some(Wanted {
-                asked_at: None,
-                ..wanted
+            self.pending = Some(PendingFetch {
+                requested_at: None,
+                ..pending
             });
             return Err(error);
         }
         let bundle = Arc::new(bundle);
-        self.held = Some((wanted.headline, bundle.clone()));
+        self.active = Some((pending.header, bundle.clone()));
         Ok(bundle)
     }
 
     /// Returns whether to poll the store now; the times between polls are random.
-    pub fn poll(&mut self, now: Instant, rng: &mut impl Rng) -> bool {
+    pub fn poll_due(&mut self, now: Instant, rng: &mut impl Rng) -> bool {
         let is_due = self.poll_at.is_none_or(|at| at <= now);
         if is_due {
             self.poll_at = Some(now + POLL_INTERVAL.mul_f64(rng.random_range(0.5..1.5)));
@@ -182,25 +185,27 @@
         is_due
     }
 
-    /// Returns the bundle in force with its headline.
-    pub fn held(&self) -> Option<&(Headline, Arc<Bundle>)> {
-        self.held.as_ref()
+    /// Returns the bundle in force with its header.
+    pub fn active(&self) -> Option<&(BundleHeader, Arc<Bundle>)> {
+        self.active.as_ref()
     }
 
     /// Returns the revision in force.
     pub fn revision(&self) -> Revision {
-        let revision = |(headline, _): &(Headline, _)| headline.revision;
-        self.held.as_ref().map_or_else(Revision::default, revision)
+        let revision = |(header, _): &(BundleHeader, _)| header.revision;
+        self.active
+            .as_ref()
+            .map_or_else(Revision::default, revision)
     }
 
-    /// Returns the newest headline heard of, which is what to tell peers.
-    pub fn newest(&self) -> Option<&Headline> {
-        let wanted = self.wanted.as_ref().map(|wanted| &wanted.headline);
-        wanted.or(self.held.as_ref().map(|(headline, _)| headline))
+    /// Returns the newest header heard of, which is what to tell peers.
+    pub fn newest_header(&self) -> Option<&BundleHeader> {
+        let pending = self.pending.as_ref().map(|pending| &pending.header);
+        pending.or(self.active.as_ref().map(|(header, _)| header))
     }
 
-    fn heard(&self) -> Revision {
-        self.newest()
-            .map_or_else(Revision::default, |headline| headline.revision)
+    fn newest_revision(&self) -> Revision {
+        self.newest_header()
+            .map_or_else(Revision::default, |header| header.revision)
     }
 }
--- a/crates/rollout/src/operation.rs
+++ b/crates/rollout/src/operation.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 use crate::{
-    record::{bundle_key, Approval, Audit, Current, Signature, Submission},
+    record::{bundle_key, Approval, AuditRecord, CurrentBundle, Signature, Submission},
     store::{Condition, StoreCall, StoreReply, MAX_VALUE_BYTES},
 };
 
@@ -43,11 +43,11 @@
     /// The bundle is approved, now or since this earlier approval.
     Approved(Approval),
     /// The bundle is accepted under a new revision.
-    Rolled(Current),
+    Rolled(CurrentBundle),
     /// Another roll came first; this one took no effect.
     LostRace {
         /// What is in force instead.
-        winner: Option<Current>,
+        winner: Option<CurrentBundle>,
     },
 }
 
@@ -91,7 +91,7 @@
     Bundle,
     Approval,
     Current,
-    Previous(Current),
+    Previous(CurrentBundle),
     Write,
     ReadBack,
     Audit(AfterAudit),
@@ -100,7 +100,7 @@
 /// What follows once the audit records are written.
 #[derive(Clone, Debug, PartialEq)]
 enum AfterAudit {
-    Roll(Current),
+    Roll(CurrentBundle),
     End(OperationOutcome),
 }
 
@@ -128,10 +128,10 @@
     attempts: u32,
     is_write_unconfirmed: bool,
     submitter: Option<OperatorName>,
-    current: Option<(u64, Current)>,
-    audits: Vec<Audit>,
+    current: Option<(u64, CurrentBundle)>,
+    audits: Vec<AuditRecord>,
     bundle: Option<Bundle>,
-    next: Option<Current>,
+    next: Option<CurrentBundle>,
 }
 
 impl Operation {
--- a/crates/rollout/src/operation/replies.rs
+++ b/crates/rollout/src/operation/replies.rs
@@ -11,10 +11,11 @@
 };
 use crate::{
     record::{
-        approval_key, bundle_key, Approval, Current, ModelPart, Signature, Submission, CURRENT_KEY,
+        approval_key, bundle_key, Approval, CurrentBundle, ModelPart, Signature, Submission,
+        CURRENT_KEY,
     },
     share_increase::share_increases,
-    store::{parse, Condition, StoreReply},
+    store::{parse_json, Condition, StoreReply},
 };
 
 impl Operation {
@@ -22,7 +23,7 @@
         let StoreReply::Found { value, .. } = reply else {
             return OperationStep::Finished(Err(OperationError::BundleNotFound(self.digest)));
         };
-        let Some(submission) = parse::<Submission>(&value) else {
+        let Some(submission) = parse_json::<Submission>(&value) else {
             return OperationStep::Finished(Err(OperationError::Malformed));
         };
         if submission.bundle.digest() != self.digest {
@@ -49,7 +50,7 @@
         let StoreReply::Found { value, .. } = reply else {
             return OperationStep::Finished(Err(OperationError::NotApproved(self.digest)));
         };
-        let Some(approval) = parse::<Approval>(&value) else {
+        let Some(approval) = parse_json::<Approval>(&value) else {
             return OperationStep::Finished(Err(OperationError::Malformed));
         };
         // An approval that names other content, or the submitter, signs nothing off.
@@ -65,7 +66,7 @@
 
     pub(super) fn on_current(&mut self, reply: StoreReply) -> OperationStep {
         self.current = match reply {
-            StoreReply::Found { version, value } => match parse::<Current>(&value) {
+            StoreReply::Found { version, value } => match parse_json::<CurrentBundle>(&value) {
                 Some(current) => Some((version, current)),
                 None => return OperationStep::Finished(Err(OperationError::Malformed)),
             },
@@ -91,17 +92,25 @@
         }
     }
 
-    pub(super) fn on_previous(&mut self, current: &Current, reply: StoreReply) -> OperationStep {
+    pub(super) fn on_previous(
+        &mut self,
+        current: &CurrentBundle,
+        reply: StoreReply,
+    ) -> OperationStep {
         let StoreReply::Found { value, .. } = reply else {
             return OperationStep::Finished(Err(OperationError::Malformed));
         };
-        let Some(previous) = parse::<Submission>(&value) else {
+        let Some(previous) = parse_json::<Submission>(&value) else {
             return OperationStep::Finished(Err(OperationError::Malformed));
         };
         self.prepare(Some(current), Some(&previous.bundle))
     }
 
-    fn prepare(&mut self, current: Option<&Current>, previous: Option<&Bundle>) -> OperationStep {
+    fn prepare(
+        &mut self,
+        current: Option<&CurrentBundle>,
+        previous: Option<&Bundle>,
+    ) -> OperationStep {
         let mut next = successor(current, self.digest, &self.signature);
         let bundle = self.bundle.as_ref();
         for model in bundle.iter().flat_map(|bundle| &bundle.models) {
@@ -117,12 +126,12 @@
         }
         // The record of the bundle in force is completed before `current` is overwritten: else a
         // daemon that died between a roll and its record would leave a hole in the trail.
-        self.audits.extend(current.map(Current::audit));
+        self.audits.extend(current.map(CurrentBundle::audit));
         self.next = Some(next.clone());
         self.write_audits(AfterAudit::Roll(next))
     }
 
-    pub(super) fn write_current(&mut self, next: &Current) -> OperationStep {
+    pub(super) fn write_current(&mut self, next: &CurrentBundle) -> OperationStep {
         let condition = self
             .current
             .as_ref()
@@ -159,7 +168,7 @@
             return OperationStep::Finished(Err(OperationError::OutcomeUnknown));
         };
         match &self.request {
-            OperationRequest::Submit(_) => match parse::<Submission>(&value) {
+            OperationRequest::Submit(_) => match parse_json::<Submission>(&value) {
                 Some(found) if found.signature == self.signature => self.on_success(),
                 Some(found) => OperationStep::Finished(Ok(OperationOutcome::Submitted(
                     self.digest,
@@ -167,19 +176,19 @@
                 ))),
                 None => OperationStep::Finished(Err(OperationError::Malformed)),
             },
-            OperationRequest::Approve(_) => match parse::<Approval>(&value) {
+            OperationRequest::Approve(_) => match parse_json::<Approval>(&value) {
                 Some(found) if found.signature == self.signature => self.on_success(),
                 Some(found) => OperationStep::Finished(Ok(OperationOutcome::Approved(found))),
                 None => OperationStep::Finished(Err(OperationError::Malformed)),
             },
-            OperationRequest::Roll { .. } => match parse::<Current>(&value) {
+            OperationRequest::Roll { .. } => match parse_json::<CurrentBundle>(&value) {
                 Some(found) => self.resolve_roll(found),
                 None => OperationStep::Finished(Err(OperationError::Malformed)),
             },
         }
     }
 
-    fn resolve_roll(&mut self, found: Current) -> OperationStep {
+    fn resolve_roll(&mut self, found: CurrentBundle) -> OperationStep {
         if found.nonces.contains(&self.signature.nonce) {
             return self.on_success();
         }
@@ -201,13 +210,17 @@
     }
 }
 
-fn successor(current: Option<&Current>, digest: Digest, signature: &Signature) -> Current {
+fn successor(
+    current: Option<&CurrentBundle>,
+    digest: Digest,
+    signature: &Signature,
+) -> CurrentBundle {
     let mut nonces = vec![signature.nonce];
     nonces.extend(current.iter().flat_map(|current| current.nonces.iter()));
     nonces.truncate(KEPT_NONCES);
     // A clock that lags behind the last roller's must not order the trail against the revisions.
     let earliest_ms = current.map_or(0, |current| current.signature.at_ms + 1);
-    Current {
+    CurrentBundle {
         revision: current
             .map_or_else(Revision::default, |current| current.revision)
             .next(),
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -66,7 +66,7 @@
 
 /// The bundle in force; the value of `current`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Current {
+pub struct CurrentBundle {
     /// The revision, one more than that of the bundle before.
     pub revision: Revision,
     /// The digest of the bundle.
@@ -104,7 +104,7 @@
 
 /// One immutable line of the audit trail; the value of `audit/<id>`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Audit {
+pub struct AuditRecord {
     /// What was done.
     pub action: Action,
     /// The bundle it was done to.
@@ -113,7 +113,7 @@
     pub signature: Signature,
 }
 
-impl Audit {
+impl AuditRecord {
     /// Returns the key, which follows from the record alone and sorts by time.
     ///
     /// Whoever writes the record of a step, and however often, writes the same object.
@@ -130,8 +130,8 @@
 
 impl Submission {
     /// Returns the audit record of the submission.
-    pub fn audit(&self, digest: Digest) -> Audit {
-        Audit {
+    pub fn audit(&self, digest: Digest) -> AuditRecord {
+        AuditRecord {
             action: Action::Submitted,
             digest,
             signature: self.signature.clone(),
@@ -141,8 +141,8 @@
 
 impl Approval {
     /// Returns the audit record of the approval.
-    pub fn audit(&self) -> Audit {
-        Audit {
+    pub fn audit(&self) -> AuditRecord {
+        AuditRecord {
             action: Action::Approved,
             digest: self.digest,
             signature: self.signature.clone(),
@@ -152,7 +152,7 @@
 
 /// What instances tell each other about the bundle in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Headline {
+pub struct BundleHeader {
     /// The revision.
     pub revision: Revision,
     /// The digest of the bundle.
@@ -161,10 +161,10 @@
     pub parts: BTreeMap<ModelName, ModelPart>,
 }
 
-impl Current {
+impl CurrentBundle {
     /// Returns the part that instances tell each other.
-    pub fn headline(&self) -> Headline {
-        Headline {
+    pub fn header(&self) -> BundleHeader {
+        BundleHeader {
             revision: self.revision,
             digest: self.digest,
             parts: self.parts.clone(),
@@ -172,8 +172,8 @@
     }
 
     /// Returns the audit record of the roll.
-    pub fn audit(&self) -> Audit {
-        Audit {
+    pub fn audit(&self) -> AuditRecord {
+        AuditRecord {
             action: Action::Rolled {
                 revision: self.revision,
                 previous: self.previous,
--- a/crates/rollout/src/store.rs
+++ b/crates/rollout/src/store.rs
@@ -84,6 +84,6 @@
 }
 
 /// Parses the JSON value of an object; `None` when it is not of the expected form.
-pub fn parse<T: DeserializeOwned>(value: &[u8]) -> Option<T> {
+pub fn parse_json<T: DeserializeOwned>(value: &[u8]) -> Option<T> {
     serde_json::from_slice(value).ok()
 }
--- a/crates/rollout/tests/fake_fleet.rs
+++ b/crates/rollout/tests/fake_fleet.rs
@@ -8,7 +8,7 @@
 
 use celerypond_bundle::{Model, Share, Version};
 use celerypond_rollout::{
-    parse, rollout_key, Brakes, Candidate, Cause, Condition, Engines, Failure, Judge, Method,
+    parse_json, rollout_key, Brakes, Candidate, Cause, Condition, Engines, Failure, Judge, Method,
     ModelPart, Phase, Rollout, RolloutController, RolloutSnapshot, Route, ShareIncrease, Stage,
     StoreCall, StoreReply, Subject, Trial, VersionRollout,
 };
@@ -818,7 +818,7 @@
         let key = rollout_key(ORIGIN);
         match self.store.call(&StoreCall::read(key.clone())) {
             StoreReply::Found { version, value } => {
-                let rollout: Rollout = parse(&value).unwrap();
+                let rollout: Rollout = parse_json(&value).unwrap();
                 self.nodes[at].versions.insert(ORIGIN, version);
                 self.nodes[at].controller.merge_rollout(rollout);
             }
--- a/crates/rollout/tests/runner.rs
+++ b/crates/rollout/tests/runner.rs
@@ -2,7 +2,7 @@
 
 mod fake_fleet;
 mod fake_store;
-mod test_in_force;
+mod test_bundle_tracker;
 mod test_merge;
 mod test_operation;
 mod test_rollout;
--- a/crates/rollout/tests/test_in_force.rs
+++ b/crates/rollout/tests/test_bundle_tracker.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use celerypond_rollout::{
-    bundle_key, is_watcher, parse, BodyError, Condition, Current, Headline, InForce,
-    OperationRequest, Source, StoreCall, StoreReply, Submission, CURRENT_KEY,
+    bundle_key, is_watcher, parse_json, BodyError, BundleHeader, BundleTracker, Condition,
+    CurrentBundle, OperationRequest, Source, StoreCall, StoreReply, Submission, CURRENT_KEY,
 };
 use celerypond_types::{InstanceName, Revision};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -23,7 +23,7 @@
 
 struct Node {
     name: InstanceName,
-    in_force: InForce,
+    tracker: BundleTracker,
     best: Revision,
 }
 
@@ -41,7 +41,7 @@
     fn new(store: FakeStore, seed: u64) -> Self {
         let node = |at: usize| Node {
             name: InstanceName::new(format!("i{at}")),
-            in_force: InForce::default(),
+            tracker: BundleTracker::default(),
             best: Revision(0),
         };
         let nodes: Vec<_> = (0..NODES).map(node).collect();
@@ -77,47 +77,49 @@
             .filter(|_| is_stale && !self.store.down)
             .unwrap_or(fresh);
         if let StoreReply::Found { value, .. } = reply {
-            let current: Current = parse(&value).unwrap();
+            let current: CurrentBundle = parse_json(&value).unwrap();
             self.nodes[at]
-                .in_force
-                .hear(current.headline(), Source::Store);
+                .tracker
+                .note_header(current.header(), Source::Store);
             if !is_stale {
-                self.nodes[at].in_force.answered(Source::Store);
+                self.nodes[at].tracker.mark_answered(Source::Store);
             }
         }
     }
 
     fn gossip(&mut self, at: usize) {
         let peer = self.rng.random_range(0..NODES);
-        if let Some(headline) = self.nodes[at].in_force.newest().cloned() {
+        if let Some(header) = self.nodes[at].tracker.newest_header().cloned() {
             let from = Source::Peer(self.nodes[at].name.clone());
-            self.nodes[peer].in_force.hear(headline, from.clone());
-            self.nodes[peer].in_force.answered(from);
+            self.nodes[peer].tracker.note_header(header, from.clone());
+            self.nodes[peer].tracker.mark_answered(from);
         }
     }
 
     fn fetch(&mut self, at: usize) {
         let names = self.names();
-        let asked = self.nodes[at].in_force.ask(self.now, &names, &mut self.rng);
+        let asked = self.nodes[at]
+            .tracker
+            .next_fetch(self.now, &names, &mut self.rng);
         let body = match asked {
             Some((Source::Store, digest)) => {
                 match self.store.call(&StoreCall::read(bundle_key(digest))) {
                     StoreReply::Found { value, .. } => {
-                        Some(parse::<Submission>(&value).unwrap().bundle)
+                        Some(parse_json::<Submission>(&value).unwrap().bundle)
                     }
                     _ => None,
                 }
             }
             Some((Source::Peer(peer), digest)) => {
                 let node = self.nodes.iter().find(|node| node.name == peer).unwrap();
-                let held = node.in_force.held();
+                let held = node.tracker.active();
                 held.filter(|(held, _)| held.digest == digest)
                     .map(|(_, body)| (**body).clone())
             }
             None => None,
         };
         if let Some(body) = body {
-            self.nodes[at].in_force.take(body).unwrap();
+            self.nodes[at].tracker.accept_bundle(body).unwrap();
         }
     }
 
@@ -127,7 +129,7 @@
         let names = self.names();
         for at in 0..NODES {
             let is_watcher = self.watchers[at];
-            let is_due = self.nodes[at].in_force.poll(self.now, &mut self.rng);
+            let is_due = self.nodes[at].tracker.poll_due(self.now, &mut self.rng);
             if is_watcher || is_due {
                 self.read_current(at);
             }
@@ -141,9 +143,9 @@
                 .cloned()
                 .collect();
             let node = &mut self.nodes[at];
-            let serves = !self.settles || node.in_force.is_settled(&peers);
-            if serves && node.in_force.held().is_some() {
-                let revision = node.in_force.revision();
+            let serves = !self.settles || node.tracker.is_ready(&peers);
+            if serves && node.tracker.active().is_some() {
+                let revision = node.tracker.revision();
                 assert!(
                     revision >= node.best,
                     "{} reverted from {} to {revision}",
@@ -156,7 +158,7 @@
     }
 
     fn restart(&mut self, at: usize) {
-        self.nodes[at].in_force = InForce::default();
+        self.nodes[at].tracker = BundleTracker::default();
     }
 }
 
@@ -179,12 +181,12 @@
                 .run(roll(*digest), signed("dana", 20 + round as u64))
                 .unwrap();
             let value = fleet.store.objects[CURRENT_KEY].1.clone();
-            let current: Current = parse(&value).unwrap();
+            let current: CurrentBundle = parse_json(&value).unwrap();
             // The instance that the operator spoke to has submitted the body and knows the roll.
             let entry = fleet.rng.random_range(0..NODES);
             fleet.nodes[entry]
-                .in_force
-                .hear(current.headline(), Source::Store);
+                .tracker
+                .note_header(current.header(), Source::Store);
             fleet.fetch(entry);
             fleet.store.down = down;
             for tick in 0..BOUND {
@@ -196,7 +198,7 @@
             }
             for node in &fleet.nodes {
                 assert_eq!(
-                    node.in_force.revision(),
+                    node.tracker.revision(),
                     current.revision,
                     "seed {seed}: {}",
                     node.name
@@ -210,40 +212,40 @@
 fn a_restarted_instance_waits_for_all_peers_while_the_store_is_down() {
     // The instance served revision 2 and restarts while the store is down. The first peer that answers
     // still has revision 1. Serving on its word alone would bring the old bundle back for callers.
-    let headline = |revision, title: &str| Headline {
+    let header = |revision, title: &str| BundleHeader {
         revision: Revision(revision),
         digest: bundle(title).digest(),
         parts: Default::default(),
     };
     let (slow, quick) = (InstanceName::new("slow"), InstanceName::new("quick"));
     let peers = [slow.clone(), quick.clone()];
-    let mut node = InForce::default();
+    let mut node = BundleTracker::default();
     for (peer, revision, title) in [(slow, 1, "a"), (quick, 2, "b")] {
-        assert!(!node.is_settled(&peers));
-        node.hear(headline(revision, title), Source::Peer(peer.clone()));
-        node.answered(Source::Peer(peer));
-        node.take(bundle(title)).unwrap();
+        assert!(!node.is_ready(&peers));
+        node.note_header(header(revision, title), Source::Peer(peer.clone()));
+        node.mark_answered(Source::Peer(peer));
+        node.accept_bundle(bundle(title)).unwrap();
     }
-    assert!(node.is_settled(&peers) && node.revision() == Revision(2));
+    assert!(node.is_ready(&peers) && node.revision() == Revision(2));
 }
 
 #[test]
 fn a_body_that_does_not_fit_the_digest_is_not_taken() {
-    let mut node = InForce::default();
+    let mut node = BundleTracker::default();
     let wanted = bundle("a").digest();
-    let headline = Headline {
+    let header = BundleHeader {
         revision: Revision(1),
         digest: wanted,
         parts: Default::default(),
     };
-    node.hear(headline, Source::Store);
+    node.note_header(header, Source::Store);
     let found = bundle("b").digest();
     assert_eq!(
-        node.take(bundle("b")),
-        Err(BodyError::Digest { wanted, found })
+        node.accept_bundle(bundle("b")),
+        Err(BodyError::DigestMismatch { wanted, found })
     );
     assert_eq!(node.revision(), Revision(0));
-    node.take(bundle("a")).unwrap();
+    node.accept_bundle(bundle("a")).unwrap();
     assert_eq!(node.revision(), Revision(1));
 }
 
@@ -268,7 +270,7 @@
             )
             .unwrap();
         store.run(roll(digest), signed("dana", nonce + 2)).unwrap();
-        let current: Current = parse(&store.objects[CURRENT_KEY].1).unwrap();
+        let current: CurrentBundle = parse_json(&store.objects[CURRENT_KEY].1).unwrap();
         origins.push(current.parts[&"draft".into()].origin.0);
     }
     assert_eq!(origins, [1, 1, 3]);
--- a/crates/rollout/tests/test_operation.rs
+++ b/crates/rollout/tests/test_operation.rs
@@ -2,8 +2,9 @@
 
 use celerypond_bundle::{Bundle, FORMAT};
 use celerypond_rollout::{
-    approval_key, parse, Action, Audit, Current, Operation, OperationError, OperationOutcome,
-    OperationRequest, OperationStep, Signature, StoreCall, StoreReply, AUDIT_PREFIX, CURRENT_KEY,
+    approval_key, parse_json, Action, AuditRecord, CurrentBundle, Operation, OperationError,
+    OperationOutcome, OperationRequest, OperationStep, Signature, StoreCall, StoreReply,
+    AUDIT_PREFIX, CURRENT_KEY,
 };
 use celerypond_types::{Digest, Revision};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -58,13 +59,13 @@
     (store, digests)
 }
 
-fn audits(store: &FakeStore) -> Vec<Audit> {
+fn audits(store: &FakeStore) -> Vec<AuditRecord> {
     let records = store
         .objects
         .iter()
         .filter(|(key, _)| key.starts_with(AUDIT_PREFIX));
     records
-        .map(|(_, (_, value))| parse(value).unwrap())
+        .map(|(_, (_, value))| parse_json(value).unwrap())
         .collect()
 }
 
@@ -74,7 +75,7 @@
     let done = store.run(roll(digests[0]), signed("dana", 9)).unwrap();
     assert!(matches!(
         done,
-        OperationOutcome::Rolled(Current {
+        OperationOutcome::Rolled(CurrentBundle {
             revision: Revision(1),
             ..
         })
@@ -132,7 +133,7 @@
     for (nonce, at) in [(10, 0), (11, 1), (12, 0)] {
         store.run(roll(digests[at]), signed("dana", nonce)).unwrap();
     }
-    let current: Current = parse(&store.objects[CURRENT_KEY].1).unwrap();
+    let current: CurrentBundle = parse_json(&store.objects[CURRENT_KEY].1).unwrap();
     assert_eq!(
         (current.revision, current.digest),
         (Revision(3), digests[0])
--- a/crates/rollout/tests/test_scripts.rs
+++ b/crates/rollout/tests/test_scripts.rs
@@ -4,7 +4,7 @@
 
 use celerypond_bundle::Model;
 use celerypond_rollout::{
-    parse, rollout_key, share_increases, Condition, Failure, Method, ModelPart, Rollout,
+    parse_json, rollout_key, share_increases, Condition, Failure, Method, ModelPart, Rollout,
     RolloutController, Route, StoreCall, StoreReply, Trial,
 };
 use celerypond_types::{InstanceName, Revision};
@@ -58,7 +58,7 @@
         match self.store.call(&StoreCall::read(rollout_key(ORIGIN))) {
             StoreReply::Found { version, value } => {
                 self.versions.insert(name.to_owned(), version);
-                let rollout = parse(&value).unwrap();
+                let rollout = parse_json(&value).unwrap();
                 self.controllers
                     .get_mut(name)
                     .unwrap()
@@ -171,7 +171,7 @@
             .objects
             .get(&rollout_key(ORIGIN))
             .map(|(_, value)| value);
-        if let Some(rollout) = value.and_then(|value| parse::<Rollout>(value)) {
+        if let Some(rollout) = value.and_then(|value| parse_json::<Rollout>(value)) {
             let record = &rollout.moves[0];
             writeln!(
                 out,
--- a/daemon/src/force.rs
+++ b/daemon/src/force.rs
@@ -3,14 +3,14 @@
 use std::{collections::HashMap, sync::Arc};
 
 use celerypond_bundle::{Account, Bundle, Model, Service};
-use celerypond_rollout::Headline;
+use celerypond_rollout::BundleHeader;
 use celerypond_types::{Digest, ModelName, Revision, ServiceName};
 
 /// The bundle in force, immutable.
 #[derive(Clone, Debug)]
 pub struct Force {
     /// Its revision, digest and what it changed.
-    pub headline: Headline,
+    pub headline: BundleHeader,
     /// Its content.
     pub bundle: Arc<Bundle>,
     accounts: HashMap<Digest, usize>,
@@ -20,7 +20,7 @@
 
 impl Force {
     /// Indexes a bundle.
-    pub fn new(headline: Headline, bundle: Arc<Bundle>) -> Self {
+    pub fn new(headline: BundleHeader, bundle: Arc<Bundle>) -> Self {
         let accounts = bundle.accounts.iter().enumerate();
         let models = bundle.models.iter().enumerate();
         let services = bundle.services.iter().enumerate();
--- a/daemon/src/front/operator.rs
+++ b/daemon/src/front/operator.rs
@@ -4,8 +4,9 @@
 
 use celerypond_bundle::Bundle;
 use celerypond_rollout::{
-    bundle_key, parse, Audit, Coverage, Current, Operation, OperationError, OperationOutcome,
-    OperationRequest, OperationStep, Signature, StoreCall, StoreReply, Submission, AUDIT_PREFIX,
+    bundle_key, parse_json, AuditRecord, Coverage, CurrentBundle, Operation, OperationError,
+    OperationOutcome, OperationRequest, OperationStep, Signature, StoreCall, StoreReply,
+    Submission, AUDIT_PREFIX,
 };
 use celerypond_types::{Digest, Revision};
 use gotham::hyper::StatusCode;
@@ -46,7 +47,7 @@
 
 #[derive(Serialize)]
 struct Outrun {
-    outrun_by: Option<Current>,
+    outrun_by: Option<CurrentBundle>,
 }
 
 #[derive(Serialize)]
@@ -62,7 +63,7 @@
 
 #[derive(Serialize)]
 struct History {
-    steps: Vec<Audit>,
+    steps: Vec<AuditRecord>,
 }
 
 /// Stores a bundle for approval.
@@ -131,7 +132,9 @@
     match node.platform.list_all(AUDIT_PREFIX).await {
         Ok(listing) => {
             let objects = listing.objects.iter();
-            let steps = objects.filter_map(|object| parse(&object.value)).collect();
+            let steps = objects
+                .filter_map(|object| parse_json(&object.value))
+                .collect();
             problem::json(StatusCode::OK, &History { steps })
         }
         Err(report) => come_back(Problem::new(Kind::NotRun, report.current_context())).reply(),
@@ -160,7 +163,7 @@
 async fn read_bundle(node: &Node, digest: Digest) -> Result<Bundle, Problem> {
     let read = StoreCall::read(bundle_key(digest));
     match store::call(&node.platform, &node.metrics, &read).await {
-        StoreReply::Found { value, .. } => parse::<Submission>(&value)
+        StoreReply::Found { value, .. } => parse_json::<Submission>(&value)
             .map(|submission| submission.bundle)
             .ok_or_else(|| Problem::new(Kind::Incomplete, OperationError::Malformed)),
         StoreReply::Missing => Err(Problem::new(
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -15,7 +15,7 @@
 use celerypond_bundle::{Bundle, Settings};
 use celerypond_fleet::{Gossip, Identity, Incarnation};
 use celerypond_platform::{Client, InstanceList, Rates};
-use celerypond_rollout::InForce;
+use celerypond_rollout::BundleTracker;
 use celerypond_route::{Backoff, RetryBudget, View};
 use celerypond_telemetry::{Counter, Gauge, Metrics};
 use celerypond_types::{RequestKey, TargetName, VersionName};
@@ -99,7 +99,7 @@
     /// Wakes the task that brings bundles into force.
     pub look: Notify,
     gossip: Mutex<Gossip>,
-    in_force: Mutex<InForce>,
+    bundle_tracker: Mutex<BundleTracker>,
     keeper: Mutex<Keeper>,
     drivers: Mutex<HashMap<RequestKey, mpsc::Sender<Input>>>,
     listed: Mutex<Option<Instant>>,
@@ -154,7 +154,7 @@
             relayed: Notify::new(),
             look: Notify::new(),
             gossip: Mutex::new(gossip),
-            in_force: Mutex::default(),
+            bundle_tracker: Mutex::default(),
             keeper: Mutex::new(Keeper::new(KEEPER_BYTES)),
             drivers: Mutex::default(),
             listed: Mutex::default(),
@@ -260,8 +260,8 @@
     }
 
     /// Returns the bundles that are heard of; hold it for a moment only.
-    pub fn in_force(&self) -> MutexGuard<'_, InForce> {
-        lock(&self.in_force)
+    pub fn bundle_tracker(&self) -> MutexGuard<'_, BundleTracker> {
+        lock(&self.bundle_tracker)
     }
 
     /// Returns the records that are kept for others; hold it for a moment only.
--- a/daemon/src/rollouts/driver.rs
+++ b/daemon/src/rollouts/driver.rs
@@ -100,7 +100,7 @@
     *lock(&node.rollouts.read) = Some(Instant::now());
     let mut is_new = false;
     for object in listing.objects {
-        if let Some(rollout) = celerypond_rollout::parse::<Rollout>(&object.value) {
+        if let Some(rollout) = celerypond_rollout::parse_json::<Rollout>(&object.value) {
             versions.insert(rollout.origin, object.version);
             is_new |= node.rollouts.controller().merge_rollout(rollout);
         }
--- a/daemon/src/watch.rs
+++ b/daemon/src/watch.rs
@@ -5,8 +5,8 @@
 use celerypond_bundle::Bundle;
 use celerypond_platform::Version;
 use celerypond_rollout::{
-    bundle_key, is_watcher, Current, Headline, InForce, Source, StoreCall, StoreReply, Submission,
-    CURRENT_KEY,
+    bundle_key, is_watcher, BundleHeader, BundleTracker, CurrentBundle, Source, StoreCall,
+    StoreReply, Submission, CURRENT_KEY,
 };
 use celerypond_types::{Digest, InstanceName, Revision};
 use rand::{rngs::SmallRng, seq::IndexedRandom, Rng};
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Told {
     /// The revision, digest and what it changed.
-    pub headline: Headline,
+    pub headline: BundleHeader,
     /// The content.
     pub bundle: Bundle,
 }
@@ -55,12 +55,12 @@
             () = node.look.notified() => {}
             _ = step.tick() => {}
         }
-        let is_due = node.in_force().poll(Instant::now(), &mut rng);
+        let is_due = node.bundle_tracker().poll_due(Instant::now(), &mut rng);
         if is_due || node.force.load().is_none() {
             ask_store(&node).await;
         }
         let heard = node.gossip().facts().revision();
-        if heard > node.in_force().revision() {
+        if heard > node.bundle_tracker().revision() {
             catch_up(&node, heard, &mut rng).await;
         }
         settle(&node);
@@ -100,24 +100,24 @@
 /// Reads what the store names and brings it into force.
 pub async fn ask_store(node: &Arc<Node>) {
     let call = StoreCall::read(CURRENT_KEY);
-    let current: Current = match store::call(&node.platform, &node.metrics, &call).await {
-        StoreReply::Found { value, .. } => match celerypond_rollout::parse(&value) {
+    let current: CurrentBundle = match store::call(&node.platform, &node.metrics, &call).await {
+        StoreReply::Found { value, .. } => match celerypond_rollout::parse_json(&value) {
             Some(current) => current,
             None => return,
         },
-        StoreReply::Missing => return node.in_force().answered(Source::Store),
+        StoreReply::Missing => return node.bundle_tracker().mark_answered(Source::Store),
         _ => return,
     };
-    let headline = current.headline();
+    let headline = current.header();
     let digest = headline.digest;
-    let is_news = node.in_force().hear(headline, Source::Store);
-    if is_news || node.in_force().revision() < current.revision {
+    let is_news = node.bundle_tracker().note_header(headline, Source::Store);
+    if is_news || node.bundle_tracker().revision() < current.revision {
         let Some(bundle) = read_bundle(node, digest).await else {
             return;
         };
         take(node, bundle);
     }
-    node.in_force().answered(Source::Store);
+    node.bundle_tracker().mark_answered(Source::Store);
     settle(node);
 }
 
@@ -125,7 +125,7 @@
     let call = StoreCall::read(bundle_key(digest));
     match store::call(&node.platform, &node.metrics, &call).await {
         StoreReply::Found { value, .. } => {
-            let submission: Submission = celerypond_rollout::parse(&value)?;
+            let submission: Submission = celerypond_rollout::parse_json(&value)?;
             Some(submission.bundle)
         }
         _ => None,
@@ -149,7 +149,7 @@
     if let Some((name, address)) = peers.choose(rng) {
         ask_peer(node, name, *address, revision).await;
     }
-    if node.in_force().revision() < revision {
+    if node.bundle_tracker().revision() < revision {
         ask_store(node).await;
     }
 }
@@ -161,18 +161,20 @@
     };
     let told = answer.and_then(|told| serde_json::from_slice::<Told>(&told).ok());
     if let Some(told) = told {
-        let is_news = node.in_force().hear(told.headline, source.clone());
+        let is_news = node
+            .bundle_tracker()
+            .note_header(told.headline, source.clone());
         if is_news {
             take(node, told.bundle);
         }
     }
     if least == Revision(0) {
-        node.in_force().answered(source);
+        node.bundle_tracker().mark_answered(source);
     }
 }
 
 fn take(node: &Node, bundle: Bundle) {
-    let result = node.in_force().take(bundle);
+    let result = node.bundle_tracker().accept_bundle(bundle);
     if let Err(error) = result {
         log::warn!("a bundle was not taken: {error}");
     }
@@ -182,10 +184,10 @@
 fn settle(node: &Arc<Node>) {
     let peers: Vec<InstanceName> = peers(node).into_iter().map(|(name, _)| name).collect();
     let held = {
-        let in_force: &InForce = &node.in_force();
+        let tracker: &BundleTracker = &node.bundle_tracker();
         // An instance that serves already only goes on to later revisions.
-        let is_ready = node.force.load().is_some() || in_force.is_settled(&peers);
-        in_force.held().filter(|_| is_ready).cloned()
+        let is_ready = node.force.load().is_some() || tracker.is_ready(&peers);
+        tracker.active().filter(|_| is_ready).cloned()
     };
     let Some((headline, bundle)) = held else {
         return;
--- a/daemon/tests/fleet.rs
+++ b/daemon/tests/fleet.rs
@@ -14,7 +14,7 @@
 use celerypond_bundle::{Bundle, Settings};
 use celerypond_cli::{Called, Client, Prompt, Token};
 use celerypond_daemon::{force::Force, node::Node, server, target_watch::TargetEvent};
-use celerypond_rollout::Headline;
+use celerypond_rollout::BundleHeader;
 use celerypond_telemetry::Metrics;
 use celerypond_testutils::{
     engine::{Engine, EngineSettings},
@@ -267,7 +267,7 @@
     let settings = settings(0, 20_001, 20_002, "127.0.0.1:1".parse().unwrap());
     let node = Node::new(settings, Metrics::local(), events);
     let bundle = Bundle::parse(&bundle.to_string()).unwrap();
-    let headline = Headline {
+    let headline = BundleHeader {
         revision: Revision(1),
         digest: bundle.digest(),
         parts: BTreeMap::new(),
