--- a/bench/src/rollout.rs
+++ b/bench/src/rollout.rs
@@ -12,7 +12,8 @@
 use std::{collections::BTreeMap, thread, time::Instant};
 
 use celerypond_rollout::{
-    Method, ModelPart, Phase, RolloutController, Route, ShareIncrease, Trial, WHOLE_PPM,
+    JudgeConfig, ModelPart, Phase, RequestClass, RolloutController, ShareIncrease, Trial,
+    FULL_SHARE_PPM,
 };
 use celerypond_types::InstanceName;
 
@@ -24,7 +25,7 @@
     (Kind::AtOnce, "fails at once"),
     (Kind::AfterMinutes, "fails after minutes"),
     (Kind::UnderLoad, "fails under load"),
-    (Kind::OneRoute, "fails on one route"),
+    (Kind::OneClass, "fails on one route"),
     (Kind::Slow, "slow"),
 ];
 const THREADS: u64 = 4;
@@ -33,24 +34,24 @@
 
 /// Takes the measures.
 pub(crate) fn run(seeds: u64) -> Vec<Row> {
-    let method = Method::default();
+    let config = JudgeConfig::default();
     let all = KINDS.map(|(kind, _)| kind);
-    let pooled = Method {
-        routes: false,
-        ..method
+    let pooled = JudgeConfig {
+        per_class: false,
+        ..config
     };
-    let counted = Method {
-        targets: false,
-        discount: false,
-        ..method
+    let counted = JudgeConfig {
+        spread_over_targets: false,
+        discount_incidents: false,
+        ..config
     };
     // A baseline is run on the kinds that it can differ on.
     let ways: [(&str, Way, &[Kind]); 4] = [
-        ("celerypond", Way::Judged(method), &all),
+        ("celerypond", Way::Judged(config), &all),
         (
             "baseline: pooled routes",
             Way::Judged(pooled),
-            &[Kind::Good, Kind::OneRoute],
+            &[Kind::Good, Kind::OneClass],
         ),
         (
             "baseline: crashes in full",
@@ -61,14 +62,14 @@
     ];
     let mut rows = Vec::new();
     for (deployment, setting) in [("Holding", holding()), ("Harrowgate", harrowgate())] {
-        for (way, method, kinds) in ways {
+        for (way, config, kinds) in ways {
             for (kind, name) in KINDS {
                 if !kinds.contains(&kind) {
                     continue;
                 }
                 let setting = Setting {
                     kind,
-                    way: method,
+                    way: config,
                     proves: way == "celerypond",
                     ..setting.clone()
                 };
@@ -219,7 +220,7 @@
         candidate: fake_fleet::candidate(),
         base: "v1".into(),
         from_ppm: 0,
-        to_ppm: WHOLE_PPM,
+        to_ppm: FULL_SHARE_PPM,
         engines: 10,
     };
     let part = ModelPart {
@@ -228,7 +229,7 @@
         moves: vec![change],
     };
     let controller = |name: &InstanceName| {
-        let mut controller = RolloutController::new(name.clone(), 1, Method::default());
+        let mut controller = RolloutController::new(name.clone(), 1, JudgeConfig::default());
         controller.set_live(&names);
         controller.set_parts(BTreeMap::from([(models[0].name.clone(), part.clone())]));
         controller
@@ -275,11 +276,11 @@
 fn observe(controller: &mut RolloutController) {
     for at in 0..6_000_u64 {
         let version = if at % 2 == 0 { "v1" } else { "v2" };
-        let route = ["draft", "letter", "drawing"][at as usize / 2 % 3];
+        let class = ["draft", "letter", "drawing"][at as usize / 2 % 3];
         let trial = Trial {
             model: "draft".into(),
             version: version.into(),
-            route: Route(route.into()),
+            class: RequestClass(class.into()),
             target: version.into(),
             is_first: at % 8 < 2,
             begun_ms: at,
--- a/crates/relay/src/evidence.rs
+++ b/crates/relay/src/evidence.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use celerypond_rollout::{odds, Seen};
+use celerypond_rollout::{bayes_factor, Proportion};
 use celerypond_types::VersionName;
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
@@ -39,17 +39,17 @@
 }
 
 impl Answers {
-    const fn failed(self) -> Seen {
-        Seen {
+    const fn failed(self) -> Proportion {
+        Proportion {
             hits: self.bad as u64,
-            tried: self.all as u64,
+            trials: self.all as u64,
         }
     }
 
-    const fn slowed(self) -> Seen {
-        Seen {
+    const fn slowed(self) -> Proportion {
+        Proportion {
             hits: self.slow as u64,
-            tried: self.all as u64,
+            trials: self.all as u64,
         }
     }
 
@@ -77,7 +77,7 @@
 
     /// Returns the odds that the new version is worse, by failures or by response time.
     fn odds(&self) -> f64 {
-        let worse = |new: Seen, old: Seen| odds(new, old, old, TOLERATED_RATE);
+        let worse = |new: Proportion, old: Proportion| bayes_factor(new, old, old, TOLERATED_RATE);
         let failures = worse(self.new.failed(), self.old.failed());
         failures.max(worse(self.new.slowed(), self.old.slowed()))
     }
--- a/crates/relay/src/version_routing.rs
+++ b/crates/relay/src/version_routing.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use celerypond_rollout::Splitter;
+use celerypond_rollout::TrafficSplitter;
 use celerypond_types::{ServiceName, VersionName};
 use tokio::time::Instant;
 
@@ -79,7 +79,7 @@
 struct ServiceOrder {
     stage: Stage,
     received_at: Instant,
-    splitter: Splitter,
+    splitter: TrafficSplitter,
     evidence: Evidence,
 }
 
@@ -99,7 +99,7 @@
                 let order_state = ServiceOrder {
                     stage,
                     received_at: at,
-                    splitter: Splitter::default(),
+                    splitter: TrafficSplitter::default(),
                     evidence: Evidence::default(),
                 };
                 self.services.insert(service, order_state);
@@ -119,7 +119,7 @@
         let is_fresh = now.saturating_duration_since(order_state.received_at) < STAGE_TTL;
         match order_state.stage.phase {
             Phase::Completed => VersionChoice::Only(version),
-            Phase::Running { share } if is_fresh && order_state.splitter.take(share) => {
+            Phase::Running { share } if is_fresh && order_state.splitter.selects_next(share) => {
                 VersionChoice::Only(version)
             }
             Phase::Running { .. } | Phase::TakenBack => VersionChoice::Not(version),
--- a/crates/rollout/src/odds.rs
+++ b/crates/rollout/src/bayes.rs
@@ -15,23 +15,23 @@
 
 /// Hits among trials.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen {
+pub struct Proportion {
     /// How many showed a fault.
     pub hits: u64,
     /// How many there were.
-    pub tried: u64,
+    pub trials: u64,
 }
 
-impl Seen {
+impl Proportion {
     /// Returns the logarithm of the likelihood at a rate.
     fn log(self, rate: f64) -> f64 {
-        let misses = self.tried.saturating_sub(self.hits) as f64;
+        let misses = self.trials.saturating_sub(self.hits) as f64;
         self.hits as f64 * rate.ln() + misses * (1.0 - rate).ln()
     }
 
     /// Returns the usual rate, which is low as long as little is known.
     fn usual(self) -> f64 {
-        (self.hits as f64 + 0.5) / (self.tried as f64 + USUAL_TRIALS)
+        (self.hits as f64 + 0.5) / (self.trials as f64 + USUAL_TRIALS)
     }
 }
 
@@ -45,13 +45,13 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_rollout::{odds, Seen};
+/// use celerypond_rollout::{bayes_factor, Proportion};
 ///
-/// let base = Seen { hits: 1, tried: 400 };
-/// assert!(odds(Seen { hits: 6, tried: 20 }, base, base, 0.005) > 1e4);
-/// assert!(odds(Seen { hits: 1, tried: 20 }, base, base, 0.005) < 1e4);
+/// let base = Proportion { hits: 1, trials: 400 };
+/// assert!(bayes_factor(Proportion { hits: 6, trials: 20 }, base, base, 0.005) > 1e4);
+/// assert!(bayes_factor(Proportion { hits: 1, trials: 20 }, base, base, 0.005) < 1e4);
 /// ```
-pub fn odds(new: Seen, base: Seen, past: Seen, floor: f64) -> f64 {
+pub fn bayes_factor(new: Proportion, base: Proportion, past: Proportion, floor: f64) -> f64 {
     if new.hits == 0 {
         return 0.0;
     }
@@ -70,14 +70,14 @@
 }
 
 /// Returns how much likelier a bad version is than one with this rate.
-pub(crate) fn odds_against(new: Seen, rate: f64) -> f64 {
+pub(crate) fn bayes_factor_at_rate(new: Proportion, rate: f64) -> f64 {
     if new.hits == 0 {
         return 0.0;
     }
     (log_bad(new, TOLERANCE * rate) - new.log(rate)).exp()
 }
 
-fn log_bad(new: Seen, allowed: f64) -> f64 {
+fn log_bad(new: Proportion, allowed: f64) -> f64 {
     let worse = BAD_RATES.iter().filter(|rate| **rate > allowed);
     let logs: Vec<_> = worse.map(|rate| new.log(*rate)).collect();
     log_sum(&logs) - (BAD_RATES.len() as f64).ln()
--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -11,13 +11,13 @@
 use crate::{
     applied_state::{AppliedState, AppliedStates},
     brake::Brakes,
-    evidence::{Evidence, Report, Subject},
+    evidence::{Evidence, EvidenceReport, Subject},
     judge::Judge,
     record::ModelPart,
     rollout::{Phase, Rollout},
     share_increase::{Candidate, ShareIncrease},
-    splitter::Splitter,
-    verdict::{Cause, Method},
+    splitter::TrafficSplitter,
+    verdict::{Cause, JudgeConfig},
     version_rollout::VersionRollout,
 };
 
@@ -39,33 +39,33 @@
     me: InstanceName,
     incarnation: u64,
     sequence: u64,
-    method: Method,
+    judge_config: JudgeConfig,
     parts: BTreeMap<ModelName, ModelPart>,
     live: Vec<InstanceName>,
     rollouts: BTreeMap<Revision, Rollout>,
     brakes: Brakes,
     applied_states: AppliedStates,
     evidence: Evidence,
-    own: BTreeMap<Subject, Report>,
+    own: BTreeMap<Subject, EvidenceReport>,
     since_ms: BTreeMap<Subject, u64>,
     judges: BTreeMap<(Revision, Candidate), Judge>,
     promised: BTreeSet<(Revision, Candidate)>,
     objections: BTreeMap<(Revision, Candidate), Cause>,
-    splitters: BTreeMap<Candidate, Splitter>,
+    splitters: BTreeMap<Candidate, TrafficSplitter>,
     last: BTreeMap<Candidate, u32>,
-    witness: BTreeMap<Subject, bool>,
+    reporter_for: BTreeMap<Subject, bool>,
     traffic: BTreeMap<ModelName, f64>,
     is_synced: bool,
 }
 
 impl RolloutController {
     /// Makes the side of an instance; `incarnation` must rise with each restart.
-    pub fn new(me: InstanceName, incarnation: u64, method: Method) -> Self {
+    pub fn new(me: InstanceName, incarnation: u64, judge_config: JudgeConfig) -> Self {
         Self {
             me,
             incarnation,
             sequence: 0,
-            method,
+            judge_config,
             parts: BTreeMap::new(),
             live: Vec::new(),
             rollouts: BTreeMap::new(),
@@ -79,7 +79,7 @@
             objections: BTreeMap::new(),
             splitters: BTreeMap::new(),
             last: BTreeMap::new(),
-            witness: BTreeMap::new(),
+            reporter_for: BTreeMap::new(),
             traffic: BTreeMap::new(),
             is_synced: false,
         }
@@ -96,7 +96,7 @@
             .iter()
             .map(|(model, part)| subject(part.origin, model));
         let subjects: Vec<_> = named.collect();
-        self.evidence.keep(&subjects);
+        self.evidence.retain_subjects(&subjects);
         self.own.retain(|subject, _| subjects.contains(subject));
         self.since_ms
             .retain(|subject, _| subjects.contains(subject));
@@ -118,7 +118,7 @@
     /// Takes the list of live instances.
     pub fn set_live(&mut self, live: &[InstanceName]) {
         self.live = live.to_vec();
-        self.witness.clear();
+        self.reporter_for.clear();
         self.applied_states.retain_live(live);
     }
 
@@ -186,12 +186,12 @@
     }
 
     /// Takes a report of evidence; returns whether it was news.
-    pub fn merge_report(&mut self, report: Report) -> bool {
+    pub fn merge_report(&mut self, report: EvidenceReport) -> bool {
         self.evidence.merge(report)
     }
 
     /// Returns the own reports, for peers.
-    pub fn own_reports(&self) -> impl Iterator<Item = &Report> {
+    pub fn own_reports(&self) -> impl Iterator<Item = &EvidenceReport> {
         self.own.values()
     }
 
--- a/crates/rollout/src/controller/evaluation.rs
+++ b/crates/rollout/src/controller/evaluation.rs
@@ -9,7 +9,7 @@
 use crate::{
     applied_state::{AppliedShare, AppliedState},
     judge::Judge,
-    plan::{plan, Demand},
+    plan::{plan_stages, PlanInput},
     reported_status::ReportedStatus,
     rollout::{Phase, Rollout, StepContext},
     share_increase::{Candidate, ShareIncrease},
@@ -53,7 +53,7 @@
                     subject,
                     candidate.version.clone(),
                     record.change.base.clone(),
-                    self.method,
+                    self.judge_config,
                 )
             });
             let verdict = judge.evaluate(&self.evidence, stage, engines, now_ms);
@@ -187,7 +187,7 @@
             if self.rollouts.contains_key(&part.origin) || part.moves.is_empty() || !is_listed {
                 continue;
             }
-            let demand = Demand {
+            let demand = PlanInput {
                 within: Duration::from_secs(model.complete_within_s),
                 answer: Duration::from_millis(model.deadline_ms),
                 instances: self.live.len() as u32,
@@ -203,7 +203,7 @@
                     from_ppm,
                     ..change.clone()
                 };
-                let stages = plan(&change, &demand, self.method.steps);
+                let stages = plan_stages(&change, &demand, self.judge_config.stage_templates);
                 (change, stages, deadline_ms)
             }));
         }
--- a/crates/rollout/src/controller/traffic.rs
+++ b/crates/rollout/src/controller/traffic.rs
@@ -7,12 +7,12 @@
 
 use super::{subject, RolloutController};
 use crate::{
-    evidence::{Report, Subject, Trial},
-    plan::MAX_WITNESSES,
-    rank::rank,
+    evidence::{EvidenceReport, Subject, Trial},
+    plan::MAX_REPORTERS,
+    rendezvous::rendezvous_order,
     rollout::{sender_role, Phase},
     share_increase::{configured_shares, Candidate, ShareIncrease},
-    tally::{Failure, Trials},
+    tally::{Failure, TrialCounts},
 };
 
 impl RolloutController {
@@ -24,7 +24,12 @@
                 model: model.name.clone(),
                 version: version.clone(),
             };
-            if self.splitters.entry(candidate).or_default().take(share_ppm) {
+            if self
+                .splitters
+                .entry(candidate)
+                .or_default()
+                .selects_next(share_ppm)
+            {
                 return version;
             }
         }
@@ -33,7 +38,7 @@
 
     /// Returns the version that takes what is left, and the shares of the others here and now.
     ///
-    /// This is what the daemon publishes for its request threads, which split by [`crate::takes`].
+    /// This is what the daemon publishes for its request threads, which split by [`crate::selects`].
     pub fn effective_shares(&self, model: &Model) -> (VersionName, BTreeMap<VersionName, u32>) {
         let part = self.parts.get(&model.name);
         let changes = part.map_or(&[][..], |part| part.moves.as_slice());
@@ -109,20 +114,20 @@
 
     /// Notes that a chunk failed.
     pub fn record_failure(&mut self, trial: &Trial, failure: Failure, now_ms: u64) {
-        let discount = self.method.discount;
+        let discount = self.judge_config.discount_incidents;
         let Some(report) = self.report(trial) else {
             return;
         };
         let breaks = discount && matches!(failure, Failure::Cut | Failure::Stalled);
-        if breaks && report.broke(&trial.version, &trial.target, trial.begun_ms, now_ms) {
+        if breaks && report.record_break(&trial.version, &trial.target, trial.begun_ms, now_ms) {
             report.trials(trial).discounted += 1;
             return;
         }
-        report.trials(trial).fail(failure);
-        report.blame(&trial.version, &trial.target);
+        report.trials(trial).count_failure(failure);
+        report.record_target_failure(&trial.version, &trial.target);
     }
 
-    fn trials(&mut self, trial: &Trial) -> Option<&mut Trials> {
+    fn trials(&mut self, trial: &Trial) -> Option<&mut TrialCounts> {
         self.report(trial).map(|report| report.trials(trial))
     }
 
@@ -142,10 +147,10 @@
             is_party && is_here && self.is_running(origin, record)
         });
         let subject = subject(origin, &trial.model);
-        (is_counted && self.is_witness(&subject)).then_some(subject)
+        (is_counted && self.is_reporter(&subject)).then_some(subject)
     }
 
-    fn report(&mut self, trial: &Trial) -> Option<&mut Report> {
+    fn report(&mut self, trial: &Trial) -> Option<&mut EvidenceReport> {
         let subject = self.counted(trial)?;
         // What was begun before the counting is no part of the trials counted as begun.
         let since_ms = *self.since_ms.get(&subject)?;
@@ -153,19 +158,22 @@
             return None;
         }
         let report = self.own.entry(subject.clone());
-        Some(report.or_insert_with(|| Report::new(subject, self.me.clone(), self.incarnation)))
+        Some(
+            report
+                .or_insert_with(|| EvidenceReport::new(subject, self.me.clone(), self.incarnation)),
+        )
     }
 
-    fn is_witness(&mut self, subject: &Subject) -> bool {
-        if self.live.len() <= MAX_WITNESSES as usize {
+    fn is_reporter(&mut self, subject: &Subject) -> bool {
+        if self.live.len() <= MAX_REPORTERS as usize {
             return true;
         }
         let (live, me) = (&self.live, &self.me);
-        *self.witness.entry(subject.clone()).or_insert_with(|| {
-            let ranked = rank(&sender_role(subject.origin, &subject.model), live);
+        *self.reporter_for.entry(subject.clone()).or_insert_with(|| {
+            let ranked = rendezvous_order(&sender_role(subject.origin, &subject.model), live);
             ranked
                 .iter()
-                .take(MAX_WITNESSES as usize)
+                .take(MAX_REPORTERS as usize)
                 .any(|name| name == me)
         })
     }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-use crate::tally::{Tally, Trials};
+use crate::tally::{Tally, TrialCounts};
 
 /// How close in time the breaks of one target count as one incident, in milliseconds.
-pub const INCIDENT_MS: u64 = 10_000;
+pub const INCIDENT_WINDOW_MS: u64 = 10_000;
 /// How many incidents, and failing targets, a report keeps.
 const KEPT_INCIDENTS: usize = 64;
 const KEPT_TARGETS: usize = 16;
@@ -17,7 +17,7 @@
 /// A kind of request whose faults may differ from others', for example an adapter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Route(pub SmolStr);
+pub struct RequestClass(pub SmolStr);
 
 /// One chunk of an answer, from the side of the instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     /// The version that was chosen.
     pub version: VersionName,
     /// The kind of request.
-    pub route: Route,
+    pub class: RequestClass,
     /// The target.
     pub target: TargetName,
     /// Whether it is the first of its answer.
@@ -58,18 +58,19 @@
 
 /// One version on one route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct ReportLine {
     /// The version.
     pub version: VersionName,
     /// The route.
-    pub route: Route,
+    #[serde(rename = "route")]
+    pub class: RequestClass,
     /// The sums.
     pub tally: Tally,
 }
 
 /// All that one instance has seen of a subject while it sent traffic to the candidate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct EvidenceReport {
     /// What it is about.
     pub subject: Subject,
     /// The instance.
@@ -79,14 +80,14 @@
     /// Tells newer reports from older ones; rises.
     pub sequence: u64,
     /// The sums, by version and route.
-    pub lines: Vec<Line>,
+    pub lines: Vec<ReportLine>,
     /// Incidents of targets.
     pub incidents: Vec<Incident>,
     /// Failures by target.
     pub blamed: Vec<(VersionName, TargetName, u32)>,
 }
 
-impl Report {
+impl EvidenceReport {
     /// Makes an empty report.
     pub fn new(subject: Subject, instance: InstanceName, incarnation: u64) -> Self {
         Self {
@@ -101,13 +102,13 @@
     }
 
     /// Returns the sums of a version on a route, which the caller may add to.
-    pub fn tally(&mut self, version: &VersionName, route: &Route) -> &mut Tally {
+    pub fn tally(&mut self, version: &VersionName, class: &RequestClass) -> &mut Tally {
         self.sequence += 1;
-        let is_it = |line: &Line| line.version == *version && line.route == *route;
+        let is_it = |line: &ReportLine| line.version == *version && line.class == *class;
         let at = self.lines.iter().position(is_it).unwrap_or_else(|| {
-            self.lines.push(Line {
+            self.lines.push(ReportLine {
                 version: version.clone(),
-                route: route.clone(),
+                class: class.clone(),
                 tally: Tally::default(),
             });
             self.lines.len() - 1
@@ -116,8 +117,8 @@
     }
 
     /// Returns the sums that a trial belongs to.
-    pub fn trials(&mut self, trial: &Trial) -> &mut Trials {
-        let tally = self.tally(&trial.version, &trial.route);
+    pub fn trials(&mut self, trial: &Trial) -> &mut TrialCounts {
+        let tally = self.tally(&trial.version, &trial.class);
         if trial.is_first {
             &mut tally.first
         } else {
@@ -126,7 +127,7 @@
     }
 
     /// Notes on which target a trial failed.
-    pub fn blame(&mut self, version: &VersionName, target: &TargetName) {
+    pub fn record_target_failure(&mut self, version: &VersionName, target: &TargetName) {
         let is_it = |(v, t, _): &&mut (_, _, u32)| v == version && t == target;
         if let Some((_, _, count)) = self.blamed.iter_mut().find(is_it) {
             *count += 1;
@@ -141,7 +142,7 @@
     /// about the version. What ran there before the first break is discounted, and the break counts as
     /// one incident. A trial begun after it reached the target again and counts in full, so a version
     /// that breaks each connection is not excused.
-    pub fn broke(
+    pub fn record_break(
         &mut self,
         version: &VersionName,
         target: &TargetName,
@@ -149,7 +150,7 @@
         now_ms: u64,
     ) -> bool {
         let is_recent = |incident: &&Incident| {
-            incident.target == *target && now_ms.saturating_sub(incident.at_ms) < INCIDENT_MS
+            incident.target == *target && now_ms.saturating_sub(incident.at_ms) < INCIDENT_WINDOW_MS
         };
         if let Some(incident) = self.incidents.iter().rev().find(is_recent) {
             return begun_ms <= incident.at_ms;
@@ -170,12 +171,12 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_rollout::{Evidence, Report, Route, Subject};
+/// use celerypond_rollout::{Evidence, EvidenceReport, RequestClass, Subject};
 /// use celerypond_types::Revision;
 ///
 /// let subject = Subject { origin: Revision(2), model: "draft".into() };
-/// let mut report = Report::new(subject.clone(), "i1".into(), 1);
-/// report.tally(&"v2".into(), &Route("".into())).first.sent += 1;
+/// let mut report = EvidenceReport::new(subject.clone(), "i1".into(), 1);
+/// report.tally(&"v2".into(), &RequestClass("".into())).first.sent += 1;
 /// let mut evidence = Evidence::default();
 /// assert!(evidence.merge(report.clone()));
 /// assert!(!evidence.merge(report));
@@ -183,12 +184,12 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
-    reports: BTreeMap<(Subject, InstanceName, u64), Report>,
+    reports: BTreeMap<(Subject, InstanceName, u64), EvidenceReport>,
 }
 
 impl Evidence {
     /// Takes a report; returns whether it is newer than the one held.
-    pub fn merge(&mut self, report: Report) -> bool {
+    pub fn merge(&mut self, report: EvidenceReport) -> bool {
         let is_newer = self.is_newer(&report);
         if is_newer {
             self.reports.insert(key(&report), report);
@@ -197,29 +198,37 @@
     }
 
     /// Returns whether a report is newer than the one held.
-    pub fn is_newer(&self, report: &Report) -> bool {
+    pub fn is_newer(&self, report: &EvidenceReport) -> bool {
         let held = self.reports.get(&key(report));
         held.is_none_or(|held| held.sequence < report.sequence)
     }
 
     /// Returns all reports.
-    pub fn all(&self) -> impl Iterator<Item = &Report> {
+    pub fn reports(&self) -> impl Iterator<Item = &EvidenceReport> {
         self.reports.values()
     }
 
     /// Returns the reports about a subject.
-    pub fn reports<'a>(&'a self, subject: &'a Subject) -> impl Iterator<Item = &'a Report> {
+    pub fn reports_on<'a>(
+        &'a self,
+        subject: &'a Subject,
+    ) -> impl Iterator<Item = &'a EvidenceReport> {
         self.reports
             .values()
             .filter(move |report| report.subject == *subject)
     }
 
     /// Returns the sums of a version over all instances, on one route or on all.
-    pub fn total(&self, subject: &Subject, version: &VersionName, route: Option<&Route>) -> Tally {
+    pub fn total(
+        &self,
+        subject: &Subject,
+        version: &VersionName,
+        class: Option<&RequestClass>,
+    ) -> Tally {
         let mut total = Tally::default();
-        let lines = self.reports(subject).flat_map(|report| &report.lines);
+        let lines = self.reports_on(subject).flat_map(|report| &report.lines);
         for line in lines {
-            if line.version == *version && route.is_none_or(|route| *route == line.route) {
+            if line.version == *version && class.is_none_or(|class| *class == line.class) {
                 total.merge(&line.tally);
             }
         }
@@ -227,14 +236,18 @@
     }
 
     /// Returns the sums of a version over all instances by route.
-    pub fn totals(&self, subject: &Subject, version: &VersionName) -> BTreeMap<&Route, Tally> {
-        let mut totals: BTreeMap<&Route, Tally> = BTreeMap::new();
+    pub fn totals_by_class(
+        &self,
+        subject: &Subject,
+        version: &VersionName,
+    ) -> BTreeMap<&RequestClass, Tally> {
+        let mut totals: BTreeMap<&RequestClass, Tally> = BTreeMap::new();
         for report in self.reports.values() {
             if report.subject != *subject {
                 continue;
             }
             for line in report.lines.iter().filter(|line| line.version == *version) {
-                totals.entry(&line.route).or_default().merge(&line.tally);
+                totals.entry(&line.class).or_default().merge(&line.tally);
             }
         }
         totals
@@ -242,24 +255,31 @@
 
     /// Returns the incidents of a version, each counted once however many instances saw it.
     pub fn incidents(&self, subject: &Subject, version: &VersionName) -> Vec<Incident> {
-        let all = self.reports(subject).flat_map(|report| &report.incidents);
+        let all = self
+            .reports_on(subject)
+            .flat_map(|report| &report.incidents);
         let mut seen: Vec<_> = all
             .filter(|seen| seen.version == *version)
             .cloned()
             .collect();
         seen.sort_by(|a, b| (&a.target, a.at_ms).cmp(&(&b.target, b.at_ms)));
         seen.dedup_by(|later, kept| {
-            later.target == kept.target && later.at_ms.saturating_sub(kept.at_ms) < INCIDENT_MS
+            later.target == kept.target
+                && later.at_ms.saturating_sub(kept.at_ms) < INCIDENT_WINDOW_MS
         });
         seen.sort_by_key(|incident| incident.at_ms);
         seen
     }
 
     /// Returns the failures of a version by target.
-    pub fn blamed(&self, subject: &Subject, version: &VersionName) -> BTreeMap<TargetName, u64> {
+    pub fn failures_by_target(
+        &self,
+        subject: &Subject,
+        version: &VersionName,
+    ) -> BTreeMap<TargetName, u64> {
         let mut blamed = BTreeMap::new();
         for (_, target, count) in self
-            .reports(subject)
+            .reports_on(subject)
             .flat_map(|report| &report.blamed)
             .filter(|(found, _, _)| found == version)
         {
@@ -269,13 +289,13 @@
     }
 
     /// Drops all that is about other subjects.
-    pub fn keep(&mut self, subjects: &[Subject]) {
+    pub fn retain_subjects(&mut self, subjects: &[Subject]) {
         self.reports
             .retain(|(subject, _, _), _| subjects.contains(subject));
     }
 }
 
-fn key(report: &Report) -> (Subject, InstanceName, u64) {
+fn key(report: &EvidenceReport) -> (Subject, InstanceName, u64) {
     (
         report.subject.clone(),
         report.instance.clone(),
--- a/crates/rollout/src/histogram.rs
+++ b/crates/rollout/src/histogram.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// How many buckets a histogram has; the last is open.
-pub const BUCKETS: usize = 40;
+pub const BUCKET_COUNT: usize = 40;
 /// The upper bound of the first bucket, in microseconds.
 const FIRST_BOUND_US: f64 = 1_000.0;
 /// The ratio of the bounds of neighbouring buckets.
@@ -19,12 +19,12 @@
 /// let mut times = Histogram::default();
 /// times.add(52_000);
 /// assert_eq!(times.count(), 1);
-/// assert_eq!(times.above(times.bucket_of(0.5)), 0);
+/// assert_eq!(times.count_above(times.quantile_bucket(0.5)), 0);
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Sparse", into = "Sparse")]
 pub struct Histogram {
-    counts: [u32; BUCKETS],
+    counts: [u32; BUCKET_COUNT],
 }
 
 /// The form on the wire: only the span of buckets in use.
@@ -37,7 +37,7 @@
 impl Default for Histogram {
     fn default() -> Self {
         Self {
-            counts: [0; BUCKETS],
+            counts: [0; BUCKET_COUNT],
         }
     }
 }
@@ -46,7 +46,7 @@
     /// Adds a time in microseconds.
     pub fn add(&mut self, time_us: u64) {
         let steps = (time_us.max(1) as f64 / FIRST_BOUND_US).ln() / RATIO.ln();
-        let bucket = (steps.ceil().max(0.0) as usize).min(BUCKETS - 1);
+        let bucket = (steps.ceil().max(0.0) as usize).min(BUCKET_COUNT - 1);
         self.counts[bucket] = self.counts[bucket].saturating_add(1);
     }
 
@@ -69,19 +69,19 @@
 
     /// Returns how many times were added.
     pub fn count(&self) -> u64 {
-        self.above_from(0)
+        self.count_from(0)
     }
 
     /// Returns how many times lie above a bucket.
-    pub fn above(&self, bucket: usize) -> u64 {
-        self.above_from(bucket + 1)
+    pub fn count_above(&self, bucket: usize) -> u64 {
+        self.count_from(bucket + 1)
     }
 
     /// Returns the first bucket that at least this part of all times does not exceed.
-    pub fn bucket_of(&self, part: f64) -> usize {
+    pub fn quantile_bucket(&self, part: f64) -> usize {
         let allowed = (self.count() as f64 * (1.0 - part)) as u64;
         let mut above = 0;
-        for bucket in (0..BUCKETS).rev() {
+        for bucket in (0..BUCKET_COUNT).rev() {
             above += u64::from(self.counts[bucket]);
             if above > allowed {
                 return bucket;
@@ -90,7 +90,7 @@
         0
     }
 
-    fn above_from(&self, first: usize) -> u64 {
+    fn count_from(&self, first: usize) -> u64 {
         self.counts
             .iter()
             .skip(first)
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -5,35 +5,35 @@
 use celerypond_types::{TargetName, VersionName};
 
 use crate::{
-    evidence::{Evidence, Route, Subject},
-    histogram::{Histogram, BUCKETS},
-    odds::{odds, odds_against, Seen, TOLERANCE},
+    bayes::{bayes_factor, bayes_factor_at_rate, Proportion, TOLERANCE},
+    evidence::{Evidence, RequestClass, Subject},
+    histogram::{Histogram, BUCKET_COUNT},
     plan::Stage,
-    splitter::WHOLE_PPM,
-    tally::{Tally, Trials},
-    verdict::{Cause, Engines, Method, Verdict},
+    splitter::FULL_SHARE_PPM,
+    tally::{Tally, TrialCounts},
+    verdict::{Cause, Engines, JudgeConfig, Verdict},
 };
 
 /// The odds that trip the brake for failures and incidents.
-const TRIP_ODDS: f64 = 1e4;
+const FAILURE_THRESHOLD: f64 = 1e4;
 /// The odds that trip it for slowness, whose samples depend on each other more.
-const SLOW_ODDS: f64 = 1e6;
+const SLOWNESS_THRESHOLD: f64 = 1e6;
 /// The failure rate that nobody minds.
 const FAILURE_FLOOR: f64 = 0.005;
 /// The part of slow samples that nobody minds; by choice of the bound the base has about half of it.
 const SLOW_FLOOR: f64 = 0.10;
 /// The part of the base's samples that count as not slow.
-const NORMAL_PART: f64 = 0.95;
+const NORMAL_QUANTILE: f64 = 0.95;
 /// How many buckets above the base's normal bound a sample is slow: 1.25^2, so 1.56 times.
 const SLOW_BUCKETS: usize = 2;
 /// How many samples of the base fix the bound.
 const MIN_BASE_SAMPLES: u64 = 40;
 /// The failure rate that is taken for the base's when no traffic is left on it.
-const UNPAIRED_RATE: f64 = 0.3;
-/// How many successes a failure on other routes needs for the version to do well there.
-const WELL_RATIO: u64 = 3;
+const ASSUMED_BASE_RATE: f64 = 0.3;
+/// How many successes a failure on other classes needs for the version to do well there.
+const HEALTHY_RATIO: u64 = 3;
 /// Incidents that an engine may have in a second, before any was seen: one in two hours.
-const INCIDENT_PRIOR_S: f64 = 7_200.0;
+const PRIOR_ENGINE_S: f64 = 7_200.0;
 const MS_PER_S: f64 = 1_000.0;
 
 /// What a window is open on.
@@ -41,30 +41,30 @@
 struct Scope {
     cause: Cause,
     is_first: bool,
-    route: Option<Route>,
+    class: Option<RequestClass>,
 }
 
 /// The trials of both versions.
 #[derive(Clone, Debug, Default)]
-struct Pair {
-    new: Trials,
-    base: Trials,
+struct VersionPair {
+    new: TrialCounts,
+    base: TrialCounts,
 }
 
 /// The start of the current suspicion on one scope.
 #[derive(Clone, Debug, Default)]
 struct Window {
-    start: Pair,
+    start: VersionPair,
     blamed: BTreeMap<TargetName, u64>,
-    elsewhere: Trials,
+    elsewhere: TrialCounts,
 }
 
-/// What all scopes are weighed with.
+/// What all scope_count are weighed with.
 #[derive(Clone, Copy, Debug)]
-struct Terms {
-    is_paired: bool,
-    engines: u32,
-    scopes: f64,
+struct StageContext {
+    has_base_traffic: bool,
+    candidate_engines: u32,
+    scope_count: f64,
 }
 
 /// Tests one version against its base on the merged evidence of all instances.
@@ -79,18 +79,23 @@
     subject: Subject,
     version: VersionName,
     base: VersionName,
-    method: Method,
+    config: JudgeConfig,
     windows: BTreeMap<Scope, Window>,
 }
 
 impl Judge {
     /// Makes a judge of a version.
-    pub fn new(subject: Subject, version: VersionName, base: VersionName, method: Method) -> Self {
+    pub fn new(
+        subject: Subject,
+        version: VersionName,
+        base: VersionName,
+        config: JudgeConfig,
+    ) -> Self {
         Self {
             subject,
             version,
             base,
-            method,
+            config,
             windows: BTreeMap::new(),
         }
     }
@@ -103,28 +108,31 @@
         engines: Engines,
         now_ms: u64,
     ) -> Option<Verdict> {
-        let new = evidence.totals(&self.subject, &self.version);
-        let base = evidence.totals(&self.subject, &self.base);
-        let has_routes = self.method.routes && new.len() > 1;
-        let routes = new.keys().filter(|_| has_routes).map(|route| Some(*route));
-        let routes: Vec<Option<&Route>> = std::iter::once(None).chain(routes).collect();
-        let terms = Terms {
-            is_paired: stage.share_ppm < WHOLE_PPM,
-            engines: engines.new,
-            scopes: routes.len() as f64,
+        let new = evidence.totals_by_class(&self.subject, &self.version);
+        let base = evidence.totals_by_class(&self.subject, &self.base);
+        let is_per_class = self.config.per_class && new.len() > 1;
+        let classes = new
+            .keys()
+            .filter(|_| is_per_class)
+            .map(|class| Some(*class));
+        let classes: Vec<Option<&RequestClass>> = std::iter::once(None).chain(classes).collect();
+        let context = StageContext {
+            has_base_traffic: stage.share_ppm < FULL_SHARE_PPM,
+            candidate_engines: engines.new,
+            scope_count: classes.len() as f64,
         };
-        let blamed = evidence.blamed(&self.subject, &self.version);
+        let blamed = evidence.failures_by_target(&self.subject, &self.version);
         let mut verdicts = Vec::new();
-        for route in routes {
-            let all = on_route(&new, None);
-            let new = on_route(&new, route);
+        for class in classes {
+            let all = sum_of_class(&new, None);
+            let new = sum_of_class(&new, class);
             let elsewhere = all.first.since(&new.first);
-            let base = on_route(&base, route);
-            let first = Pair {
+            let base = sum_of_class(&base, class);
+            let first = VersionPair {
                 new: new.first,
                 base: base.first,
             };
-            let later = Pair {
+            let later = VersionPair {
                 new: new.later,
                 base: base.later,
             };
@@ -132,36 +140,36 @@
                 let scope = |cause| Scope {
                     cause,
                     is_first,
-                    route: route.cloned(),
+                    class: class.cloned(),
                 };
                 verdicts.extend(self.failures(
                     scope(Cause::Failures),
                     &pair,
                     &blamed,
                     &elsewhere,
-                    terms,
+                    context,
                 ));
                 let slow = if is_first {
                     Cause::FirstToken
                 } else {
                     Cause::TokenTime
                 };
-                verdicts.extend(self.slowness(scope(slow), &pair, terms));
+                verdicts.extend(self.slowness(scope(slow), &pair, context));
             }
         }
         verdicts.extend(self.incidents(evidence, stage.engines, engines.base, now_ms));
         verdicts
             .into_iter()
-            .max_by(|a, b| a.odds.total_cmp(&b.odds))
+            .max_by(|a, b| a.bayes_factor.total_cmp(&b.bayes_factor))
     }
 
     fn failures(
         &mut self,
         scope: Scope,
-        pair: &Pair,
+        pair: &VersionPair,
         blamed: &BTreeMap<TargetName, u64>,
-        elsewhere: &Trials,
-        terms: Terms,
+        elsewhere: &TrialCounts,
+        context: StageContext,
     ) -> Option<Verdict> {
         let window = self.windows.entry(scope.clone()).or_default();
         let new = pair.new.since(&window.start.new);
@@ -174,25 +182,25 @@
         let tried = begun.saturating_sub(new.discounted).max(failed);
         let old = window.start.base.pending();
         let base_tried = base.failures() + base.times.count().saturating_sub(old);
-        let seen = Seen {
+        let seen = Proportion {
             hits: failed,
-            tried,
+            trials: tried,
         };
-        let odds = if terms.is_paired {
+        let factor = if context.has_base_traffic {
             let past = &window.start.base;
-            let past = Seen {
+            let past = Proportion {
                 hits: past.failures(),
-                tried: past.failures() + past.times.count(),
+                trials: past.failures() + past.times.count(),
             };
-            let base = Seen {
+            let base = Proportion {
                 hits: base.failures(),
-                tried: base_tried,
+                trials: base_tried,
             };
-            odds(seen, base, past, FAILURE_FLOOR)
+            bayes_factor(seen, base, past, FAILURE_FLOOR)
         } else {
-            odds_against(seen, UNPAIRED_RATE)
+            bayes_factor_at_rate(seen, ASSUMED_BASE_RATE)
         };
-        if odds <= 1.0 {
+        if factor <= 1.0 {
             window.start = pair.clone();
             window.blamed = blamed.clone();
             window.elsewhere = elsewhere.clone();
@@ -204,37 +212,50 @@
         // One sick engine is no fault of the version; the router takes it out soon. With twice the
         // evidence on one target alone the version is blamed all the same.
         let is_spread = blamed.iter().filter(is_hit).count() > 1;
-        // A sick engine fails on all routes: if the version does well on the others, the route is bad.
+        // A sick engine fails on all classes: if the version does well on the others, the class is bad.
         let others = elsewhere.since(&window.elsewhere);
-        let well = others.times.count();
-        let is_route = scope.route.is_some() && well >= WELL_RATIO * others.failures().max(1);
-        let is_enough = is_spread || is_route || terms.engines < 2 || !self.method.targets;
+        let successes = others.times.count();
+        let is_class_fault =
+            scope.class.is_some() && successes >= HEALTHY_RATIO * others.failures().max(1);
+        let is_enough = is_spread
+            || is_class_fault
+            || context.candidate_engines < 2
+            || !self.config.spread_over_targets;
         let power = if is_enough { 1 } else { 2 };
-        verdict(scope, odds, TRIP_ODDS.powi(power) * terms.scopes)
+        verdict(
+            scope,
+            factor,
+            FAILURE_THRESHOLD.powi(power) * context.scope_count,
+        )
     }
 
-    fn slowness(&mut self, scope: Scope, pair: &Pair, terms: Terms) -> Option<Verdict> {
+    fn slowness(
+        &mut self,
+        scope: Scope,
+        pair: &VersionPair,
+        context: StageContext,
+    ) -> Option<Verdict> {
         let window = self.windows.entry(scope.clone()).or_default();
         let history = &pair.base.times;
         // With no traffic left on the base nobody can tell a slow version from a busy hour.
-        if history.count() < MIN_BASE_SAMPLES || !terms.is_paired {
+        if history.count() < MIN_BASE_SAMPLES || !context.has_base_traffic {
             window.start = pair.clone();
             return None;
         }
-        let slow = (history.bucket_of(NORMAL_PART) + SLOW_BUCKETS).min(BUCKETS - 1);
+        let slow = (history.quantile_bucket(NORMAL_QUANTILE) + SLOW_BUCKETS).min(BUCKET_COUNT - 1);
         let new = pair.new.times.since(&window.start.new.times);
         let base = pair.base.times.since(&window.start.base.times);
-        let seen = |times: &Histogram| Seen {
-            hits: times.above(slow),
-            tried: times.count(),
+        let seen = |times: &Histogram| Proportion {
+            hits: times.count_above(slow),
+            trials: times.count(),
         };
         let past = seen(&window.start.base.times);
-        let odds = odds(seen(&new), seen(&base), past, SLOW_FLOOR);
-        if odds <= 1.0 {
+        let factor = bayes_factor(seen(&new), seen(&base), past, SLOW_FLOOR);
+        if factor <= 1.0 {
             window.start = pair.clone();
             return None;
         }
-        verdict(scope, odds, SLOW_ODDS * terms.scopes)
+        verdict(scope, factor, SLOWNESS_THRESHOLD * context.scope_count)
     }
 
     /// Compares how often targets die, as Poisson counts since each incident of the new version.
@@ -249,13 +270,13 @@
     ) -> Option<Verdict> {
         let new = evidence.incidents(&self.subject, &self.version);
         let base = evidence.incidents(&self.subject, &self.base);
-        let odds = new.iter().enumerate().map(|(at, first)| {
+        let factors = new.iter().enumerate().map(|(at, first)| {
             let span_s = now_ms.saturating_sub(first.at_ms).max(1) as f64 / MS_PER_S;
             let in_window = base
                 .iter()
                 .filter(|seen| seen.at_ms + 1_000 >= first.at_ms)
                 .count();
-            let exposed_s = f64::from(base_engines) * span_s + INCIDENT_PRIOR_S;
+            let exposed_s = f64::from(base_engines) * span_s + PRIOR_ENGINE_S;
             let rate = TOLERANCE * (in_window as f64 + 1.0) / exposed_s;
             let expected = (rate * f64::from(used) * span_s).max(f64::MIN_POSITIVE);
             let count = (new.len() - at - 1) as f64;
@@ -267,32 +288,32 @@
                 0.0
             }
         });
-        let most = odds.fold(0.0, f64::max);
+        let most = factors.fold(0.0, f64::max);
         let scope = Scope {
             cause: Cause::Incidents,
             is_first: false,
-            route: None,
+            class: None,
         };
-        verdict(scope, most, TRIP_ODDS)
+        verdict(scope, most, FAILURE_THRESHOLD)
     }
 }
 
-/// Returns the sums on one route, or on all.
-fn on_route(totals: &BTreeMap<&Route, Tally>, route: Option<&Route>) -> Tally {
+/// Returns the sums on one class, or on all.
+fn sum_of_class(totals: &BTreeMap<&RequestClass, Tally>, class: Option<&RequestClass>) -> Tally {
     let mut sum = Tally::default();
     let chosen = totals
         .iter()
-        .filter(|(found, _)| route.is_none_or(|route| route == **found));
+        .filter(|(found, _)| class.is_none_or(|class| class == **found));
     for (_, tally) in chosen {
         sum.merge(tally);
     }
     sum
 }
 
-fn verdict(scope: Scope, odds: f64, needed: f64) -> Option<Verdict> {
-    (odds >= needed).then_some(Verdict {
+fn verdict(scope: Scope, bayes_factor: f64, threshold: f64) -> Option<Verdict> {
+    (bayes_factor >= threshold).then_some(Verdict {
         cause: scope.cause,
-        route: scope.route,
-        odds,
+        class: scope.class,
+        bayes_factor,
     })
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -3,17 +3,17 @@
 //! All decisions are pure. The daemon makes the store calls and carries the gossip.
 
 mod applied_state;
+mod bayes;
 mod brake;
 mod bundle_tracker;
 mod controller;
 mod evidence;
 mod histogram;
 mod judge;
-mod odds;
 mod operation;
 mod plan;
-mod rank;
 mod record;
+mod rendezvous;
 mod reported_status;
 mod rollout;
 mod share_increase;
@@ -24,25 +24,30 @@
 mod version_rollout;
 
 pub use applied_state::{AppliedShare, AppliedState, AppliedStates, Coverage};
+pub use bayes::{bayes_factor, Proportion};
 pub use brake::Brakes;
 pub use bundle_tracker::{BodyError, BundleTracker, Source, FETCH_TIMEOUT, POLL_INTERVAL};
 pub use controller::{RolloutController, RolloutSnapshot};
-pub use evidence::{Evidence, Incident, Line, Report, Route, Subject, Trial, INCIDENT_MS};
-pub use histogram::{Histogram, BUCKETS};
+pub use evidence::{
+    Evidence, EvidenceReport, Incident, ReportLine, RequestClass, Subject, Trial,
+    INCIDENT_WINDOW_MS,
+};
+pub use histogram::{Histogram, BUCKET_COUNT};
 pub use judge::Judge;
-pub use odds::{odds, Seen};
 pub use operation::{Operation, OperationError, OperationOutcome, OperationRequest, OperationStep};
-pub use plan::{local_ppm, plan, Demand, Stage, StageStep, MAX_WITNESSES, STEPS};
-pub use rank::{is_watcher, rank, witnesses, WATCHERS_PER_CENTRE};
+pub use plan::{
+    local_ppm, plan_stages, PlanInput, Stage, StageTemplate, MAX_REPORTERS, STAGE_TEMPLATES,
+};
 pub use record::{
     approval_key, bundle_key, Action, Approval, AuditRecord, BundleHeader, CurrentBundle,
     ModelPart, Signature, Submission, AUDIT_PREFIX, CURRENT_KEY,
 };
+pub use rendezvous::{evidence_reporters, is_watcher, rendezvous_order, WATCHERS_PER_DATA_CENTRE};
 pub use reported_status::ReportedStatus;
 pub use rollout::{rollout_key, Phase, Rollout, StepContext};
 pub use share_increase::{configured_shares, share_increases, Candidate, ShareIncrease};
-pub use splitter::{takes, Splitter, WHOLE_PPM};
+pub use splitter::{selects, TrafficSplitter, FULL_SHARE_PPM};
 pub use store::{parse_json, Condition, StoreCall, StoreReply, MAX_VALUE_BYTES};
-pub use tally::{Failure, Tally, Trials};
-pub use verdict::{Cause, Engines, Method, Verdict};
+pub use tally::{Failure, Tally, TrialCounts};
+pub use verdict::{Cause, Engines, JudgeConfig, Verdict};
 pub use version_rollout::VersionRollout;
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -4,14 +4,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{share_increase::ShareIncrease, splitter::WHOLE_PPM};
+use crate::{share_increase::ShareIncrease, splitter::FULL_SHARE_PPM};
 
 /// The local share that early stages aim at, so that few instances gather evidence quickly.
 const LOCAL_PPM: u32 = 250_000;
 /// The highest local share of a stage that not all instances take part in.
 const MAX_LOCAL_PPM: u32 = 500_000;
 /// The most instances that gather evidence; more would not make it quicker, only cost bytes.
-pub const MAX_WITNESSES: u32 = 32;
+pub const MAX_REPORTERS: u32 = 32;
 /// The answers that must have begun before a stage may end.
 const MIN_ANSWERS: u64 = 20;
 /// The least engines of the new version in the first stage, whose load is low anyway, so that one sick
@@ -26,7 +26,7 @@
 
 /// A share of all traffic on the way and the part of the time spent at it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StageStep {
+pub struct StageTemplate {
     /// The share, in parts per million.
     pub share_ppm: u32,
     /// The part of the time between the roll and the final share.
@@ -34,20 +34,20 @@
 }
 
 /// The steps that the measurements in docs/design/rollouts.md chose.
-pub const STEPS: [StageStep; 4] = [
-    StageStep {
+pub const STAGE_TEMPLATES: [StageTemplate; 4] = [
+    StageTemplate {
         share_ppm: 20_000,
         time: 0.2,
     },
-    StageStep {
+    StageTemplate {
         share_ppm: 100_000,
         time: 0.35,
     },
-    StageStep {
+    StageTemplate {
         share_ppm: 300_000,
         time: 0.15,
     },
-    StageStep {
+    StageTemplate {
         share_ppm: 600_000,
         time: 0.1,
     },
@@ -73,7 +73,7 @@
 
 /// What a plan is made for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Demand {
+pub struct PlanInput {
     /// The time from the roll to the report.
     pub within: Duration,
     /// The longest time an answer may take.
@@ -91,7 +91,7 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use celerypond_rollout::{Candidate, Demand, ShareIncrease, STEPS, plan};
+/// use celerypond_rollout::{Candidate, PlanInput, ShareIncrease, STAGE_TEMPLATES, plan_stages};
 ///
 /// let change = ShareIncrease {
 ///     candidate: Candidate { model: "draft".into(), version: "v2".into() },
@@ -100,18 +100,22 @@
 ///     to_ppm: 1_000_000,
 ///     engines: 10,
 /// };
-/// let demand = Demand {
+/// let demand = PlanInput {
 ///     within: Duration::from_secs(600),
 ///     answer: Duration::from_secs(60),
 ///     instances: 7,
 ///     requests_per_s: 10.0,
 /// };
-/// let stages = plan(&change, &demand, &STEPS);
+/// let stages = plan_stages(&change, &demand, &STAGE_TEMPLATES);
 /// let shares: Vec<_> = stages.iter().map(|stage| stage.share_ppm / 10_000).collect();
 /// assert_eq!(shares, [2, 10, 30, 60, 90, 100]);
 /// ```
-pub fn plan(change: &ShareIncrease, demand: &Demand, steps: &[StageStep]) -> Vec<Stage> {
-    let is_whole = change.to_ppm == WHOLE_PPM;
+pub fn plan_stages(
+    change: &ShareIncrease,
+    demand: &PlanInput,
+    steps: &[StageTemplate],
+) -> Vec<Stage> {
+    let is_whole = change.to_ppm == FULL_SHARE_PPM;
     let drain = if is_whole {
         demand.answer
     } else {
@@ -120,7 +124,7 @@
     let reserve = (CLOSE_RESERVE + drain).min(demand.within.mul_f64(MAX_RESERVE));
     let usable = demand.within - reserve;
     let soak_ppm = if is_whole {
-        WHOLE_PPM - CONTROL_PPM
+        FULL_SHARE_PPM - CONTROL_PPM
     } else {
         change.to_ppm
     };
@@ -129,13 +133,13 @@
         .filter(|step| change.from_ppm < step.share_ppm && step.share_ppm < soak_ppm);
     let mut shares: Vec<_> = early.copied().collect();
     let spent: f64 = shares.iter().map(|step| step.time).sum();
-    shares.push(StageStep {
+    shares.push(StageTemplate {
         share_ppm: soak_ppm.max(change.from_ppm),
         time: (1.0 - spent).max(0.0),
     });
     if is_whole {
-        shares.push(StageStep {
-            share_ppm: WHOLE_PPM,
+        shares.push(StageTemplate {
+            share_ppm: FULL_SHARE_PPM,
             time: 0.0,
         });
     }
@@ -171,15 +175,15 @@
 }
 
 /// Raises the first share where so few requests come that the stage would end without evidence.
-fn first_share(share_ppm: u32, next_ppm: u32, lasts_s: f64, demand: &Demand) -> u32 {
+fn first_share(share_ppm: u32, next_ppm: u32, lasts_s: f64, demand: &PlanInput) -> u32 {
     let requests = (demand.requests_per_s * lasts_s).max(1.0);
-    let needed = 1.5 * MIN_ANSWERS as f64 / requests * f64::from(WHOLE_PPM);
+    let needed = 1.5 * MIN_ANSWERS as f64 / requests * f64::from(FULL_SHARE_PPM);
     (needed as u32).clamp(share_ppm, next_ppm.max(share_ppm))
 }
 
 fn instances(share_ppm: u32, live: u32) -> Option<u32> {
     let wanted = (u64::from(share_ppm) * u64::from(live)).div_ceil(u64::from(LOCAL_PPM)) as u32;
-    let count = wanted.clamp(1, MAX_WITNESSES);
+    let count = wanted.clamp(1, MAX_REPORTERS);
     (count < live && share_ppm < LOCAL_PPM).then_some(count)
 }
 
--- a/crates/rollout/src/rank.rs
+++ b/crates/rollout/src/rendezvous.rs
@@ -2,24 +2,24 @@
 
 use celerypond_types::{DataCentre, Digest, InstanceName, ModelName, Revision};
 
-use crate::{plan::MAX_WITNESSES, rollout::sender_role};
+use crate::{plan::MAX_REPORTERS, rollout::sender_role};
 
 /// How many instances of each data centre hold a watch on the store.
-pub const WATCHERS_PER_CENTRE: usize = 2;
+pub const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
 /// Sorts instances by their rank for a role; all who know the same instances agree on the order.
 ///
 /// # Examples
 ///
 /// ```
-/// use celerypond_rollout::rank;
+/// use celerypond_rollout::rendezvous_order;
 ///
 /// let names = ["a".into(), "b".into(), "c".into()];
 /// let mut reversed = names.clone();
 /// reversed.reverse();
-/// assert_eq!(rank("canary 7", &names), rank("canary 7", &reversed));
+/// assert_eq!(rendezvous_order("canary 7", &names), rendezvous_order("canary 7", &reversed));
 /// ```
-pub fn rank(role: &str, instances: &[InstanceName]) -> Vec<InstanceName> {
+pub fn rendezvous_order(role: &str, instances: &[InstanceName]) -> Vec<InstanceName> {
     let weight = |name: &InstanceName| Digest::of(format!("{role}\0{name}").as_bytes());
     let mut ranked = instances.to_vec();
     ranked.sort_by_cached_key(weight);
@@ -27,13 +27,13 @@
 }
 
 /// Returns the instances whose reports count as evidence of a rollout, senders first.
-pub fn witnesses(
+pub fn evidence_reporters(
     origin: Revision,
     model: &ModelName,
     instances: &[InstanceName],
 ) -> Vec<InstanceName> {
-    let mut ranked = rank(&sender_role(origin, model), instances);
-    ranked.truncate(MAX_WITNESSES as usize);
+    let mut ranked = rendezvous_order(&sender_role(origin, model), instances);
+    ranked.truncate(MAX_REPORTERS as usize);
     ranked
 }
 
@@ -51,9 +51,9 @@
     if !names.contains(me) {
         names.push(me.clone());
     }
-    let ranked = rank(&format!("watch {centre}"), &names);
+    let ranked = rendezvous_order(&format!("watch {centre}"), &names);
     ranked
         .iter()
-        .take(WATCHERS_PER_CENTRE)
+        .take(WATCHERS_PER_DATA_CENTRE)
         .any(|name| name == me)
 }
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -18,9 +18,9 @@
     format_smolstr!("rollout/{origin}")
 }
 
-/// Returns the role by which senders and witnesses are ranked.
+/// Returns the role by which senders and evidence_reporters are ranked.
 ///
-/// It is one role, so that the few senders of the early stages are witnesses as well.
+/// It is one role, so that the few senders of the early stages are evidence_reporters as well.
 pub(crate) fn sender_role(origin: Revision, model: &ModelName) -> String {
     format!("sender {origin} {model}")
 }
--- a/crates/rollout/src/share_increase.rs
+++ b/crates/rollout/src/share_increase.rs
@@ -6,9 +6,9 @@
 use celerypond_types::{ModelName, VersionName};
 use serde::{Deserialize, Serialize};
 
-use crate::splitter::WHOLE_PPM;
+use crate::splitter::FULL_SHARE_PPM;
 
-const PPM_PER_PERCENT: u32 = WHOLE_PPM / 100;
+const PPM_PER_PERCENT: u32 = FULL_SHARE_PPM / 100;
 
 /// A version of a model, the unit that a brake takes traffic from.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
 /// Returns the share of each version of a model, in parts per million.
 pub fn configured_shares(model: &Model) -> BTreeMap<VersionName, u32> {
     let mut shares = BTreeMap::new();
-    let mut rest = WHOLE_PPM;
+    let mut rest = FULL_SHARE_PPM;
     for share in &model.shares {
         let ppm = (u32::from(share.percent) * PPM_PER_PERCENT).min(rest);
         rest -= ppm;
@@ -86,10 +86,10 @@
     candidate: &VersionName,
 ) -> VersionName {
     let is_listed = |version: &VersionName| next.versions.iter().any(|it| it.name == *version);
-    let rank = |version: &VersionName, ppm: u32| (ppm, *version == previous.base);
+    let order = |version: &VersionName, ppm: u32| (ppm, *version == previous.base);
     let others = before.iter().filter(|(version, _)| *version != candidate);
     let listed = others.filter(|(version, _)| is_listed(version));
-    let most = listed.max_by_key(|(version, ppm)| rank(version, **ppm));
+    let most = listed.max_by_key(|(version, ppm)| order(version, **ppm));
     most.map_or_else(|| next.base.clone(), |(version, _)| version.clone())
 }
 
--- a/crates/rollout/src/splitter.rs
+++ b/crates/rollout/src/splitter.rs
@@ -1,7 +1,7 @@
 //! Deterministic traffic shares.
 
 /// One whole share, in parts per million.
-pub const WHOLE_PPM: u32 = 1_000_000;
+pub const FULL_SHARE_PPM: u32 = 1_000_000;
 
 /// Sends a share of requests to a version by error diffusion.
 ///
@@ -11,29 +11,29 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_rollout::Splitter;
+/// use celerypond_rollout::TrafficSplitter;
 ///
-/// let mut splitter = Splitter::default();
-/// let chosen = (0..1_000).filter(|_| splitter.take(10_000)).count();
+/// let mut splitter = TrafficSplitter::default();
+/// let chosen = (0..1_000).filter(|_| splitter.selects_next(10_000)).count();
 /// assert_eq!(chosen, 10);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Splitter {
+pub struct TrafficSplitter {
     credit: u32,
 }
 
-impl Splitter {
+impl TrafficSplitter {
     /// Returns whether the next request goes to the version, whose share is in parts per million.
-    pub fn take(&mut self, share_ppm: u32) -> bool {
+    pub fn selects_next(&mut self, share_ppm: u32) -> bool {
         // A credit saved up under an earlier share must not be spent once the share is zero.
         if share_ppm == 0 {
             self.credit = 0;
             return false;
         }
-        self.credit += share_ppm.min(WHOLE_PPM);
-        let is_chosen = self.credit >= WHOLE_PPM;
+        self.credit += share_ppm.min(FULL_SHARE_PPM);
+        let is_chosen = self.credit >= FULL_SHARE_PPM;
         if is_chosen {
-            self.credit -= WHOLE_PPM;
+            self.credit -= FULL_SHARE_PPM;
         }
         is_chosen
     }
@@ -47,14 +47,14 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_rollout::takes;
+/// use celerypond_rollout::selects;
 ///
-/// assert_eq!((0..1_000).filter(|number| takes(*number, 10_000)).count(), 10);
+/// assert_eq!((0..1_000).filter(|number| selects(*number, 10_000)).count(), 10);
 /// ```
-pub const fn takes(number: u64, share_ppm: u32) -> bool {
+pub const fn selects(number: u64, share_ppm: u32) -> bool {
     let share = share_ppm as u128;
     let number = number as u128;
-    let before = number * share / WHOLE_PPM as u128;
-    let after = (number + 1) * share / WHOLE_PPM as u128;
+    let before = number * share / FULL_SHARE_PPM as u128;
+    let after = (number + 1) * share / FULL_SHARE_PPM as u128;
     after > before
 }
--- a/crates/rollout/src/tally.rs
+++ b/crates/rollout/src/tally.rs
@@ -21,20 +21,20 @@
 
 /// Sums over trials of one kind; they only grow.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Trials {
-    /// Trials begun.
+pub struct TrialCounts {
+    /// TrialCounts begun.
     pub sent: u64,
-    /// Trials that failed, by class in the order of [`Failure`].
+    /// TrialCounts that failed, by class in the order of [`Failure`].
     pub failed: [u64; 5],
-    /// Trials cut off by the death of one target, which count neither way.
+    /// TrialCounts cut off by the death of one target, which count neither way.
     pub discounted: u64,
     /// Times of those that succeeded: to the first token, or per token.
     pub times: Histogram,
 }
 
-impl Trials {
+impl TrialCounts {
     /// Counts a failed trial.
-    pub fn fail(&mut self, failure: Failure) {
+    pub fn count_failure(&mut self, failure: Failure) {
         self.failed[failure as usize] += 1;
     }
 
@@ -84,9 +84,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
     /// First chunks: up to the first token.
-    pub first: Trials,
+    pub first: TrialCounts,
     /// Later chunks.
-    pub later: Trials,
+    pub later: TrialCounts,
 }
 
 impl Tally {
--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    evidence::Route,
-    plan::{StageStep, STEPS},
+    evidence::RequestClass,
+    plan::{StageTemplate, STAGE_TEMPLATES},
 };
 
 /// What a version is blamed for.
@@ -31,31 +31,31 @@
     /// What the version is blamed for.
     pub cause: Cause,
     /// On which route, if not overall.
-    pub route: Option<Route>,
+    pub class: Option<RequestClass>,
     /// How much likelier the evidence is of a bad version than of one as good as its base.
-    pub odds: f64,
+    pub bayes_factor: f64,
 }
 
 /// How the test is done; the default is what the measurements chose.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Method {
+pub struct JudgeConfig {
     /// Whether each route is tested on its own as well.
-    pub routes: bool,
+    pub per_class: bool,
     /// Whether failures on one target only need twice the evidence.
-    pub targets: bool,
+    pub spread_over_targets: bool,
     /// Whether what the death of a target cuts off counts as one incident.
-    pub discount: bool,
+    pub discount_incidents: bool,
     /// The steps of the stages.
-    pub steps: &'static [StageStep],
+    pub stage_templates: &'static [StageTemplate],
 }
 
-impl Default for Method {
+impl Default for JudgeConfig {
     fn default() -> Self {
         Self {
-            routes: true,
-            targets: true,
-            discount: true,
-            steps: &STEPS,
+            per_class: true,
+            spread_over_targets: true,
+            discount_incidents: true,
+            stage_templates: &STAGE_TEMPLATES,
         }
     }
 }
--- a/crates/rollout/src/version_rollout.rs
+++ b/crates/rollout/src/version_rollout.rs
@@ -6,10 +6,10 @@
 use crate::{
     applied_state::{AppliedShare, AppliedStates, Coverage},
     plan::{local_ppm, Stage},
-    rank::rank,
+    rendezvous::rendezvous_order,
     rollout::{sender_role, Phase, StepContext},
     share_increase::ShareIncrease,
-    splitter::WHOLE_PPM,
+    splitter::FULL_SHARE_PPM,
     verdict::Cause,
 };
 
@@ -64,7 +64,7 @@
     }
 
     fn is_final(&self, applied: &AppliedShare) -> bool {
-        let is_whole = self.change.to_ppm == WHOLE_PPM;
+        let is_whole = self.change.to_ppm == FULL_SHARE_PPM;
         let is_drained = !is_whole || applied.base_open == 0;
         applied.share_ppm == self.change.to_ppm && is_drained
     }
@@ -159,7 +159,12 @@
             return;
         };
         let role = sender_role(origin, &self.change.candidate.model);
-        let count = |count: u32| rank(&role, live).into_iter().take(count as usize).collect();
+        let count = |count: u32| {
+            rendezvous_order(&role, live)
+                .into_iter()
+                .take(count as usize)
+                .collect()
+        };
         self.senders = stage.instances.map(count);
         self.local_ppm = local_ppm(stage, live.len() as u32);
     }
--- a/crates/rollout/tests/fake_fleet.rs
+++ b/crates/rollout/tests/fake_fleet.rs
@@ -8,9 +8,9 @@
 
 use celerypond_bundle::{Model, Share, Version};
 use celerypond_rollout::{
-    parse_json, rollout_key, Brakes, Candidate, Cause, Condition, Engines, Failure, Judge, Method,
-    ModelPart, Phase, Rollout, RolloutController, RolloutSnapshot, Route, ShareIncrease, Stage,
-    StoreCall, StoreReply, Subject, Trial, VersionRollout,
+    parse_json, rollout_key, Brakes, Candidate, Cause, Condition, Engines, Failure, Judge,
+    JudgeConfig, ModelPart, Phase, RequestClass, Rollout, RolloutController, RolloutSnapshot,
+    ShareIncrease, Stage, StoreCall, StoreReply, Subject, Trial, VersionRollout,
 };
 use celerypond_types::{InstanceName, Revision, VersionName};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -24,8 +24,8 @@
 const RESTART_MS: u64 = 60_000;
 const EJECT_AFTER: u32 = 3;
 const EJECT_MS: u64 = 10_000;
-/// Routes and their part of the requests.
-const ROUTES: [(&str, f64); 3] = [("draft", 0.75), ("letter", 0.2), ("drawing", 0.05)];
+/// Request classes and their fraction of the requests.
+const REQUEST_CLASSES: [(&str, f64); 3] = [("draft", 0.75), ("letter", 0.2), ("drawing", 0.05)];
 
 /// What is wrong with the new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -34,14 +34,14 @@
     AtOnce,
     AfterMinutes,
     UnderLoad,
-    OneRoute,
+    OneClass,
     Slow,
 }
 
 /// How the version is judged.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Way {
-    Judged(Method),
+    Judged(JudgeConfig),
     /// Fixed steps on all instances by chance, and a threshold on the error rate every 10 s.
     Canary,
 }
@@ -95,7 +95,7 @@
             percent: 100,
             crash_mtbf_s: 7_200.0,
             kind,
-            way: Way::Judged(Method::default()),
+            way: Way::Judged(JudgeConfig::default()),
             troubles: Vec::new(),
             lost: 0.0,
             killed: 0.0,
@@ -256,7 +256,7 @@
         let mut fleet = Self {
             heavy: 0.7 * final_rate * 9.0 / setting.new_engines as f64,
             fault_ms: rng.random_range(60_000..400_000) * setting.within_s / 600,
-            oracle: Judge::new(subject, "v2".into(), "v1".into(), Method::default()),
+            oracle: Judge::new(subject, "v2".into(), "v1".into(), JudgeConfig::default()),
             parts: BTreeMap::from([(model.name.clone(), part)]),
             engines: engines.collect(),
             nodes: Vec::new(),
@@ -297,12 +297,12 @@
     }
 
     fn start(&self, at: usize, incarnation: u64) -> Node {
-        let method = match self.setting.way {
-            Way::Judged(method) => method,
-            Way::Canary => Method::default(),
+        let config = match self.setting.way {
+            Way::Judged(config) => config,
+            Way::Canary => JudgeConfig::default(),
         };
         let mut controller =
-            RolloutController::new(InstanceName::new(format!("i{at}")), incarnation, method);
+            RolloutController::new(InstanceName::new(format!("i{at}")), incarnation, config);
         controller.set_live(&self.names());
         controller.set_parts(self.parts.clone());
         Node {
@@ -468,11 +468,11 @@
             return;
         };
         let mut pick = self.rng.random::<f64>();
-        let route = ROUTES.iter().find(|(_, part)| {
+        let class = REQUEST_CLASSES.iter().find(|(_, part)| {
             pick -= part;
             pick < 0.0
         });
-        let route = route.unwrap_or(&ROUTES[0]).0;
+        let class = class.unwrap_or(&REQUEST_CLASSES[0]).0;
         let name = format!("{}-{engine}", version.as_str());
         let left = self.rng.random_range(4..13);
         self.engines[engine].active += 1;
@@ -482,7 +482,7 @@
             trial: Trial {
                 model: "draft".into(),
                 version,
-                route: Route(route.into()),
+                class: RequestClass(class.into()),
                 target: name.as_str().into(),
                 is_first: true,
                 begun_ms: self.now,
@@ -567,7 +567,7 @@
         let (node, is_first, engine) = (request.node, request.trial.is_first, request.engine);
         let is_new = self.engines[engine].is_new;
         let active = f64::from(self.engines[engine].active);
-        let is_rare = request.trial.route.0 == ROUTES[2].0;
+        let is_rare = request.trial.class.0 == REQUEST_CLASSES[2].0;
         let kind = if is_new {
             self.setting.kind
         } else {
@@ -577,7 +577,7 @@
             Kind::AtOnce => 0.8,
             Kind::AfterMinutes if self.now >= self.fault_ms => 0.8,
             Kind::UnderLoad if active > self.heavy => 0.5,
-            Kind::OneRoute if is_rare => 0.8,
+            Kind::OneClass if is_rare => 0.8,
             _ => 0.0,
         };
         let is_bad = is_first && self.rng.random_bool(bad);
@@ -789,7 +789,7 @@
             let known = self.nodes[to].controller.evidence();
             let reports: Vec<_> = sender
                 .evidence()
-                .all()
+                .reports()
                 .filter(|report| known.is_newer(report))
                 .cloned()
                 .collect();
--- a/crates/rollout/tests/test_merge.rs
+++ b/crates/rollout/tests/test_merge.rs
@@ -1,7 +1,7 @@
 //! What instances tell each other merges to the same in any order.
 
 use celerypond_rollout::{
-    Brakes, Cause, Evidence, Failure, Histogram, Report, Route, Subject, Trial,
+    Brakes, Cause, Evidence, EvidenceReport, Failure, Histogram, RequestClass, Subject, Trial,
 };
 use celerypond_types::Revision;
 use rand::{rngs::SmallRng, seq::SliceRandom, Rng, SeedableRng};
@@ -20,7 +20,7 @@
     Trial {
         model: "draft".into(),
         version: "v2".into(),
-        route: Route("draft".into()),
+        class: RequestClass("draft".into()),
         target: target.into(),
         is_first: true,
         begun_ms,
@@ -33,9 +33,11 @@
     // must end with what all others have, or they would judge differently.
     let mut reports = Vec::new();
     for name in ["a", "b", "c"] {
-        let mut report = Report::new(subject(), name.into(), 1);
+        let mut report = EvidenceReport::new(subject(), name.into(), 1);
         for at in 0..5 {
-            report.trials(&trial("v2-1", at)).fail(Failure::Error);
+            report
+                .trials(&trial("v2-1", at))
+                .count_failure(Failure::Error);
             reports.push(report.clone());
         }
     }
@@ -75,9 +77,9 @@
 ) {
     // An engine dies and takes its streams along. A version that breaks each new connection looks the
     // same at first; what begins after the first break tells them apart.
-    let mut report = Report::new(subject(), "a".into(), 1);
-    assert!(report.broke(&"v2".into(), &"v2-1".into(), 0, 1_000));
-    let found = report.broke(&"v2".into(), &target.into(), begun_ms, now_ms);
+    let mut report = EvidenceReport::new(subject(), "a".into(), 1);
+    assert!(report.record_break(&"v2".into(), &"v2-1".into(), 0, 1_000));
+    let found = report.record_break(&"v2".into(), &target.into(), begun_ms, now_ms);
     assert_eq!(found, is_excused);
 }
 
@@ -85,8 +87,8 @@
 fn one_death_seen_by_many_instances_is_one_incident() {
     let mut evidence = Evidence::default();
     for (at, name) in ["a", "b", "c"].into_iter().enumerate() {
-        let mut report = Report::new(subject(), name.into(), 1);
-        report.broke(&"v2".into(), &"v2-1".into(), 0, 1_000 + 200 * at as u64);
+        let mut report = EvidenceReport::new(subject(), name.into(), 1);
+        report.record_break(&"v2".into(), &"v2-1".into(), 0, 1_000 + 200 * at as u64);
         report.trials(&trial("v2-1", 0)).discounted += 1;
         evidence.merge(report);
     }
@@ -102,6 +104,6 @@
         let wire = serde_json::to_string(&times).unwrap();
         assert_eq!(serde_json::from_str::<Histogram>(&wire).unwrap(), times);
     }
-    let bucket = times.bucket_of(0.95);
-    assert!(times.above(bucket) <= 50 && times.above(bucket - 1) > 50);
+    let bucket = times.quantile_bucket(0.95);
+    assert!(times.count_above(bucket) <= 50 && times.count_above(bucket - 1) > 50);
 }
--- a/crates/rollout/tests/test_rollout.rs
+++ b/crates/rollout/tests/test_rollout.rs
@@ -1,6 +1,6 @@
 //! Rollouts over a fake fleet: bad versions are kept from traffic, and reports are true.
 
-use celerypond_rollout::{Cause, Method, Phase};
+use celerypond_rollout::{Cause, JudgeConfig, Phase};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use rstest::rstest;
 
@@ -37,7 +37,7 @@
         Kind::AtOnce,
         Kind::AfterMinutes,
         Kind::UnderLoad,
-        Kind::OneRoute,
+        Kind::OneClass,
         Kind::Slow
     )]
     kind: Kind,
@@ -272,15 +272,15 @@
 
 #[test]
 fn without_the_discount_ordinary_crashes_would_blame_a_good_version() {
-    let method = Method {
-        targets: false,
-        discount: false,
-        ..Method::default()
+    let config = JudgeConfig {
+        spread_over_targets: false,
+        discount_incidents: false,
+        ..JudgeConfig::default()
     };
     let blamed = (0..4).filter(|seed| {
         let setting = Setting {
             crash_mtbf_s: 200.0,
-            way: Way::Judged(method),
+            way: Way::Judged(config),
             ..quick(Kind::Good)
         };
         is_taken_back(&run(setting, *seed))
--- a/crates/rollout/tests/test_scripts.rs
+++ b/crates/rollout/tests/test_scripts.rs
@@ -4,8 +4,8 @@
 
 use celerypond_bundle::Model;
 use celerypond_rollout::{
-    parse_json, rollout_key, share_increases, Condition, Failure, Method, ModelPart, Rollout,
-    RolloutController, Route, StoreCall, StoreReply, Trial,
+    parse_json, rollout_key, share_increases, Condition, Failure, JudgeConfig, ModelPart,
+    RequestClass, Rollout, RolloutController, StoreCall, StoreReply, Trial,
 };
 use celerypond_types::{InstanceName, Revision};
 use goldenscript::Context;
@@ -41,7 +41,7 @@
     fn start(&mut self, name: &str) {
         self.incarnation += 1;
         let mut controller =
-            RolloutController::new(name.into(), self.incarnation, Method::default());
+            RolloutController::new(name.into(), self.incarnation, JudgeConfig::default());
         let next = &Self::models()[0];
         let moves = share_increases(Some(&model("v1", 0)), next);
         let part = ModelPart {
@@ -70,7 +70,7 @@
         }
     }
 
-    fn plan(&mut self, name: &str) -> String {
+    fn plan_stages(&mut self, name: &str) -> String {
         let due = self.controllers[name].due_records(
             &Self::models(),
             |_| 100.0,
@@ -124,7 +124,7 @@
         let sender = self.controllers[from].clone();
         let receiver = self.controllers.get_mut(to).unwrap();
         receiver.merge_snapshot(&sender.snapshot());
-        for report in sender.evidence().all() {
+        for report in sender.evidence().reports() {
             receiver.merge_report(report.clone());
         }
         for applied in self
@@ -144,7 +144,7 @@
             let trial = Trial {
                 model: "draft".into(),
                 version: version.into(),
-                route: Route("draft".into()),
+                class: RequestClass("draft".into()),
                 target: format!("{version}-{}", 1 + at / 2 % 2).as_str().into(),
                 is_first: true,
                 begun_ms: self.now,
@@ -221,12 +221,12 @@
                 self.open.insert(first, words[1].parse()?);
             }
             "read" => return Ok(self.read(&first).to_owned()),
-            "plan" => return Ok(self.plan(&first)),
+            "plan" => return Ok(self.plan_stages(&first)),
             "write" => return Ok(self.write(&first)),
             "drive" => {
                 self.read(&first);
                 self.act(&first);
-                let planned = self.plan(&first);
+                let planned = self.plan_stages(&first);
                 let written = self.write(&first);
                 return Ok(format!("{planned}\n{written}"));
             }
--- a/daemon/src/generation/chunk.rs
+++ b/daemon/src/generation/chunk.rs
@@ -102,9 +102,9 @@
     }
 
     pub(super) fn begin_chunk(&mut self, link: ConnectionId, start: &Start) {
-        let route = rollouts::route(self.ask.adapter.as_ref());
+        let class = rollouts::request_class(self.ask.adapter.as_ref());
         let model = &self.ask.model;
-        let trial = rollouts::trial(model, &start.version, &route, &start.stream.target);
+        let trial = rollouts::trial(model, &start.version, &class, &start.stream.target);
         if self.open.is_none() {
             self.open = Some(self.node.rollouts.open(&self.node, model, &start.version));
         }
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -9,8 +9,8 @@
 use celerypond_bundle::Model;
 use celerypond_fleet::{Brake, EntryKind};
 use celerypond_rollout::{
-    witnesses, AppliedState, Brakes, Candidate, Cause, Method, Report, RolloutController,
-    RolloutSnapshot, Route, Trial,
+    evidence_reporters, AppliedState, Brakes, Candidate, Cause, EvidenceReport, JudgeConfig,
+    RequestClass, RolloutController, RolloutSnapshot, Trial,
 };
 use celerypond_types::{InstanceName, ModelName, TargetKey, TargetName, VersionName};
 use rand::seq::IndexedRandom;
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Talk {
     news: RolloutSnapshot,
-    reports: Vec<Report>,
+    reports: Vec<EvidenceReport>,
 }
 
 /// This instance's side in rollouts.
@@ -76,7 +76,11 @@
     /// Makes the side of an instance; `incarnation` must rise with each restart.
     pub fn new(name: InstanceName, incarnation: u64) -> Self {
         Self {
-            controller: Mutex::new(RolloutController::new(name, incarnation, Method::default())),
+            controller: Mutex::new(RolloutController::new(
+                name,
+                incarnation,
+                JudgeConfig::default(),
+            )),
             open: Mutex::default(),
             shares: Shares::default(),
             said: Mutex::default(),
@@ -257,7 +261,7 @@
         };
         let parts = force.headline.parts.iter();
         let all: Vec<InstanceName> = parts
-            .flat_map(|(model, part)| witnesses(part.origin, model, &live))
+            .flat_map(|(model, part)| evidence_reporters(part.origin, model, &live))
             .collect();
         self.push(node, 1, |name| all.is_empty() || all.contains(name));
     }
@@ -359,21 +363,21 @@
 }
 
 /// Returns the kind of request that a version's faults may differ by.
-pub fn route(adapter: Option<&celerypond_types::AdapterName>) -> Route {
-    Route(adapter.map_or("", |adapter| adapter.as_str()).into())
+pub fn request_class(adapter: Option<&celerypond_types::AdapterName>) -> RequestClass {
+    RequestClass(adapter.map_or("", |adapter| adapter.as_str()).into())
 }
 
 /// Makes the trial of one chunk of an answer.
 pub fn trial(
     model: &ModelName,
     version: &VersionName,
-    route: &Route,
+    class: &RequestClass,
     target: &TargetName,
 ) -> Trial {
     Trial {
         model: model.clone(),
         version: version.clone(),
-        route: route.clone(),
+        class: class.clone(),
         target: target.clone(),
         is_first: true,
         begun_ms: node::wall_ms(),
--- a/daemon/src/rollouts/driver.rs
+++ b/daemon/src/rollouts/driver.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use celerypond_fleet::EntryKind;
 use celerypond_platform::{PlatformError, Version};
-use celerypond_rollout::{rank, rollout_key, Rollout, ShareIncrease};
+use celerypond_rollout::{rendezvous_order, rollout_key, Rollout, ShareIncrease};
 use celerypond_types::{ModelName, Revision};
 use tokio::time::{self, Instant};
 
@@ -87,7 +87,7 @@
 
 /// Returns whether this instance is one of those that read the records for all.
 fn is_reader(node: &Node) -> bool {
-    let ranked = rank("rollout reader", &listed(node));
+    let ranked = rendezvous_order("rollout reader", &listed(node));
     let mut readers = ranked.iter().take(READERS);
     readers.any(|name| *name == node.settings.instance)
 }
@@ -130,7 +130,7 @@
     for rollout in due {
         let first = *since.entry(rollout.origin).or_insert_with(Instant::now);
         let live = listed(node);
-        let turn = rank(&format!("driver {}", rollout.origin), &live);
+        let turn = rendezvous_order(&format!("driver {}", rollout.origin), &live);
         let place = turn.iter().position(|name| *name == node.settings.instance);
         let place = place.unwrap_or(turn.len()) as u32;
         if first.elapsed() >= PATIENCE * place {
--- a/daemon/src/rollouts/shares.rs
+++ b/daemon/src/rollouts/shares.rs
@@ -10,7 +10,7 @@
 
 use arc_swap::ArcSwap;
 use celerypond_bundle::{Bundle, Model};
-use celerypond_rollout::{takes, RolloutController, WHOLE_PPM};
+use celerypond_rollout::{selects, RolloutController, FULL_SHARE_PPM};
 use celerypond_types::{ModelName, VersionName};
 
 /// The shares of versions, in a snapshot that requests read without a lock.
@@ -46,11 +46,11 @@
 
 impl Split {
     fn new(base: VersionName, shares: BTreeMap<VersionName, u32>, last: Option<&Self>) -> Self {
-        let mut left = u64::from(WHOLE_PPM);
+        let mut left = u64::from(FULL_SHARE_PPM);
         let mut parts = Vec::with_capacity(shares.len());
         for (version, share) in shares {
             let share = u64::from(share);
-            let ppm = (share * u64::from(WHOLE_PPM))
+            let ppm = (share * u64::from(FULL_SHARE_PPM))
                 .checked_div(left)
                 .unwrap_or(0);
             left = left.saturating_sub(share);
@@ -73,7 +73,7 @@
     fn choose(&self) -> &VersionName {
         self.asked.fetch_add(1, Relaxed);
         let mut parts = self.parts.iter();
-        let taken = parts.find(|part| takes(part.reached.fetch_add(1, Relaxed), part.ppm));
+        let taken = parts.find(|part| selects(part.reached.fetch_add(1, Relaxed), part.ppm));
         taken.map_or(&self.base, |part| &part.version)
     }
 }
