--- a/bench/src/rollout.rs
+++ b/bench/src/rollout.rs
@@ -17,16 +17,16 @@
 };
 use celerypond_types::InstanceName;
 
-use self::fake_fleet::{FakeFleet, Kind, Outcome, Setting, Trouble, Way};
+use self::fake_fleet::{Defect, Disruption, FakeFleet, Outcome, Scenario, Strategy};
 use crate::table::Row;
 
-const KINDS: [(Kind, &str); 6] = [
-    (Kind::Good, "good"),
-    (Kind::AtOnce, "fails at once"),
-    (Kind::AfterMinutes, "fails after minutes"),
-    (Kind::UnderLoad, "fails under load"),
-    (Kind::OneClass, "fails on one route"),
-    (Kind::Slow, "slow"),
+const DEFECTS: [(Defect, &str); 6] = [
+    (Defect::None, "good"),
+    (Defect::Immediate, "fails at once"),
+    (Defect::Delayed, "fails after minutes"),
+    (Defect::UnderLoad, "fails under load"),
+    (Defect::OneClass, "fails on one route"),
+    (Defect::Slow, "slow"),
 ];
 const THREADS: u64 = 4;
 const END_MS: u64 = 900_000;
@@ -35,7 +35,7 @@
 /// Takes the measures.
 pub(crate) fn run(seeds: u64) -> Vec<Row> {
     let config = JudgeConfig::default();
-    let all = KINDS.map(|(kind, _)| kind);
+    let all = DEFECTS.map(|(defect, _)| defect);
     let pooled = JudgeConfig {
         per_class: false,
         ..config
@@ -45,56 +45,56 @@
         discount_incidents: false,
         ..config
     };
-    // A baseline is run on the kinds that it can differ on.
-    let ways: [(&str, Way, &[Kind]); 4] = [
-        ("celerypond", Way::Judged(config), &all),
+    // A baseline is run on the defects that it can differ on.
+    let ways: [(&str, Strategy, &[Defect]); 4] = [
+        ("celerypond", Strategy::Judged(config), &all),
         (
             "baseline: pooled routes",
-            Way::Judged(pooled),
-            &[Kind::Good, Kind::OneClass],
+            Strategy::Judged(pooled),
+            &[Defect::None, Defect::OneClass],
         ),
         (
             "baseline: crashes in full",
-            Way::Judged(counted),
-            &[Kind::Good],
+            Strategy::Judged(counted),
+            &[Defect::None],
         ),
-        ("baseline: fixed steps", Way::Canary, &all),
+        ("baseline: fixed steps", Strategy::FixedThreshold, &all),
     ];
     let mut rows = Vec::new();
-    for (deployment, setting) in [("Holding", holding()), ("Harrowgate", harrowgate())] {
-        for (way, config, kinds) in ways {
-            for (kind, name) in KINDS {
-                if !kinds.contains(&kind) {
+    for (deployment, scenario) in [("Holding", holding()), ("Harrowgate", harrowgate())] {
+        for (way, config, defects) in ways {
+            for (defect, name) in DEFECTS {
+                if !defects.contains(&defect) {
                     continue;
                 }
-                let setting = Setting {
-                    kind,
-                    way: config,
-                    proves: way == "celerypond",
-                    ..setting.clone()
+                let scenario = Scenario {
+                    defect,
+                    strategy: config,
+                    tracks_detectability: way == "celerypond",
+                    ..scenario.clone()
                 };
-                let outcomes = outcomes(&setting, seeds);
+                let outcomes = outcomes(&scenario, seeds);
                 rows.extend(report(
                     &format!("{deployment}, {name}: {way}"),
-                    kind,
+                    defect,
                     &outcomes,
                 ));
             }
         }
         let general = [
-            (200_000, Trouble::General(true)),
-            (215_000, Trouble::General(false)),
-            (480_000, Trouble::General(true)),
-            (490_000, Trouble::General(false)),
+            (200_000, Disruption::AllEnginesFail(true)),
+            (215_000, Disruption::AllEnginesFail(false)),
+            (480_000, Disruption::AllEnginesFail(true)),
+            (490_000, Disruption::AllEnginesFail(false)),
         ];
-        let setting = Setting {
-            troubles: general.to_vec(),
-            ..setting
+        let scenario = Scenario {
+            disruptions: general.to_vec(),
+            ..scenario
         };
-        let outcomes = outcomes(&setting, seeds);
+        let outcomes = outcomes(&scenario, seeds);
         rows.extend(report(
             &format!("{deployment}, good, all engines failing twice: celerypond"),
-            Kind::Good,
+            Defect::None,
             &outcomes,
         ));
     }
@@ -103,25 +103,25 @@
 }
 
 /// 20 engines, 7 instances, 12 requests a second.
-fn holding() -> Setting {
-    Setting::holding(Kind::Good)
+fn holding() -> Scenario {
+    Scenario::holding(Defect::None)
 }
 
 /// 35 engines, 7 instances, 20 requests a second.
-fn harrowgate() -> Setting {
-    Setting {
+fn harrowgate() -> Scenario {
+    Scenario {
         base_engines: 18,
         new_engines: 17,
         rate: 20.0,
-        ..Setting::holding(Kind::Good)
+        ..Scenario::holding(Defect::None)
     }
 }
 
-fn outcomes(setting: &Setting, seeds: u64) -> Vec<Outcome> {
+fn outcomes(scenario: &Scenario, seeds: u64) -> Vec<Outcome> {
     let part = |first: u64| {
         let seeds = (first..seeds).step_by(THREADS as usize);
         let run = |seed| {
-            FakeFleet::new(setting.clone(), seed)
+            FakeFleet::new(scenario.clone(), seed)
                 .run(END_MS, AFTER_MS)
                 .clone()
         };
@@ -138,8 +138,8 @@
     })
 }
 
-fn report(way: &str, kind: Kind, outcomes: &[Outcome]) -> Vec<Row> {
-    let is_good = kind == Kind::Good;
+fn report(way: &str, defect: Defect, outcomes: &[Outcome]) -> Vec<Row> {
+    let is_good = defect == Defect::None;
     let is_right = |outcome: &Outcome| match outcome.phase {
         Some(Phase::Done) => is_good,
         Some(Phase::TakenBack { .. }) => !is_good,
@@ -148,7 +148,9 @@
     let of = |value: &dyn Fn(&Outcome) -> f64| outcomes.iter().map(value).collect::<Vec<_>>();
     let mean = |values: Vec<f64>| values.iter().sum::<f64>() / values.len() as f64;
     let right = mean(of(&|outcome| f64::from(u8::from(is_right(outcome)))));
-    let lies = mean(of(&|outcome| f64::from(u8::from(outcome.lie.is_some()))));
+    let lies = mean(of(&|outcome| {
+        f64::from(u8::from(outcome.false_ending.is_some()))
+    }));
     let count = outcomes.len() as u64;
     let single = |measure, value| Row {
         measure,
@@ -176,11 +178,11 @@
     }
     let span =
         |from: Option<u64>, to: u64| from.map_or(0.0, |from| to.saturating_sub(from) as f64 / 1e3);
-    let shown = of(&|outcome| span(outcome.shown_ms, outcome.last_sent_ms));
-    let proved = of(&|outcome| span(outcome.proved_ms, outcome.last_sent_ms));
-    let sent = of(&|outcome| outcome.sent_after_shown as f64);
-    let harmed = of(&|outcome| outcome.harmed as f64);
-    let late = of(&|outcome| outcome.sent_after_proved as f64);
+    let shown = of(&|outcome| span(outcome.first_fault_ms, outcome.last_sent_ms));
+    let proved = of(&|outcome| span(outcome.detectable_ms, outcome.last_sent_ms));
+    let sent = of(&|outcome| outcome.sent_after_first_fault as f64);
+    let harmed = of(&|outcome| outcome.faulty_requests as f64);
+    let late = of(&|outcome| outcome.sent_after_detectable as f64);
     rows.push(Row::of(
         "rollout: first fault to last sent",
         way,
@@ -214,8 +216,8 @@
     let names: Vec<_> = (0..instances)
         .map(|at| InstanceName::new(format!("i{at}")))
         .collect();
-    let setting = holding();
-    let models = [setting.model()];
+    let scenario = holding();
+    let models = [scenario.model()];
     let change = ShareIncrease {
         candidate: fake_fleet::candidate(),
         base: "v1".into(),
--- a/crates/rollout/tests/fake_fleet.rs
+++ b/crates/rollout/tests/fake_fleet.rs
@@ -19,8 +19,8 @@
 
 pub(crate) const ORIGIN: Revision = Revision(2);
 const TICK_MS: u64 = 250;
-const PUSH_MS: u64 = 10;
-const SLOTS: f64 = 16.0;
+const PUSH_DELAY_MS: u64 = 10;
+const ENGINE_SLOTS: f64 = 16.0;
 const RESTART_MS: u64 = 60_000;
 const EJECT_AFTER: u32 = 3;
 const EJECT_MS: u64 = 10_000;
@@ -29,10 +29,10 @@
 
 /// What is wrong with the new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Kind {
-    Good,
-    AtOnce,
-    AfterMinutes,
+pub(crate) enum Defect {
+    None,
+    Immediate,
+    Delayed,
     UnderLoad,
     OneClass,
     Slow,
@@ -40,15 +40,15 @@
 
 /// How the version is judged.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Way {
+pub(crate) enum Strategy {
     Judged(JudgeConfig),
     /// Fixed steps on all instances by chance, and a threshold on the error rate every 10 s.
-    Canary,
+    FixedThreshold,
 }
 
 /// Something that happens to the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Trouble {
+pub(crate) enum Disruption {
     StoreDown(bool),
     /// An instance hears nobody and nobody hears it; it still reaches engines and callers.
     Isolate(usize, bool),
@@ -57,13 +57,13 @@
     /// An instance loses all it knows.
     Restart(usize),
     /// All engines fail a third of what they are asked.
-    General(bool),
+    AllEnginesFail(bool),
     /// A later bundle changes the model's part again.
     Supersede,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Setting {
+pub(crate) struct Scenario {
     pub(crate) instances: usize,
     pub(crate) base_engines: usize,
     pub(crate) new_engines: usize,
@@ -71,21 +71,21 @@
     pub(crate) within_s: u64,
     pub(crate) percent: u8,
     pub(crate) crash_mtbf_s: f64,
-    pub(crate) kind: Kind,
-    pub(crate) way: Way,
-    pub(crate) troubles: Vec<(u64, Trouble)>,
+    pub(crate) defect: Defect,
+    pub(crate) strategy: Strategy,
+    pub(crate) disruptions: Vec<(u64, Disruption)>,
     /// How likely the reply to a write is lost.
-    pub(crate) lost: f64,
+    pub(crate) lost_reply: f64,
     /// How likely an instance dies right after a write.
-    pub(crate) killed: f64,
+    pub(crate) crash_after_write: f64,
     /// Whether to note when the evidence in all instances together first suffices, which costs time.
-    pub(crate) proves: bool,
+    pub(crate) tracks_detectability: bool,
     /// An instance that half of all requests go to.
-    pub(crate) favourite: Option<usize>,
+    pub(crate) hot_instance: Option<usize>,
 }
 
-impl Setting {
-    pub(crate) fn holding(kind: Kind) -> Self {
+impl Scenario {
+    pub(crate) fn holding(defect: Defect) -> Self {
         Self {
             instances: 7,
             base_engines: 10,
@@ -94,13 +94,13 @@
             within_s: 600,
             percent: 100,
             crash_mtbf_s: 7_200.0,
-            kind,
-            way: Way::Judged(JudgeConfig::default()),
-            troubles: Vec::new(),
-            lost: 0.0,
-            killed: 0.0,
-            proves: false,
-            favourite: None,
+            defect,
+            strategy: Strategy::Judged(JudgeConfig::default()),
+            disruptions: Vec::new(),
+            lost_reply: 0.0,
+            crash_after_write: 0.0,
+            tracks_detectability: false,
+            hot_instance: None,
         }
     }
 
@@ -136,16 +136,16 @@
     pub(crate) phase: Option<Phase>,
     pub(crate) ended_ms: u64,
     /// When the fault first showed to any caller.
-    pub(crate) shown_ms: Option<u64>,
+    pub(crate) first_fault_ms: Option<u64>,
     /// When the evidence in all instances together first sufficed.
-    pub(crate) proved_ms: Option<u64>,
+    pub(crate) detectable_ms: Option<u64>,
     /// When the first brake was tripped.
     pub(crate) braked_ms: Option<u64>,
     pub(crate) last_sent_ms: u64,
-    pub(crate) sent_after_shown: u64,
-    pub(crate) sent_after_proved: u64,
+    pub(crate) sent_after_first_fault: u64,
+    pub(crate) sent_after_detectable: u64,
     /// Requests that the fault hit.
-    pub(crate) harmed: u64,
+    pub(crate) faulty_requests: u64,
     pub(crate) sent_new: u64,
     pub(crate) sent: u64,
     /// Requests and those of the new version by stage, over all instances.
@@ -153,28 +153,28 @@
     /// The most that any instance sent above its local share in any stage.
     pub(crate) overshoot: f64,
     /// An ending that was not true at some instance when it was written.
-    pub(crate) lie: Option<String>,
+    pub(crate) false_ending: Option<String>,
     /// Bytes of the reports of all instances at the end, as JSON.
     pub(crate) report_bytes: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrive,
+    Arrival,
     Chunk(usize),
     Tick(usize),
     Crash(usize),
-    Up(usize),
-    Urgent(usize, usize, usize),
-    Trouble(usize),
+    Recover(usize),
+    Push(usize, usize, usize),
+    Disruption(usize),
 }
 
-struct Node {
+struct Instance {
     controller: RolloutController,
     versions: BTreeMap<Revision, u64>,
     errors: BTreeMap<usize, (u32, u64)>,
     is_paused: bool,
-    is_cut: bool,
+    is_isolated: bool,
     incarnation: u64,
     base_open: u32,
     served: u64,
@@ -188,7 +188,7 @@
 }
 
 struct Request {
-    node: usize,
+    instance: usize,
     trial: Trial,
     engine: usize,
     left: u8,
@@ -198,24 +198,24 @@
 }
 
 pub(crate) struct FakeFleet {
-    setting: Setting,
+    scenario: Scenario,
     model: Model,
     rng: SmallRng,
     now: u64,
-    heap: BinaryHeap<Reverse<(u64, u64, Event)>>,
+    events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     count: u64,
-    nodes: Vec<Node>,
+    instances: Vec<Instance>,
     engines: Vec<Engine>,
     requests: Vec<Request>,
     news: Vec<Rc<RolloutSnapshot>>,
     store: FakeStore,
     parts: BTreeMap<celerypond_types::ModelName, ModelPart>,
-    oracle: Judge,
+    omniscient_judge: Judge,
     fault_ms: u64,
-    heavy: f64,
-    is_general: bool,
+    overload_threshold: f64,
+    is_all_engines_failing: bool,
     pub(crate) outcome: Outcome,
-    checked: (u64, u64, u64),
+    last_check: (u64, u64, u64),
     base: VersionName,
     new: VersionName,
 }
@@ -228,15 +228,15 @@
 }
 
 impl FakeFleet {
-    pub(crate) fn new(setting: Setting, seed: u64) -> Self {
+    pub(crate) fn new(scenario: Scenario, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let model = setting.model();
+        let model = scenario.model();
         let change = ShareIncrease {
             candidate: candidate(),
             base: "v1".into(),
             from_ppm: 0,
-            to_ppm: u32::from(setting.percent) * 10_000,
-            engines: setting.new_engines as u32,
+            to_ppm: u32::from(scenario.percent) * 10_000,
+            engines: scenario.new_engines as u32,
         };
         let part = ModelPart {
             origin: ORIGIN,
@@ -247,70 +247,70 @@
             origin: ORIGIN,
             model: "draft".into(),
         };
-        let engines = (0..setting.base_engines + setting.new_engines).map(|at| Engine {
-            is_new: at >= setting.base_engines,
+        let engines = (0..scenario.base_engines + scenario.new_engines).map(|at| Engine {
+            is_new: at >= scenario.base_engines,
             is_up: true,
             active: 0,
         });
-        let final_rate = setting.rate * f64::from(setting.percent) / 100.0;
+        let final_rate = scenario.rate * f64::from(scenario.percent) / 100.0;
         let mut fleet = Self {
-            heavy: 0.7 * final_rate * 9.0 / setting.new_engines as f64,
-            fault_ms: rng.random_range(60_000..400_000) * setting.within_s / 600,
-            oracle: Judge::new(subject, "v2".into(), "v1".into(), JudgeConfig::default()),
+            overload_threshold: 0.7 * final_rate * 9.0 / scenario.new_engines as f64,
+            fault_ms: rng.random_range(60_000..400_000) * scenario.within_s / 600,
+            omniscient_judge: Judge::new(subject, "v2".into(), "v1".into(), JudgeConfig::default()),
             parts: BTreeMap::from([(model.name.clone(), part)]),
             engines: engines.collect(),
-            nodes: Vec::new(),
+            instances: Vec::new(),
             requests: Vec::new(),
             news: Vec::new(),
             store: FakeStore::default(),
-            heap: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             outcome: Outcome::default(),
-            checked: (0, 0, 0),
+            last_check: (0, 0, 0),
             base: "v1".into(),
             new: "v2".into(),
-            is_general: false,
+            is_all_engines_failing: false,
             now: 0,
             count: 0,
-            setting,
+            scenario,
             model,
             rng,
         };
-        for at in 0..fleet.setting.instances {
-            let node = fleet.start(at, 1);
-            fleet.nodes.push(node);
+        for at in 0..fleet.scenario.instances {
+            let instance = fleet.start(at, 1);
+            fleet.instances.push(instance);
             let first = fleet.rng.random_range(0..TICK_MS);
-            fleet.at(first, Event::Tick(at));
+            fleet.schedule(first, Event::Tick(at));
         }
         for at in 0..fleet.engines.len() {
-            fleet.plan_crash(at);
+            fleet.schedule_crash(at);
         }
-        for at in 0..fleet.setting.troubles.len() {
-            fleet.at(fleet.setting.troubles[at].0, Event::Trouble(at));
+        for at in 0..fleet.scenario.disruptions.len() {
+            fleet.schedule(fleet.scenario.disruptions[at].0, Event::Disruption(at));
         }
-        fleet.at(0, Event::Arrive);
+        fleet.schedule(0, Event::Arrival);
         fleet
     }
 
     fn names(&self) -> Vec<InstanceName> {
         let name = |at| InstanceName::new(format!("i{at}"));
-        (0..self.setting.instances).map(name).collect()
+        (0..self.scenario.instances).map(name).collect()
     }
 
-    fn start(&self, at: usize, incarnation: u64) -> Node {
-        let config = match self.setting.way {
-            Way::Judged(config) => config,
-            Way::Canary => JudgeConfig::default(),
+    fn start(&self, at: usize, incarnation: u64) -> Instance {
+        let config = match self.scenario.strategy {
+            Strategy::Judged(config) => config,
+            Strategy::FixedThreshold => JudgeConfig::default(),
         };
         let mut controller =
             RolloutController::new(InstanceName::new(format!("i{at}")), incarnation, config);
         controller.set_live(&self.names());
         controller.set_parts(self.parts.clone());
-        Node {
+        Instance {
             controller,
             versions: BTreeMap::new(),
             errors: BTreeMap::new(),
             is_paused: false,
-            is_cut: false,
+            is_isolated: false,
             incarnation,
             base_open: 0,
             served: 0,
@@ -318,9 +318,9 @@
         }
     }
 
-    fn at(&mut self, time: u64, event: Event) {
+    fn schedule(&mut self, time: u64, event: Event) {
         self.count += 1;
-        self.heap.push(Reverse((time, self.count, event)));
+        self.events.push(Reverse((time, self.count, event)));
     }
 
     fn exponential(&mut self, mean: f64) -> f64 {
@@ -333,15 +333,15 @@
         ((sum - 6.0) * sigma).exp()
     }
 
-    fn plan_crash(&mut self, engine: usize) {
-        let wait_s = self.exponential(self.setting.crash_mtbf_s);
-        self.at(self.now + (wait_s * 1_000.0) as u64, Event::Crash(engine));
+    fn schedule_crash(&mut self, engine: usize) {
+        let wait_s = self.exponential(self.scenario.crash_mtbf_s);
+        self.schedule(self.now + (wait_s * 1_000.0) as u64, Event::Crash(engine));
     }
 
     /// Runs until the rollout has ended and `after_ms` more, or to the end of time.
     pub(crate) fn run(&mut self, end_ms: u64, after_ms: u64) -> &Outcome {
         let mut last = end_ms;
-        while let Some(Reverse((time, _, event))) = self.heap.pop() {
+        while let Some(Reverse((time, _, event))) = self.events.pop() {
             if time > last {
                 break;
             }
@@ -351,47 +351,50 @@
                 last = last.min(self.outcome.ended_ms + after_ms);
             }
         }
-        let bytes = |node: &Node| {
-            node.controller
+        let bytes = |instance: &Instance| {
+            instance
+                .controller
                 .own_reports()
                 .map(|report| serde_json::to_vec(report).unwrap().len())
                 .sum::<usize>()
         };
-        self.outcome.report_bytes = self.nodes.iter().map(bytes).sum();
+        self.outcome.report_bytes = self.instances.iter().map(bytes).sum();
         &self.outcome
     }
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Arrive => self.arrive(),
+            Event::Arrival => self.arrive(),
             Event::Chunk(at) => self.chunk(at),
             Event::Tick(at) => self.tick(at),
             Event::Crash(at) => self.crash(at),
-            Event::Up(at) => {
+            Event::Recover(at) => {
                 self.engines[at].is_up = true;
-                self.plan_crash(at);
+                self.schedule_crash(at);
             }
-            Event::Urgent(from, to, news) => {
-                if self.reaches(from, to)
-                    && self.nodes[to]
+            Event::Push(from, to, news) => {
+                if self.can_reach(from, to)
+                    && self.instances[to]
                         .controller
                         .merge_snapshot(&self.news[news].clone())
                 {
                     self.push(to);
                 }
             }
-            Event::Trouble(at) => self.trouble(self.setting.troubles[at].1),
+            Event::Disruption(at) => self.apply_disruption(self.scenario.disruptions[at].1),
         }
     }
 
-    fn trouble(&mut self, trouble: Trouble) {
-        match trouble {
-            Trouble::StoreDown(is_down) => self.store.down = is_down,
-            Trouble::Isolate(at, is_cut) => self.nodes[at].is_cut = is_cut,
-            Trouble::Pause(at, is_paused) => self.nodes[at].is_paused = is_paused,
-            Trouble::Restart(at) => self.restart(at),
-            Trouble::General(is_general) => self.is_general = is_general,
-            Trouble::Supersede => {
+    fn apply_disruption(&mut self, disruption: Disruption) {
+        match disruption {
+            Disruption::StoreDown(is_down) => self.store.down = is_down,
+            Disruption::Isolate(at, is_isolated) => self.instances[at].is_isolated = is_isolated,
+            Disruption::Pause(at, is_paused) => self.instances[at].is_paused = is_paused,
+            Disruption::Restart(at) => self.restart(at),
+            Disruption::AllEnginesFail(is_all_engines_failing) => {
+                self.is_all_engines_failing = is_all_engines_failing
+            }
+            Disruption::Supersede => {
                 for part in self.parts.values_mut() {
                     *part = ModelPart {
                         origin: Revision(3),
@@ -399,20 +402,20 @@
                         moves: Vec::new(),
                     };
                 }
-                for node in &mut self.nodes {
-                    node.controller.set_parts(self.parts.clone());
+                for instance in &mut self.instances {
+                    instance.controller.set_parts(self.parts.clone());
                 }
             }
         }
     }
 
     fn restart(&mut self, at: usize) {
-        let incarnation = self.nodes[at].incarnation + 1;
-        self.nodes[at] = self.start(at, incarnation);
+        let incarnation = self.instances[at].incarnation + 1;
+        self.instances[at] = self.start(at, incarnation);
         for request in self
             .requests
             .iter_mut()
-            .filter(|request| request.node == at)
+            .filter(|request| request.instance == at)
         {
             if std::mem::take(&mut request.is_open) {
                 self.engines[request.engine].active -= 1;
@@ -421,39 +424,41 @@
     }
 
     fn serves(&self, at: usize) -> bool {
-        let node = &self.nodes[at];
-        !node.is_paused && (node.incarnation == 1 || node.controller.is_synced())
+        let instance = &self.instances[at];
+        !instance.is_paused && (instance.incarnation == 1 || instance.controller.is_synced())
     }
 
-    fn reaches(&self, from: usize, to: usize) -> bool {
-        let is_free = |at: usize| !self.nodes[at].is_cut && !self.nodes[at].is_paused;
+    fn can_reach(&self, from: usize, to: usize) -> bool {
+        let is_free = |at: usize| !self.instances[at].is_isolated && !self.instances[at].is_paused;
         from != to && is_free(from) && is_free(to)
     }
 
     fn push(&mut self, from: usize) {
-        let news = self.nodes[from].controller.snapshot();
+        let news = self.instances[from].controller.snapshot();
         self.news.push(Rc::new(news));
         let at = self.news.len() - 1;
-        for to in 0..self.nodes.len() {
-            self.at(self.now + PUSH_MS, Event::Urgent(from, to, at));
+        for to in 0..self.instances.len() {
+            self.schedule(self.now + PUSH_DELAY_MS, Event::Push(from, to, at));
         }
     }
 
     fn arrive(&mut self) {
-        let wait_s = self.exponential(1.0 / self.setting.rate);
-        self.at(self.now + (wait_s * 1_000.0) as u64, Event::Arrive);
-        let node = self.rng.random_range(0..self.nodes.len());
-        let node = match self.setting.favourite {
-            Some(favourite) if self.rng.random_bool(0.5) => favourite,
-            _ => node,
+        let wait_s = self.exponential(1.0 / self.scenario.rate);
+        self.schedule(self.now + (wait_s * 1_000.0) as u64, Event::Arrival);
+        let instance = self.rng.random_range(0..self.instances.len());
+        let instance = match self.scenario.hot_instance {
+            Some(hot_instance) if self.rng.random_bool(0.5) => hot_instance,
+            _ => instance,
         };
-        if !self.serves(node) {
+        if !self.serves(instance) {
             return;
         }
-        let version = match self.setting.way {
-            Way::Judged(_) => self.nodes[node].controller.choose_version(&self.model),
-            Way::Canary => {
-                let share = self.share(node);
+        let version = match self.scenario.strategy {
+            Strategy::Judged(_) => self.instances[instance]
+                .controller
+                .choose_version(&self.model),
+            Strategy::FixedThreshold => {
+                let share = self.share_of(instance);
                 let is_new = self.rng.random_range(0..1_000_000) < share;
                 if is_new {
                     self.new.clone()
@@ -463,8 +468,8 @@
             }
         };
         let is_new = version == self.new;
-        self.count_sent(node, is_new);
-        let Some(engine) = self.engine(node, is_new) else {
+        self.count_sent(instance, is_new);
+        let Some(engine) = self.pick_engine(instance, is_new) else {
             return;
         };
         let mut pick = self.rng.random::<f64>();
@@ -476,9 +481,9 @@
         let name = format!("{}-{engine}", version.as_str());
         let left = self.rng.random_range(4..13);
         self.engines[engine].active += 1;
-        self.nodes[node].base_open += u32::from(!is_new);
+        self.instances[instance].base_open += u32::from(!is_new);
         self.requests.push(Request {
-            node,
+            instance,
             trial: Trial {
                 model: "draft".into(),
                 version,
@@ -496,22 +501,24 @@
         self.begin_chunk(self.requests.len() - 1);
     }
 
-    fn share(&self, node: usize) -> u32 {
+    fn share_of(&self, instance: usize) -> u32 {
         let change = &self.parts.values().next().unwrap().moves;
         change.first().map_or(0, |change| {
-            self.nodes[node].controller.local_share(ORIGIN, change)
+            self.instances[instance]
+                .controller
+                .local_share(ORIGIN, change)
         })
     }
 
-    fn count_sent(&mut self, node: usize, is_new: bool) {
-        let stage = self.record(node).map_or(0, VersionRollout::stage);
-        let share = self.share(node);
+    fn count_sent(&mut self, instance: usize, is_new: bool) {
+        let stage = self.record(instance).map_or(0, VersionRollout::stage);
+        let share = self.share_of(instance);
         let outcome = &mut self.outcome;
         let entry = outcome.stages.entry(stage).or_default();
         *entry = (entry.0 + 1, entry.1 + u64::from(is_new));
         outcome.sent += 1;
-        self.nodes[node].served += 1;
-        let counts = &mut self.nodes[node].counts;
+        self.instances[instance].served += 1;
+        let counts = &mut self.instances[instance].counts;
         if counts.0 != Some((stage, share)) {
             *counts = (Some((stage, share)), 0, 0);
         }
@@ -521,29 +528,29 @@
         if is_new {
             outcome.sent_new += 1;
             outcome.last_sent_ms = self.now;
-            outcome.sent_after_shown += u64::from(outcome.shown_ms.is_some());
-            outcome.sent_after_proved += u64::from(outcome.proved_ms.is_some());
+            outcome.sent_after_first_fault += u64::from(outcome.first_fault_ms.is_some());
+            outcome.sent_after_detectable += u64::from(outcome.detectable_ms.is_some());
         }
     }
 
-    fn record(&self, node: usize) -> Option<&VersionRollout> {
-        self.nodes[node]
+    fn record(&self, instance: usize) -> Option<&VersionRollout> {
+        self.instances[instance]
             .controller
             .rollout(ORIGIN)?
             .find(&candidate())
     }
 
-    fn engine(&mut self, node: usize, is_new: bool) -> Option<usize> {
-        let limit = self.nodes[node]
+    fn pick_engine(&mut self, instance: usize, is_new: bool) -> Option<usize> {
+        let limit = self.instances[instance]
             .controller
             .stage_engines(ORIGIN, &candidate())
             .unwrap_or(u32::MAX);
-        let limit = if is_new && self.setting.way != Way::Canary {
+        let limit = if is_new && self.scenario.strategy != Strategy::FixedThreshold {
             limit as usize
         } else {
             usize::MAX
         };
-        let errors = &self.nodes[node].errors;
+        let errors = &self.instances[instance].errors;
         let is_out = |at: usize| errors.get(&at).is_some_and(|(_, until)| *until > self.now);
         let free = (0..self.engines.len()).filter(|at| {
             let engine = &self.engines[*at];
@@ -564,27 +571,32 @@
 
     fn begin_chunk(&mut self, at: usize) {
         let request = &self.requests[at];
-        let (node, is_first, engine) = (request.node, request.trial.is_first, request.engine);
+        let (instance, is_first, engine) =
+            (request.instance, request.trial.is_first, request.engine);
         let is_new = self.engines[engine].is_new;
         let active = f64::from(self.engines[engine].active);
         let is_rare = request.trial.class.0 == REQUEST_CLASSES[2].0;
-        let kind = if is_new {
-            self.setting.kind
+        let defect = if is_new {
+            self.scenario.defect
         } else {
-            Kind::Good
+            Defect::None
         };
-        let bad = match kind {
-            Kind::AtOnce => 0.8,
-            Kind::AfterMinutes if self.now >= self.fault_ms => 0.8,
-            Kind::UnderLoad if active > self.heavy => 0.5,
-            Kind::OneClass if is_rare => 0.8,
+        let bad = match defect {
+            Defect::Immediate => 0.8,
+            Defect::Delayed if self.now >= self.fault_ms => 0.8,
+            Defect::UnderLoad if active > self.overload_threshold => 0.5,
+            Defect::OneClass if is_rare => 0.8,
             _ => 0.0,
         };
         let is_bad = is_first && self.rng.random_bool(bad);
-        let general = if self.is_general { 0.33 } else { 0.0 };
-        let is_unlucky = self.rng.random_bool(0.0005) || self.rng.random_bool(general);
-        let is_slow = kind == Kind::Slow;
-        let load = 1.0 + 2.0 * (active / SLOTS - 1.0).max(0.0);
+        let random_failure = if self.is_all_engines_failing {
+            0.33
+        } else {
+            0.0
+        };
+        let is_unlucky = self.rng.random_bool(0.0005) || self.rng.random_bool(random_failure);
+        let is_slow = defect == Defect::Slow;
+        let load = 1.0 + 2.0 * (active / ENGINE_SLOTS - 1.0).max(0.0);
         let factor = load * if is_slow { 2.5 } else { 1.0 };
         let time_ms = if is_first {
             400.0 * self.noise(0.5)
@@ -601,8 +613,8 @@
         request.failure = (is_bad || is_unlucky).then_some((Failure::Error, is_bad));
         request.is_slow = is_slow;
         let trial = request.trial.clone();
-        self.nodes[node].controller.record_sent(&trial);
-        self.at(self.now + time_ms as u64, Event::Chunk(at));
+        self.instances[instance].controller.record_sent(&trial);
+        self.schedule(self.now + time_ms as u64, Event::Chunk(at));
     }
 
     fn chunk(&mut self, at: usize) {
@@ -610,17 +622,18 @@
         if !request.is_open {
             return;
         }
-        let (node, engine, is_first) = (request.node, request.engine, request.trial.is_first);
+        let (instance, engine, is_first) =
+            (request.instance, request.engine, request.trial.is_first);
         let trial = request.trial.clone();
         let time_us = (self.now - trial.begun_ms) * 1_000;
         let failed = request.failure;
         if failed.is_some_and(|(_, is_bad)| is_bad) || request.is_slow {
-            self.outcome.shown_ms.get_or_insert(self.now);
-            self.outcome.harmed += u64::from(is_first);
+            self.outcome.first_fault_ms.get_or_insert(self.now);
+            self.outcome.faulty_requests += u64::from(is_first);
         }
-        let Node {
+        let Instance {
             controller, errors, ..
-        } = &mut self.nodes[node];
+        } = &mut self.instances[instance];
         let errors = errors.entry(engine).or_default();
         if let Some((failure, _)) = failed {
             controller.record_failure(&trial, failure, self.now);
@@ -634,8 +647,8 @@
             controller.record_success(&trial, time_us / tokens);
         }
         if failed.is_some() && trial.version == self.new {
-            self.prove();
-            self.weigh(node);
+            self.check_detectable();
+            self.weigh(instance);
         }
         let request = &mut self.requests[at];
         request.trial.is_first = false;
@@ -652,18 +665,18 @@
         request.is_open = false;
         self.engines[request.engine].active -= 1;
         let is_base = request.trial.version == self.base;
-        self.nodes[request.node].base_open -= u32::from(is_base);
+        self.instances[request.instance].base_open -= u32::from(is_base);
     }
 
     fn crash(&mut self, engine: usize) {
         self.engines[engine].is_up = false;
-        self.at(self.now + RESTART_MS, Event::Up(engine));
+        self.schedule(self.now + RESTART_MS, Event::Recover(engine));
         let hit: Vec<_> = (0..self.requests.len())
             .filter(|at| self.requests[*at].is_open && self.requests[*at].engine == engine)
             .collect();
         for at in hit {
-            let (node, trial) = (self.requests[at].node, self.requests[at].trial.clone());
-            self.nodes[node]
+            let (instance, trial) = (self.requests[at].instance, self.requests[at].trial.clone());
+            self.instances[instance]
                 .controller
                 .record_failure(&trial, Failure::Cut, self.now);
             self.close(at);
@@ -671,44 +684,44 @@
     }
 
     fn tick(&mut self, at: usize) {
-        self.at(self.now + TICK_MS, Event::Tick(at));
+        self.schedule(self.now + TICK_MS, Event::Tick(at));
         if at == 0 {
-            self.prove();
+            self.check_detectable();
         }
-        if self.nodes[at].is_paused {
+        if self.instances[at].is_paused {
             return;
         }
-        let base_open = self.nodes[at].base_open;
+        let base_open = self.instances[at].base_open;
         let revision = ORIGIN;
-        self.nodes[at]
+        self.instances[at]
             .controller
             .update_applied_state(revision, |_, _| base_open);
-        if self.setting.favourite.is_some() {
-            let mean = self.outcome.sent as f64 / self.nodes.len() as f64;
-            let relative = self.nodes[at].served as f64 / mean.max(1.0);
-            self.nodes[at]
+        if self.scenario.hot_instance.is_some() {
+            let mean = self.outcome.sent as f64 / self.instances.len() as f64;
+            let relative = self.instances[at].served as f64 / mean.max(1.0);
+            self.instances[at]
                 .controller
                 .set_relative_traffic("draft".into(), relative);
         }
         self.weigh(at);
         self.gossip(at);
-        self.drive(at);
+        self.step_record(at);
     }
 
     fn engine_counts(&self) -> Engines {
         Engines {
-            new: self.setting.new_engines as u32,
-            base: self.setting.base_engines as u32,
+            new: self.scenario.new_engines as u32,
+            base: self.scenario.base_engines as u32,
         }
     }
 
     fn weigh(&mut self, at: usize) {
-        let is_tripped = match self.setting.way {
-            Way::Judged(_) => {
+        let is_tripped = match self.scenario.strategy {
+            Strategy::Judged(_) => {
                 let base = self.engine_counts().base;
-                self.nodes[at].controller.evaluate(|_| base, self.now)
+                self.instances[at].controller.evaluate(|_| base, self.now)
             }
-            Way::Canary => at == 0 && self.threshold(),
+            Strategy::FixedThreshold => at == 0 && self.exceeds_error_threshold(),
         };
         if is_tripped {
             self.outcome.braked_ms.get_or_insert(self.now);
@@ -717,18 +730,18 @@
     }
 
     /// Weighs what all instances together have seen, which no instance can know yet.
-    fn prove(&mut self) {
-        if !self.setting.proves
-            || self.outcome.proved_ms.is_some()
-            || self.setting.kind == Kind::Good
+    fn check_detectable(&mut self) {
+        if !self.scenario.tracks_detectability
+            || self.outcome.detectable_ms.is_some()
+            || self.scenario.defect == Defect::None
         {
             return;
         }
         let mut all = celerypond_rollout::Evidence::default();
         for report in self
-            .nodes
+            .instances
             .iter()
-            .flat_map(|node| node.controller.own_reports())
+            .flat_map(|instance| instance.controller.own_reports())
         {
             all.merge(report.clone());
         }
@@ -737,22 +750,22 @@
         let Some(stage) = stage else { return };
         let engines = self.engine_counts();
         if self
-            .oracle
+            .omniscient_judge
             .evaluate(&all, &stage, engines, self.now)
             .is_some()
         {
-            self.outcome.proved_ms = Some(self.now);
+            self.outcome.detectable_ms = Some(self.now);
         }
     }
 
     /// The baseline: every 10 s, more than 5 % errors of at least 20 requests.
-    fn threshold(&mut self) -> bool {
-        if self.now < self.checked.0 + 10_000 {
+    fn exceeds_error_threshold(&mut self) -> bool {
+        if self.now < self.last_check.0 + 10_000 {
             return false;
         }
         let mut sums = (0, 0);
-        for node in &self.nodes {
-            for line in node
+        for instance in &self.instances {
+            for line in instance
                 .controller
                 .own_reports()
                 .flat_map(|report| &report.lines)
@@ -764,29 +777,29 @@
                 }
             }
         }
-        let failed = sums.0.saturating_sub(self.checked.1);
-        let tried = sums.1.saturating_sub(self.checked.2);
+        let failed = sums.0.saturating_sub(self.last_check.1);
+        let tried = sums.1.saturating_sub(self.last_check.2);
         if tried < 20 {
             return false;
         }
-        self.checked = (self.now, sums.0, sums.1);
+        self.last_check = (self.now, sums.0, sums.1);
         let mut brakes = Brakes::default();
         brakes.insert(ORIGIN, candidate(), Cause::Failures);
         let news = RolloutSnapshot {
             rollouts: Vec::new(),
             brakes,
         };
-        failed * 20 > tried && self.nodes[0].controller.merge_snapshot(&news)
+        failed * 20 > tried && self.instances[0].controller.merge_snapshot(&news)
     }
 
     fn gossip(&mut self, from: usize) {
-        let mut peers: Vec<_> = (0..self.nodes.len())
-            .filter(|to| self.reaches(from, *to))
+        let mut peers: Vec<_> = (0..self.instances.len())
+            .filter(|to| self.can_reach(from, *to))
             .collect();
         for _ in 0..3.min(peers.len()) {
             let to = peers.swap_remove(self.rng.random_range(0..peers.len()));
-            let sender = &self.nodes[from].controller;
-            let known = self.nodes[to].controller.evidence();
+            let sender = &self.instances[from].controller;
+            let known = self.instances[to].controller.evidence();
             let reports: Vec<_> = sender
                 .evidence()
                 .reports()
@@ -799,7 +812,7 @@
                 .filter_map(|name| sender.applied_states().get(name).cloned())
                 .collect();
             let news = sender.snapshot();
-            let receiver = &mut self.nodes[to].controller;
+            let receiver = &mut self.instances[to].controller;
             receiver.merge_snapshot(&news);
             for report in reports {
                 receiver.merge_report(report);
@@ -811,80 +824,81 @@
     }
 
     /// Reads the record, then writes the next one if it is due, racing with all others.
-    fn drive(&mut self, at: usize) {
-        if self.nodes[at].is_cut || !self.rng.random_bool(0.3) {
+    fn step_record(&mut self, at: usize) {
+        if self.instances[at].is_isolated || !self.rng.random_bool(0.3) {
             return;
         }
         let key = rollout_key(ORIGIN);
         match self.store.call(&StoreCall::read(key.clone())) {
             StoreReply::Found { version, value } => {
                 let rollout: Rollout = parse_json(&value).unwrap();
-                self.nodes[at].versions.insert(ORIGIN, version);
-                self.nodes[at].controller.merge_rollout(rollout);
+                self.instances[at].versions.insert(ORIGIN, version);
+                self.instances[at].controller.merge_rollout(rollout);
             }
             StoreReply::Missing => {}
             _ => return,
         }
-        let rate = self.setting.rate;
+        let rate = self.scenario.rate;
         let models = [self.model.clone()];
-        for mut rollout in self.nodes[at]
-            .controller
-            .due_records(&models, |_| rate, true, self.now)
+        for mut rollout in
+            self.instances[at]
+                .controller
+                .due_records(&models, |_| rate, true, self.now)
         {
-            if rollout.step == 1 && self.setting.way == Way::Canary {
+            if rollout.step == 1 && self.scenario.strategy == Strategy::FixedThreshold {
                 fixed_steps(&mut rollout);
             }
-            let version = self.nodes[at].versions.get(&ORIGIN).copied();
+            let version = self.instances[at].versions.get(&ORIGIN).copied();
             let condition = match rollout.step {
                 1 => Condition::Absent,
                 _ => Condition::Version(version.unwrap_or(0)),
             };
             let call = StoreCall::write(key.clone(), condition, &rollout);
             if let StoreReply::Written { version } = self.store.call(&call) {
-                self.check(&rollout);
-                if self.rng.random_bool(self.setting.killed) {
+                self.check_ending(&rollout);
+                if self.rng.random_bool(self.scenario.crash_after_write) {
                     self.restart(at);
                     return;
                 }
-                if !self.rng.random_bool(self.setting.lost) {
-                    self.nodes[at].versions.insert(ORIGIN, version);
-                    self.nodes[at].controller.merge_rollout(rollout);
+                if !self.rng.random_bool(self.scenario.lost_reply) {
+                    self.instances[at].versions.insert(ORIGIN, version);
+                    self.instances[at].controller.merge_rollout(rollout);
                 }
             }
         }
     }
 
     /// Compares an ending that is being written with what each instance does at this moment.
-    fn check(&mut self, rollout: &Rollout) {
+    fn check_ending(&mut self, rollout: &Rollout) {
         let phase = rollout.moves[0].phase;
         if !phase.is_ended() || self.outcome.phase.is_some() {
             return;
         }
         self.outcome.phase = Some(phase);
         self.outcome.ended_ms = self.now;
-        for (at, node) in self.nodes.iter().enumerate() {
-            if !self.serves(at) && !node.is_paused {
+        for (at, instance) in self.instances.iter().enumerate() {
+            if !self.serves(at) && !instance.is_paused {
                 continue;
             }
-            let share = self.share(at);
-            let is_braked = node
+            let share = self.share_of(at);
+            let is_braked = instance
                 .controller
                 .brakes()
                 .cause(ORIGIN, &candidate())
                 .is_some();
-            let is_whole = self.setting.percent == 100;
+            let is_whole = self.scenario.percent == 100;
             let is_true = match phase {
                 Phase::Done => {
-                    share == u32::from(self.setting.percent) * 10_000
+                    share == u32::from(self.scenario.percent) * 10_000
                         && !is_braked
-                        && (!is_whole || node.base_open == 0)
+                        && (!is_whole || instance.base_open == 0)
                 }
                 Phase::TakenBack { .. } => share == 0 && is_braked,
                 _ => true,
             };
             if !is_true {
-                let open = node.base_open;
-                self.outcome.lie = Some(format!(
+                let open = instance.base_open;
+                self.outcome.false_ending = Some(format!(
                     "{phase:?}, but i{at} has share {share}, braked {is_braked}, {open} open"
                 ));
             }
