--- a/crates/rollout/src/applied_state.rs
+++ b/crates/rollout/src/applied_state.rs
@@ -1,4 +1,4 @@
-//! What each instance acts on, as it says itself.
+//! Rollout state that each instance reports as applied.
 
 use std::collections::BTreeMap;
 
@@ -7,42 +7,45 @@
 
 use crate::share_increase::Candidate;
 
-/// What an instance does with one version under rollout.
+/// Applied state of one version under rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedShare {
-    /// The revision of the rollout.
+    /// Origin of the rollout.
     pub origin: Revision,
-    /// The version.
+    /// Version under rollout.
     pub candidate: Candidate,
-    /// The stage it acts on.
+    /// Index of the stage.
     pub stage: u8,
-    /// The part of its requests that it sends to the version, in parts per million.
+    /// Share of its own requests that the instance sends to the version, in parts per million.
     pub share_ppm: u32,
-    /// Whether it has the brake in force.
+    /// Whether the instance applies the brake.
     pub braked: bool,
-    /// Whether it has promised to trip no brake of its own any more.
+    /// Whether the instance has promised not to brake the version itself any more.
+    ///
+    /// From then on it brakes only if the record in the store says so. "Done" is written once all live
+    /// instances have promised.
     pub promised: bool,
-    /// How many answers it still has open at the base.
+    /// Number of answers of the base that are still open on the instance.
     pub base_open: u32,
 }
 
-/// What an instance acts on.
+/// The state that one instance has applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedState {
-    /// The instance.
+    /// Instance that reports the state.
     pub instance: InstanceName,
-    /// Tells the runs of a restarted instance apart; rises.
+    /// Increases with each restart of the instance.
     pub incarnation: u64,
-    /// Tells newer words from older ones; rises.
+    /// Increases with each report of one incarnation.
     pub sequence: u64,
-    /// The revision of the bundle in force.
+    /// Revision of the bundle in force.
     pub revision: Revision,
-    /// The rollouts.
+    /// Applied shares of the versions under rollout.
     pub moves: Vec<AppliedShare>,
 }
 
 impl AppliedState {
-    /// Finds what it does with a version.
+    /// Returns the applied state of a version.
     pub fn find(&self, origin: Revision, candidate: &Candidate) -> Option<&AppliedShare> {
         let is_same =
             |applied: &&AppliedShare| applied.origin == origin && applied.candidate == *candidate;
@@ -50,25 +53,25 @@
     }
 }
 
-/// How far something has spread over the live instances.
+/// The live instances that meet a condition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Coverage {
-    /// On how many instances.
+    /// Number of live instances that meet the condition.
     pub on: usize,
-    /// Of how many.
+    /// Number of live instances.
     pub of: usize,
-    /// Those that it is not known of.
+    /// Live instances that are not known to meet the condition.
     pub missing: Vec<InstanceName>,
 }
 
 impl Coverage {
-    /// Returns whether it is on all instances, of which there is one at least.
+    /// Returns whether all instances meet the condition and there is at least one.
     pub fn is_complete(&self) -> bool {
         self.missing.is_empty() && self.of > 0
     }
 }
 
-/// The latest words of all instances.
+/// The latest known applied states of all instances.
 ///
 /// # Examples
 ///
@@ -93,7 +96,7 @@
 }
 
 impl AppliedStates {
-    /// Takes the word of an instance; returns whether it is newer than the one held.
+    /// Stores the state of an instance unless a newer one is known; returns whether it was stored.
     pub fn merge(&mut self, applied: AppliedState) -> bool {
         let order = |applied: &AppliedState| (applied.incarnation, applied.sequence);
         let held = self.latest.get(&applied.instance).map(order);
@@ -104,17 +107,17 @@
         is_newer
     }
 
-    /// Returns the latest word of an instance.
+    /// Returns the latest known state of an instance.
     pub fn get(&self, instance: &InstanceName) -> Option<&AppliedState> {
         self.latest.get(instance)
     }
 
-    /// Returns on how many live instances a bundle is in force.
+    /// Returns the live instances that have a bundle, or a later one, in force.
     pub fn bundle_coverage(&self, revision: Revision, live: &[InstanceName]) -> Coverage {
         self.coverage(live, |applied| applied.revision >= revision)
     }
 
-    /// Returns how many live instances fulfil a condition by their latest word.
+    /// Returns the live instances whose latest known state meets a condition.
     pub fn coverage(
         &self,
         live: &[InstanceName],
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Drops the words of instances that the list of the platform no longer names.
+    /// Removes the states of all other instances than these.
     pub fn retain_live(&mut self, live: &[InstanceName]) {
         self.latest.retain(|name, _| live.contains(name));
     }
--- a/crates/rollout/src/brake.rs
+++ b/crates/rollout/src/brake.rs
@@ -1,4 +1,4 @@
-//! The brake: versions that get no more traffic until a later bundle.
+//! Brakes: versions that get no traffic until a later bundle changes the model.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,10 @@
 
 use crate::{record::ModelPart, share_increase::Candidate, verdict::Cause};
 
-/// The versions braked so far; entries are only ever added, so merges need no order and no store.
+/// The braked versions.
+///
+/// Merging only adds entries, so instances converge in whatever order they exchange sets, also while the
+/// store is down.
 ///
 /// # Examples
 ///
@@ -35,11 +38,11 @@
 }
 
 impl Brakes {
-    /// Adds a version; returns whether it was not braked yet.
+    /// Brakes a version; returns whether it was not braked before.
     pub fn insert(&mut self, origin: Revision, candidate: Candidate, cause: Cause) -> bool {
         let is_same = |entry: &&mut Entry| entry.origin == origin && entry.candidate == candidate;
         if let Some(entry) = self.entries.iter_mut().find(is_same) {
-            // Two instances may trip for different causes; all settle on one of them.
+            // Two instances may brake for different causes; the smaller one wins on all instances.
             entry.cause = entry.cause.min(cause);
             return false;
         }
@@ -51,7 +54,7 @@
         true
     }
 
-    /// Adds all entries of another set; returns whether any was new.
+    /// Adds the entries of another set; returns whether any was new.
     pub fn merge(&mut self, other: &Self) -> bool {
         let mut is_new = false;
         for entry in &other.entries {
@@ -60,13 +63,13 @@
         is_new
     }
 
-    /// Returns why a version is braked, if it is.
+    /// Returns why a version is braked, or `None` if it is not.
     pub fn cause(&self, origin: Revision, candidate: &Candidate) -> Option<Cause> {
         let is_same = |entry: &&Entry| entry.origin == origin && entry.candidate == *candidate;
         self.entries.iter().find(is_same).map(|entry| entry.cause)
     }
 
-    /// Drops the entries that later bundles released, by the parts of the bundle in force.
+    /// Removes the entries of models that the bundle in force changed later or no longer has.
     pub fn remove_superseded(&mut self, parts: &BTreeMap<ModelName, ModelPart>) {
         self.entries.retain(|entry| {
             let part = parts.get(&entry.candidate.model);
@@ -74,7 +77,7 @@
         });
     }
 
-    /// Returns the entries that fulfil a condition.
+    /// Returns the entries that meet a condition.
     #[must_use]
     pub fn filtered(&self, holds: impl Fn(Revision, &Candidate) -> bool) -> Self {
         let kept = self
--- a/crates/rollout/src/bundle_tracker.rs
+++ b/crates/rollout/src/bundle_tracker.rs
@@ -1,4 +1,4 @@
-//! The bundle that one instance has in force, whose revision only rises.
+//! The bundle in force on one instance; its revision never decreases.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -10,12 +10,12 @@
 
 use crate::record::BundleHeader;
 
-/// How long a request for a body may take before another source is asked.
+/// Timeout of a request for a bundle before another source is asked.
 pub const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
-/// The mean time between two polls of an instance that holds no watch.
+/// Mean time between two polls of an instance that does not watch the store.
 pub const POLL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Where an instance heard of a bundle, or asks for its body.
+/// Source of a header or of a bundle.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
     /// The object API.
@@ -24,23 +24,23 @@
     Peer(InstanceName),
 }
 
-/// A body is not taken.
+/// Why a bundle is not accepted.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum BodyError {
-    /// The body is not the one that the digest is of.
-    #[error("the body has digest {found}, not {wanted}")]
+pub enum AcceptError {
+    /// The bundle does not have the requested digest.
+    #[error("the bundle has digest {found} instead of {wanted}")]
     DigestMismatch {
-        /// The digest that the store names.
+        /// Requested digest.
         wanted: Digest,
-        /// The digest of the body.
+        /// Digest of the bundle.
         found: Digest,
     },
-    /// No body was wanted.
-    #[error("the body is not wanted any more")]
+    /// No bundle is requested, for example because the same bundle arrived before.
+    #[error("the bundle is not requested any more")]
     NotRequested,
 }
 
-/// The bundle that one instance has in force, and the newer one that it wants.
+/// The bundle in force on one instance, and the newer one that it is fetching.
 ///
 /// # Examples
 ///
@@ -55,7 +55,7 @@
 /// };
 /// let mut tracker = BundleTracker::default();
 /// assert!(tracker.note_header(header(5), Source::Store));
-/// // A stale read, or a peer that lags, changes nothing.
+/// // A stale read or a lagging peer changes nothing.
 /// assert!(!tracker.note_header(header(4), Source::Store));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -75,10 +75,11 @@
 }
 
 impl BundleTracker {
-    /// Takes note of a bundle; returns whether it is newer than all heard of.
+    /// Records a header; returns whether its revision is higher than all known ones.
     ///
-    /// The revision is merged by maximum, whatever the source: a stale read, a peer that was cut off
-    /// or a restart during an outage can name an older bundle, which must never come back in force.
+    /// Lower revisions are ignored whatever the source: after a stale read, from a peer that was
+    /// isolated or after a restart during an outage, an older bundle may be announced, which must never
+    /// come back into force.
     pub fn note_header(&mut self, header: BundleHeader, source: Source) -> bool {
         if header.revision <= self.newest_revision() {
             return false;
@@ -104,16 +105,16 @@
         true
     }
 
-    /// Takes note that a source was asked since the start and has told all it knows.
+    /// Records that a source has answered with its newest bundle since the start of the instance.
     pub fn mark_answered(&mut self, source: Source) {
         self.answered.insert(source);
     }
 
-    /// Returns whether a starting instance knows enough to serve.
+    /// Returns whether a starting instance may serve requests.
     ///
-    /// Before its restart it may have served a revision that some peers have not heard of yet. If it
-    /// served on the word of the first peer, its callers would see that revision revert. The store
-    /// knows the newest; while it is down, all reachable peers together know as much as can be known.
+    /// Before its restart it may have served a revision that some peers don't know yet. If it relied on
+    /// the first peer that answers, its callers would see an older revision again. The store knows the
+    /// newest one; while it is down, the answers of all reachable peers are the best available.
     pub fn is_ready(&self, peers: &[InstanceName]) -> bool {
         let is_current = self.active.is_some() && self.pending.is_none();
         let all_answered = |peers: &[InstanceName]| {
@@ -123,11 +124,10 @@
         is_current && (self.answered.contains(&Source::Store) || all_answered(peers))
     }
 
-    /// Returns whom to ask for the wanted body now, if anyone.
+    /// Returns the source to request the pending bundle from now, if any.
     ///
-    /// The peer that told of the bundle comes first and then in turn with the store, so that neither
-    /// an outage of the store nor the death of the peer keeps the bundle away. `peers` stand in for
-    /// a peer that is gone.
+    /// The peer that announced the bundle is asked first, then the store and random `peers` by turns.
+    /// So neither an outage of the store nor a crash of the peer prevents the fetch.
     pub fn next_fetch(
         &mut self,
         now: Instant,
@@ -155,13 +155,13 @@
         Some((source, digest))
     }
 
-    /// Takes a body; returns the bundle that is in force from now on.
-    pub fn accept_bundle(&mut self, bundle: Bundle) -> Result<Arc<Bundle>, BodyError> {
-        let pending = self.pending.take().ok_or(BodyError::NotRequested)?;
+    /// Brings the pending bundle into force.
+    pub fn accept_bundle(&mut self, bundle: Bundle) -> Result<Arc<Bundle>, AcceptError> {
+        let pending = self.pending.take().ok_or(AcceptError::NotRequested)?;
         let found = bundle.digest();
         if found != pending.header.digest {
-            // A damaged or mistaken body must not come into force; the next source is asked at once.
-            let error = BodyError::DigestMismatch {
+            // A wrong or damaged bundle must not come into force; the next source is asked at once.
+            let error = AcceptError::DigestMismatch {
                 wanted: pending.header.digest,
                 found,
             };
@@ -176,7 +176,7 @@
         Ok(bundle)
     }
 
-    /// Returns whether to poll the store now; the times between polls are random.
+    /// Returns whether a poll of the store is due, and schedules the next at a random interval.
     pub fn poll_due(&mut self, now: Instant, rng: &mut impl Rng) -> bool {
         let is_due = self.poll_at.is_none_or(|at| at <= now);
         if is_due {
@@ -198,7 +198,7 @@
             .map_or_else(Revision::default, revision)
     }
 
-    /// Returns the newest header heard of, which is what to tell peers.
+    /// Returns the newest known header, which is the one to announce to peers.
     pub fn newest_header(&self) -> Option<&BundleHeader> {
         let pending = self.pending.as_ref().map(|pending| &pending.header);
         pending.or(self.active.as_ref().map(|(header, _)| header))
--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -1,4 +1,4 @@
-//! What one instance knows of all rollouts and does about them.
+//! State and decisions of one instance in all rollouts.
 
 mod evaluation;
 mod traffic;
@@ -21,19 +21,22 @@
     version_rollout::VersionRollout,
 };
 
-/// What instances tell each other about rollouts, beside reports and their own actions.
+/// Rollout records and brakes that instances exchange, besides evidence and applied states.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutSnapshot {
-    /// The records known.
+    /// Known rollout records.
     pub rollouts: Vec<Rollout>,
-    /// The brakes known. They travel with the records, so that nobody learns of a stage from someone
-    /// who knows of its brake without learning of the brake.
+    /// Known brakes.
+    ///
+    /// They are sent together with the records, so that an instance never learns of a stage without a
+    /// brake that the sender knows of.
     pub brakes: Brakes,
 }
 
-/// The side of one instance in all rollouts.
+/// The part of one instance in all rollouts.
 ///
-/// The daemon feeds it what it hears and sees, and asks it which version takes the next request.
+/// The daemon passes it the messages of peers, the records in the store and the results of requests. It
+/// chooses the version for each request, detects bad versions and proposes the next rollout record.
 #[derive(Clone, Debug)]
 pub struct RolloutController {
     me: InstanceName,
@@ -46,20 +49,26 @@
     brakes: Brakes,
     applied_states: AppliedStates,
     evidence: Evidence,
-    own: BTreeMap<Subject, EvidenceReport>,
-    since_ms: BTreeMap<Subject, u64>,
+    own_reports: BTreeMap<Subject, EvidenceReport>,
+    /// When the first trial of a subject was recorded, as Unix time in milliseconds.
+    recording_since_ms: BTreeMap<Subject, u64>,
     judges: BTreeMap<(Revision, Candidate), Judge>,
+    /// Versions that this instance has promised not to brake any more.
     promised: BTreeSet<(Revision, Candidate)>,
+    /// Faults found after the promise; they take effect through the record in the store only.
     objections: BTreeMap<(Revision, Candidate), Cause>,
     splitters: BTreeMap<Candidate, TrafficSplitter>,
-    last: BTreeMap<Candidate, u32>,
-    reporter_for: BTreeMap<Subject, bool>,
-    traffic: BTreeMap<ModelName, f64>,
+    /// Local shares under the previous bundle.
+    previous_shares: BTreeMap<Candidate, u32>,
+    /// Cached results of whether this instance is an evidence reporter.
+    reporter_roles: BTreeMap<Subject, bool>,
+    /// Traffic on this instance relative to the mean over all instances.
+    relative_traffic: BTreeMap<ModelName, f64>,
     is_synced: bool,
 }
 
 impl RolloutController {
-    /// Makes the side of an instance; `incarnation` must rise with each restart.
+    /// Creates the controller of an instance; `incarnation` must increase with each restart.
     pub fn new(me: InstanceName, incarnation: u64, judge_config: JudgeConfig) -> Self {
         Self {
             me,
@@ -72,24 +81,24 @@
             brakes: Brakes::default(),
             applied_states: AppliedStates::default(),
             evidence: Evidence::default(),
-            own: BTreeMap::new(),
-            since_ms: BTreeMap::new(),
+            own_reports: BTreeMap::new(),
+            recording_since_ms: BTreeMap::new(),
             judges: BTreeMap::new(),
             promised: BTreeSet::new(),
             objections: BTreeMap::new(),
             splitters: BTreeMap::new(),
-            last: BTreeMap::new(),
-            reporter_for: BTreeMap::new(),
-            traffic: BTreeMap::new(),
+            previous_shares: BTreeMap::new(),
+            reporter_roles: BTreeMap::new(),
+            relative_traffic: BTreeMap::new(),
             is_synced: false,
         }
     }
 
-    /// Takes the parts of the bundle that has come into force.
+    /// Sets the model parts of the bundle that has come into force.
     pub fn set_parts(&mut self, parts: BTreeMap<ModelName, ModelPart>) {
-        for (origin, change) in self.changes() {
+        for (origin, change) in self.share_increases() {
             let share = self.local_share(origin, &change);
-            self.last.insert(change.candidate, share);
+            self.previous_shares.insert(change.candidate, share);
         }
         self.brakes.remove_superseded(&parts);
         let named = parts
@@ -97,8 +106,9 @@
             .map(|(model, part)| subject(part.origin, model));
         let subjects: Vec<_> = named.collect();
         self.evidence.retain_subjects(&subjects);
-        self.own.retain(|subject, _| subjects.contains(subject));
-        self.since_ms
+        self.own_reports
+            .retain(|subject, _| subjects.contains(subject));
+        self.recording_since_ms
             .retain(|subject, _| subjects.contains(subject));
         self.judges.retain(|(origin, candidate), _| {
             subjects.contains(&subject(*origin, &candidate.model))
@@ -110,34 +120,34 @@
         self.parts = parts;
     }
 
-    /// Takes how much traffic for a model this instance gets, relative to the mean over all instances.
+    /// Sets the traffic for a model on this instance, relative to the mean over all instances.
     pub fn set_relative_traffic(&mut self, model: ModelName, relative: f64) {
-        self.traffic.insert(model, relative);
+        self.relative_traffic.insert(model, relative);
     }
 
-    /// Takes the list of live instances.
+    /// Sets the list of live instances.
     pub fn set_live(&mut self, live: &[InstanceName]) {
         self.live = live.to_vec();
-        self.reporter_for.clear();
+        self.reporter_roles.clear();
         self.applied_states.retain_live(live);
     }
 
-    /// Takes news from a peer; returns whether to pass them on at once.
-    pub fn merge_snapshot(&mut self, news: &RolloutSnapshot) -> bool {
+    /// Merges the snapshot of a peer; returns whether it contained news to pass on at once.
+    pub fn merge_snapshot(&mut self, snapshot: &RolloutSnapshot) -> bool {
         self.is_synced = true;
         let mut is_new = false;
-        for rollout in &news.rollouts {
+        for rollout in &snapshot.rollouts {
             is_new |= self.merge_rollout(rollout.clone());
         }
-        for (origin, change) in self.changes() {
-            if let Some(cause) = news.brakes.cause(origin, &change.candidate) {
+        for (origin, change) in self.share_increases() {
+            if let Some(cause) = snapshot.brakes.cause(origin, &change.candidate) {
                 is_new |= self.merge_brake(origin, change.candidate, cause);
             }
         }
         is_new
     }
 
-    /// Takes a record that was read from, or written to, the store; returns whether it is newer.
+    /// Merges a record from the store or a peer; returns whether it is newer than the known one.
     pub fn merge_rollout(&mut self, rollout: Rollout) -> bool {
         let held = self.rollouts.get(&rollout.origin);
         if held.is_some_and(|held| held.step >= rollout.step) {
@@ -154,8 +164,8 @@
     }
 
     fn merge_brake(&mut self, origin: Revision, candidate: Candidate, cause: Cause) -> bool {
-        // After its promise an instance changes its mind only through the store. Otherwise the report
-        // "done" could be written while some instance has just begun to take back.
+        // After its promise an instance brakes only when the store says so. Otherwise "done" could be
+        // written while some instance has just started to roll back.
         let key = (origin, candidate.clone());
         if self.promised.contains(&key) && self.brakes.cause(origin, &candidate).is_none() {
             return self.objections.insert(key, cause).is_none();
@@ -163,16 +173,16 @@
         self.brakes.insert(origin, candidate, cause)
     }
 
-    /// Returns whether a peer has told what it knows since the start.
+    /// Returns whether a peer has sent a snapshot since the start of the instance.
     ///
-    /// An instance that starts must not serve before: the store may not know of a brake that was
-    /// tripped while it was down, and a request sent by the stage alone would reach the bad version.
-    /// The daemon serves without it only when it has tried all peers in vain.
+    /// An instance must not serve before: the store does not have the brakes that were set while it was
+    /// down, and by its record alone requests would reach the bad version. The daemon serves without
+    /// a snapshot only after it has tried all peers.
     pub fn is_synced(&self) -> bool {
         self.is_synced || self.live.iter().all(|name| *name == self.me)
     }
 
-    /// Returns what to tell peers.
+    /// Returns the snapshot to send to peers.
     pub fn snapshot(&self) -> RolloutSnapshot {
         RolloutSnapshot {
             rollouts: self.rollouts.values().cloned().collect(),
@@ -180,32 +190,32 @@
         }
     }
 
-    /// Takes what an instance says it acts on; returns whether it was news.
+    /// Merges the applied state of an instance; returns whether it is newer than the known one.
     pub fn merge_applied_state(&mut self, applied: AppliedState) -> bool {
         self.applied_states.merge(applied)
     }
 
-    /// Takes a report of evidence; returns whether it was news.
+    /// Merges an evidence report; returns whether it is newer than the known one.
     pub fn merge_report(&mut self, report: EvidenceReport) -> bool {
         self.evidence.merge(report)
     }
 
-    /// Returns the own reports, for peers.
+    /// Returns the evidence reports of this instance.
     pub fn own_reports(&self) -> impl Iterator<Item = &EvidenceReport> {
-        self.own.values()
+        self.own_reports.values()
     }
 
-    /// Returns all evidence known.
+    /// Returns the known evidence of all instances.
     pub fn evidence(&self) -> &Evidence {
         &self.evidence
     }
 
-    /// Returns the brakes known.
+    /// Returns the known brakes.
     pub fn brakes(&self) -> &Brakes {
         &self.brakes
     }
 
-    /// Returns what the instances say they act on.
+    /// Returns the known applied states of all instances.
     pub fn applied_states(&self) -> &AppliedStates {
         &self.applied_states
     }
@@ -215,8 +225,8 @@
         self.rollouts.get(&origin)
     }
 
-    /// Returns the rises of shares that the bundle in force asks for.
-    fn changes(&self) -> Vec<(Revision, ShareIncrease)> {
+    /// Returns the share increases of the bundle in force with their origins.
+    fn share_increases(&self) -> Vec<(Revision, ShareIncrease)> {
         let of_part = |part: &ModelPart| {
             let origin = part.origin;
             part.moves
--- a/crates/rollout/src/controller/evaluation.rs
+++ b/crates/rollout/src/controller/evaluation.rs
@@ -1,4 +1,4 @@
-//! How an instance weighs evidence, says what it acts on and proposes the next step.
+//! Evaluation of evidence, applied state and proposed records of an instance.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -17,16 +17,16 @@
     version_rollout::VersionRollout,
 };
 
-/// How many engines of the base an instance assumes when the bundle names none.
+/// Number of engines assumed for a base without engines in the bundle.
 const MIN_BASE_ENGINES: u32 = 1;
 const MS_PER_S: u64 = 1_000;
 
 impl RolloutController {
-    /// Weighs all evidence; returns whether a brake was tripped, which peers must hear at once.
+    /// Evaluates all evidence; returns whether a version was braked, which peers must learn at once.
     ///
-    /// Call it after each failure as well as now and then: the evidence is strongest right after one.
+    /// To be called periodically and after each failure, when the evidence is strongest.
     pub fn evaluate(&mut self, base_engines: impl Fn(&ShareIncrease) -> u32, now_ms: u64) -> bool {
-        for report in self.own.values() {
+        for report in self.own_reports.values() {
             self.evidence.merge(report.clone());
         }
         let rollouts = self.rollouts.values();
@@ -67,14 +67,17 @@
         is_new
     }
 
-    /// Returns what this instance acts on, for peers; `base_open` counts open answers of a version.
+    /// Updates the applied state of this instance and returns it for peers.
+    ///
+    /// `base_open` returns the number of open answers of a version. An instance that applies a record
+    /// in the closing phase hereby promises not to brake any more.
     pub fn update_applied_state(
         &mut self,
         revision: Revision,
         base_open: impl Fn(&ModelName, &VersionName) -> u32,
     ) -> AppliedState {
         let mut moves = Vec::new();
-        for (origin, change) in self.changes() {
+        for (origin, change) in self.share_increases() {
             let open = base_open(&change.candidate.model, &change.base);
             moves.push(self.applied_share(origin, change, open));
         }
@@ -116,11 +119,11 @@
         }
     }
 
-    /// Returns the records that are due to be written: first those not yet made, then next steps.
+    /// Returns the records to write: those of new rollouts, then the next steps of known ones.
     ///
-    /// A new record is to be written if absent, a next step if the record has not changed.
-    /// `is_listed` tells whether the list of live instances could be had lately, and `rate` gives the
-    /// requests a second for a model.
+    /// A new record is to be written if it is absent, a next step if the stored record has not changed.
+    /// `is_listed` tells whether the list of live instances is recent, and `rate` returns the requests
+    /// per second for a model.
     pub fn due_records(
         &self,
         models: &[Model],
@@ -129,7 +132,7 @@
         now_ms: u64,
     ) -> Vec<Rollout> {
         let context = self.context(is_listed, now_ms);
-        let mut due = self.missing(models, rate, is_listed);
+        let mut due = self.new_records(models, rate, is_listed);
         due.extend(self.rollouts.values().filter_map(|rollout| {
             let origin = rollout.origin;
             let answers = |candidate: &Candidate| {
@@ -151,7 +154,7 @@
         due
     }
 
-    /// Tells how the rollout of a version stands; `is_fresh` tells whether the store answered lately.
+    /// Returns the status of a rollout for operators; `is_fresh` tells whether the store answered recently.
     pub fn reported_status(
         &self,
         origin: Revision,
@@ -173,7 +176,7 @@
         }
     }
 
-    fn missing(
+    fn new_records(
         &self,
         models: &[Model],
         rate: impl Fn(&ModelName) -> f64,
@@ -187,9 +190,9 @@
             if self.rollouts.contains_key(&part.origin) || part.moves.is_empty() || !is_listed {
                 continue;
             }
-            let demand = PlanInput {
-                within: Duration::from_secs(model.complete_within_s),
-                answer: Duration::from_millis(model.deadline_ms),
+            let input = PlanInput {
+                rollout_time: Duration::from_secs(model.complete_within_s),
+                answer_time: Duration::from_millis(model.deadline_ms),
                 instances: self.live.len() as u32,
                 requests_per_s: rate(&model.name),
             };
@@ -203,7 +206,7 @@
                     from_ppm,
                     ..change.clone()
                 };
-                let stages = plan_stages(&change, &demand, self.judge_config.stage_templates);
+                let stages = plan_stages(&change, &input, self.judge_config.stage_templates);
                 (change, stages, deadline_ms)
             }));
         }
--- a/crates/rollout/src/controller/traffic.rs
+++ b/crates/rollout/src/controller/traffic.rs
@@ -1,4 +1,4 @@
-//! How an instance splits requests and counts what comes of them.
+//! Splitting of requests between versions, and recording of their results.
 
 use std::collections::BTreeMap;
 
@@ -16,10 +16,10 @@
 };
 
 impl RolloutController {
-    /// Chooses the version that takes the next request for a model.
+    /// Chooses the version for the next request for a model.
     pub fn choose_version(&mut self, model: &Model) -> VersionName {
-        let (base, wanted) = self.effective_shares(model);
-        for (version, share_ppm) in wanted {
+        let (base, shares) = self.effective_shares(model);
+        for (version, share_ppm) in shares {
             let candidate = Candidate {
                 model: model.name.clone(),
                 version: version.clone(),
@@ -36,32 +36,32 @@
         base
     }
 
-    /// Returns the version that takes what is left, and the shares of the others here and now.
+    /// Returns the version that takes the remaining requests, and the current local shares of the others.
     ///
-    /// This is what the daemon publishes for its request threads, which split by [`crate::selects`].
+    /// The daemon publishes them to its request threads, which split by [`crate::selects`].
     pub fn effective_shares(&self, model: &Model) -> (VersionName, BTreeMap<VersionName, u32>) {
         let part = self.parts.get(&model.name);
         let changes = part.map_or(&[][..], |part| part.moves.as_slice());
         let origin = part.map_or_else(Revision::default, |part| part.origin);
         let base = changes.first().map_or(&model.base, |change| &change.base);
-        let mut wanted = configured_shares(model);
+        let mut shares = configured_shares(model);
         for change in changes {
             let share = self.local_share(origin, change);
-            wanted.insert(change.candidate.version.clone(), share);
+            shares.insert(change.candidate.version.clone(), share);
         }
-        wanted.remove(base);
-        (base.clone(), wanted)
+        shares.remove(base);
+        (base.clone(), shares)
     }
 
-    /// Returns the part of its requests that this instance sends to a version under rollout.
+    /// Returns the share of its requests that this instance sends to a candidate, in parts per million.
     pub fn local_share(&self, origin: Revision, change: &ShareIncrease) -> u32 {
         let candidate = &change.candidate;
         if self.brakes.cause(origin, candidate).is_some() {
             return 0;
         }
         let Some(record) = self.record(origin, candidate) else {
-            // The bundle is in force but its first stage is not known yet: all stays as it was.
-            let last = self.last.get(candidate).copied().unwrap_or(0);
+            // The bundle is in force but its rollout record is not known yet: the share must not rise.
+            let last = self.previous_shares.get(candidate).copied().unwrap_or(0);
             return last.min(change.from_ppm);
         };
         let is_sender = record
@@ -70,7 +70,7 @@
             .is_none_or(|all| all.contains(&self.me));
         match record.phase {
             Phase::Stage { .. } if is_sender && record.senders.is_some() => {
-                self.share_by_traffic(candidate, record.local_ppm)
+                self.limit_by_traffic(candidate, record.local_ppm)
             }
             Phase::Stage { .. } if is_sender => record.local_ppm,
             Phase::Stage { .. } | Phase::Superseded => record.change.from_ppm,
@@ -79,85 +79,92 @@
         }
     }
 
-    /// Lowers the local share of one of few senders that gets more traffic than others.
+    /// Lowers the local share of a sender that gets more traffic than the mean.
     ///
-    /// The share of a stage is of all traffic. Callers choose instances as they like; if one of the few
-    /// senders gets three times its part, so would the version.
-    fn share_by_traffic(&self, candidate: &Candidate, local_ppm: u32) -> u32 {
-        let relative = self.traffic.get(&candidate.model).copied().unwrap_or(1.0);
+    /// The share of a stage is a share of all traffic. Callers choose instances freely: if one of a few
+    /// senders got three times the mean traffic, the version would get three times its share.
+    fn limit_by_traffic(&self, candidate: &Candidate, local_ppm: u32) -> u32 {
+        let relative = self
+            .relative_traffic
+            .get(&candidate.model)
+            .copied()
+            .unwrap_or(1.0);
         (f64::from(local_ppm) / relative.max(1.0)) as u32
     }
 
-    /// Returns how many engines serve a version now, out of those that the bundle names.
+    /// Returns the number of engines that serve a candidate at the current stage.
     pub fn stage_engines(&self, origin: Revision, candidate: &Candidate) -> Option<u32> {
         let record = self.rollouts.get(&origin)?.find(candidate)?;
         let stage = record.stages.get(usize::from(record.stage()))?;
         Some(stage.engines)
     }
 
-    /// Notes that a chunk was asked for.
+    /// Records that a chunk was requested.
     pub fn record_sent(&mut self, trial: &Trial) {
-        if let Some(subject) = self.counted(trial) {
-            self.since_ms.entry(subject).or_insert(trial.begun_ms);
+        if let Some(subject) = self.recorded_subject(trial) {
+            self.recording_since_ms
+                .entry(subject)
+                .or_insert(trial.begun_ms);
         }
-        if let Some(trials) = self.trials(trial) {
+        if let Some(trials) = self.trial_counts(trial) {
             trials.sent += 1;
         }
     }
 
-    /// Notes that a chunk came: its time to the first token, or its time per token.
+    /// Records that a chunk succeeded, with its time to the first token or its time per token.
     pub fn record_success(&mut self, trial: &Trial, time_us: u64) {
-        if let Some(trials) = self.trials(trial) {
+        if let Some(trials) = self.trial_counts(trial) {
             trials.times.add(time_us);
         }
     }
 
-    /// Notes that a chunk failed.
+    /// Records that a chunk failed.
     pub fn record_failure(&mut self, trial: &Trial, failure: Failure, now_ms: u64) {
         let discount = self.judge_config.discount_incidents;
-        let Some(report) = self.report(trial) else {
+        let Some(report) = self.report_for(trial) else {
             return;
         };
         let breaks = discount && matches!(failure, Failure::Cut | Failure::Stalled);
         if breaks && report.record_break(&trial.version, &trial.target, trial.begun_ms, now_ms) {
-            report.trials(trial).discounted += 1;
+            report.trial_counts(trial).discounted += 1;
             return;
         }
-        report.trials(trial).count_failure(failure);
+        report.trial_counts(trial).count_failure(failure);
         report.record_target_failure(&trial.version, &trial.target);
     }
 
-    fn trials(&mut self, trial: &Trial) -> Option<&mut TrialCounts> {
-        self.report(trial).map(|report| report.trials(trial))
+    fn trial_counts(&mut self, trial: &Trial) -> Option<&mut TrialCounts> {
+        self.report_for(trial)
+            .map(|report| report.trial_counts(trial))
     }
 
-    /// Returns what a trial is evidence of, if its version is under rollout here.
+    /// Returns the subject of a trial, if this instance takes part in a rollout of its version.
     ///
-    /// Only instances that send to both versions count either, so that a fault of one instance, or of
-    /// the network around it, is not laid on the version that it happens to send to.
-    fn counted(&mut self, trial: &Trial) -> Option<Subject> {
+    /// Only instances that send to both versions count trials of either. Otherwise a fault of one
+    /// instance or of its network would be attributed to the version that it sends to.
+    fn recorded_subject(&mut self, trial: &Trial) -> Option<Subject> {
         let origin = self.parts.get(&trial.model)?.origin;
-        let moves = &self.rollouts.get(&origin)?.moves;
-        let is_counted = moves.iter().any(|record| {
+        let versions = &self.rollouts.get(&origin)?.moves;
+        let is_recorded = versions.iter().any(|record| {
             let change = &record.change;
             let is_candidate = change.candidate.version == trial.version;
-            let is_party = is_candidate || change.base == trial.version;
-            let is_here =
+            let is_compared = is_candidate || change.base == trial.version;
+            let is_sending =
                 change.candidate.model == trial.model && self.local_share(origin, change) > 0;
-            is_party && is_here && self.is_running(origin, record)
+            is_compared && is_sending && self.is_running(origin, record)
         });
         let subject = subject(origin, &trial.model);
-        (is_counted && self.is_reporter(&subject)).then_some(subject)
+        (is_recorded && self.is_reporter(&subject)).then_some(subject)
     }
 
-    fn report(&mut self, trial: &Trial) -> Option<&mut EvidenceReport> {
-        let subject = self.counted(trial)?;
-        // What was begun before the counting is no part of the trials counted as begun.
-        let since_ms = *self.since_ms.get(&subject)?;
+    fn report_for(&mut self, trial: &Trial) -> Option<&mut EvidenceReport> {
+        let subject = self.recorded_subject(trial)?;
+        // A trial that began before the recording started is not counted as sent.
+        let since_ms = *self.recording_since_ms.get(&subject)?;
         if trial.begun_ms < since_ms {
             return None;
         }
-        let report = self.own.entry(subject.clone());
+        let report = self.own_reports.entry(subject.clone());
         Some(
             report
                 .or_insert_with(|| EvidenceReport::new(subject, self.me.clone(), self.incarnation)),
@@ -169,12 +176,15 @@
             return true;
         }
         let (live, me) = (&self.live, &self.me);
-        *self.reporter_for.entry(subject.clone()).or_insert_with(|| {
-            let ranked = rendezvous_order(&sender_role(subject.origin, &subject.model), live);
-            ranked
-                .iter()
-                .take(MAX_REPORTERS as usize)
-                .any(|name| name == me)
-        })
+        *self
+            .reporter_roles
+            .entry(subject.clone())
+            .or_insert_with(|| {
+                let ranked = rendezvous_order(&sender_role(subject.origin, &subject.model), live);
+                ranked
+                    .iter()
+                    .take(MAX_REPORTERS as usize)
+                    .any(|name| name == me)
+            })
     }
 }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What all instances have seen, merged without coordination.
+//! Evidence about versions, collected on all instances and merged without coordination.
 
 use std::collections::BTreeMap;
 
@@ -8,87 +8,87 @@
 
 use crate::tally::{Tally, TrialCounts};
 
-/// How close in time the breaks of one target count as one incident, in milliseconds.
+/// Time within which broken trials on one target count as one incident, in milliseconds.
 pub const INCIDENT_WINDOW_MS: u64 = 10_000;
-/// How many incidents, and failing targets, a report keeps.
-const KEPT_INCIDENTS: usize = 64;
-const KEPT_TARGETS: usize = 16;
+/// Maximum numbers of incidents and of failing targets in a report.
+const MAX_INCIDENTS: usize = 64;
+const MAX_FAILING_TARGETS: usize = 16;
 
-/// A kind of request whose faults may differ from others', for example an adapter.
+/// A class of requests that may fail independently of others, for example the requests for one adapter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestClass(pub SmolStr);
 
-/// One chunk of an answer, from the side of the instance.
+/// One chunk of an answer as the instance sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trial {
-    /// The model.
+    /// Model.
     pub model: ModelName,
-    /// The version that was chosen.
+    /// Version chosen for the request.
     pub version: VersionName,
-    /// The kind of request.
+    /// Class of the request.
     pub class: RequestClass,
-    /// The target.
+    /// Target.
     pub target: TargetName,
-    /// Whether it is the first of its answer.
+    /// Whether it is the first chunk of its answer.
     pub is_first: bool,
-    /// When it began, as wall clock in milliseconds since 1970.
+    /// When it began, as Unix time in milliseconds.
     pub begun_ms: u64,
 }
 
-/// What evidence is about: a model since the revision at which its part of the bundle changed.
+/// Subject of evidence: a model since the revision at which its configuration changed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Subject {
-    /// The revision.
+    /// Revision at which the configuration of the model changed.
     pub origin: Revision,
-    /// The model.
+    /// Model.
     pub model: ModelName,
 }
 
-/// The death, pause or loss of one target, which hits all that runs there.
+/// The crash, pause or disconnection of a target, which affects all its answers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incident {
-    /// The version that the target served.
+    /// Version that the target served.
     pub version: VersionName,
-    /// The target.
+    /// Target.
     pub target: TargetName,
-    /// The wall clock in milliseconds since 1970.
+    /// Unix time in milliseconds.
     pub at_ms: u64,
 }
 
-/// One version on one route.
+/// Trial counts of one version and request class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportLine {
-    /// The version.
+    /// Version.
     pub version: VersionName,
-    /// The route.
+    /// Request class.
     #[serde(rename = "route")]
     pub class: RequestClass,
-    /// The sums.
+    /// Counts.
     pub tally: Tally,
 }
 
-/// All that one instance has seen of a subject while it sent traffic to the candidate.
+/// All evidence on a subject that one instance collected while it sent traffic to the candidate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvidenceReport {
-    /// What it is about.
+    /// Subject.
     pub subject: Subject,
-    /// The instance.
+    /// Instance that collected it.
     pub instance: InstanceName,
-    /// Tells the runs of a restarted instance apart; rises.
+    /// Increases with each restart of the instance.
     pub incarnation: u64,
-    /// Tells newer reports from older ones; rises.
+    /// Increases with each change of the report.
     pub sequence: u64,
-    /// The sums, by version and route.
+    /// Trial counts by version and request class.
     pub lines: Vec<ReportLine>,
     /// Incidents of targets.
     pub incidents: Vec<Incident>,
-    /// Failures by target.
+    /// Number of failures by version and target.
     pub blamed: Vec<(VersionName, TargetName, u32)>,
 }
 
 impl EvidenceReport {
-    /// Makes an empty report.
+    /// Creates an empty report.
     pub fn new(subject: Subject, instance: InstanceName, incarnation: u64) -> Self {
         Self {
             subject,
@@ -101,11 +101,11 @@
         }
     }
 
-    /// Returns the sums of a version on a route, which the caller may add to.
+    /// Returns the counts of a version and request class for the caller to add to.
     pub fn tally(&mut self, version: &VersionName, class: &RequestClass) -> &mut Tally {
         self.sequence += 1;
-        let is_it = |line: &ReportLine| line.version == *version && line.class == *class;
-        let at = self.lines.iter().position(is_it).unwrap_or_else(|| {
+        let is_same = |line: &ReportLine| line.version == *version && line.class == *class;
+        let at = self.lines.iter().position(is_same).unwrap_or_else(|| {
             self.lines.push(ReportLine {
                 version: version.clone(),
                 class: class.clone(),
@@ -116,8 +116,8 @@
         &mut self.lines[at].tally
     }
 
-    /// Returns the sums that a trial belongs to.
-    pub fn trials(&mut self, trial: &Trial) -> &mut TrialCounts {
+    /// Returns the counts that a trial belongs to.
+    pub fn trial_counts(&mut self, trial: &Trial) -> &mut TrialCounts {
         let tally = self.tally(&trial.version, &trial.class);
         if trial.is_first {
             &mut tally.first
@@ -126,22 +126,22 @@
         }
     }
 
-    /// Notes on which target a trial failed.
+    /// Records on which target a trial failed.
     pub fn record_target_failure(&mut self, version: &VersionName, target: &TargetName) {
-        let is_it = |(v, t, _): &&mut (_, _, u32)| v == version && t == target;
-        if let Some((_, _, count)) = self.blamed.iter_mut().find(is_it) {
+        let is_same = |(v, t, _): &&mut (_, _, u32)| v == version && t == target;
+        if let Some((_, _, count)) = self.blamed.iter_mut().find(is_same) {
             *count += 1;
-        } else if self.blamed.len() < KEPT_TARGETS {
+        } else if self.blamed.len() < MAX_FAILING_TARGETS {
             self.blamed.push((version.clone(), target.clone(), 1));
         }
     }
 
-    /// Notes that a trial broke off on a target; returns whether its failure is to be discounted.
+    /// Records that a trial broke off on a target; returns whether its failure is to be discounted.
     ///
-    /// An engine that dies takes all its streams along: dozens of failures at once that say nothing
-    /// about the version. What ran there before the first break is discounted, and the break counts as
-    /// one incident. A trial begun after it reached the target again and counts in full, so a version
-    /// that breaks each connection is not excused.
+    /// An engine that crashes breaks all its streams: dozens of failures at once that say nothing about
+    /// the version. Trials that were running at the first break are discounted, and the break counts as
+    /// one incident. A trial begun later reached the target again and counts in full, so a version that
+    /// breaks each connection is still found.
     pub fn record_break(
         &mut self,
         version: &VersionName,
@@ -155,7 +155,7 @@
         if let Some(incident) = self.incidents.iter().rev().find(is_recent) {
             return begun_ms <= incident.at_ms;
         }
-        if self.incidents.len() < KEPT_INCIDENTS {
+        if self.incidents.len() < MAX_INCIDENTS {
             self.incidents.push(Incident {
                 version: version.clone(),
                 target: target.clone(),
@@ -166,7 +166,7 @@
     }
 }
 
-/// The newest reports of all instances, a grow-only state that merges in any order.
+/// The newest reports of all instances, which merge in any order.
 ///
 /// # Examples
 ///
@@ -188,7 +188,7 @@
 }
 
 impl Evidence {
-    /// Takes a report; returns whether it is newer than the one held.
+    /// Stores a report unless a newer one is known; returns whether it was stored.
     pub fn merge(&mut self, report: EvidenceReport) -> bool {
         let is_newer = self.is_newer(&report);
         if is_newer {
@@ -197,7 +197,7 @@
         is_newer
     }
 
-    /// Returns whether a report is newer than the one held.
+    /// Returns whether a report is newer than the known one.
     pub fn is_newer(&self, report: &EvidenceReport) -> bool {
         let held = self.reports.get(&key(report));
         held.is_none_or(|held| held.sequence < report.sequence)
@@ -208,7 +208,7 @@
         self.reports.values()
     }
 
-    /// Returns the reports about a subject.
+    /// Returns the reports on a subject.
     pub fn reports_on<'a>(
         &'a self,
         subject: &'a Subject,
@@ -218,7 +218,7 @@
             .filter(move |report| report.subject == *subject)
     }
 
-    /// Returns the sums of a version over all instances, on one route or on all.
+    /// Returns the counts of a version over all instances, for one request class or for all.
     pub fn total(
         &self,
         subject: &Subject,
@@ -235,7 +235,7 @@
         total
     }
 
-    /// Returns the sums of a version over all instances by route.
+    /// Returns the counts of a version over all instances by request class.
     pub fn totals_by_class(
         &self,
         subject: &Subject,
@@ -253,7 +253,7 @@
         totals
     }
 
-    /// Returns the incidents of a version, each counted once however many instances saw it.
+    /// Returns the incidents of a version, each of them once even if several instances reported it.
     pub fn incidents(&self, subject: &Subject, version: &VersionName) -> Vec<Incident> {
         let all = self
             .reports_on(subject)
@@ -271,7 +271,7 @@
         seen
     }
 
-    /// Returns the failures of a version by target.
+    /// Returns the number of failures of a version by target.
     pub fn failures_by_target(
         &self,
         subject: &Subject,
@@ -288,7 +288,7 @@
         blamed
     }
 
-    /// Drops all that is about other subjects.
+    /// Removes the reports on all other subjects than these.
     pub fn retain_subjects(&mut self, subjects: &[Subject]) {
         self.reports
             .retain(|(subject, _, _), _| subjects.contains(subject));
--- a/crates/rollout/src/histogram.rs
+++ b/crates/rollout/src/histogram.rs
@@ -1,15 +1,15 @@
-//! A small mergeable histogram of times.
+//! A small, mergeable latency histogram.
 
 use serde::{Deserialize, Serialize};
 
-/// How many buckets a histogram has; the last is open.
+/// Number of buckets of a histogram; the last has no upper bound.
 pub const BUCKET_COUNT: usize = 40;
-/// The upper bound of the first bucket, in microseconds.
+/// Upper bound of the first bucket, in microseconds.
 const FIRST_BOUND_US: f64 = 1_000.0;
-/// The ratio of the bounds of neighbouring buckets.
+/// Ratio of the bounds of adjacent buckets.
 const RATIO: f64 = 1.25;
 
-/// Counts of times in buckets whose bounds grow by a quarter, from 1 ms to 6 s.
+/// Counts of times in buckets whose bounds grow by a quarter each, from 1 ms to 6 s.
 ///
 /// # Examples
 ///
@@ -27,7 +27,7 @@
     counts: [u32; BUCKET_COUNT],
 }
 
-/// The form on the wire: only the span of buckets in use.
+/// Serialized form: only the range of buckets in use.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Sparse {
     first: u8,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns what was added since `earlier`.
+    /// Returns the counts added since `earlier`.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         let mut counts = self.counts;
@@ -67,19 +67,19 @@
         Self { counts }
     }
 
-    /// Returns how many times were added.
+    /// Returns the number of times.
     pub fn count(&self) -> u64 {
         self.count_from(0)
     }
 
-    /// Returns how many times lie above a bucket.
+    /// Returns the number of times above a bucket.
     pub fn count_above(&self, bucket: usize) -> u64 {
         self.count_from(bucket + 1)
     }
 
-    /// Returns the first bucket that at least this part of all times does not exceed.
-    pub fn quantile_bucket(&self, part: f64) -> usize {
-        let allowed = (self.count() as f64 * (1.0 - part)) as u64;
+    /// Returns the lowest bucket that at least this fraction of all times does not exceed.
+    pub fn quantile_bucket(&self, fraction: f64) -> usize {
+        let allowed = (self.count() as f64 * (1.0 - fraction)) as u64;
         let mut above = 0;
         for bucket in (0..BUCKET_COUNT).rev() {
             above += u64::from(self.counts[bucket]);
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -1,4 +1,4 @@
-//! The sequential test of a new version against its base.
+//! Sequential test of a new version against its base.
 
 use std::collections::BTreeMap;
 
@@ -14,52 +14,55 @@
     verdict::{Cause, Engines, JudgeConfig, Verdict},
 };
 
-/// The odds that trip the brake for failures and incidents.
+/// Bayes factor at which the brake is set for failures and incidents.
 const FAILURE_THRESHOLD: f64 = 1e4;
-/// The odds that trip it for slowness, whose samples depend on each other more.
+/// Bayes factor at which it is set for slowness. It is higher because times of trials are more correlated.
 const SLOWNESS_THRESHOLD: f64 = 1e6;
-/// The failure rate that nobody minds.
+/// Failure rate that never counts against a version.
 const FAILURE_FLOOR: f64 = 0.005;
-/// The part of slow samples that nobody minds; by choice of the bound the base has about half of it.
+/// Fraction of slow samples that never counts against a version; the base has about half of it, by the
+/// choice of [`NORMAL_QUANTILE`].
 const SLOW_FLOOR: f64 = 0.10;
-/// The part of the base's samples that count as not slow.
+/// Fraction of the samples of the base that are not slow.
 const NORMAL_QUANTILE: f64 = 0.95;
-/// How many buckets above the base's normal bound a sample is slow: 1.25^2, so 1.56 times.
+/// Number of buckets above that quantile from which a sample is slow: 1.25^2, so 1.56 times its bound.
 const SLOW_BUCKETS: usize = 2;
-/// How many samples of the base fix the bound.
+/// Minimum number of samples of the base to determine the quantile.
 const MIN_BASE_SAMPLES: u64 = 40;
-/// The failure rate that is taken for the base's when no traffic is left on it.
+/// Failure rate assumed for the base when it gets no traffic any more.
 const ASSUMED_BASE_RATE: f64 = 0.3;
-/// How many successes a failure on other classes needs for the version to do well there.
+/// Successes per failure from which a version counts as healthy on other request classes.
 const HEALTHY_RATIO: u64 = 3;
-/// Incidents that an engine may have in a second, before any was seen: one in two hours.
+/// Prior for the rate of incidents: one in this time of an engine (two hours), in seconds.
 const PRIOR_ENGINE_S: f64 = 7_200.0;
 const MS_PER_S: f64 = 1_000.0;
 
-/// What a window is open on.
+/// One of the comparisons of the two versions that are made separately.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Scope {
     cause: Cause,
+    /// Whether first chunks are compared or later ones.
     is_first: bool,
+    /// Request class; `None` for all together.
     class: Option<RequestClass>,
 }
 
-/// The trials of both versions.
+/// Trial counts of both versions.
 #[derive(Clone, Debug, Default)]
 struct VersionPair {
     new: TrialCounts,
     base: TrialCounts,
 }
 
-/// The start of the current suspicion on one scope.
+/// Counts at the start of the window of a scope.
 #[derive(Clone, Debug, Default)]
 struct Window {
     start: VersionPair,
-    blamed: BTreeMap<TargetName, u64>,
-    elsewhere: TrialCounts,
+    target_failures: BTreeMap<TargetName, u64>,
+    other_classes: TrialCounts,
 }
 
-/// What all scope_count are weighed with.
+/// Conditions of the current stage that all scopes have in common.
 #[derive(Clone, Copy, Debug)]
 struct StageContext {
     has_base_traffic: bool,
@@ -69,11 +72,12 @@
 
 /// Tests one version against its base on the merged evidence of all instances.
 ///
-/// For each scope and kind a window is open since the first sign of a fault. Within it the odds of a
-/// bad version are a mixture over failure rates, against a version at most half as bad again as the
-/// base *in the same window*: what hits both, such as an overload or a partition, raises the rate that
-/// is expected of the new version and blames neither. A window whose odds fall to evens is closed, so
-/// a fault that shows after minutes is not hidden by the good minutes before.
+/// Failures and slow trials are tested for each scope in a window that starts at the first sign of a
+/// fault. Within it, a mixture of rates of a bad version is compared with a version whose rate is at
+/// most 1.5 times that of the base *in the same window*: a fault that affects both, such as an overload
+/// or a network partition, raises the rate that is expected of the new version. The window restarts
+/// when its Bayes factor falls to 1, so that a fault after some minutes is not hidden by the good
+/// minutes before it.
 #[derive(Clone, Debug)]
 pub struct Judge {
     subject: Subject,
@@ -84,7 +88,7 @@
 }
 
 impl Judge {
-    /// Makes a judge of a version.
+    /// Creates a judge of a version.
     pub fn new(
         subject: Subject,
         version: VersionName,
@@ -100,7 +104,7 @@
         }
     }
 
-    /// Weighs the evidence so far at the present stage.
+    /// Tests the evidence so far; returns the finding with the highest Bayes factor, if the version is bad.
     pub fn evaluate(
         &mut self,
         evidence: &Evidence,
@@ -121,12 +125,12 @@
             candidate_engines: engines.new,
             scope_count: classes.len() as f64,
         };
-        let blamed = evidence.failures_by_target(&self.subject, &self.version);
+        let target_failures = evidence.failures_by_target(&self.subject, &self.version);
         let mut verdicts = Vec::new();
         for class in classes {
             let all = sum_of_class(&new, None);
             let new = sum_of_class(&new, class);
-            let elsewhere = all.first.since(&new.first);
+            let other_classes = all.first.since(&new.first);
             let base = sum_of_class(&base, class);
             let first = VersionPair {
                 new: new.first,
@@ -145,8 +149,8 @@
                 verdicts.extend(self.failures(
                     scope(Cause::Failures),
                     &pair,
-                    &blamed,
-                    &elsewhere,
+                    &target_failures,
+                    &other_classes,
                     context,
                 ));
                 let slow = if is_first {
@@ -167,24 +171,24 @@
         &mut self,
         scope: Scope,
         pair: &VersionPair,
-        blamed: &BTreeMap<TargetName, u64>,
-        elsewhere: &TrialCounts,
+        target_failures: &BTreeMap<TargetName, u64>,
+        other_classes: &TrialCounts,
         context: StageContext,
     ) -> Option<Verdict> {
         let window = self.windows.entry(scope.clone()).or_default();
         let new = pair.new.since(&window.start.new);
         let base = pair.base.since(&window.start.base);
         let failed = new.failures();
-        // Failures are often known sooner than successes. So trials of the new version that are under
-        // way pass for good ones, and successes of the base that began before the window for none:
-        // else a fault that hits both would seem to hit the new version first.
+        // Failures often show before successes. Trials of the new version without a result therefore
+        // count as successes, and successes of base trials from before the window don't count: a fault
+        // that affects both would otherwise seem to affect the new version first.
         let begun = new.sent + window.start.new.pending();
-        let tried = begun.saturating_sub(new.discounted).max(failed);
-        let old = window.start.base.pending();
-        let base_tried = base.failures() + base.times.count().saturating_sub(old);
+        let trials = begun.saturating_sub(new.discounted).max(failed);
+        let pending_before = window.start.base.pending();
+        let base_trials = base.failures() + base.times.count().saturating_sub(pending_before);
         let seen = Proportion {
             hits: failed,
-            trials: tried,
+            trials,
         };
         let factor = if context.has_base_traffic {
             let past = &window.start.base;
@@ -194,7 +198,7 @@
             };
             let base = Proportion {
                 hits: base.failures(),
-                trials: base_tried,
+                trials: base_trials,
             };
             bayes_factor(seen, base, past, FAILURE_FLOOR)
         } else {
@@ -202,26 +206,27 @@
         };
         if factor <= 1.0 {
             window.start = pair.clone();
-            window.blamed = blamed.clone();
-            window.elsewhere = elsewhere.clone();
+            window.target_failures = target_failures.clone();
+            window.other_classes = other_classes.clone();
             return None;
         }
-        let is_hit = |(target, count): &(&TargetName, &u64)| {
-            **count > window.blamed.get(*target).copied().unwrap_or(0)
+        let has_new_failures = |(target, count): &(&TargetName, &u64)| {
+            **count > window.target_failures.get(*target).copied().unwrap_or(0)
         };
-        // One sick engine is no fault of the version; the router takes it out soon. With twice the
-        // evidence on one target alone the version is blamed all the same.
-        let is_spread = blamed.iter().filter(is_hit).count() > 1;
-        // A sick engine fails on all classes: if the version does well on the others, the class is bad.
-        let others = elsewhere.since(&window.elsewhere);
+        // A single faulty engine is not a fault of the version, and the router ejects it soon. Failures
+        // on one target therefore need twice the evidence.
+        let has_several_targets = target_failures.iter().filter(has_new_failures).count() > 1;
+        // A faulty engine fails on all request classes. If the others are healthy, the version is bad on
+        // this class.
+        let others = other_classes.since(&window.other_classes);
         let successes = others.times.count();
         let is_class_fault =
             scope.class.is_some() && successes >= HEALTHY_RATIO * others.failures().max(1);
-        let is_enough = is_spread
+        let is_conclusive = has_several_targets
             || is_class_fault
             || context.candidate_engines < 2
             || !self.config.spread_over_targets;
-        let power = if is_enough { 1 } else { 2 };
+        let power = if is_conclusive { 1 } else { 2 };
         verdict(
             scope,
             factor,
@@ -237,7 +242,7 @@
     ) -> Option<Verdict> {
         let window = self.windows.entry(scope.clone()).or_default();
         let history = &pair.base.times;
-        // With no traffic left on the base nobody can tell a slow version from a busy hour.
+        // Without traffic on the base, a slow version can't be distinguished from a busy hour.
         if history.count() < MIN_BASE_SAMPLES || !context.has_base_traffic {
             window.start = pair.clone();
             return None;
@@ -258,13 +263,13 @@
         verdict(scope, factor, SLOWNESS_THRESHOLD * context.scope_count)
     }
 
-    /// Compares how often targets die, as Poisson counts since each incident of the new version.
+    /// Compares how often targets crash, as Poisson counts since each incident of the new version.
     ///
-    /// The incident that opens a window is not counted in it: one death blames nobody.
+    /// The incident that starts a window is not counted in it, so a single crash is never a finding.
     fn incidents(
         &self,
         evidence: &Evidence,
-        used: u32,
+        stage_engines: u32,
         base_engines: u32,
         now_ms: u64,
     ) -> Option<Verdict> {
@@ -278,7 +283,7 @@
                 .count();
             let exposed_s = f64::from(base_engines) * span_s + PRIOR_ENGINE_S;
             let rate = TOLERANCE * (in_window as f64 + 1.0) / exposed_s;
-            let expected = (rate * f64::from(used) * span_s).max(f64::MIN_POSITIVE);
+            let expected = (rate * f64::from(stage_engines) * span_s).max(f64::MIN_POSITIVE);
             let count = (new.len() - at - 1) as f64;
             let is_worse = count > expected;
             let log = count * (count / expected).ln() - (count - expected);
@@ -298,7 +303,7 @@
     }
 }
 
-/// Returns the sums on one class, or on all.
+/// Returns the counts of one request class, or of all.
 fn sum_of_class(totals: &BTreeMap<&RequestClass, Tally>, class: Option<&RequestClass>) -> Tally {
     let mut sum = Tally::default();
     let chosen = totals
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,6 +1,17 @@
-//! The rollout state machine: bundles coming into force, stages, evidence, brake, endings.
+//! State machines that bring configuration bundles into force and roll out model versions.
 //!
-//! All decisions are pure. The daemon makes the store calls and carries the gossip.
+//! The crate does no I/O: the daemon makes the store calls and exchanges state between instances.
+//!
+//! - A *bundle* is one version of the whole configuration. Operators submit, approve and *roll* it
+//!   ([`Operation`]); a roll puts it *in force* under the next revision. [`BundleTracker`] keeps the
+//!   newest bundle on each instance.
+//! - A bundle that raises the traffic share of a version starts a *rollout* ([`Rollout`]). It is
+//!   identified by its *origin*, the revision at which the configuration of the model changed. The
+//!   *candidate* is the version whose share rises, and the *base* the version that it is compared with.
+//! - [`RolloutController`] runs on each instance. It splits requests between candidate and base, counts
+//!   their results as evidence and writes the record of the rollout to the store stage by stage.
+//! - [`Judge`] compares candidate and base. A version that it finds bad is *braked* ([`Brakes`]): all
+//!   instances set its share to 0, and it gets no traffic until a later bundle changes the model.
 
 mod applied_state;
 mod bayes;
@@ -26,7 +37,7 @@
 pub use applied_state::{AppliedShare, AppliedState, AppliedStates, Coverage};
 pub use bayes::{bayes_factor, Proportion};
 pub use brake::Brakes;
-pub use bundle_tracker::{BodyError, BundleTracker, Source, FETCH_TIMEOUT, POLL_INTERVAL};
+pub use bundle_tracker::{AcceptError, BundleTracker, Source, FETCH_TIMEOUT, POLL_INTERVAL};
 pub use controller::{RolloutController, RolloutSnapshot};
 pub use evidence::{
     Evidence, EvidenceReport, Incident, ReportLine, RequestClass, Subject, Trial,
--- a/crates/rollout/src/operation.rs
+++ b/crates/rollout/src/operation.rs
@@ -1,7 +1,7 @@
-//! The operators' steps: submit, approve, roll.
+//! Operations of operators: submit, approve and roll a bundle.
 //!
-//! Each step is a state machine that asks for one store call at a time. What decides is always the
-//! condition of a single write, so operators may race and replies may be lost at any call.
+//! Each operation is a state machine that makes one store call at a time. A single conditional write
+//! decides its outcome, so operators may race and any reply may be lost.
 
 mod replies;
 
@@ -14,78 +14,80 @@
     store::{Condition, StoreCall, StoreReply, MAX_VALUE_BYTES},
 };
 
-/// How often a call without a reply is repeated before the step ends as unknown.
+/// Maximum number of attempts of a call before the operation ends with an unknown outcome.
 const MAX_ATTEMPTS: u32 = 4;
-/// How many nonces `current` keeps, so how many later rolls a lost reply can be behind.
+/// Number of nonces kept in `current`: the number of later rolls after which a roll whose reply was lost
+/// can still be recognized.
 const KEPT_NONCES: usize = 16;
 
-/// What an operator asks for.
+/// Request of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperationRequest {
     /// Stores a bundle for approval.
     Submit(Box<Bundle>),
-    /// Signs off the bundle with this digest.
+    /// Approves the bundle with this digest.
     Approve(Digest),
     /// Puts an approved bundle in force.
     Roll {
-        /// The bundle's digest.
+        /// Digest of the bundle.
         digest: Digest,
-        /// The revision that the operator takes to be in force, if a change of it shall refuse the roll.
+        /// Revision that must be in force for the roll to take effect; `None` for any.
         expected: Option<Revision>,
     },
 }
 
-/// How a step ended.
+/// Outcome of an operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperationOutcome {
-    /// The bundle is stored, now or since this earlier submission.
+    /// The bundle is stored, by this operation or an earlier one with this signature.
     Submitted(Digest, Signature),
-    /// The bundle is approved, now or since this earlier approval.
+    /// The bundle is approved, by this operation or an earlier one.
     Approved(Approval),
-    /// The bundle is accepted under a new revision.
+    /// The bundle is in force under a new revision.
     Rolled(CurrentBundle),
-    /// Another roll came first; this one took no effect.
+    /// Another roll was first; this one took no effect.
     LostRace {
-        /// What is in force instead.
+        /// Bundle in force instead.
         winner: Option<CurrentBundle>,
     },
 }
 
-/// Why a step did not end.
+/// Why an operation failed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum OperationError {
-    /// The store refused a call; the step took no effect.
+    /// The store refused a call; the operation took no effect.
     #[error("the store is down; nothing was changed")]
     StoreDown,
-    /// The step may have taken effect; the history will show.
+    /// A reply was lost and the operation may have taken effect; the audit trail will show it.
     #[error("the store did not answer; the step may have taken effect")]
     OutcomeUnknown,
     /// No bundle with this digest was submitted.
     #[error("no bundle {0} was submitted")]
     BundleNotFound(Digest),
-    /// The submitter may not approve.
+    /// The submitter of a bundle may not approve it.
     #[error("the bundle must be approved by another operator than its submitter")]
     SelfApproval,
     /// The bundle has no approval.
     #[error("bundle {0} is not approved")]
     NotApproved(Digest),
-    /// The bundle is larger than the store holds.
+    /// The bundle exceeds the maximum size of an object.
     #[error("the bundle takes {0} bytes, more than the store holds")]
     TooLarge(usize),
-    /// The store holds something else than this program writes.
+    /// An object in the store does not have the form that this program writes.
     #[error("an object in the store is not of the expected form")]
     Malformed,
 }
 
-/// What a step wants next.
+/// Next step of an operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperationStep {
-    /// Make this call and hand its reply to [`Operation::reply`].
+    /// Make this call and pass its reply to [`Operation::reply`].
     Call(StoreCall),
-    /// The step ended.
+    /// The operation ended.
     Finished(Result<OperationOutcome, OperationError>),
 }
 
+/// The reply that an operation awaits.
 #[derive(Clone, Debug, PartialEq)]
 enum Awaiting {
     Bundle,
@@ -97,14 +99,14 @@
     Audit(AfterAudit),
 }
 
-/// What follows once the audit records are written.
+/// Continuation after the audit records are written.
 #[derive(Clone, Debug, PartialEq)]
 enum AfterAudit {
     Roll(CurrentBundle),
     End(OperationOutcome),
 }
 
-/// One step of an operator under way.
+/// State machine of one operation.
 ///
 /// # Examples
 ///
@@ -126,16 +128,20 @@
     awaiting: Awaiting,
     call: StoreCall,
     attempts: u32,
+    /// Whether the reply of a write was lost, so that it may have taken effect.
     is_write_unconfirmed: bool,
     submitter: Option<OperatorName>,
+    /// Bundle in force before a roll, and the version of its object.
     current: Option<(u64, CurrentBundle)>,
+    /// Audit records still to be written, last first.
     audits: Vec<AuditRecord>,
     bundle: Option<Bundle>,
+    /// Bundle in force after a roll.
     next: Option<CurrentBundle>,
 }
 
 impl Operation {
-    /// Begins a step and returns it with its first call.
+    /// Starts an operation and returns it with its first step.
     pub fn begin(request: OperationRequest, signature: Signature) -> (Self, OperationStep) {
         let digest = match &request {
             OperationRequest::Submit(bundle) => bundle.digest(),
@@ -159,7 +165,7 @@
         (operation, step)
     }
 
-    /// Takes the reply to the last call and returns what comes next.
+    /// Processes the reply to the last call and returns the next step.
     pub fn reply(&mut self, reply: StoreReply) -> OperationStep {
         match reply {
             StoreReply::Lost | StoreReply::Down => self.retry(reply == StoreReply::Lost),
@@ -191,17 +197,19 @@
         }
     }
 
-    /// Repeats the call whose reply did not come.
+    /// Repeats a call that was refused or whose reply was lost.
     ///
-    /// A write whose reply was lost may still take effect later. The same write with the same
-    /// condition is sent again: at most one of the two can hold, and the nonce tells whose it was.
+    /// A write whose reply was lost may still take effect later. Repeating it with the same condition is
+    /// safe: at most one of the writes takes effect, and the nonce tells whether it was one of this
+    /// operation.
     fn retry(&mut self, is_reply_lost: bool) -> OperationStep {
         if let Awaiting::Audit(after) = &self.awaiting {
-            // The step itself took effect. Its record follows from the object that it wrote, and the
-            // next step on this bundle, or the next roll, writes it before it changes that object.
+            // A missing audit record is no failure: it can be derived from the object that it is about,
+            // and the next operation on this bundle, or the next roll, writes it before it changes that
+            // object. A roll doesn't overwrite `current` before the earlier records are written.
             return match after {
                 AfterAudit::Roll(_) => OperationStep::Finished(Err(OperationError::StoreDown)),
-                AfterAudit::End(done) => OperationStep::Finished(Ok(done.clone())),
+                AfterAudit::End(outcome) => OperationStep::Finished(Ok(outcome.clone())),
             };
         }
         let is_write = matches!(self.call, StoreCall::Write { .. });
@@ -223,7 +231,7 @@
         }
     }
 
-    /// Writes the next record, or goes on when none is left.
+    /// Writes the next audit record, or continues if none is left.
     fn write_audits(&mut self, after: AfterAudit) -> OperationStep {
         if let Some(audit) = self.audits.pop() {
             self.awaiting = Awaiting::Audit(after);
@@ -232,7 +240,7 @@
         }
         match after {
             AfterAudit::Roll(next) => self.write_current(&next),
-            AfterAudit::End(done) => OperationStep::Finished(Ok(done)),
+            AfterAudit::End(outcome) => OperationStep::Finished(Ok(outcome)),
         }
     }
 
--- a/crates/rollout/src/operation/replies.rs
+++ b/crates/rollout/src/operation/replies.rs
@@ -1,4 +1,4 @@
-//! What each reply of the store means for a step.
+//! Handling of the replies of the store to an operation.
 
 use std::collections::BTreeMap;
 
@@ -53,7 +53,7 @@
         let Some(approval) = parse_json::<Approval>(&value) else {
             return OperationStep::Finished(Err(OperationError::Malformed));
         };
-        // An approval that names other content, or the submitter, signs nothing off.
+        // An approval of other content, or by the submitter, does not count.
         if approval.digest != self.digest {
             return OperationStep::Finished(Err(OperationError::NotApproved(self.digest)));
         }
@@ -74,11 +74,11 @@
         };
         let current = self.current.as_ref().map(|(_, current)| current);
         let found = current.map_or_else(Revision::default, |current| current.revision);
-        let is_stale = matches!(
+        let has_unexpected_revision = matches!(
             self.request,
             OperationRequest::Roll { expected: Some(expected), .. } if expected != found
         );
-        if is_stale {
+        if has_unexpected_revision {
             return OperationStep::Finished(Ok(OperationOutcome::LostRace {
                 winner: current.cloned(),
             }));
@@ -88,7 +88,7 @@
                 let key = bundle_key(current.digest);
                 self.read(Awaiting::Previous(current), key)
             }
-            None => self.prepare(None, None),
+            None => self.prepare_roll(None, None),
         }
     }
 
@@ -103,15 +103,15 @@
         let Some(previous) = parse_json::<Submission>(&value) else {
             return OperationStep::Finished(Err(OperationError::Malformed));
         };
-        self.prepare(Some(current), Some(&previous.bundle))
+        self.prepare_roll(Some(current), Some(&previous.bundle))
     }
 
-    fn prepare(
+    fn prepare_roll(
         &mut self,
         current: Option<&CurrentBundle>,
         previous: Option<&Bundle>,
     ) -> OperationStep {
-        let mut next = successor(current, self.digest, &self.signature);
+        let mut next = next_current(current, self.digest, &self.signature);
         let bundle = self.bundle.as_ref();
         for model in bundle.iter().flat_map(|bundle| &bundle.models) {
             let before = previous.and_then(|bundle| bundle.model(&model.name));
@@ -124,8 +124,8 @@
             });
             next.parts.insert(model.name.clone(), part);
         }
-        // The record of the bundle in force is completed before `current` is overwritten: else a
-        // daemon that died between a roll and its record would leave a hole in the trail.
+        // The audit record of the bundle in force is written before `current` is overwritten, in case
+        // the daemon that rolled it crashed before it wrote the record.
         self.audits.extend(current.map(CurrentBundle::audit));
         self.next = Some(next.clone());
         self.write_audits(AfterAudit::Roll(next))
@@ -143,7 +143,7 @@
     }
 
     pub(super) fn on_success(&mut self) -> OperationStep {
-        let done = match &self.request {
+        let outcome = match &self.request {
             OperationRequest::Submit(_) => {
                 OperationOutcome::Submitted(self.digest, self.signature.clone())
             }
@@ -156,13 +156,13 @@
                 None => return OperationStep::Finished(Err(OperationError::OutcomeUnknown)),
             },
         };
-        self.write_audits(AfterAudit::End(done))
+        self.write_audits(AfterAudit::End(outcome))
     }
 
-    /// Looks who holds the object that this step could not write.
+    /// Determines from the stored object whether this operation or another one wrote it.
     ///
-    /// The failure: the first write took effect, its reply was lost and the repeat met a conflict.
-    /// Without the nonce the operator would be told that they lost a race which they won.
+    /// If a write takes effect but its reply is lost, repeating it fails with a conflict. Without the
+    /// nonce the operator would be told that another operation was first.
     pub(super) fn on_read_back(&mut self, reply: StoreReply) -> OperationStep {
         let StoreReply::Found { value, .. } = reply else {
             return OperationStep::Finished(Err(OperationError::OutcomeUnknown));
@@ -197,7 +197,7 @@
             .as_ref()
             .map_or(0, |(_, current)| current.revision.0);
         if found.revision.0 <= base {
-            // The condition failed, so a later revision exists and this read was stale.
+            // The condition of the write failed, so a later revision exists and this read was stale.
             return self.retry(true);
         }
         let is_nonce_dropped = found.revision.0.saturating_sub(base) > KEPT_NONCES as u64;
@@ -210,7 +210,7 @@
     }
 }
 
-fn successor(
+fn next_current(
     current: Option<&CurrentBundle>,
     digest: Digest,
     signature: &Signature,
@@ -218,7 +218,7 @@
     let mut nonces = vec![signature.nonce];
     nonces.extend(current.iter().flat_map(|current| current.nonces.iter()));
     nonces.truncate(KEPT_NONCES);
-    // A clock that lags behind the last roller's must not order the trail against the revisions.
+    // Audit records sort by time. A clock behind that of the last roll must not change their order.
     let earliest_ms = current.map_or(0, |current| current.signature.at_ms + 1);
     CurrentBundle {
         revision: current
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,4 +1,4 @@
-//! The stages of a rollout, planned back from its deadline.
+//! Planning of the stages of a rollout within its deadline.
 
 use std::time::Duration;
 
@@ -6,85 +6,85 @@
 
 use crate::{share_increase::ShareIncrease, splitter::FULL_SHARE_PPM};
 
-/// The local share that early stages aim at, so that few instances gather evidence quickly.
-const LOCAL_PPM: u32 = 250_000;
-/// The highest local share of a stage that not all instances take part in.
+/// Local share that early stages aim at, so that a few instances collect evidence quickly.
+const TARGET_LOCAL_PPM: u32 = 250_000;
+/// Maximum local share of a stage in which not all instances are senders.
 const MAX_LOCAL_PPM: u32 = 500_000;
-/// The most instances that gather evidence; more would not make it quicker, only cost bytes.
+/// Maximum number of instances that report evidence; more would cost bytes without being faster.
 pub const MAX_REPORTERS: u32 = 32;
-/// The answers that must have begun before a stage may end.
+/// Answers that must have begun before the first stage may end; each later stage needs as many more.
 const MIN_ANSWERS: u64 = 20;
-/// The least engines of the new version in the first stage, whose load is low anyway, so that one sick
-/// engine is told from the version.
+/// Minimum number of engines of the candidate in the first stage, so that a fault of one engine can be
+/// distinguished from a fault of the version. The load of the first stage is low anyway.
 const MIN_ENGINES: u32 = 2;
-/// The part of the whole that stays with the base while the last stage soaks, to compare with.
+/// Share that the base keeps as control group during the last stage before the final share.
 const CONTROL_PPM: u32 = 100_000;
-/// The time kept back for the last share to act everywhere and for the report.
-const CLOSE_RESERVE: Duration = Duration::from_secs(20);
-/// The most of the time that is kept back.
-const MAX_RESERVE: f64 = 0.4;
+/// Time reserved for all instances to apply the final share and for the report.
+const FINAL_RESERVE: Duration = Duration::from_secs(20);
+/// Maximum fraction of the rollout time that is reserved.
+const MAX_RESERVED_FRACTION: f64 = 0.4;
 
-/// A share of all traffic on the way and the part of the time spent at it.
+/// Share and duration of an intermediate stage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StageTemplate {
-    /// The share, in parts per million.
+    /// Share of all traffic, in parts per million.
     pub share_ppm: u32,
-    /// The part of the time between the roll and the final share.
-    pub time: f64,
+    /// Duration as a fraction of the time between the roll and the final share.
+    pub time_fraction: f64,
 }
 
-/// The steps that the measurements in docs/design/rollouts.md chose.
+/// Intermediate stages chosen by the measurements in docs/design/rollouts.md.
 pub const STAGE_TEMPLATES: [StageTemplate; 4] = [
     StageTemplate {
         share_ppm: 20_000,
-        time: 0.2,
+        time_fraction: 0.2,
     },
     StageTemplate {
         share_ppm: 100_000,
-        time: 0.35,
+        time_fraction: 0.35,
     },
     StageTemplate {
         share_ppm: 300_000,
-        time: 0.15,
+        time_fraction: 0.15,
     },
     StageTemplate {
         share_ppm: 600_000,
-        time: 0.1,
+        time_fraction: 0.1,
     },
 ];
 
 /// One stage of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stage {
-    /// The most that the version gets of all traffic, in parts per million.
+    /// Maximum share of all traffic that the candidate gets, in parts per million.
     pub share_ppm: u32,
-    /// How many instances send to it; `None` for all.
+    /// Number of instances that send traffic to the candidate; `None` for all.
     pub instances: Option<u32>,
-    /// How many engines serve it.
+    /// Number of engines that serve the candidate.
     ///
-    /// So few that each bears the load it will bear in the end. A version that fails under load shows
-    /// it while its share is still small.
+    /// It grows with the share, so that each engine has its final load from the start and a version
+    /// that fails under load fails while its share is still small.
     pub engines: u32,
-    /// When the stage may end at the earliest, in milliseconds after the roll.
+    /// Earliest end of the stage, in milliseconds after the roll.
     pub until_ms: u64,
-    /// How many answers must have begun before it ends.
+    /// Number of answers that must have begun before the stage may end.
     pub answers: u64,
 }
 
-/// What a plan is made for.
+/// Requirements for the plan of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlanInput {
-    /// The time from the roll to the report.
-    pub within: Duration,
-    /// The longest time an answer may take.
-    pub answer: Duration,
-    /// How many instances there are.
+    /// Time from the roll to the report.
+    pub rollout_time: Duration,
+    /// Maximum time of an answer.
+    pub answer_time: Duration,
+    /// Number of instances.
     pub instances: u32,
-    /// Requests for the model in a second, over all instances.
+    /// Requests per second for the model, over all instances.
     pub requests_per_s: f64,
 }
 
-/// Plans the stages of a move.
+/// Plans the stages of a share increase.
 ///
 /// # Examples
 ///
@@ -100,64 +100,64 @@
 ///     to_ppm: 1_000_000,
 ///     engines: 10,
 /// };
-/// let demand = PlanInput {
-///     within: Duration::from_secs(600),
-///     answer: Duration::from_secs(60),
+/// let input = PlanInput {
+///     rollout_time: Duration::from_secs(600),
+///     answer_time: Duration::from_secs(60),
 ///     instances: 7,
 ///     requests_per_s: 10.0,
 /// };
-/// let stages = plan_stages(&change, &demand, &STAGE_TEMPLATES);
+/// let stages = plan_stages(&change, &input, &STAGE_TEMPLATES);
 /// let shares: Vec<_> = stages.iter().map(|stage| stage.share_ppm / 10_000).collect();
 /// assert_eq!(shares, [2, 10, 30, 60, 90, 100]);
 /// ```
 pub fn plan_stages(
     change: &ShareIncrease,
-    demand: &PlanInput,
+    input: &PlanInput,
     steps: &[StageTemplate],
 ) -> Vec<Stage> {
     let is_whole = change.to_ppm == FULL_SHARE_PPM;
     let drain = if is_whole {
-        demand.answer
+        input.answer_time
     } else {
         Duration::ZERO
     };
-    let reserve = (CLOSE_RESERVE + drain).min(demand.within.mul_f64(MAX_RESERVE));
-    let usable = demand.within - reserve;
-    let soak_ppm = if is_whole {
+    let reserve = (FINAL_RESERVE + drain).min(input.rollout_time.mul_f64(MAX_RESERVED_FRACTION));
+    let usable = input.rollout_time - reserve;
+    let last_ppm = if is_whole {
         FULL_SHARE_PPM - CONTROL_PPM
     } else {
         change.to_ppm
     };
     let early = steps
         .iter()
-        .filter(|step| change.from_ppm < step.share_ppm && step.share_ppm < soak_ppm);
+        .filter(|step| change.from_ppm < step.share_ppm && step.share_ppm < last_ppm);
     let mut shares: Vec<_> = early.copied().collect();
-    let spent: f64 = shares.iter().map(|step| step.time).sum();
+    let spent: f64 = shares.iter().map(|step| step.time_fraction).sum();
     shares.push(StageTemplate {
-        share_ppm: soak_ppm.max(change.from_ppm),
-        time: (1.0 - spent).max(0.0),
+        share_ppm: last_ppm.max(change.from_ppm),
+        time_fraction: (1.0 - spent).max(0.0),
     });
     if is_whole {
         shares.push(StageTemplate {
             share_ppm: FULL_SHARE_PPM,
-            time: 0.0,
+            time_fraction: 0.0,
         });
     }
     let mut until = 0.0;
     let mut stages = Vec::new();
     for (at, step) in shares.iter().enumerate() {
-        until += step.time;
-        let lasts_s = usable.as_secs_f64() * step.time;
+        until += step.time_fraction;
+        let duration_s = usable.as_secs_f64() * step.time_fraction;
         let share_ppm = match at {
             0 if shares.len() > 1 => {
-                first_share(step.share_ppm, shares[1].share_ppm, lasts_s, demand)
+                first_stage_share(step.share_ppm, shares[1].share_ppm, duration_s, input)
             }
             _ => step.share_ppm,
         };
         stages.push(Stage {
             share_ppm,
-            instances: instances(share_ppm, demand.instances),
-            engines: engines(at, share_ppm, change),
+            instances: sender_count(share_ppm, input.instances),
+            engines: engine_count(at, share_ppm, change),
             until_ms: usable.mul_f64(until.min(1.0)).as_millis() as u64,
             answers: MIN_ANSWERS * (at as u64 + 1),
         });
@@ -165,7 +165,7 @@
     stages
 }
 
-/// Returns the local share of an instance that takes part in a stage.
+/// Returns the local share of a sender in a stage.
 pub fn local_ppm(stage: &Stage, live: u32) -> u32 {
     let Some(count) = stage.instances else {
         return stage.share_ppm;
@@ -174,20 +174,21 @@
     share.min(u64::from(MAX_LOCAL_PPM)) as u32
 }
 
-/// Raises the first share where so few requests come that the stage would end without evidence.
-fn first_share(share_ppm: u32, next_ppm: u32, lasts_s: f64, demand: &PlanInput) -> u32 {
-    let requests = (demand.requests_per_s * lasts_s).max(1.0);
+/// Raises the share of the first stage where requests are too rare to give enough evidence.
+fn first_stage_share(share_ppm: u32, next_ppm: u32, duration_s: f64, input: &PlanInput) -> u32 {
+    let requests = (input.requests_per_s * duration_s).max(1.0);
     let needed = 1.5 * MIN_ANSWERS as f64 / requests * f64::from(FULL_SHARE_PPM);
     (needed as u32).clamp(share_ppm, next_ppm.max(share_ppm))
 }
 
-fn instances(share_ppm: u32, live: u32) -> Option<u32> {
-    let wanted = (u64::from(share_ppm) * u64::from(live)).div_ceil(u64::from(LOCAL_PPM)) as u32;
+fn sender_count(share_ppm: u32, live: u32) -> Option<u32> {
+    let wanted =
+        (u64::from(share_ppm) * u64::from(live)).div_ceil(u64::from(TARGET_LOCAL_PPM)) as u32;
     let count = wanted.clamp(1, MAX_REPORTERS);
-    (count < live && share_ppm < LOCAL_PPM).then_some(count)
+    (count < live && share_ppm < TARGET_LOCAL_PPM).then_some(count)
 }
 
-fn engines(stage: usize, share_ppm: u32, change: &ShareIncrease) -> u32 {
+fn engine_count(stage: usize, share_ppm: u32, change: &ShareIncrease) -> u32 {
     let part = u64::from(change.engines) * u64::from(share_ppm);
     let needed = part.div_ceil(u64::from(change.to_ppm.max(1))) as u32;
     let least = if stage == 0 { MIN_ENGINES } else { 1 };
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -1,4 +1,4 @@
-//! The records that operators' steps leave in the store.
+//! Objects that the operations of operators write to the store.
 
 use std::collections::BTreeMap;
 
@@ -9,12 +9,12 @@
 
 use crate::share_increase::ShareIncrease;
 
-/// The key of the object that names the bundle in force.
+/// Key of the object that names the bundle in force.
 pub const CURRENT_KEY: &str = "current";
-/// The prefix of the keys of audit records, which sort by time.
+/// Prefix of the keys of audit records, which sort by time.
 pub const AUDIT_PREFIX: &str = "audit/";
 
-/// Returns the key of a bundle's content.
+/// Returns the key of a submitted bundle.
 pub fn bundle_key(digest: Digest) -> SmolStr {
     format_smolstr!("bundle/{digest}")
 }
@@ -24,68 +24,68 @@
     format_smolstr!("approval/{digest}")
 }
 
-/// Who did a step, when, and the random number that tells this try from others.
+/// Who performed an operation, and when. This is not a cryptographic signature.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Signature {
-    /// The operator.
+    /// Operator.
     pub operator: OperatorName,
-    /// The wall clock in milliseconds since 1970.
+    /// Unix time in milliseconds.
     pub at_ms: u64,
-    /// A number drawn for this one try.
+    /// Random number that identifies the operation; repeated writes after lost replies have the same one.
     pub nonce: u64,
 }
 
 /// A submitted bundle; the value of `bundle/<digest>`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
-    /// Who submitted it and when.
+    /// Submitter and time.
     pub signature: Signature,
-    /// The content that the digest is of.
+    /// Content of the bundle.
     pub bundle: Bundle,
 }
 
 /// An approval; the value of `approval/<digest>`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Approval {
-    /// Who approved and when.
+    /// Approver and time.
     pub signature: Signature,
-    /// The digest of the content that was approved.
+    /// Digest of the approved bundle.
     pub digest: Digest,
 }
 
-/// Since when a model's part of the bundle is what it is.
+/// The last change of the configuration of one model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelPart {
-    /// The revision at which it changed last.
+    /// Revision at which the configuration of the model changed last.
     pub origin: Revision,
-    /// The wall clock at that roll, in milliseconds since 1970.
+    /// When that revision was rolled, as Unix time in milliseconds.
     pub rolled_ms: u64,
-    /// The rises of shares that it asked for.
+    /// Share increases of that change, which are rolled out in stages.
     pub moves: Vec<ShareIncrease>,
 }
 
 /// The bundle in force; the value of `current`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CurrentBundle {
-    /// The revision, one more than that of the bundle before.
+    /// Revision, one more than that of the previous bundle.
     pub revision: Revision,
-    /// The digest of the bundle.
+    /// Digest of the bundle.
     pub digest: Digest,
-    /// Who rolled it and when.
+    /// Operator that rolled it, and time.
     pub signature: Signature,
-    /// The digest of the bundle before.
+    /// Digest of the previous bundle.
     pub previous: Option<Digest>,
-    /// Since when each model's part of the bundle is what it is, and what it changed.
+    /// Last change of each model.
     ///
-    /// A bundle that leaves a model as it was must not restart the rollout of that model, nor
-    /// release its brake. An instance that starts later learns from here what is being rolled out.
+    /// A bundle that does not change a model must neither restart the rollout of the model nor release
+    /// its brake. An instance that starts later reads here what is being rolled out.
     #[serde(default)]
     pub parts: BTreeMap<ModelName, ModelPart>,
-    /// The nonces of the latest rolls, newest first, by which a lost reply is resolved.
+    /// Nonces of the latest rolls, newest first. They tell whether a roll whose reply was lost took effect.
     pub nonces: Vec<u64>,
 }
 
-/// What an operator did.
+/// Kind of an operation in the audit trail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "step", rename_all = "snake_case")]
 pub enum Action {
@@ -95,28 +95,28 @@
     Approved,
     /// Put a bundle in force.
     Rolled {
-        /// The revision that it got.
+        /// Revision of the bundle.
         revision: Revision,
-        /// The digest of the bundle before.
+        /// Digest of the previous bundle.
         previous: Option<Digest>,
     },
 }
 
-/// One immutable line of the audit trail; the value of `audit/<id>`.
+/// One immutable entry of the audit trail; the value of `audit/<id>`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRecord {
-    /// What was done.
+    /// Operation.
     pub action: Action,
-    /// The bundle it was done to.
+    /// Digest of the bundle.
     pub digest: Digest,
-    /// Who did it and when.
+    /// Operator and time.
     pub signature: Signature,
 }
 
 impl AuditRecord {
-    /// Returns the key, which follows from the record alone and sorts by time.
+    /// Returns the key, which depends on the record only and sorts by time.
     ///
-    /// Whoever writes the record of a step, and however often, writes the same object.
+    /// Several writers of the record of one operation, or repeated writes, thus write the same object.
     pub fn key(&self) -> SmolStr {
         let step = match self.action {
             Action::Submitted => "submit",
@@ -150,19 +150,19 @@
     }
 }
 
-/// What instances tell each other about the bundle in force.
+/// Description of a bundle that instances exchange without its content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BundleHeader {
-    /// The revision.
+    /// Revision.
     pub revision: Revision,
-    /// The digest of the bundle.
+    /// Digest of the bundle.
     pub digest: Digest,
-    /// Since when each model's part is what it is.
+    /// Last change of each model.
     pub parts: BTreeMap<ModelName, ModelPart>,
 }
 
 impl CurrentBundle {
-    /// Returns the part that instances tell each other.
+    /// Returns the header that instances exchange.
     pub fn header(&self) -> BundleHeader {
         BundleHeader {
             revision: self.revision,
--- a/crates/rollout/src/rendezvous.rs
+++ b/crates/rollout/src/rendezvous.rs
@@ -1,13 +1,13 @@
-//! Rendezvous choice of instances for a role.
+//! Rendezvous hashing: selects instances for a role without coordination.
 
 use celerypond_types::{DataCentre, Digest, InstanceName, ModelName, Revision};
 
 use crate::{plan::MAX_REPORTERS, rollout::sender_role};
 
-/// How many instances of each data centre hold a watch on the store.
+/// Number of instances in each data centre that watch the store.
 pub const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
-/// Sorts instances by their rank for a role; all who know the same instances agree on the order.
+/// Sorts instances by their hash for a role; all that know the same instances get the same order.
 ///
 /// # Examples
 ///
@@ -20,13 +20,13 @@
 /// assert_eq!(rendezvous_order("canary 7", &names), rendezvous_order("canary 7", &reversed));
 /// ```
 pub fn rendezvous_order(role: &str, instances: &[InstanceName]) -> Vec<InstanceName> {
-    let weight = |name: &InstanceName| Digest::of(format!("{role}\0{name}").as_bytes());
+    let hash = |name: &InstanceName| Digest::of(format!("{role}\0{name}").as_bytes());
     let mut ranked = instances.to_vec();
-    ranked.sort_by_cached_key(weight);
+    ranked.sort_by_cached_key(hash);
     ranked
 }
 
-/// Returns the instances whose reports count as evidence of a rollout, senders first.
+/// Returns the instances that report evidence of a rollout, senders first.
 pub fn evidence_reporters(
     origin: Revision,
     model: &ModelName,
@@ -37,10 +37,10 @@
     ranked
 }
 
-/// Returns whether an instance holds a watch: it is among the first of its data centre.
+/// Returns whether an instance is one of those in its data centre that watch the store.
 ///
-/// Instances that differ about who lives may choose more watchers than needed, or none for a while.
-/// The first costs a call, the second is covered by gossip from other data centres and by polls.
+/// Instances with different lists of live instances may select too many watchers, or none for a while.
+/// The first costs a call; for the second, gossip from other data centres and polls make up.
 pub fn is_watcher(
     me: &InstanceName,
     centre: &DataCentre,
--- a/crates/rollout/src/reported_status.rs
+++ b/crates/rollout/src/reported_status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of a rollout.
+//! Rollout status as reported to operators.
 
 use celerypond_types::Revision;
 use serde::{Deserialize, Serialize};
@@ -10,42 +10,41 @@
     version_rollout::VersionRollout,
 };
 
-/// What is known of a rollout; never more than the store has recorded.
+/// Status of a rollout as reported to operators; it never claims more than the store has recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum ReportedStatus {
-    /// It is at a stage, before its deadline.
+    /// The rollout is at a stage and before its deadline.
     Running {
-        /// The stage, from 0.
+        /// Index of the stage.
         stage: u8,
-        /// The share of the stage, in parts per million.
+        /// Share of the stage, in parts per million.
         share_ppm: u32,
     },
-    /// All live instances acted on the final share and the base was drained.
+    /// All live instances applied the final share and the base was drained.
     Done,
-    /// All live instances had the brake in force.
+    /// All live instances applied the brake.
     TakenBack {
-        /// What the version is blamed for.
+        /// Why the version was rolled back.
         cause: Cause,
     },
-    /// A later bundle took its place.
+    /// A later bundle changed the model.
     Superseded,
-    /// The outcome is open: the store is down, the deadline has passed, or some instance has not said
-    /// that it acts on the end.
+    /// The outcome is open: the store is down, the deadline has passed, the version is braked, or some
+    /// instance has not confirmed the final state.
     NotYetKnown {
-        /// The last phase known.
+        /// Last known phase.
         last: Option<Phase>,
-        /// The instances that act on it, if it is known which live.
+        /// Instances that confirmed the condition of the phase; `None` without a list of live instances.
         spread: Option<Coverage>,
     },
 }
 
 impl ReportedStatus {
-    /// Tells how a rollout stands by a record and what the instance knows besides.
+    /// Returns the status by a rollout record and the local knowledge of an instance.
     ///
-    /// `is_fresh` tells whether the record was read from the store lately. An ending that was recorded
-    /// once is final, so a stale record of it still holds; any other stale record may have been
-    /// overtaken, and claiming it would be a guess.
+    /// `is_fresh` tells whether the record was read from the store recently. A final phase never
+    /// changes, so a stale record of it still holds; any other stale record may be outdated.
     pub fn of(
         origin: Revision,
         record: Option<&VersionRollout>,
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -1,4 +1,4 @@
-//! The record of a rollout in the store and the steps that any instance may make it take.
+//! The rollout record in the store and its state transitions, which any instance may write.
 
 use celerypond_types::{InstanceName, ModelName, Revision};
 use serde::{Deserialize, Serialize};
@@ -13,84 +13,86 @@
     version_rollout::VersionRollout,
 };
 
-/// Returns the key of a rollout's record.
+/// Returns the store key of a rollout record.
 pub fn rollout_key(origin: Revision) -> SmolStr {
     format_smolstr!("rollout/{origin}")
 }
 
-/// Returns the role by which senders and evidence_reporters are ranked.
+/// Returns the rendezvous role that selects senders and evidence reporters.
 ///
-/// It is one role, so that the few senders of the early stages are evidence_reporters as well.
+/// Both use the same role, so that the few senders of the early stages are reporters as well.
 pub(crate) fn sender_role(origin: Revision, model: &ModelName) -> String {
     format!("sender {origin} {model}")
 }
 
-/// How far the rollout of one version has come.
+/// Phase of the rollout of one version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "phase", rename_all = "snake_case")]
 pub enum Phase {
-    /// At a stage, from 0.
+    /// The candidate gets the share of a stage.
     Stage {
-        /// The stage.
+        /// Index of the stage.
         stage: u8,
     },
-    /// At the final share; all instances are asked to promise not to trip the brake.
+    /// All instances apply the final share and are asked to promise not to brake any more.
     Closing,
-    /// Finished: all acted on the final share and the base was drained.
+    /// Completed: all instances applied the final share and the base was drained.
     Done,
-    /// Being taken back.
+    /// The version is being rolled back.
     Braking {
-        /// What the version is blamed for.
+        /// Why it is rolled back.
         cause: Cause,
     },
-    /// Taken back: all had the brake in force.
+    /// Rolled back: all instances applied the brake.
     TakenBack {
-        /// What the version is blamed for.
+        /// Why it was rolled back.
         cause: Cause,
     },
-    /// Replaced by a later bundle.
+    /// A later bundle changed the model.
     Superseded,
 }
 
 impl Phase {
-    /// Returns whether no further step follows.
+    /// Returns whether the phase is final.
     pub fn is_ended(&self) -> bool {
         matches!(self, Self::Done | Self::TakenBack { .. } | Self::Superseded)
     }
 }
 
-/// The rollouts that one bundle began; the value of `rollout/<revision>`.
+/// The rollouts that one bundle started; the value of `rollout/<revision>`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// The revision of the bundle.
+    /// Revision of the bundle.
     pub origin: Revision,
-    /// When it was rolled, as wall clock in milliseconds since 1970.
+    /// When the bundle was rolled, as Unix time in milliseconds.
     pub rolled_ms: u64,
-    /// Counts the steps; instances merge records by maximum.
+    /// Number of writes of the record; of two records, instances keep the one with the higher number.
     pub step: u64,
-    /// The instance that made the last step.
+    /// Instance that wrote the record last.
     pub by: InstanceName,
-    /// The versions.
+    /// Rollouts of the versions.
     pub moves: Vec<VersionRollout>,
 }
 
-/// What an instance knows when it looks for the next step.
+/// Local knowledge that an instance determines the next step from.
 #[derive(Clone, Copy, Debug)]
 pub struct StepContext<'a> {
-    /// The instance.
+    /// The local instance.
     pub me: &'a InstanceName,
-    /// The wall clock in milliseconds since 1970.
+    /// Unix time in milliseconds.
     pub now_ms: u64,
-    /// The live instances by the platform's list; `None` when the list can't be had.
+    /// Live instances on the platform's list; `None` if no recent list is available.
     pub live: Option<&'a [InstanceName]>,
-    /// What instances say they act on.
+    /// State that each instance reports as applied.
     pub applied_states: &'a AppliedStates,
-    /// The brakes known.
+    /// Known brakes.
     pub brakes: &'a Brakes,
 }
 
 impl Rollout {
-    /// Makes the record of a bundle that has just come into force.
+    /// Creates the record of a bundle that has just come into force.
+    ///
+    /// `moves` lists the share increases with their stages and deadlines (Unix time in milliseconds).
     pub fn new(
         origin: Revision,
         rolled_ms: u64,
@@ -120,12 +122,12 @@
         }
     }
 
-    /// Returns the record after the next step, if one is due.
+    /// Returns the record after the next step, or `None` if no step is due.
     ///
-    /// `answers` gives how many answers of a version have begun, `objection` the fault that this
-    /// instance sees but has promised not to brake for, and `superseded` whether a later bundle has
-    /// another part for the model. The caller writes the result under the condition that the record
-    /// has not changed; whoever loses that race just looks again.
+    /// `answers` returns how many answers of a version have begun, `objection` the fault that this
+    /// instance detected after it had promised not to brake, and `superseded` whether a later bundle
+    /// changed the model. The caller writes the result on condition that the stored record has not
+    /// changed; if another instance was first, it reads the record and calls this again.
     pub fn next_step(
         &self,
         context: &StepContext<'_>,
@@ -163,7 +165,7 @@
         Some(next)
     }
 
-    /// Finds the rollout of a version.
+    /// Returns the rollout of a version.
     pub fn find(&self, candidate: &Candidate) -> Option<&VersionRollout> {
         self.moves
             .iter()
--- a/crates/rollout/src/share_increase.rs
+++ b/crates/rollout/src/share_increase.rs
@@ -1,4 +1,4 @@
-//! What a bundle changes in the traffic shares of a model.
+//! Changes that a bundle makes to the traffic shares of a model.
 
 use std::collections::BTreeMap;
 
@@ -10,31 +10,31 @@
 
 const PPM_PER_PERCENT: u32 = FULL_SHARE_PPM / 100;
 
-/// A version of a model, the unit that a brake takes traffic from.
+/// A version under rollout; brakes apply to candidates.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Candidate {
-    /// The model.
+    /// Model.
     pub model: ModelName,
     /// The version whose share rises.
     pub version: VersionName,
 }
 
-/// A rise of a version's share, to be made in stages.
+/// An increase of a version's traffic share, to be made in stages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShareIncrease {
     /// The version whose share rises.
     pub candidate: Candidate,
-    /// The version that it is compared with and that takes its traffic back.
+    /// The version that it is compared with and that gets its traffic after a rollback.
     pub base: VersionName,
-    /// The share that it had, in parts per million.
+    /// Share before the increase, in parts per million.
     pub from_ppm: u32,
-    /// The share that it shall have, in parts per million.
+    /// Share after the increase, in parts per million.
     pub to_ppm: u32,
-    /// How many engines serve it.
+    /// Number of engines that serve the candidate.
     pub engines: u32,
 }
 
-/// Returns the share of each version of a model, in parts per million.
+/// Returns the configured share of each version of a model, in parts per million.
 pub fn configured_shares(model: &Model) -> BTreeMap<VersionName, u32> {
     let mut shares = BTreeMap::new();
     let mut rest = FULL_SHARE_PPM;
@@ -48,10 +48,10 @@
     shares
 }
 
-/// Returns the rises that a new bundle asks for against the one before.
+/// Returns the share increases from the previous configuration of a model to the next.
 ///
-/// A model without an earlier form has nothing to be compared with and comes into force at once. A
-/// version that was the base before is known and needs no stages either.
+/// A new model has no base to compare with, so its shares apply at once. A version that was the base
+/// before is known to work and needs no stages either.
 pub fn share_increases(previous: Option<&Model>, next: &Model) -> Vec<ShareIncrease> {
     let Some(previous) = previous else {
         return Vec::new();
@@ -63,10 +63,10 @@
         .filter(|(version, ppm)| *version != previous.base && *ppm > share_before(version));
     rises
         .map(|(version, to_ppm)| ShareIncrease {
-            base: traffic_leader(previous, &before, next, &version),
+            base: base_for(previous, &before, next, &version),
             from_ppm: share_before(&version),
             to_ppm,
-            engines: engines(next, &version),
+            engines: engine_count(next, &version),
             candidate: Candidate {
                 model: next.name.clone(),
                 version,
@@ -75,11 +75,12 @@
         .collect()
 }
 
-/// Returns the version that had most of the traffic, and so is compared with and takes it back.
+/// Returns the base for a candidate: the version that had most of the traffic and is still configured.
 ///
-/// The failure: a model was moved from v1 to v2 by a share, and the next bundle, which no longer has v1,
-/// moves it to v3. With v1 as the base, all requests but the first stage's would have no engine.
-fn traffic_leader(
+/// The configured base would be wrong where one bundle moved the traffic from v1 to v2 by a share and
+/// the next, without v1, moves it to v3: requests that v3 does not take would go to v1, which has no
+/// engines.
+fn base_for(
     previous: &Model,
     before: &BTreeMap<VersionName, u32>,
     next: &Model,
@@ -93,7 +94,7 @@
     most.map_or_else(|| next.base.clone(), |(version, _)| version.clone())
 }
 
-fn engines(model: &Model, version: &VersionName) -> u32 {
+fn engine_count(model: &Model, version: &VersionName) -> u32 {
     let found = model.versions.iter().find(|found| found.name == *version);
     found.map_or(0, |version| version.targets.len() as u32)
 }
--- a/crates/rollout/src/splitter.rs
+++ b/crates/rollout/src/splitter.rs
@@ -1,12 +1,12 @@
-//! Deterministic traffic shares.
+//! Deterministic traffic splitting.
 
-/// One whole share, in parts per million.
+/// All traffic, in parts per million.
 pub const FULL_SHARE_PPM: u32 = 1_000_000;
 
-/// Sends a share of requests to a version by error diffusion.
+/// Selects a share of requests by error diffusion.
 ///
-/// Drawing each request by chance overshoots with small counts: at 1 % the first hundred requests may
-/// well hold four. Here the count of any prefix stays within one of the share.
+/// Random selection overshoots with small counts: at 1 % it may well select four of the first hundred
+/// requests. Here the number selected of the first n requests stays within one of their share.
 ///
 /// # Examples
 ///
@@ -23,9 +23,9 @@
 }
 
 impl TrafficSplitter {
-    /// Returns whether the next request goes to the version, whose share is in parts per million.
+    /// Returns whether to select the next request at a share in parts per million.
     pub fn selects_next(&mut self, share_ppm: u32) -> bool {
-        // A credit saved up under an earlier share must not be spent once the share is zero.
+        // Credit from an earlier share must not select a request once the share is zero.
         if share_ppm == 0 {
             self.credit = 0;
             return false;
@@ -39,10 +39,9 @@
     }
 }
 
-/// Returns whether the request with this number goes to a version, for counters that threads share.
+/// Returns whether to select the request with this number, for a counter that several threads share.
 ///
-/// It is the same error diffusion without state: of the first n requests, the whole part of the share of
-/// n are chosen.
+/// This is stateless error diffusion: of the first n requests, the share of n rounded down is selected.
 ///
 /// # Examples
 ///
--- a/crates/rollout/src/store.rs
+++ b/crates/rollout/src/store.rs
@@ -1,12 +1,12 @@
-//! What the state machines ask of the object API and what it answers.
+//! Calls of the state machines to the object API, and its replies.
 
 use serde::{de::DeserializeOwned, Serialize};
 use smol_str::SmolStr;
 
-/// The largest value that the object API holds, in bytes.
+/// Maximum size of a value in the object API, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// When a write may take effect.
+/// Precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
     /// The object does not exist.
@@ -20,62 +20,62 @@
 pub enum StoreCall {
     /// Reads an object.
     Read {
-        /// The object's key.
+        /// Key of the object.
         key: SmolStr,
     },
-    /// Writes an object under a condition.
+    /// Writes an object if a condition holds.
     Write {
-        /// The object's key.
+        /// Key of the object.
         key: SmolStr,
-        /// When the write may take effect.
+        /// Precondition of the write.
         condition: Condition,
         /// The new value.
         value: Vec<u8>,
     },
 }
 
-/// What came of a call to the object API.
+/// Result of a call to the object API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreReply {
-    /// The object that was read.
+    /// The object was read.
     Found {
-        /// The object's version.
+        /// Version of the object.
         version: u64,
-        /// The object's value.
+        /// Value of the object.
         value: Vec<u8>,
     },
-    /// The object that was read does not exist.
+    /// The object to read does not exist.
     Missing,
-    /// The write took effect and gave the object this version.
+    /// The write took effect.
     Written {
-        /// The object's new version.
+        /// New version of the object.
         version: u64,
     },
     /// The condition of the write did not hold.
     Conflict,
-    /// No reply came; a write may have taken effect.
+    /// No reply arrived; a write may have taken effect.
     Lost,
     /// The store refused the call; a write took no effect.
     Down,
 }
 
 impl StoreCall {
-    /// Makes a read.
+    /// Creates a read.
     pub fn read(key: impl Into<SmolStr>) -> Self {
         Self::Read { key: key.into() }
     }
 
-    /// Makes a conditional write of `value` as JSON.
+    /// Creates a conditional write of `value` as JSON.
     pub fn write(key: impl Into<SmolStr>, condition: Condition, value: &impl Serialize) -> Self {
         Self::Write {
             key: key.into(),
             condition,
-            // The values of this crate have text keys and no custom serialisers, so this can't fail.
+            // Serialization can't fail: the values of this crate have string keys and no custom serializers.
             value: serde_json::to_vec(value).unwrap_or_default(),
         }
     }
 
-    /// Returns the key that the call is about.
+    /// Returns the key of the object.
     pub fn key(&self) -> &SmolStr {
         match self {
             Self::Read { key } | Self::Write { key, .. } => key,
@@ -83,7 +83,7 @@
     }
 }
 
-/// Parses the JSON value of an object; `None` when it is not of the expected form.
+/// Parses the JSON value of an object; returns `None` if it does not have the expected form.
 pub fn parse_json<T: DeserializeOwned>(value: &[u8]) -> Option<T> {
     serde_json::from_slice(value).ok()
 }
--- a/crates/rollout/src/tally.rs
+++ b/crates/rollout/src/tally.rs
@@ -1,4 +1,4 @@
-//! What an instance has seen of one version on one route.
+//! Trial counts of one version and request class.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,26 +9,26 @@
 pub enum Failure {
     /// The target answered with an error.
     Error,
-    /// The answer broke its continuity or came from another version.
+    /// The answer was not continuous or came from another version.
     Wrong,
-    /// The target had no room.
+    /// The target had no capacity.
     Refused,
-    /// Nothing came for longer than the progress timeout.
+    /// The target made no progress within the timeout.
     Stalled,
     /// The connection broke.
     Cut,
 }
 
-/// Sums over trials of one kind; they only grow.
+/// Monotonic counts of trials.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialCounts {
-    /// TrialCounts begun.
+    /// Trials begun.
     pub sent: u64,
-    /// TrialCounts that failed, by class in the order of [`Failure`].
+    /// Failed trials, in the order of the variants of [`Failure`].
     pub failed: [u64; 5],
-    /// TrialCounts cut off by the death of one target, which count neither way.
+    /// Trials cut off by the crash of a target, which count neither as failures nor as successes.
     pub discounted: u64,
-    /// Times of those that succeeded: to the first token, or per token.
+    /// Times of successful trials: to the first token, or per token.
     pub times: Histogram,
 }
 
@@ -38,18 +38,18 @@
         self.failed[failure as usize] += 1;
     }
 
-    /// Returns how many trials failed.
+    /// Returns the number of failed trials.
     pub fn failures(&self) -> u64 {
         self.failed.iter().sum()
     }
 
-    /// Returns how many trials are under way.
+    /// Returns the number of trials without a result yet.
     pub fn pending(&self) -> u64 {
         let known = self.failures() + self.times.count() + self.discounted;
         self.sent.saturating_sub(known)
     }
 
-    /// Adds the sums of others.
+    /// Adds other counts.
     pub fn merge(&mut self, other: &Self) {
         self.sent += other.sent;
         self.discounted += other.discounted;
@@ -59,7 +59,7 @@
         self.times.merge(&other.times);
     }
 
-    /// Returns what was added since `earlier`.
+    /// Returns the counts added since `earlier`.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         let mut failed = self.failed;
@@ -75,12 +75,12 @@
     }
 }
 
-/// Sums over the trials of one version on one route.
+/// Trial counts of one version and request class.
 ///
-/// A trial is one chunk of an answer. Whole answers take minutes and failures come at once: counted by
-/// answer, a good version would seem to do nothing but fail for the first minutes. By chunk, failures
-/// and successes are known about equally soon. First chunks are counted apart, since most faults show
-/// there and the many later chunks would hide them.
+/// A trial is one chunk of an answer. Whole answers take minutes while failures show at once, so counts
+/// by answer would show nothing but failures of a good version in the first minutes. Chunks succeed
+/// about as fast as they fail. First chunks are counted separately: most faults show there, and the
+/// many later chunks would hide them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
     /// First chunks: up to the first token.
@@ -90,7 +90,7 @@
 }
 
 impl Tally {
-    /// Adds the sums of another tally.
+    /// Adds the counts of another tally.
     pub fn merge(&mut self, other: &Self) {
         self.first.merge(&other.first);
         self.later.merge(&other.later);
--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What a judge is asked and what it says.
+//! Configuration and results of a [`Judge`](crate::Judge).
 
 use serde::{Deserialize, Serialize};
 
@@ -7,45 +7,45 @@
     plan::{StageTemplate, STAGE_TEMPLATES},
 };
 
-/// What a version is blamed for.
+/// Why a version is rolled back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
     /// It fails more often than its base.
     Failures,
-    /// Its targets die or hang more often.
+    /// Its targets crash or hang more often.
     Incidents,
     /// Its first tokens come later.
     FirstToken,
-    /// Its later tokens come more slowly.
+    /// Its later tokens take longer.
     TokenTime,
-    /// The deadline came before the final share.
+    /// The deadline passed before the final share.
     Deadline,
-    /// Too few requests came to judge it by.
+    /// The deadline passed with too few requests to judge the version.
     TooLittleEvidence,
 }
 
-/// Why the brake is to be tripped.
+/// The finding that a version is bad and must be braked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
-    /// What the version is blamed for.
+    /// Kind of fault.
     pub cause: Cause,
-    /// On which route, if not overall.
+    /// Request class that shows the fault; `None` for all together.
     pub class: Option<RequestClass>,
-    /// How much likelier the evidence is of a bad version than of one as good as its base.
+    /// How many times more likely the evidence is if the version is bad than if it is as good as its base.
     pub bayes_factor: f64,
 }
 
-/// How the test is done; the default is what the measurements chose.
+/// Configuration of the judge; measurements chose the defaults.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JudgeConfig {
-    /// Whether each route is tested on its own as well.
+    /// Whether to test each request class separately as well.
     pub per_class: bool,
-    /// Whether failures on one target only need twice the evidence.
+    /// Whether failures on a single target need twice the evidence.
     pub spread_over_targets: bool,
-    /// Whether what the death of a target cuts off counts as one incident.
+    /// Whether trials cut off by the crash of a target count as one incident instead of as failures.
     pub discount_incidents: bool,
-    /// The steps of the stages.
+    /// Shares and durations of the stages.
     pub stage_templates: &'static [StageTemplate],
 }
 
@@ -60,11 +60,11 @@
     }
 }
 
-/// How many engines the bundle names.
+/// Numbers of engines in the bundle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Engines {
-    /// Of the new version.
+    /// Engines of the candidate.
     pub new: u32,
-    /// Of its base.
+    /// Engines of the base.
     pub base: u32,
 }
--- a/crates/rollout/src/version_rollout.rs
+++ b/crates/rollout/src/version_rollout.rs
@@ -1,4 +1,4 @@
-//! The rollout of one version and how it advances.
+//! The rollout of one version and its phase transitions.
 
 use celerypond_types::{InstanceName, Revision};
 use serde::{Deserialize, Serialize};
@@ -16,24 +16,24 @@
 /// The rollout of one version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRollout {
-    /// What is to change.
+    /// The share increase to make.
     pub change: ShareIncrease,
-    /// The stages.
+    /// Planned stages.
     pub stages: Vec<Stage>,
-    /// When the final share must act everywhere, as wall clock in milliseconds since 1970.
+    /// When all instances must apply the final share, as Unix time in milliseconds.
     pub deadline_ms: u64,
-    /// How far it has come.
+    /// Current phase.
     pub phase: Phase,
-    /// When it came there.
+    /// When the phase began, as Unix time in milliseconds.
     pub since_ms: u64,
-    /// The instances that send traffic to the version; `None` for all.
+    /// Instances that send traffic to the candidate; `None` for all.
     pub senders: Option<Vec<InstanceName>>,
-    /// The part of their requests that senders send to it, in parts per million.
+    /// Share of its own requests that each sender sends to the candidate, in parts per million.
     pub local_ppm: u32,
 }
 
 impl VersionRollout {
-    /// Returns the stage that the phase belongs to.
+    /// Returns the stage of the phase: the last one for all phases that follow the stages.
     pub fn stage(&self) -> u8 {
         match self.phase {
             Phase::Stage { stage } => stage,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns how far the condition of the phase is fulfilled over the live instances.
+    /// Returns which live instances meet the condition to leave the current phase.
     pub fn coverage(
         &self,
         origin: Revision,
@@ -78,7 +78,7 @@
         answers: u64,
     ) {
         let is_complete = |record: &Self| {
-            // Without the platform's list nobody knows whom to wait for, so nothing is complete.
+            // Without the platform's list it is unknown which instances to wait for.
             let coverage = context
                 .live
                 .map(|live| record.coverage(origin, context.applied_states, live));
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Leaves a stage when its time is over, or gives up when the deadline can't be met.
+    /// Moves to the next stage once the current one has lasted long enough and got enough answers, or
+    /// brakes at the deadline.
     fn advance_stage(
         &mut self,
         stage: u8,
@@ -123,8 +124,8 @@
         let is_time_over = context.now_ms >= rolled_ms + current.until_ms;
         let has_enough_answers = answers >= current.answers;
         if is_last {
-            // Past the deadline the final share stays: taking back a version that showed no fault
-            // only because one instance can't be heard would be worse than to report late.
+            // The final share is kept past the deadline. Rolling back a version that showed no fault
+            // only because one instance is unreachable would be worse than a late report.
             if is_time_over && has_enough_answers && is_complete {
                 self.set_phase(Phase::Closing, context.now_ms);
             }
@@ -149,7 +150,7 @@
             .flatten()
             .any(|sender| !live.contains(sender))
         {
-            // A sender that died took its part of the evidence along; others take its place.
+            // The evidence that a dead sender would have collected must come from other instances.
             self.enter_stage(stage, origin, live);
         }
     }
--- a/crates/rollout/tests/test_bundle_tracker.rs
+++ b/crates/rollout/tests/test_bundle_tracker.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use celerypond_rollout::{
-    bundle_key, is_watcher, parse_json, BodyError, BundleHeader, BundleTracker, Condition,
+    bundle_key, is_watcher, parse_json, AcceptError, BundleHeader, BundleTracker, Condition,
     CurrentBundle, OperationRequest, Source, StoreCall, StoreReply, Submission, CURRENT_KEY,
 };
 use celerypond_types::{InstanceName, Revision};
@@ -242,7 +242,7 @@
     let found = bundle("b").digest();
     assert_eq!(
         node.accept_bundle(bundle("b")),
-        Err(BodyError::DigestMismatch { wanted, found })
+        Err(AcceptError::DigestMismatch { wanted, found })
     );
     assert_eq!(node.revision(), Revision(0));
     node.accept_bundle(bundle("a")).unwrap();
--- a/crates/rollout/tests/test_merge.rs
+++ b/crates/rollout/tests/test_merge.rs
@@ -36,7 +36,7 @@
         let mut report = EvidenceReport::new(subject(), name.into(), 1);
         for at in 0..5 {
             report
-                .trials(&trial("v2-1", at))
+                .trial_counts(&trial("v2-1", at))
                 .count_failure(Failure::Error);
             reports.push(report.clone());
         }
@@ -89,7 +89,7 @@
     for (at, name) in ["a", "b", "c"].into_iter().enumerate() {
         let mut report = EvidenceReport::new(subject(), name.into(), 1);
         report.record_break(&"v2".into(), &"v2-1".into(), 0, 1_000 + 200 * at as u64);
-        report.trials(&trial("v2-1", 0)).discounted += 1;
+        report.trial_counts(&trial("v2-1", 0)).discounted += 1;
         evidence.merge(report);
     }
     assert_eq!(evidence.incidents(&subject(), &"v2".into()).len(), 1);
