--- a/crates/rollout/tests/fake_fleet.rs
+++ b/crates/rollout/tests/fake_fleet.rs
@@ -1,4 +1,4 @@
-//! A small fake of instances, engines and traffic, for rollouts in virtual time.
+//! Simulation of instances, engines and traffic in virtual time, for tests and benchmarks of rollouts.
 
 use std::{
     cmp::Reverse,
@@ -21,13 +21,15 @@
 const TICK_MS: u64 = 250;
 const PUSH_DELAY_MS: u64 = 10;
 const ENGINE_SLOTS: f64 = 16.0;
+/// Time that a crashed engine needs to restart.
 const RESTART_MS: u64 = 60_000;
+/// Consecutive errors after which an instance ejects an engine for `EJECT_MS`.
 const EJECT_AFTER: u32 = 3;
 const EJECT_MS: u64 = 10_000;
-/// Request classes and their fraction of the requests.
+/// Request classes and their fractions of the requests.
 const REQUEST_CLASSES: [(&str, f64); 3] = [("draft", 0.75), ("letter", 0.2), ("drawing", 0.05)];
 
-/// What is wrong with the new version.
+/// Defect of the new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Defect {
     None,
@@ -38,27 +40,28 @@
     Slow,
 }
 
-/// How the version is judged.
+/// How bad versions are detected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Strategy {
     Judged(JudgeConfig),
-    /// Fixed steps on all instances by chance, and a threshold on the error rate every 10 s.
+    /// Baseline: fixed stages, random selection on all instances and a threshold on the error rate that is
+    /// checked every 10 s.
     FixedThreshold,
 }
 
-/// Something that happens to the fleet.
+/// A disruption of the fleet; a `bool` is true at its start and false at its end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Disruption {
     StoreDown(bool),
-    /// An instance hears nobody and nobody hears it; it still reaches engines and callers.
+    /// The connections of an instance to its peers and the store fail; engines and callers reach it.
     Isolate(usize, bool),
-    /// An instance neither hears nor decides, and comes back with its old view.
+    /// An instance is suspended and continues with its old state.
     Pause(usize, bool),
-    /// An instance loses all it knows.
+    /// An instance restarts and loses its state.
     Restart(usize),
-    /// All engines fail a third of what they are asked.
+    /// All engines fail a third of all chunks.
     AllEnginesFail(bool),
-    /// A later bundle changes the model's part again.
+    /// A later bundle changes the configuration of the model.
     Supersede,
 }
 
@@ -74,17 +77,18 @@
     pub(crate) defect: Defect,
     pub(crate) strategy: Strategy,
     pub(crate) disruptions: Vec<(u64, Disruption)>,
-    /// How likely the reply to a write is lost.
+    /// Probability that the reply to a write is lost.
     pub(crate) lost_reply: f64,
-    /// How likely an instance dies right after a write.
+    /// Probability that an instance crashes right after a write.
     pub(crate) crash_after_write: f64,
-    /// Whether to note when the evidence in all instances together first suffices, which costs time.
+    /// Whether to record when the evidence of all instances together first suffices. This is slow.
     pub(crate) tracks_detectability: bool,
-    /// An instance that half of all requests go to.
+    /// Instance that gets half of all requests.
     pub(crate) hot_instance: Option<usize>,
 }
 
 impl Scenario {
+    /// A small fleet of the size of the site Holding: 20 engines, 7 instances, 12 requests per second.
     pub(crate) fn holding(defect: Defect) -> Self {
         Self {
             instances: 7,
@@ -130,31 +134,31 @@
     }
 }
 
-/// What a run showed.
+/// Result of a simulation.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) phase: Option<Phase>,
     pub(crate) ended_ms: u64,
-    /// When the fault first showed to any caller.
+    /// When the defect first affected a caller.
     pub(crate) first_fault_ms: Option<u64>,
-    /// When the evidence in all instances together first sufficed.
+    /// When the evidence of all instances together first sufficed to brake the version.
     pub(crate) detectable_ms: Option<u64>,
-    /// When the first brake was tripped.
+    /// When the first instance braked the version.
     pub(crate) braked_ms: Option<u64>,
     pub(crate) last_sent_ms: u64,
     pub(crate) sent_after_first_fault: u64,
     pub(crate) sent_after_detectable: u64,
-    /// Requests that the fault hit.
+    /// Requests that the defect affected.
     pub(crate) faulty_requests: u64,
     pub(crate) sent_new: u64,
     pub(crate) sent: u64,
-    /// Requests and those of the new version by stage, over all instances.
+    /// Numbers of all requests and of those for the new version by stage, over all instances.
     pub(crate) stages: BTreeMap<u8, (u64, u64)>,
-    /// The most that any instance sent above its local share in any stage.
+    /// Maximum number of requests that any instance sent above its local share in any stage.
     pub(crate) overshoot: f64,
-    /// An ending that was not true at some instance when it was written.
+    /// A final phase that was not true on some instance when it was written.
     pub(crate) false_ending: Option<String>,
-    /// Bytes of the reports of all instances at the end, as JSON.
+    /// Size of the evidence reports of all instances at the end, in bytes of JSON.
     pub(crate) report_bytes: usize,
 }
 
@@ -171,13 +175,17 @@
 
 struct Instance {
     controller: RolloutController,
+    /// Versions of the rollout records in the store.
     versions: BTreeMap<Revision, u64>,
+    /// Consecutive errors by engine, and when the ejection of the engine ends.
     errors: BTreeMap<usize, (u32, u64)>,
     is_paused: bool,
     is_isolated: bool,
     incarnation: u64,
     base_open: u32,
     served: u64,
+    /// Stage and local share, and the numbers of all requests and of those for the new version since they
+    /// changed.
     counts: (Option<(u8, u32)>, u64, u64),
 }
 
@@ -191,7 +199,8 @@
     instance: usize,
     trial: Trial,
     engine: usize,
-    left: u8,
+    chunks_left: u8,
+    /// Failure of the current chunk, and whether the defect caused it.
     failure: Option<(Failure, bool)>,
     is_slow: bool,
     is_open: bool,
@@ -207,14 +216,18 @@
     instances: Vec<Instance>,
     engines: Vec<Engine>,
     requests: Vec<Request>,
-    news: Vec<Rc<RolloutSnapshot>>,
+    snapshots: Vec<Rc<RolloutSnapshot>>,
     store: FakeStore,
     parts: BTreeMap<celerypond_types::ModelName, ModelPart>,
+    /// Judge of the evidence of all instances together.
     omniscient_judge: Judge,
+    /// When a delayed defect begins.
     fault_ms: u64,
+    /// Number of requests on an engine from which it fails under load.
     overload_threshold: f64,
     is_all_engines_failing: bool,
     pub(crate) outcome: Outcome,
+    /// Time of the last check of the error rate, and the numbers of errors and requests then.
     last_check: (u64, u64, u64),
     base: VersionName,
     new: VersionName,
@@ -261,7 +274,7 @@
             engines: engines.collect(),
             instances: Vec::new(),
             requests: Vec::new(),
-            news: Vec::new(),
+            snapshots: Vec::new(),
             store: FakeStore::default(),
             events: BinaryHeap::new(),
             outcome: Outcome::default(),
@@ -327,7 +340,7 @@
         -mean * (1.0 - self.rng.random::<f64>()).ln()
     }
 
-    /// A factor around 1 that is rarely far from it.
+    /// Returns a log-normal factor around 1.
     fn noise(&mut self, sigma: f64) -> f64 {
         let sum: f64 = (0..12).map(|_| self.rng.random::<f64>()).sum();
         ((sum - 6.0) * sigma).exp()
@@ -338,7 +351,7 @@
         self.schedule(self.now + (wait_s * 1_000.0) as u64, Event::Crash(engine));
     }
 
-    /// Runs until the rollout has ended and `after_ms` more, or to the end of time.
+    /// Runs until `after_ms` after the end of the rollout, at most until `end_ms`.
     pub(crate) fn run(&mut self, end_ms: u64, after_ms: u64) -> &Outcome {
         let mut last = end_ms;
         while let Some(Reverse((time, _, event))) = self.events.pop() {
@@ -372,11 +385,11 @@
                 self.engines[at].is_up = true;
                 self.schedule_crash(at);
             }
-            Event::Push(from, to, news) => {
+            Event::Push(from, to, snapshot) => {
                 if self.can_reach(from, to)
                     && self.instances[to]
                         .controller
-                        .merge_snapshot(&self.news[news].clone())
+                        .merge_snapshot(&self.snapshots[snapshot].clone())
                 {
                     self.push(to);
                 }
@@ -429,14 +442,15 @@
     }
 
     fn can_reach(&self, from: usize, to: usize) -> bool {
-        let is_free = |at: usize| !self.instances[at].is_isolated && !self.instances[at].is_paused;
-        from != to && is_free(from) && is_free(to)
+        let is_reachable =
+            |at: usize| !self.instances[at].is_isolated && !self.instances[at].is_paused;
+        from != to && is_reachable(from) && is_reachable(to)
     }
 
     fn push(&mut self, from: usize) {
-        let news = self.instances[from].controller.snapshot();
-        self.news.push(Rc::new(news));
-        let at = self.news.len() - 1;
+        let snapshot = self.instances[from].controller.snapshot();
+        self.snapshots.push(Rc::new(snapshot));
+        let at = self.snapshots.len() - 1;
         for to in 0..self.instances.len() {
             self.schedule(self.now + PUSH_DELAY_MS, Event::Push(from, to, at));
         }
@@ -479,7 +493,7 @@
         });
         let class = class.unwrap_or(&REQUEST_CLASSES[0]).0;
         let name = format!("{}-{engine}", version.as_str());
-        let left = self.rng.random_range(4..13);
+        let chunks_left = self.rng.random_range(4..13);
         self.engines[engine].active += 1;
         self.instances[instance].base_open += u32::from(!is_new);
         self.requests.push(Request {
@@ -493,7 +507,7 @@
                 begun_ms: self.now,
             },
             engine,
-            left,
+            chunks_left,
             failure: None,
             is_slow: false,
             is_open: true,
@@ -594,7 +608,8 @@
         } else {
             0.0
         };
-        let is_unlucky = self.rng.random_bool(0.0005) || self.rng.random_bool(random_failure);
+        let is_random_failure =
+            self.rng.random_bool(0.0005) || self.rng.random_bool(random_failure);
         let is_slow = defect == Defect::Slow;
         let load = 1.0 + 2.0 * (active / ENGINE_SLOTS - 1.0).max(0.0);
         let factor = load * if is_slow { 2.5 } else { 1.0 };
@@ -603,14 +618,14 @@
         } else {
             1_000.0 * self.noise(0.15)
         };
-        let time_ms = if is_bad || is_unlucky {
+        let time_ms = if is_bad || is_random_failure {
             60.0
         } else {
             time_ms * factor
         };
         let request = &mut self.requests[at];
         request.trial.begun_ms = self.now;
-        request.failure = (is_bad || is_unlucky).then_some((Failure::Error, is_bad));
+        request.failure = (is_bad || is_random_failure).then_some((Failure::Error, is_bad));
         request.is_slow = is_slow;
         let trial = request.trial.clone();
         self.instances[instance].controller.record_sent(&trial);
@@ -648,12 +663,12 @@
         }
         if failed.is_some() && trial.version == self.new {
             self.check_detectable();
-            self.weigh(instance);
+            self.evaluate(instance);
         }
         let request = &mut self.requests[at];
         request.trial.is_first = false;
-        request.left -= 1;
-        if request.left == 0 || failed.is_some() {
+        request.chunks_left -= 1;
+        if request.chunks_left == 0 || failed.is_some() {
             self.close(at);
         } else {
             self.begin_chunk(at);
@@ -703,7 +718,7 @@
                 .controller
                 .set_relative_traffic("draft".into(), relative);
         }
-        self.weigh(at);
+        self.evaluate(at);
         self.gossip(at);
         self.step_record(at);
     }
@@ -715,21 +730,21 @@
         }
     }
 
-    fn weigh(&mut self, at: usize) {
-        let is_tripped = match self.scenario.strategy {
+    fn evaluate(&mut self, at: usize) {
+        let is_braked = match self.scenario.strategy {
             Strategy::Judged(_) => {
                 let base = self.engine_counts().base;
                 self.instances[at].controller.evaluate(|_| base, self.now)
             }
             Strategy::FixedThreshold => at == 0 && self.exceeds_error_threshold(),
         };
-        if is_tripped {
+        if is_braked {
             self.outcome.braked_ms.get_or_insert(self.now);
             self.push(at);
         }
     }
 
-    /// Weighs what all instances together have seen, which no instance can know yet.
+    /// Evaluates the evidence of all instances together, which no instance has at this moment.
     fn check_detectable(&mut self) {
         if !self.scenario.tracks_detectability
             || self.outcome.detectable_ms.is_some()
@@ -758,7 +773,8 @@
         }
     }
 
-    /// The baseline: every 10 s, more than 5 % errors of at least 20 requests.
+    /// Returns whether the baseline finds the version bad: every 10 s, more than 5 % errors among at least
+    /// 20 requests.
     fn exceeds_error_threshold(&mut self) -> bool {
         if self.now < self.last_check.0 + 10_000 {
             return false;
@@ -785,11 +801,11 @@
         self.last_check = (self.now, sums.0, sums.1);
         let mut brakes = Brakes::default();
         brakes.insert(ORIGIN, candidate(), Cause::Failures);
-        let news = RolloutSnapshot {
+        let snapshot = RolloutSnapshot {
             rollouts: Vec::new(),
             brakes,
         };
-        failed * 20 > tried && self.instances[0].controller.merge_snapshot(&news)
+        failed * 20 > tried && self.instances[0].controller.merge_snapshot(&snapshot)
     }
 
     fn gossip(&mut self, from: usize) {
@@ -811,9 +827,9 @@
                 .iter()
                 .filter_map(|name| sender.applied_states().get(name).cloned())
                 .collect();
-            let news = sender.snapshot();
+            let snapshot = sender.snapshot();
             let receiver = &mut self.instances[to].controller;
-            receiver.merge_snapshot(&news);
+            receiver.merge_snapshot(&snapshot);
             for report in reports {
                 receiver.merge_report(report);
             }
@@ -823,7 +839,7 @@
         }
     }
 
-    /// Reads the record, then writes the next one if it is due, racing with all others.
+    /// Reads the record and writes the next one if it is due, racing with all other instances.
     fn step_record(&mut self, at: usize) {
         if self.instances[at].is_isolated || !self.rng.random_bool(0.3) {
             return;
@@ -846,7 +862,7 @@
                 .due_records(&models, |_| rate, true, self.now)
         {
             if rollout.step == 1 && self.scenario.strategy == Strategy::FixedThreshold {
-                fixed_steps(&mut rollout);
+                use_fixed_stages(&mut rollout);
             }
             let version = self.instances[at].versions.get(&ORIGIN).copied();
             let condition = match rollout.step {
@@ -868,7 +884,7 @@
         }
     }
 
-    /// Compares an ending that is being written with what each instance does at this moment.
+    /// Compares a final phase that is being written with the state of each instance at this moment.
     fn check_ending(&mut self, rollout: &Rollout) {
         let phase = rollout.moves[0].phase;
         if !phase.is_ended() || self.outcome.phase.is_some() {
@@ -906,7 +922,7 @@
     }
 }
 
-fn fixed_steps(rollout: &mut Rollout) {
+fn use_fixed_stages(rollout: &mut Rollout) {
     let record = &mut rollout.moves[0];
     let last = record.stages.last().cloned().unwrap();
     let shares = [50_000, 250_000, 500_000, last.share_ppm];
--- a/crates/rollout/tests/fake_store.rs
+++ b/crates/rollout/tests/fake_store.rs
@@ -1,4 +1,4 @@
-//! A small fake of the object API, with outages, lost replies and stale reads.
+//! Fake object API with outages and lost replies.
 
 use std::collections::BTreeMap;
 
@@ -9,14 +9,14 @@
 use rand::{rngs::SmallRng, Rng};
 use smol_str::SmolStr;
 
-/// How likely each fault is at one call.
+/// Probability of each fault per call.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
     pub(crate) down: f64,
     pub(crate) lost: f64,
 }
 
-/// Objects by key, with a version that counts all writes.
+/// Objects by key; the version is a counter of all writes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FakeStore {
     pub(crate) objects: BTreeMap<SmolStr, (u64, Vec<u8>)>,
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Makes a call that may be refused, or carried out without a reply.
-    pub(crate) fn faulty(
+    /// Makes a call that may be refused or whose reply may be lost, before or after it takes effect.
+    pub(crate) fn call_with_faults(
         &mut self,
         call: &StoreCall,
         faults: Faults,
@@ -76,7 +76,7 @@
         self.call(call)
     }
 
-    /// Runs one step to its end without faults.
+    /// Runs an operation to its end without faults.
     pub(crate) fn run(
         &mut self,
         request: OperationRequest,
--- a/crates/rollout/tests/runner.rs
+++ b/crates/rollout/tests/runner.rs
@@ -1,4 +1,4 @@
-//! Runs all tests of the crate as one program.
+//! Builds all tests of the crate as one binary.
 
 mod fake_fleet;
 mod fake_store;
--- a/crates/rollout/tests/test_bundle_tracker.rs
+++ b/crates/rollout/tests/test_bundle_tracker.rs
@@ -1,4 +1,4 @@
-//! An accepted bundle comes into force everywhere and never reverts.
+//! A rolled bundle comes into force on all instances and never reverts.
 
 use std::time::Duration;
 
@@ -17,46 +17,50 @@
 };
 
 const TICK: Duration = Duration::from_millis(50);
-const NODES: usize = 7;
-/// How many ticks of 50 ms may pass until all have a bundle that some instance knows: 5 s.
-const BOUND: usize = 100;
+const INSTANCES: usize = 7;
+/// Maximum number of ticks until all instances have a bundle that one of them knows: 5 s.
+const MAX_TICKS: usize = 100;
 
-struct Node {
+struct FakeInstance {
     name: InstanceName,
     tracker: BundleTracker,
-    best: Revision,
+    highest_served: Revision,
 }
 
 struct Fleet {
     store: FakeStore,
-    nodes: Vec<Node>,
+    instances: Vec<FakeInstance>,
     now: Instant,
     rng: SmallRng,
-    old: Option<StoreReply>,
-    settles: bool,
+    /// Reply of a stale read of the current bundle.
+    stale_reply: Option<StoreReply>,
+    waits_until_ready: bool,
     watchers: Vec<bool>,
 }
 
 impl Fleet {
     fn new(store: FakeStore, seed: u64) -> Self {
-        let node = |at: usize| Node {
+        let instance = |at: usize| FakeInstance {
             name: InstanceName::new(format!("i{at}")),
             tracker: BundleTracker::default(),
-            best: Revision(0),
+            highest_served: Revision(0),
         };
-        let nodes: Vec<_> = (0..NODES).map(node).collect();
-        let names: Vec<_> = nodes.iter().map(|node| node.name.clone()).collect();
+        let instances: Vec<_> = (0..INSTANCES).map(instance).collect();
+        let names: Vec<_> = instances
+            .iter()
+            .map(|instance| instance.name.clone())
+            .collect();
         let live: Vec<_> = names
             .iter()
             .map(|name| (name.clone(), "almaty".into()))
             .collect();
         Self {
             store,
-            nodes,
+            instances,
             now: Instant::now(),
             rng: SmallRng::seed_from_u64(seed),
-            old: None,
-            settles: true,
+            stale_reply: None,
+            waits_until_ready: true,
             watchers: names
                 .iter()
                 .map(|name| is_watcher(name, &"almaty".into(), &live))
@@ -65,40 +69,45 @@
     }
 
     fn names(&self) -> Vec<InstanceName> {
-        self.nodes.iter().map(|node| node.name.clone()).collect()
+        self.instances
+            .iter()
+            .map(|instance| instance.name.clone())
+            .collect()
     }
 
     fn read_current(&mut self, at: usize) {
         let is_stale = self.rng.random_bool(0.2);
         let fresh = self.store.call(&StoreCall::read(CURRENT_KEY));
         let reply = self
-            .old
+            .stale_reply
             .clone()
             .filter(|_| is_stale && !self.store.down)
             .unwrap_or(fresh);
         if let StoreReply::Found { value, .. } = reply {
             let current: CurrentBundle = parse_json(&value).unwrap();
-            self.nodes[at]
+            self.instances[at]
                 .tracker
                 .note_header(current.header(), Source::Store);
             if !is_stale {
-                self.nodes[at].tracker.mark_answered(Source::Store);
+                self.instances[at].tracker.mark_answered(Source::Store);
             }
         }
     }
 
     fn gossip(&mut self, at: usize) {
-        let peer = self.rng.random_range(0..NODES);
-        if let Some(header) = self.nodes[at].tracker.newest_header().cloned() {
-            let from = Source::Peer(self.nodes[at].name.clone());
-            self.nodes[peer].tracker.note_header(header, from.clone());
-            self.nodes[peer].tracker.mark_answered(from);
+        let peer = self.rng.random_range(0..INSTANCES);
+        if let Some(header) = self.instances[at].tracker.newest_header().cloned() {
+            let from = Source::Peer(self.instances[at].name.clone());
+            self.instances[peer]
+                .tracker
+                .note_header(header, from.clone());
+            self.instances[peer].tracker.mark_answered(from);
         }
     }
 
     fn fetch(&mut self, at: usize) {
         let names = self.names();
-        let asked = self.nodes[at]
+        let asked = self.instances[at]
             .tracker
             .next_fetch(self.now, &names, &mut self.rng);
         let body = match asked {
@@ -111,25 +120,30 @@
                 }
             }
             Some((Source::Peer(peer), digest)) => {
-                let node = self.nodes.iter().find(|node| node.name == peer).unwrap();
-                let held = node.tracker.active();
+                let instance = self
+                    .instances
+                    .iter()
+                    .find(|instance| instance.name == peer)
+                    .unwrap();
+                let held = instance.tracker.active();
                 held.filter(|(held, _)| held.digest == digest)
                     .map(|(_, body)| (**body).clone())
             }
             None => None,
         };
         if let Some(body) = body {
-            self.nodes[at].tracker.accept_bundle(body).unwrap();
+            self.instances[at].tracker.accept_bundle(body).unwrap();
         }
     }
 
-    /// One tick: watches, polls, gossip, bodies; then no instance may serve less than it did.
+    /// Runs watches, polls, gossip and fetches for one tick; checks that no instance serves an older
+    /// revision than before.
     fn tick(&mut self) {
         self.now += TICK;
         let names = self.names();
-        for at in 0..NODES {
+        for at in 0..INSTANCES {
             let is_watcher = self.watchers[at];
-            let is_due = self.nodes[at].tracker.poll_due(self.now, &mut self.rng);
+            let is_due = self.instances[at].tracker.poll_due(self.now, &mut self.rng);
             if is_watcher || is_due {
                 self.read_current(at);
             }
@@ -142,66 +156,69 @@
                 .filter(|name| **name != names[at])
                 .cloned()
                 .collect();
-            let node = &mut self.nodes[at];
-            let serves = !self.settles || node.tracker.is_ready(&peers);
-            if serves && node.tracker.active().is_some() {
-                let revision = node.tracker.revision();
+            let instance = &mut self.instances[at];
+            let serves = !self.waits_until_ready || instance.tracker.is_ready(&peers);
+            if serves && instance.tracker.active().is_some() {
+                let revision = instance.tracker.revision();
                 assert!(
-                    revision >= node.best,
+                    revision >= instance.highest_served,
                     "{} reverted from {} to {revision}",
-                    node.name,
-                    node.best
+                    instance.name,
+                    instance.highest_served
                 );
-                node.best = revision;
+                instance.highest_served = revision;
             }
         }
     }
 
     fn restart(&mut self, at: usize) {
-        self.nodes[at].tracker = BundleTracker::default();
+        self.instances[at].tracker = BundleTracker::default();
     }
 }
 
 #[rstest]
 #[case::the_store_stays_up(false, false)]
-#[case::the_store_goes_down_right_after_the_accept(true, false)]
+#[case::the_store_goes_down_right_after_the_roll(true, false)]
 #[case::instances_restart_during_the_outage(true, true)]
-fn an_accepted_bundle_reaches_all_and_never_reverts(#[case] down: bool, #[case] restarts: bool) {
-    // Callers see the rules of a bundle once it is accepted, from then on. Reads of the store are
-    // stale at times, the store goes down right after one instance took the bundle, instances are
-    // replaced meanwhile and know nothing, and peers that lag tell of older bundles.
+fn rolled_bundle_reaches_all_instances_and_never_reverts(
+    #[case] down: bool,
+    #[case] restarts: bool,
+) {
+    // Callers must not see the rules of an older bundle again. Some reads of the store are stale, the store
+    // goes down right after one instance got the bundle, restarted instances know nothing, and lagging
+    // peers announce older bundles.
     for seed in 0..60 {
         let (store, digests) = approved(&["a", "b", "c"]);
         let mut fleet = Fleet::new(store, seed);
         for (round, digest) in digests.iter().enumerate() {
             fleet.store.down = false;
-            fleet.old = Some(fleet.store.call(&StoreCall::read(CURRENT_KEY)));
+            fleet.stale_reply = Some(fleet.store.call(&StoreCall::read(CURRENT_KEY)));
             fleet
                 .store
                 .run(roll(*digest), signed("dana", 20 + round as u64))
                 .unwrap();
             let value = fleet.store.objects[CURRENT_KEY].1.clone();
             let current: CurrentBundle = parse_json(&value).unwrap();
-            // The instance that the operator spoke to has submitted the body and knows the roll.
-            let entry = fleet.rng.random_range(0..NODES);
-            fleet.nodes[entry]
+            // The instance that performed the roll knows the bundle.
+            let entry = fleet.rng.random_range(0..INSTANCES);
+            fleet.instances[entry]
                 .tracker
                 .note_header(current.header(), Source::Store);
             fleet.fetch(entry);
             fleet.store.down = down;
-            for tick in 0..BOUND {
+            for tick in 0..MAX_TICKS {
                 if restarts && tick == 20 {
-                    let at = (entry + 1) % NODES;
+                    let at = (entry + 1) % INSTANCES;
                     fleet.restart(at);
                 }
                 fleet.tick();
             }
-            for node in &fleet.nodes {
+            for instance in &fleet.instances {
                 assert_eq!(
-                    node.tracker.revision(),
+                    instance.tracker.revision(),
                     current.revision,
                     "seed {seed}: {}",
-                    node.name
+                    instance.name
                 );
             }
         }
@@ -209,9 +226,9 @@
 }
 
 #[test]
-fn a_restarted_instance_waits_for_all_peers_while_the_store_is_down() {
+fn restarted_instance_waits_for_all_peers_while_the_store_is_down() {
     // The instance served revision 2 and restarts while the store is down. The first peer that answers
-    // still has revision 1. Serving on its word alone would bring the old bundle back for callers.
+    // still has revision 1. If the instance served then, its callers would see the older bundle again.
     let header = |revision, title: &str| BundleHeader {
         revision: Revision(revision),
         digest: bundle(title).digest(),
@@ -219,38 +236,38 @@
     };
     let (slow, quick) = (InstanceName::new("slow"), InstanceName::new("quick"));
     let peers = [slow.clone(), quick.clone()];
-    let mut node = BundleTracker::default();
+    let mut instance = BundleTracker::default();
     for (peer, revision, title) in [(slow, 1, "a"), (quick, 2, "b")] {
-        assert!(!node.is_ready(&peers));
-        node.note_header(header(revision, title), Source::Peer(peer.clone()));
-        node.mark_answered(Source::Peer(peer));
-        node.accept_bundle(bundle(title)).unwrap();
+        assert!(!instance.is_ready(&peers));
+        instance.note_header(header(revision, title), Source::Peer(peer.clone()));
+        instance.mark_answered(Source::Peer(peer));
+        instance.accept_bundle(bundle(title)).unwrap();
     }
-    assert!(node.is_ready(&peers) && node.revision() == Revision(2));
+    assert!(instance.is_ready(&peers) && instance.revision() == Revision(2));
 }
 
 #[test]
-fn a_body_that_does_not_fit_the_digest_is_not_taken() {
-    let mut node = BundleTracker::default();
+fn bundle_with_wrong_digest_is_not_accepted() {
+    let mut instance = BundleTracker::default();
     let wanted = bundle("a").digest();
     let header = BundleHeader {
         revision: Revision(1),
         digest: wanted,
         parts: Default::default(),
     };
-    node.note_header(header, Source::Store);
+    instance.note_header(header, Source::Store);
     let found = bundle("b").digest();
     assert_eq!(
-        node.accept_bundle(bundle("b")),
+        instance.accept_bundle(bundle("b")),
         Err(AcceptError::DigestMismatch { wanted, found })
     );
-    assert_eq!(node.revision(), Revision(0));
-    node.accept_bundle(bundle("a")).unwrap();
-    assert_eq!(node.revision(), Revision(1));
+    assert_eq!(instance.revision(), Revision(0));
+    instance.accept_bundle(bundle("a")).unwrap();
+    assert_eq!(instance.revision(), Revision(1));
 }
 
 #[test]
-fn a_roll_that_leaves_a_model_as_it_was_keeps_its_origin() {
+fn roll_without_change_of_a_model_keeps_its_origin() {
     let mut store = FakeStore::default();
     let mut origins = Vec::new();
     for (at, (title, percent)) in [("a", 0), ("b", 0), ("c", 50)].into_iter().enumerate() {
--- a/crates/rollout/tests/test_merge.rs
+++ b/crates/rollout/tests/test_merge.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other merges to the same in any order.
+//! Evidence and brakes merge to the same state in any order.
 
 use celerypond_rollout::{
     Brakes, Cause, Evidence, EvidenceReport, Failure, Histogram, RequestClass, Subject, Trial,
@@ -28,9 +28,9 @@
 }
 
 #[test]
-fn news_in_any_order_and_twice_merges_to_the_same() {
-    // Gossip is lost, repeated and overtaken by later gossip. Whatever came last to an instance, it
-    // must end with what all others have, or they would judge differently.
+fn reordered_and_repeated_messages_merge_to_the_same_state() {
+    // Gossip messages are lost, repeated and reordered. Instances that end with different evidence or
+    // brakes would judge a version differently.
     let mut reports = Vec::new();
     for name in ["a", "b", "c"] {
         let mut report = EvidenceReport::new(subject(), name.into(), 1);
@@ -69,22 +69,22 @@
 #[case::begun_after_the_first_break("v2-1", 1_001, 1_050, false)]
 #[case::on_another_target("v2-2", 1_001, 1_050, true)]
 #[case::long_after("v2-1", 11_500, 12_000, true)]
-fn only_what_ran_before_a_death_is_excused(
+fn only_trials_begun_before_a_crash_are_discounted(
     #[case] target: &str,
     #[case] begun_ms: u64,
     #[case] now_ms: u64,
-    #[case] is_excused: bool,
+    #[case] is_discounted: bool,
 ) {
-    // An engine dies and takes its streams along. A version that breaks each new connection looks the
-    // same at first; what begins after the first break tells them apart.
+    // The crash of an engine breaks all its streams. A version that breaks each connection looks the same
+    // at first; only trials that begin after the first break distinguish the two.
     let mut report = EvidenceReport::new(subject(), "a".into(), 1);
     assert!(report.record_break(&"v2".into(), &"v2-1".into(), 0, 1_000));
     let found = report.record_break(&"v2".into(), &target.into(), begun_ms, now_ms);
-    assert_eq!(found, is_excused);
+    assert_eq!(found, is_discounted);
 }
 
 #[test]
-fn one_death_seen_by_many_instances_is_one_incident() {
+fn crash_reported_by_several_instances_is_one_incident() {
     let mut evidence = Evidence::default();
     for (at, name) in ["a", "b", "c"].into_iter().enumerate() {
         let mut report = EvidenceReport::new(subject(), name.into(), 1);
@@ -96,13 +96,13 @@
 }
 
 #[test]
-fn a_histogram_on_the_wire_keeps_its_counts() {
+fn serialized_histogram_keeps_its_counts() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut times = Histogram::default();
     for _ in 0..1_000 {
         times.add(rng.random_range(1..10_000_000));
-        let wire = serde_json::to_string(&times).unwrap();
-        assert_eq!(serde_json::from_str::<Histogram>(&wire).unwrap(), times);
+        let json = serde_json::to_string(&times).unwrap();
+        assert_eq!(serde_json::from_str::<Histogram>(&json).unwrap(), times);
     }
     let bucket = times.quantile_bucket(0.95);
     assert!(times.count_above(bucket) <= 50 && times.count_above(bucket - 1) > 50);
--- a/crates/rollout/tests/test_operation.rs
+++ b/crates/rollout/tests/test_operation.rs
@@ -1,4 +1,4 @@
-//! The operators' steps, alone and racing.
+//! Operations of operators, alone and racing.
 
 use celerypond_bundle::{Bundle, FORMAT};
 use celerypond_rollout::{
@@ -38,7 +38,7 @@
     }
 }
 
-/// A store in which each of these bundles was submitted by `aigul` and approved by `bolat`.
+/// Returns a store with bundles that `aigul` submitted and `bolat` approved, and their digests.
 pub(crate) fn approved(titles: &[&str]) -> (FakeStore, Vec<Digest>) {
     let mut store = FakeStore::default();
     let mut digests = Vec::new();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_bundle_in_force_leaves_its_whole_trail() {
+fn rolled_bundle_has_a_complete_audit_trail() {
     let (mut store, digests) = approved(&["first"]);
     let done = store.run(roll(digests[0]), signed("dana", 9)).unwrap();
     assert!(matches!(
@@ -97,14 +97,14 @@
 }
 
 #[rstest]
-#[case::by_the_submitter(OperationRequest::Approve(bundle("a").digest()), "aigul", OperationError::SelfApproval)]
-#[case::of_nothing(
+#[case::approved_by_the_submitter(OperationRequest::Approve(bundle("a").digest()), "aigul", OperationError::SelfApproval)]
+#[case::unknown_bundle(
     OperationRequest::Approve(Digest::of(b"")),
     "bolat",
     OperationError::BundleNotFound(Digest::of(b""))
 )]
-#[case::without_approval(roll(bundle("a").digest()), "dana", OperationError::NotApproved(bundle("a").digest()))]
-fn a_step_that_is_not_signed_off_is_refused(
+#[case::rolled_without_approval(roll(bundle("a").digest()), "dana", OperationError::NotApproved(bundle("a").digest()))]
+fn operation_without_valid_approval_is_refused(
     #[case] request: OperationRequest,
     #[case] operator: &str,
     #[case] error: OperationError,
@@ -117,9 +117,9 @@
 }
 
 #[test]
-fn an_approval_of_other_content_signs_nothing_off() {
-    // The caller sees a roll refused. Someone put the approval of one bundle under the key of
-    // another; the approval names the digest that was really read, so the two differ.
+fn approval_of_other_content_does_not_count() {
+    // The approval of one bundle is stored under the key of another. The approval contains the digest of
+    // the approved content, so the roll of the other bundle must be refused.
     let (mut store, digests) = approved(&["seen", "unseen"]);
     let seen = store.objects[&approval_key(digests[0])].clone();
     store.objects.insert(approval_key(digests[1]), seen);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_digest_taken_back_is_rolled_under_a_higher_revision() {
+fn rolling_an_earlier_bundle_again_raises_the_revision() {
     let (mut store, digests) = approved(&["old", "new"]);
     for (nonce, at) in [(10, 0), (11, 1), (12, 0)] {
         store.run(roll(digests[at]), signed("dana", nonce)).unwrap();
@@ -141,12 +141,12 @@
     assert_eq!(current.previous, Some(digests[1]));
 }
 
-/// Runs steps of several operators with their calls interleaved; a killed step just stops.
+/// Runs several operations with their calls interleaved; a crash ends an operation after its current call.
 fn interleave(
     store: &mut FakeStore,
     requests: &[(OperationRequest, Signature)],
     faults: Faults,
-    killed: f64,
+    crash_probability: f64,
     rng: &mut SmallRng,
 ) -> Vec<Option<Result<OperationOutcome, OperationError>>> {
     let mut ends = vec![None; requests.len()];
@@ -160,11 +160,11 @@
     }
     while !open.is_empty() {
         let (at, mut operation, call) = open.swap_remove(rng.random_range(0..open.len()));
-        if rng.random_bool(killed) {
+        if rng.random_bool(crash_probability) {
             store.call(&call);
             continue;
         }
-        let reply = store.faulty(&call, faults, rng);
+        let reply = store.call_with_faults(&call, faults, rng);
         match operation.reply(reply) {
             OperationStep::Call(call) => open.push((at, operation, call)),
             OperationStep::Finished(end) => ends[at] = Some(end),
@@ -174,20 +174,20 @@
 }
 
 #[test]
-fn racing_operators_learn_the_truth_under_lost_replies() {
-    // Three operators roll at once and each sees that it won, that it was outrun and by whom, or
-    // that this is not known. Replies are lost before and after the effect, calls are refused and
-    // daemons die between any two calls. The next roll finds the trail of all before it complete.
+fn racing_operators_get_correct_outcomes_despite_lost_replies() {
+    // Three operators roll at once while calls are refused, replies are lost before and after the call
+    // takes effect, and daemons crash between calls. Each outcome must match the audit trail, and the
+    // trail must be complete after the next roll.
     let faults = Faults {
         down: 0.03,
         lost: 0.2,
     };
-    let (mut rolled, mut outrun, mut unknown) = (0, 0, 0);
+    let (mut rolled, mut lost_race, mut unknown) = (0, 0, 0);
     for seed in 0..1_000 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let (mut store, digests) = approved(&["a", "b", "c"]);
         let mut nonce = 100;
-        let mut won = Vec::new();
+        let mut results = Vec::new();
         for _ in 0..3 {
             let requests: Vec<_> = digests
                 .iter()
@@ -200,13 +200,13 @@
             for (end, (_, signature)) in ends.iter().zip(&requests) {
                 match end {
                     Some(Ok(OperationOutcome::Rolled(_))) => {
-                        (won.push((true, signature.nonce)), rolled += 1).1
+                        (results.push((true, signature.nonce)), rolled += 1).1
                     }
                     Some(
                         Ok(OperationOutcome::LostRace { .. }) | Err(OperationError::StoreDown),
                     ) => {
-                        won.push((false, signature.nonce));
-                        outrun += 1;
+                        results.push((false, signature.nonce));
+                        lost_race += 1;
                     }
                     Some(Err(OperationError::OutcomeUnknown)) | None => unknown += 1,
                     other => panic!("seed {seed}: {other:?}"),
@@ -224,25 +224,25 @@
             .collect();
         let revisions: Vec<_> = rolls.iter().map(|roll| roll.0).collect();
         let all: Vec<_> = (1..=revisions.len() as u64).collect();
-        assert_eq!(revisions, all, "seed {seed}: the trail has a hole");
-        for (is_won, nonce) in won {
+        assert_eq!(revisions, all, "seed {seed}: an audit record is missing");
+        for (has_won, nonce) in results {
             let took_effect = rolls.iter().any(|roll| roll.1 == nonce);
             assert_eq!(
-                is_won, took_effect,
-                "seed {seed}: nonce {nonce} was told otherwise"
+                has_won, took_effect,
+                "seed {seed}: wrong outcome for nonce {nonce}"
             );
         }
     }
     assert!(
-        rolled > 1_000 && outrun > 1_000 && unknown > 100,
-        "{rolled} {outrun} {unknown}"
+        rolled > 1_000 && lost_race > 1_000 && unknown > 100,
+        "{rolled} {lost_race} {unknown}"
     );
 }
 
 #[test]
-fn a_stale_read_back_is_not_taken_for_the_winner() {
-    // The caller loses a race and is told who won. The read after the conflict is served by a copy
-    // that lags, and shows the bundle from before the race; only the second read shows the winner.
+fn stale_read_after_a_conflict_is_not_the_winner() {
+    // A roll loses a race. The read after the conflict comes from a lagging replica and returns the bundle
+    // from before the race, which must not be reported as the winner; only the next read returns it.
     let (mut store, digests) = approved(&["old", "mine", "theirs"]);
     store.run(roll(digests[0]), signed("dana", 50)).unwrap();
     let old = store.clone().call(&StoreCall::read(CURRENT_KEY));
--- a/crates/rollout/tests/test_rollout.rs
+++ b/crates/rollout/tests/test_rollout.rs
@@ -1,4 +1,4 @@
-//! Rollouts over a fake fleet: bad versions are kept from traffic, and reports are true.
+//! Rollouts in a simulated fleet: bad versions lose their traffic, and reported results are true.
 
 use celerypond_rollout::{Cause, JudgeConfig, Phase};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -7,11 +7,11 @@
 use crate::fake_fleet::{Defect, Disruption, FakeFleet, Outcome, Scenario, Strategy};
 
 const END_MS: u64 = 400_000;
-/// How soon after the first brake the last request may go to a bad version.
+/// Maximum time from the first brake to the last request for a bad version.
 const BRAKE_BOUND_MS: u64 = 1_000;
 
-/// A rollout in two and a half minutes, with an ordinary crash somewhere every few minutes.
-fn quick(defect: Defect) -> Scenario {
+/// Returns a rollout of 150 s with a crash of some engine every few minutes.
+fn short_rollout(defect: Defect) -> Scenario {
     Scenario {
         within_s: 150,
         ..Scenario::holding(defect)
@@ -22,17 +22,17 @@
     FakeFleet::new(scenario, seed).run(END_MS, 3_000).clone()
 }
 
-fn is_taken_back(outcome: &Outcome) -> bool {
+fn is_rolled_back(outcome: &Outcome) -> bool {
     matches!(outcome.phase, Some(Phase::TakenBack { .. }))
 }
 
-const STORE_LOST: [(u64, Disruption); 2] = [
+const STORE_OUTAGE: [(u64, Disruption); 2] = [
     (3_000, Disruption::StoreDown(true)),
     (300_000, Disruption::StoreDown(false)),
 ];
 
 #[rstest]
-fn a_bad_version_gets_no_request_soon_after_its_fault_shows(
+fn bad_version_gets_no_requests_soon_after_its_first_fault(
     #[values(
         Defect::Immediate,
         Defect::Delayed,
@@ -41,26 +41,26 @@
         Defect::Slow
     )]
     defect: Defect,
-    #[values(false, true)] is_store_lost: bool,
+    #[values(false, true)] is_store_down: bool,
 ) {
-    // Callers of the new version see failures, or slow tokens. The instances that send to it tell each
-    // other what they see; one of them trips the brake and all drop the share, with or without the
-    // store. Engines of both versions die meanwhile. The report waits until the store is back.
-    let disruptions = if is_store_lost {
-        STORE_LOST.to_vec()
+    // Callers of the new version get failures or slow tokens. An instance must brake it and all must set
+    // its share to 0, also while the store is down and although engines of both versions crash. The
+    // result is reported once the store is available.
+    let disruptions = if is_store_down {
+        STORE_OUTAGE.to_vec()
     } else {
         Vec::new()
     };
-    // Without the store the first stage stays, at which only faults of the first stage can show.
+    // Without the store the rollout stays at its first stage, where only some defects show.
     let shows_early = matches!(defect, Defect::Immediate | Defect::Slow);
     for seed in 0..3 {
         let scenario = Scenario {
             disruptions: disruptions.clone(),
             crash_mtbf_s: 1_200.0,
-            ..quick(defect)
+            ..short_rollout(defect)
         };
         let outcome = run(scenario, seed);
-        assert!(is_taken_back(&outcome), "seed {seed}: {outcome:?}");
+        assert!(is_rolled_back(&outcome), "seed {seed}: {outcome:?}");
         assert_eq!(outcome.false_ending, None, "seed {seed}");
         assert!(
             outcome.overshoot <= 1.0,
@@ -72,29 +72,29 @@
             assert!(late_ms <= BRAKE_BOUND_MS, "seed {seed}: {late_ms} ms");
         }
         assert!(
-            !is_store_lost || !shows_early || outcome.ended_ms > 300_000,
+            !is_store_down || !shows_early || outcome.ended_ms > 300_000,
             "seed {seed}"
         );
     }
 }
 
 #[rstest]
-#[case::engines_of_both_versions_die_often(200.0, Vec::new())]
+#[case::engines_of_both_versions_crash_often(200.0, Vec::new())]
 #[case::all_engines_fail_for_a_while(7_200.0, vec![
     (30_000, Disruption::AllEnginesFail(true)), (36_000, Disruption::AllEnginesFail(false)),
     (85_000, Disruption::AllEnginesFail(true)), (91_000, Disruption::AllEnginesFail(false)),
 ])]
-fn a_good_version_is_not_blamed_for_what_hits_both(
+fn good_version_is_not_braked_for_faults_of_both_versions(
     #[case] crash_mtbf_s: f64,
     #[case] disruptions: Vec<(u64, Disruption)>,
 ) {
-    // Callers of both versions see failures: one engine takes all its streams along, or all engines
-    // fail a third of all chunks for some seconds. The base shows the same in the same window.
+    // Callers of both versions get failures: engines crash and break all their streams, or all engines fail
+    // a third of all chunks for some seconds. The new version must not be braked for them.
     for seed in 0..4 {
         let scenario = Scenario {
             crash_mtbf_s,
             disruptions: disruptions.clone(),
-            ..quick(Defect::None)
+            ..short_rollout(Defect::None)
         };
         let outcome = run(scenario, seed);
         assert_eq!(outcome.phase, Some(Phase::Done), "seed {seed}: {outcome:?}");
@@ -108,16 +108,16 @@
 }
 
 #[rstest]
-fn no_stage_sends_more_of_all_traffic_to_the_version_than_it_may(
+fn no_stage_exceeds_its_share_of_all_traffic(
     #[values(None, Some(0), Some(1), Some(2), Some(3), Some(4), Some(5), Some(6))]
     hot_instance: Option<usize>,
 ) {
-    // Callers of all instances together. Half of them may prefer one instance, which may be one of the
-    // few that send to the version. Only chance may carry the share of a stage above its cap.
+    // Half of the callers may use a single instance, which may be one of a few senders. The share of a
+    // stage over all instances must still exceed its cap by statistical variation only.
     let caps = [0.1, 0.1, 0.3, 0.6, 0.9, 1.0];
     let scenario = Scenario {
         hot_instance,
-        ..quick(Defect::None)
+        ..short_rollout(Defect::None)
     };
     for (stage, (all, new)) in run(scenario, 0).stages {
         let mean = all as f64 * caps[usize::from(stage)];
@@ -129,18 +129,15 @@
 #[rstest]
 #[case::isolated(Disruption::Isolate(3, true), Disruption::Isolate(3, false))]
 #[case::paused(Disruption::Pause(3, true), Disruption::Pause(3, false))]
-fn an_instance_out_of_reach_holds_the_report_back(
-    #[case] lost: Disruption,
-    #[case] back: Disruption,
-) {
-    // The operator sees "not yet known" while one instance can't be heard, past the deadline too. It
-    // still acts on an early stage; "done" would be false there. The report follows once it is back.
+fn unreachable_instance_delays_the_report(#[case] begin: Disruption, #[case] end: Disruption) {
+    // An unreachable instance still applies an early stage, so "done" would be false. The result must not
+    // be reported before the instance is back, even past the deadline.
     for seed in 0..2 {
-        let disruptions = vec![(40_000, lost), (200_000, back)];
+        let disruptions = vec![(40_000, begin), (200_000, end)];
         let outcome = run(
             Scenario {
                 disruptions,
-                ..quick(Defect::None)
+                ..short_rollout(Defect::None)
             },
             seed,
         );
@@ -155,9 +152,9 @@
 }
 
 #[test]
-fn an_isolated_instance_finds_the_fault_by_itself() {
-    // Callers of one instance that hears nobody still see the bad version at the share of its stage.
-    // The brake of the others does not reach it; its own evidence must do.
+fn isolated_instance_brakes_by_its_own_evidence() {
+    // The brake of its peers does not reach an isolated instance, which still sends requests to the bad
+    // version. It must brake by its own evidence.
     for seed in 0..3 {
         let disruptions = vec![
             (45_000, Disruption::Isolate(3, true)),
@@ -166,12 +163,12 @@
         let outcome = run(
             Scenario {
                 disruptions,
-                ..quick(Defect::Delayed)
+                ..short_rollout(Defect::Delayed)
             },
             seed,
         );
         assert!(
-            is_taken_back(&outcome) && outcome.false_ending.is_none(),
+            is_rolled_back(&outcome) && outcome.false_ending.is_none(),
             "seed {seed}: {outcome:?}"
         );
         assert!(
@@ -184,19 +181,19 @@
 
 #[rstest]
 #[case::deadline_in_an_outage(12.0, vec![(60_000, Disruption::StoreDown(true)), (200_000, Disruption::StoreDown(false))], Cause::Deadline)]
-#[case::hardly_any_request(0.05, Vec::new(), Cause::TooLittleEvidence)]
-fn a_version_that_could_not_be_proved_in_time_is_taken_back(
+#[case::too_few_requests(0.05, Vec::new(), Cause::TooLittleEvidence)]
+fn version_without_enough_evidence_by_the_deadline_is_rolled_back(
     #[case] rate: f64,
     #[case] disruptions: Vec<(u64, Disruption)>,
     #[case] cause: Cause,
 ) {
-    // The operator is told that the version was taken back, and why: the deadline came in the middle
-    // of the stages, since no step could be written or too few requests came to judge it by.
+    // The deadline passes before the final share, because the store is down or there are too few requests.
+    // The version must be rolled back with the right cause.
     let outcome = run(
         Scenario {
             rate,
             disruptions,
-            ..quick(Defect::None)
+            ..short_rollout(Defect::None)
         },
         1,
     );
@@ -205,19 +202,19 @@
 }
 
 #[test]
-fn a_later_bundle_ends_the_rollout_as_superseded() {
+fn later_bundle_supersedes_the_rollout() {
     let disruptions = vec![(30_000, Disruption::Supersede)];
     let outcome = run(
         Scenario {
             disruptions,
-            ..quick(Defect::None)
+            ..short_rollout(Defect::None)
         },
         1,
     );
     assert_eq!(outcome.phase, Some(Phase::Superseded));
 }
 
-/// Outages, partitions, pauses and restarts at random until 200 s, then none.
+/// Returns random outages, partitions, pauses and restarts that all end by 200 s.
 fn random_disruptions(rng: &mut SmallRng) -> Vec<(u64, Disruption)> {
     let mut disruptions = Vec::new();
     for _ in 0..6 {
@@ -249,26 +246,26 @@
 #[case::good(Defect::None)]
 #[case::bad(Defect::Delayed)]
 #[case::bad_under_load(Defect::UnderLoad)]
-fn each_ending_is_true_everywhere_when_it_is_reported(#[case] defect: Defect) {
-    // The operator reads "done" or "taken back" and it holds at every instance that serves. Meanwhile
-    // writers die right after their writes, replies are lost, the store has outages, instances are
-    // cut off, paused and replaced, and all of them race for the next step.
+fn reported_result_is_true_on_all_instances(#[case] defect: Defect) {
+    // When "done" or "taken back" is written, it must be true on each instance that serves, although
+    // writers crash after their writes, replies are lost, the store has outages, instances are isolated,
+    // paused and restarted, and all of them race for the next step.
     for seed in 0..10 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let scenario = Scenario {
             disruptions: random_disruptions(&mut rng),
             lost_reply: 0.3,
             crash_after_write: 0.3,
-            ..quick(defect)
+            ..short_rollout(defect)
         };
         let outcome = run(scenario, seed);
         assert_eq!(outcome.false_ending, None, "seed {seed}");
         assert!(
             outcome.phase.is_some_and(|phase| phase.is_ended()),
-            "seed {seed}: no ending"
+            "seed {seed}: no final phase"
         );
         assert!(
-            defect == Defect::None || is_taken_back(&outcome),
+            defect == Defect::None || is_rolled_back(&outcome),
             "seed {seed}: {:?}",
             outcome.phase
         );
@@ -277,19 +274,19 @@
 }
 
 #[test]
-fn without_the_discount_ordinary_crashes_would_blame_a_good_version() {
+fn without_the_discount_crashes_would_brake_a_good_version() {
     let config = JudgeConfig {
         spread_over_targets: false,
         discount_incidents: false,
         ..JudgeConfig::default()
     };
-    let blamed = (0..4).filter(|seed| {
+    let braked = (0..4).filter(|seed| {
         let scenario = Scenario {
             crash_mtbf_s: 200.0,
             strategy: Strategy::Judged(config),
-            ..quick(Defect::None)
+            ..short_rollout(Defect::None)
         };
-        is_taken_back(&run(scenario, *seed))
+        is_rolled_back(&run(scenario, *seed))
     });
-    assert!(blamed.count() > 0);
+    assert!(braked.count() > 0);
 }
--- a/crates/rollout/tests/test_scripts.rs
+++ b/crates/rollout/tests/test_scripts.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios of a few instances; the scripts say what the operator sees and why.
+//! Scripted scenarios of a few instances; each script explains the failure that it guards against.
 
 use std::{collections::BTreeMap, error::Error, fmt::Write as _};
 
@@ -111,7 +111,7 @@
         out
     }
 
-    fn act(&mut self, name: &str) {
+    fn apply(&mut self, name: &str) {
         let open = self.open.get(name).copied().unwrap_or(0);
         self.controllers
             .get_mut(name)
@@ -120,7 +120,7 @@
     }
 
     fn gossip(&mut self, from: &str, to: &str) {
-        self.act(from);
+        self.apply(from);
         let sender = self.controllers[from].clone();
         let receiver = self.controllers.get_mut(to).unwrap();
         receiver.merge_snapshot(&sender.snapshot());
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Sends `count` requests to each version; those to the new one fail if it is bad.
+    /// Records `count` requests for each version, which fail for the new one if it is bad.
     fn requests(&mut self, name: &str, count: u64, is_bad: bool) -> String {
         let controller = self.controllers.get_mut(name).unwrap();
         for at in 0..2 * count {
@@ -156,9 +156,9 @@
                 controller.record_success(&trial, 400_000);
             }
         }
-        let is_tripped = controller.evaluate(|_| 2, self.now);
-        if is_tripped {
-            "brake tripped".to_owned()
+        let is_braked = controller.evaluate(|_| 2, self.now);
+        if is_braked {
+            "version braked".to_owned()
         } else {
             String::new()
         }
@@ -184,11 +184,11 @@
         for (name, controller) in &self.controllers {
             let share = controller.local_share(ORIGIN, &change) / 10_000;
             let braked = controller.brakes().cause(ORIGIN, &candidate()).is_some();
-            let word = controller
+            let applied = controller
                 .applied_states()
                 .get(&name.as_str().into())
                 .and_then(|applied| applied.find(ORIGIN, &candidate()));
-            let promised = word.is_some_and(|word| word.promised);
+            let promised = applied.is_some_and(|applied| applied.promised);
             let synced = controller.is_synced();
             writeln!(
                 out,
@@ -208,38 +208,50 @@
         let words: Vec<_> = std::iter::from_fn(|| args.next_pos().map(str::to_owned)).collect();
         let first = words.first().cloned().unwrap_or_default();
         match command.name.as_str() {
+            // Starts instances, which are all that are live.
             "start" => {
                 self.live = words.iter().map(InstanceName::new).collect();
                 for name in &words {
                     self.start(name);
                 }
             }
+            // Restarts an instance, which loses its state.
             "restart" => self.start(&first),
+            // Sets the time in seconds after the roll.
             "now" => self.now = first.parse::<u64>()? * 1_000,
             "store" => self.store.down = first == "down",
+            // Sets the number of open answers of the base on an instance.
             "open" => {
                 self.open.insert(first, words[1].parse()?);
             }
+            // Reads the record from the store.
             "read" => return Ok(self.read(&first).to_owned()),
+            // Plans the next record, which `write` writes.
             "plan" => return Ok(self.plan_stages(&first)),
             "write" => return Ok(self.write(&first)),
-            "drive" => {
+            // Reads, updates the applied state, plans and writes.
+            "step" => {
                 self.read(&first);
-                self.act(&first);
+                self.apply(&first);
                 let planned = self.plan_stages(&first);
                 let written = self.write(&first);
                 return Ok(format!("{planned}\n{written}"));
             }
-            "act" => self.act(&first),
+            "apply" => self.apply(&first),
+            // Sends all state of the first instance to the second.
             "gossip" => self.gossip(&first, &words[1]),
-            "good" => return Ok(self.requests(&first, words[1].parse()?, false)),
-            "bad" => return Ok(self.requests(&first, words[1].parse()?, true)),
+            // Records successful requests for both versions, and evaluates them.
+            "succeed" => return Ok(self.requests(&first, words[1].parse()?, false)),
+            // The same, but those for the new version fail.
+            "fail" => return Ok(self.requests(&first, words[1].parse()?, true)),
+            // Shows the status that operators get from an instance.
             "report" => {
                 let controller = &self.controllers[&first];
                 let status =
                     controller.reported_status(ORIGIN, &candidate(), !self.store.down, self.now);
                 return Ok(serde_json::to_string(&status)?);
             }
+            // Shows the record in the store and the state of each instance.
             "status" => return Ok(self.status()),
             name => return Err(format!("no command {name}").into()),
         }
--- a/crates/rollout/tests/test_share_increase.rs
+++ b/crates/rollout/tests/test_share_increase.rs
@@ -1,4 +1,4 @@
-//! What a bundle changes in the shares.
+//! Share increases between two configurations of a model.
 
 use celerypond_bundle::{Bundle, Model, Share, Version};
 use celerypond_rollout::share_increases;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn only_a_rise_of_a_version_that_is_not_the_base_is_made_in_stages() {
+fn only_increases_of_versions_other_than_the_base_need_stages() {
     let cases = [
         (("v1", 0), ("v1", 0), None),
         (("v1", 0), ("v1", 30), Some((0, 300_000))),
@@ -64,11 +64,11 @@
     assert!(share_increases(None, &model("v1", 50)).is_empty());
 }
 
-// v1 was moved to v2 by a share, and the next bundle, which no longer has v1, moves v2 to v3. With v1
-// as the base, what v3 does not take would have no engine: callers would be refused, and the rollout
-// would compare with a version that gets nothing.
+// One bundle moved all traffic from v1 to v2 by a share, and the next one, without v1, moves it to v3.
+// With v1 as the base, requests that v3 does not take would be refused for lack of an engine, and v3
+// would be compared with a version without traffic.
 #[test]
-fn the_base_of_a_rise_is_the_version_that_has_the_traffic() {
+fn base_is_the_configured_version_with_most_traffic() {
     let moved = model("v1", 100);
     let next = Model {
         versions: vec![version("v2"), version("v3")],
@@ -79,7 +79,7 @@
         ..model("v2", 0)
     };
     assert_eq!(share_increases(Some(&moved), &next)[0].base, "v2".into());
-    // A version that has most of the traffic is not its own base.
+    // A candidate that already has most of the traffic is not its own base.
     let most = model("v1", 60);
     assert_eq!(
         share_increases(Some(&most), &model("v1", 100))[0].base,
