--- a/bench/src/rollout.rs
+++ b/bench/src/rollout.rs
@@ -41,7 +41,7 @@
         ..config
     };
     let counted = JudgeConfig {
-        spread_over_targets: false,
+        stricter_for_single_target: false,
         discount_incidents: false,
         ..config
     };
@@ -228,7 +228,7 @@
     let part = ModelPart {
         origin: fake_fleet::ORIGIN,
         rolled_ms: 0,
-        moves: vec![change],
+        increases: vec![change],
     };
     let controller = |name: &InstanceName| {
         let mut controller = RolloutController::new(name.clone(), 1, JudgeConfig::default());
@@ -238,7 +238,7 @@
     };
     let mut first = controller(&names[0]);
     let mut rollout = first.due_records(&models, |_| 10.0, true, 0).remove(0);
-    rollout.moves[0].senders = None;
+    rollout.versions[0].senders = None;
     let reports: Vec<_> = names
         .iter()
         .flat_map(|name| {
--- a/crates/rollout/src/applied_state.rs
+++ b/crates/rollout/src/applied_state.rs
@@ -41,7 +41,8 @@
     /// Revision of the bundle in force.
     pub revision: Revision,
     /// Applied shares of the versions under rollout.
-    pub moves: Vec<AppliedShare>,
+    #[serde(rename = "moves")]
+    pub shares: Vec<AppliedShare>,
 }
 
 impl AppliedState {
@@ -49,7 +50,7 @@
     pub fn find(&self, origin: Revision, candidate: &Candidate) -> Option<&AppliedShare> {
         let is_same =
             |applied: &&AppliedShare| applied.origin == origin && applied.candidate == *candidate;
-        self.moves.iter().find(is_same)
+        self.shares.iter().find(is_same)
     }
 }
 
@@ -85,7 +86,7 @@
 ///     incarnation: 1,
 ///     sequence: 1,
 ///     revision: Revision(4),
-///     moves: Vec::new(),
+///     shares: Vec::new(),
 /// });
 /// let coverage = applied_states.bundle_coverage(Revision(4), &["i1".into(), "i2".into()]);
 /// assert_eq!((coverage.on, coverage.of), (1, 2));
--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -114,7 +114,10 @@
             subjects.contains(&subject(*origin, &candidate.model))
         });
         self.rollouts.retain(|origin, rollout| {
-            let is_open = rollout.moves.iter().any(|record| !record.phase.is_ended());
+            let is_open = rollout
+                .versions
+                .iter()
+                .any(|version| !version.phase.is_ended());
             is_open || subjects.iter().any(|subject| subject.origin == *origin)
         });
         self.parts = parts;
@@ -153,9 +156,9 @@
         if held.is_some_and(|held| held.step >= rollout.step) {
             return false;
         }
-        for record in &rollout.moves {
-            if let Phase::Braking { cause } | Phase::TakenBack { cause } = record.phase {
-                let candidate = record.change.candidate.clone();
+        for version in &rollout.versions {
+            if let Phase::Braking { cause } | Phase::TakenBack { cause } = version.phase {
+                let candidate = version.change.candidate.clone();
                 self.brakes.insert(rollout.origin, candidate, cause);
             }
         }
@@ -229,7 +232,7 @@
     fn share_increases(&self) -> Vec<(Revision, ShareIncrease)> {
         let of_part = |part: &ModelPart| {
             let origin = part.origin;
-            part.moves
+            part.increases
                 .clone()
                 .into_iter()
                 .map(move |change| (origin, change))
@@ -237,7 +240,7 @@
         self.parts.values().flat_map(of_part).collect()
     }
 
-    fn record(&self, origin: Revision, candidate: &Candidate) -> Option<&VersionRollout> {
+    fn version_rollout(&self, origin: Revision, candidate: &Candidate) -> Option<&VersionRollout> {
         self.rollouts.get(&origin)?.find(candidate)
     }
 }
--- a/crates/rollout/src/controller/evaluation.rs
+++ b/crates/rollout/src/controller/evaluation.rs
@@ -32,19 +32,22 @@
         let rollouts = self.rollouts.values();
         let records = rollouts.flat_map(|rollout| {
             let origin = rollout.origin;
-            rollout.moves.iter().map(move |record| (origin, record))
+            rollout
+                .versions
+                .iter()
+                .map(move |version| (origin, version))
         });
-        let running = records.filter(|(origin, record)| self.is_running(*origin, record));
+        let running = records.filter(|(origin, version)| self.is_running(*origin, version));
         let running: Vec<_> = running
-            .map(|(origin, record)| (origin, record.clone()))
+            .map(|(origin, version)| (origin, version.clone()))
             .collect();
         let mut is_new = false;
-        for (origin, record) in running {
-            let candidate = record.change.candidate.clone();
-            let stage = &record.stages[usize::from(record.stage())];
+        for (origin, version) in running {
+            let candidate = version.change.candidate.clone();
+            let stage = &version.stages[usize::from(version.stage())];
             let engines = Engines {
-                new: record.change.engines,
-                base: base_engines(&record.change).max(MIN_BASE_ENGINES),
+                new: version.change.engines,
+                base: base_engines(&version.change).max(MIN_BASE_ENGINES),
             };
             let key = (origin, candidate.clone());
             let judge = self.judges.entry(key.clone()).or_insert_with(|| {
@@ -52,7 +55,7 @@
                 Judge::new(
                     subject,
                     candidate.version.clone(),
-                    record.change.base.clone(),
+                    version.change.base.clone(),
                     self.judge_config,
                 )
             });
@@ -76,10 +79,10 @@
         revision: Revision,
         base_open: impl Fn(&ModelName, &VersionName) -> u32,
     ) -> AppliedState {
-        let mut moves = Vec::new();
+        let mut shares = Vec::new();
         for (origin, change) in self.share_increases() {
             let open = base_open(&change.candidate.model, &change.base);
-            moves.push(self.applied_share(origin, change, open));
+            shares.push(self.applied_share(origin, change, open));
         }
         self.sequence += 1;
         let applied = AppliedState {
@@ -87,7 +90,7 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             revision,
-            moves,
+            shares,
         };
         self.applied_states.merge(applied.clone());
         applied
@@ -103,9 +106,9 @@
         let candidate = change.candidate;
         let key = (origin, candidate.clone());
         let braked = self.brakes.cause(origin, &candidate).is_some();
-        let record = self.record(origin, &candidate);
-        let stage = record.map_or(0, VersionRollout::stage);
-        if record.is_some_and(|record| record.phase == Phase::Closing) && !braked {
+        let version = self.version_rollout(origin, &candidate);
+        let stage = version.map_or(0, VersionRollout::stage);
+        if version.is_some_and(|version| version.phase == Phase::Closing) && !braked {
             self.promised.insert(key.clone());
         }
         AppliedShare {
@@ -163,7 +166,12 @@
         now_ms: u64,
     ) -> ReportedStatus {
         let context = self.context(is_fresh, now_ms);
-        ReportedStatus::of(origin, self.record(origin, candidate), &context, is_fresh)
+        ReportedStatus::of(
+            origin,
+            self.version_rollout(origin, candidate),
+            &context,
+            is_fresh,
+        )
     }
 
     fn context(&self, is_listed: bool, now_ms: u64) -> StepContext<'_> {
@@ -187,7 +195,7 @@
             let Some(part) = self.parts.get(&model.name) else {
                 continue;
             };
-            if self.rollouts.contains_key(&part.origin) || part.moves.is_empty() || !is_listed {
+            if self.rollouts.contains_key(&part.origin) || part.increases.is_empty() || !is_listed {
                 continue;
             }
             let input = PlanInput {
@@ -200,7 +208,7 @@
             let entry = found
                 .entry(part.origin)
                 .or_insert((part.rolled_ms, Vec::new()));
-            entry.1.extend(part.moves.iter().map(|change| {
+            entry.1.extend(part.increases.iter().map(|change| {
                 let from_ppm = self.local_share(part.origin, change);
                 let change = ShareIncrease {
                     from_ppm,
@@ -210,17 +218,17 @@
                 (change, stages, deadline_ms)
             }));
         }
-        let record = |(origin, (rolled_ms, moves))| {
-            Rollout::new(origin, rolled_ms, self.me.clone(), moves, &self.live)
+        let rollout = |(origin, (rolled_ms, increases))| {
+            Rollout::new(origin, rolled_ms, self.me.clone(), increases, &self.live)
         };
-        found.into_iter().map(record).collect()
+        found.into_iter().map(rollout).collect()
     }
 
-    pub(super) fn is_running(&self, origin: Revision, record: &VersionRollout) -> bool {
-        let candidate = &record.change.candidate;
+    pub(super) fn is_running(&self, origin: Revision, version: &VersionRollout) -> bool {
+        let candidate = &version.change.candidate;
         let part = self.parts.get(&candidate.model);
         let is_current = part.is_some_and(|part| part.origin == origin);
-        let is_open = matches!(record.phase, Phase::Stage { .. } | Phase::Closing);
+        let is_open = matches!(version.phase, Phase::Stage { .. } | Phase::Closing);
         is_current && is_open && self.brakes.cause(origin, candidate).is_none()
     }
 }
--- a/crates/rollout/src/controller/traffic.rs
+++ b/crates/rollout/src/controller/traffic.rs
@@ -41,7 +41,7 @@
     /// The daemon publishes them to its request threads, which split by [`crate::selects`].
     pub fn effective_shares(&self, model: &Model) -> (VersionName, BTreeMap<VersionName, u32>) {
         let part = self.parts.get(&model.name);
-        let changes = part.map_or(&[][..], |part| part.moves.as_slice());
+        let changes = part.map_or(&[][..], |part| part.increases.as_slice());
         let origin = part.map_or_else(Revision::default, |part| part.origin);
         let base = changes.first().map_or(&model.base, |change| &change.base);
         let mut shares = configured_shares(model);
@@ -59,22 +59,22 @@
         if self.brakes.cause(origin, candidate).is_some() {
             return 0;
         }
-        let Some(record) = self.record(origin, candidate) else {
+        let Some(rollout) = self.version_rollout(origin, candidate) else {
             // The bundle is in force but its rollout record is not known yet: the share must not rise.
             let last = self.previous_shares.get(candidate).copied().unwrap_or(0);
             return last.min(change.from_ppm);
         };
-        let is_sender = record
+        let is_sender = rollout
             .senders
             .as_ref()
             .is_none_or(|all| all.contains(&self.me));
-        match record.phase {
-            Phase::Stage { .. } if is_sender && record.senders.is_some() => {
-                self.limit_by_traffic(candidate, record.local_ppm)
+        match rollout.phase {
+            Phase::Stage { .. } if is_sender && rollout.senders.is_some() => {
+                self.limit_by_traffic(candidate, rollout.local_ppm)
             }
-            Phase::Stage { .. } if is_sender => record.local_ppm,
-            Phase::Stage { .. } | Phase::Superseded => record.change.from_ppm,
-            Phase::Closing | Phase::Done => record.change.to_ppm,
+            Phase::Stage { .. } if is_sender => rollout.local_ppm,
+            Phase::Stage { .. } | Phase::Superseded => rollout.change.from_ppm,
+            Phase::Closing | Phase::Done => rollout.change.to_ppm,
             Phase::Braking { .. } | Phase::TakenBack { .. } => 0,
         }
     }
@@ -94,8 +94,8 @@
 
     /// Returns the number of engines that serve a candidate at the current stage.
     pub fn stage_engines(&self, origin: Revision, candidate: &Candidate) -> Option<u32> {
-        let record = self.rollouts.get(&origin)?.find(candidate)?;
-        let stage = record.stages.get(usize::from(record.stage()))?;
+        let rollout = self.rollouts.get(&origin)?.find(candidate)?;
+        let stage = rollout.stages.get(usize::from(rollout.stage()))?;
         Some(stage.engines)
     }
 
@@ -144,14 +144,14 @@
     /// instance or of its network would be attributed to the version that it sends to.
     fn recorded_subject(&mut self, trial: &Trial) -> Option<Subject> {
         let origin = self.parts.get(&trial.model)?.origin;
-        let versions = &self.rollouts.get(&origin)?.moves;
-        let is_recorded = versions.iter().any(|record| {
-            let change = &record.change;
+        let versions = &self.rollouts.get(&origin)?.versions;
+        let is_recorded = versions.iter().any(|version| {
+            let change = &version.change;
             let is_candidate = change.candidate.version == trial.version;
             let is_compared = is_candidate || change.base == trial.version;
             let is_sending =
                 change.candidate.model == trial.model && self.local_share(origin, change) > 0;
-            is_compared && is_sending && self.is_running(origin, record)
+            is_compared && is_sending && self.is_running(origin, version)
         });
         let subject = subject(origin, &trial.model);
         (is_recorded && self.is_reporter(&subject)).then_some(subject)
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -84,7 +84,8 @@
     /// Incidents of targets.
     pub incidents: Vec<Incident>,
     /// Number of failures by version and target.
-    pub blamed: Vec<(VersionName, TargetName, u32)>,
+    #[serde(rename = "blamed")]
+    pub target_failures: Vec<(VersionName, TargetName, u32)>,
 }
 
 impl EvidenceReport {
@@ -97,7 +98,7 @@
             sequence: 0,
             lines: Vec::new(),
             incidents: Vec::new(),
-            blamed: Vec::new(),
+            target_failures: Vec::new(),
         }
     }
 
@@ -129,10 +130,11 @@
     /// Records on which target a trial failed.
     pub fn record_target_failure(&mut self, version: &VersionName, target: &TargetName) {
         let is_same = |(v, t, _): &&mut (_, _, u32)| v == version && t == target;
-        if let Some((_, _, count)) = self.blamed.iter_mut().find(is_same) {
+        if let Some((_, _, count)) = self.target_failures.iter_mut().find(is_same) {
             *count += 1;
-        } else if self.blamed.len() < MAX_FAILING_TARGETS {
-            self.blamed.push((version.clone(), target.clone(), 1));
+        } else if self.target_failures.len() < MAX_FAILING_TARGETS {
+            self.target_failures
+                .push((version.clone(), target.clone(), 1));
         }
     }
 
@@ -277,15 +279,15 @@
         subject: &Subject,
         version: &VersionName,
     ) -> BTreeMap<TargetName, u64> {
-        let mut blamed = BTreeMap::new();
+        let mut failures = BTreeMap::new();
         for (_, target, count) in self
             .reports_on(subject)
-            .flat_map(|report| &report.blamed)
+            .flat_map(|report| &report.target_failures)
             .filter(|(found, _, _)| found == version)
         {
-            *blamed.entry(target.clone()).or_default() += u64::from(*count);
+            *failures.entry(target.clone()).or_default() += u64::from(*count);
         }
-        blamed
+        failures
     }
 
     /// Removes the reports on all other subjects than these.
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -225,7 +225,7 @@
         let is_conclusive = has_several_targets
             || is_class_fault
             || context.candidate_engines < 2
-            || !self.config.spread_over_targets;
+            || !self.config.stricter_for_single_target;
         let power = if is_conclusive { 1 } else { 2 };
         verdict(
             scope,
--- a/crates/rollout/src/operation/replies.rs
+++ b/crates/rollout/src/operation/replies.rs
@@ -120,7 +120,7 @@
             let part = part.unwrap_or_else(|| ModelPart {
                 origin: next.revision,
                 rolled_ms: next.signature.at_ms,
-                moves: share_increases(before, model),
+                increases: share_increases(before, model),
             });
             next.parts.insert(model.name.clone(), part);
         }
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -61,7 +61,8 @@
     /// When that revision was rolled, as Unix time in milliseconds.
     pub rolled_ms: u64,
     /// Share increases of that change, which are rolled out in stages.
-    pub moves: Vec<ShareIncrease>,
+    #[serde(rename = "moves")]
+    pub increases: Vec<ShareIncrease>,
 }
 
 /// The bundle in force; the value of `current`.
--- a/crates/rollout/src/reported_status.rs
+++ b/crates/rollout/src/reported_status.rs
@@ -36,7 +36,8 @@
         /// Last known phase.
         last: Option<Phase>,
         /// Instances that confirmed the condition of the phase; `None` without a list of live instances.
-        spread: Option<Coverage>,
+        #[serde(rename = "spread")]
+        coverage: Option<Coverage>,
     },
 }
 
@@ -47,36 +48,36 @@
     /// changes, so a stale record of it still holds; any other stale record may be outdated.
     pub fn of(
         origin: Revision,
-        record: Option<&VersionRollout>,
+        rollout: Option<&VersionRollout>,
         context: &StepContext<'_>,
         is_fresh: bool,
     ) -> Self {
-        let coverage = |record: &VersionRollout| {
+        let coverage = |rollout: &VersionRollout| {
             let live = context.live?;
-            Some(record.coverage(origin, context.applied_states, live))
+            Some(rollout.coverage(origin, context.applied_states, live))
         };
-        let Some(record) = record else {
+        let Some(rollout) = rollout else {
             return Self::NotYetKnown {
                 last: None,
-                spread: None,
+                coverage: None,
             };
         };
         let is_braked = context
             .brakes
-            .cause(origin, &record.change.candidate)
+            .cause(origin, &rollout.change.candidate)
             .is_some();
-        let is_early = context.now_ms < record.deadline_ms && !is_braked;
-        match record.phase {
+        let is_early = context.now_ms < rollout.deadline_ms && !is_braked;
+        match rollout.phase {
             Phase::Done => Self::Done,
             Phase::TakenBack { cause } => Self::TakenBack { cause },
             Phase::Superseded => Self::Superseded,
             Phase::Stage { stage } if is_fresh && is_early => Self::Running {
                 stage,
-                share_ppm: record.stages[usize::from(stage)].share_ppm,
+                share_ppm: rollout.stages[usize::from(stage)].share_ppm,
             },
             phase => Self::NotYetKnown {
                 last: Some(phase),
-                spread: coverage(record),
+                coverage: coverage(rollout),
             },
         }
     }
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -71,7 +71,8 @@
     /// Instance that wrote the record last.
     pub by: InstanceName,
     /// Rollouts of the versions.
-    pub moves: Vec<VersionRollout>,
+    #[serde(rename = "moves")]
+    pub versions: Vec<VersionRollout>,
 }
 
 /// Local knowledge that an instance determines the next step from.
@@ -92,16 +93,16 @@
 impl Rollout {
     /// Creates the record of a bundle that has just come into force.
     ///
-    /// `moves` lists the share increases with their stages and deadlines (Unix time in milliseconds).
+    /// `increases` lists the share increases with their stages and deadlines (Unix time in milliseconds).
     pub fn new(
         origin: Revision,
         rolled_ms: u64,
         by: InstanceName,
-        moves: Vec<(ShareIncrease, Vec<Stage>, u64)>,
+        increases: Vec<(ShareIncrease, Vec<Stage>, u64)>,
         live: &[InstanceName],
     ) -> Self {
-        let record = |(change, stages, deadline_ms)| {
-            let mut record = VersionRollout {
+        let start = |(change, stages, deadline_ms)| {
+            let mut version = VersionRollout {
                 change,
                 stages,
                 deadline_ms,
@@ -110,15 +111,15 @@
                 senders: None,
                 local_ppm: 0,
             };
-            record.enter_stage(0, origin, live);
-            record
+            version.enter_stage(0, origin, live);
+            version
         };
         Self {
             origin,
             rolled_ms,
             step: 1,
             by,
-            moves: moves.into_iter().map(record).collect(),
+            versions: increases.into_iter().map(start).collect(),
         }
     }
 
@@ -136,20 +137,20 @@
         superseded: impl Fn(&Candidate) -> bool,
     ) -> Option<Self> {
         let mut next = self.clone();
-        for record in &mut next.moves {
-            let candidate = record.change.candidate.clone();
-            if record.phase.is_ended() {
+        for version in &mut next.versions {
+            let candidate = version.change.candidate.clone();
+            if version.phase.is_ended() {
                 continue;
             }
             if superseded(&candidate) {
-                record.set_phase(Phase::Superseded, context.now_ms);
+                version.set_phase(Phase::Superseded, context.now_ms);
                 continue;
             }
             let cause = context
                 .brakes
                 .cause(self.origin, &candidate)
                 .or(objection(&candidate));
-            record.advance(
+            version.advance(
                 self.origin,
                 self.rolled_ms,
                 context,
@@ -167,8 +168,8 @@
 
     /// Returns the rollout of a version.
     pub fn find(&self, candidate: &Candidate) -> Option<&VersionRollout> {
-        self.moves
+        self.versions
             .iter()
-            .find(|record| record.change.candidate == *candidate)
+            .find(|version| version.change.candidate == *candidate)
     }
 }
--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -42,7 +42,7 @@
     /// Whether to test each request class separately as well.
     pub per_class: bool,
     /// Whether failures on a single target need twice the evidence.
-    pub spread_over_targets: bool,
+    pub stricter_for_single_target: bool,
     /// Whether trials cut off by the crash of a target count as one incident instead of as failures.
     pub discount_incidents: bool,
     /// Shares and durations of the stages.
@@ -53,7 +53,7 @@
     fn default() -> Self {
         Self {
             per_class: true,
-            spread_over_targets: true,
+            stricter_for_single_target: true,
             discount_incidents: true,
             stage_templates: &STAGE_TEMPLATES,
         }
--- a/crates/rollout/src/version_rollout.rs
+++ b/crates/rollout/src/version_rollout.rs
@@ -41,7 +41,10 @@
         }
     }
 
-    /// Returns which live instances meet the condition to leave the current phase.
+    /// Returns the live instances that confirm the outcome that the phase leads to.
+    ///
+    /// That is the brake during a rollback, and otherwise the final share with a drained base. In the
+    /// closing phase it also takes their promise not to brake.
     pub fn coverage(
         &self,
         origin: Revision,
@@ -77,11 +80,11 @@
         cause: Option<Cause>,
         answers: u64,
     ) {
-        let is_complete = |record: &Self| {
+        let is_complete = |rollout: &Self| {
             // Without the platform's list it is unknown which instances to wait for.
             let coverage = context
                 .live
-                .map(|live| record.coverage(origin, context.applied_states, live));
+                .map(|live| rollout.coverage(origin, context.applied_states, live));
             coverage.is_some_and(|coverage| coverage.is_complete())
         };
         match (self.phase, cause) {
--- a/crates/rollout/tests/fake_fleet.rs
+++ b/crates/rollout/tests/fake_fleet.rs
@@ -254,7 +254,7 @@
         let part = ModelPart {
             origin: ORIGIN,
             rolled_ms: 0,
-            moves: vec![change],
+            increases: vec![change],
         };
         let subject = Subject {
             origin: ORIGIN,
@@ -412,7 +412,7 @@
                     *part = ModelPart {
                         origin: Revision(3),
                         rolled_ms: self.now,
-                        moves: Vec::new(),
+                        increases: Vec::new(),
                     };
                 }
                 for instance in &mut self.instances {
@@ -516,7 +516,7 @@
     }
 
     fn share_of(&self, instance: usize) -> u32 {
-        let change = &self.parts.values().next().unwrap().moves;
+        let change = &self.parts.values().next().unwrap().increases;
         change.first().map_or(0, |change| {
             self.instances[instance]
                 .controller
@@ -886,7 +886,7 @@
 
     /// Compares a final phase that is being written with the state of each instance at this moment.
     fn check_ending(&mut self, rollout: &Rollout) {
-        let phase = rollout.moves[0].phase;
+        let phase = rollout.versions[0].phase;
         if !phase.is_ended() || self.outcome.phase.is_some() {
             return;
         }
@@ -923,7 +923,7 @@
 }
 
 fn use_fixed_stages(rollout: &mut Rollout) {
-    let record = &mut rollout.moves[0];
+    let record = &mut rollout.versions[0];
     let last = record.stages.last().cloned().unwrap();
     let shares = [50_000, 250_000, 500_000, last.share_ppm];
     let until = |at: usize| {
--- a/crates/rollout/tests/test_rollout.rs
+++ b/crates/rollout/tests/test_rollout.rs
@@ -276,7 +276,7 @@
 #[test]
 fn without_the_discount_crashes_would_brake_a_good_version() {
     let config = JudgeConfig {
-        spread_over_targets: false,
+        stricter_for_single_target: false,
         discount_incidents: false,
         ..JudgeConfig::default()
     };
--- a/crates/rollout/tests/test_scripts.rs
+++ b/crates/rollout/tests/test_scripts.rs
@@ -43,11 +43,11 @@
         let mut controller =
             RolloutController::new(name.into(), self.incarnation, JudgeConfig::default());
         let next = &Self::models()[0];
-        let moves = share_increases(Some(&model("v1", 0)), next);
+        let increases = share_increases(Some(&model("v1", 0)), next);
         let part = ModelPart {
             origin: ORIGIN,
             rolled_ms: 0,
-            moves,
+            increases,
         };
         controller.set_parts(BTreeMap::from([(next.name.clone(), part)]));
         controller.set_live(&self.live);
@@ -79,7 +79,7 @@
         );
         let phases: Vec<_> = due
             .iter()
-            .map(|rollout| format!("{:?}", rollout.moves[0].phase))
+            .map(|rollout| format!("{:?}", rollout.versions[0].phase))
             .collect();
         self.planned.insert(name.to_owned(), due);
         if phases.is_empty() {
@@ -172,7 +172,7 @@
             .get(&rollout_key(ORIGIN))
             .map(|(_, value)| value);
         if let Some(rollout) = value.and_then(|value| parse_json::<Rollout>(value)) {
-            let record = &rollout.moves[0];
+            let record = &rollout.versions[0];
             writeln!(
                 out,
                 "store: {:?}, step {}, by {}",
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -117,7 +117,7 @@
         let part = force
             .as_ref()
             .and_then(|force| force.headline.parts.get(&model.name));
-        let mut moves = part.into_iter().flat_map(|part| &part.moves);
+        let mut moves = part.into_iter().flat_map(|part| &part.increases);
         let moved = moves.find(|change| change.candidate.version == chosen);
         moved.map_or(chosen, |change| change.base.clone())
     }
@@ -293,7 +293,7 @@
     fn is_news(&self, acting: &AppliedState) -> bool {
         let mut said = lock(&self.said);
         let is_old = said.as_ref().is_none_or(|(last, at)| {
-            let is_same = (last.revision, &last.moves) == (acting.revision, &acting.moves);
+            let is_same = (last.revision, &last.shares) == (acting.revision, &acting.shares);
             !is_same || at.elapsed() >= SAY_AGAIN
         });
         if is_old {
@@ -336,7 +336,7 @@
         return Vec::new();
     };
     let moves = force.headline.parts.values().flat_map(|part| {
-        part.moves
+        part.increases
             .iter()
             .map(|change| (part.origin, change.candidate.clone()))
     });
--- a/daemon/src/rollouts/driver.rs
+++ b/daemon/src/rollouts/driver.rs
@@ -69,7 +69,7 @@
         });
         let is_talking = force.headline.parts.values().any(|part| {
             let rollout = controller.rollout(part.origin);
-            rollout.is_some_and(|rollout| rollout.moves.iter().any(|it| !it.phase.is_ended()))
+            rollout.is_some_and(|rollout| rollout.versions.iter().any(|it| !it.phase.is_ended()))
         });
         node.rollouts.shares.publish(&controller, &force.bundle);
         (tripped, acting, is_talking || !controller.is_synced())
@@ -149,7 +149,7 @@
     match result {
         Ok(version) => {
             versions.insert(rollout.origin, version);
-            for record in &rollout.moves {
+            for record in &rollout.versions {
                 let candidate = &record.change.candidate;
                 let (model, version) = (&candidate.model, &candidate.version);
                 log::info!("rollout of {model} {version}: {:?}", record.phase);
--- a/daemon/src/rollouts/status.rs
+++ b/daemon/src/rollouts/status.rs
@@ -84,7 +84,7 @@
         let statuses = rollouts
             .flat_map(|rollout| {
                 rollout
-                    .moves
+                    .versions
                     .iter()
                     .map(move |record| (rollout.origin, record))
             })
