--- a/crates/rollout/src/controller/evaluation.rs
+++ b/crates/rollout/src/controller/evaluation.rs
@@ -1,4 +1,4 @@
-//! How an instance weighs evidence, says what it acts on and proposes the next step.
+//! Evaluation of evidence, applied state and proposed records of an instance.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,7 +9,7 @@
 use crate::{
     applied_state::{AppliedShare, AppliedState},
     judge::Judge,
-    plan::{plan, Demand},
+    plan::{plan_stages, PlanInput},
     reported_status::ReportedStatus,
     rollout::{Phase, Rollout, StepContext},
     share_increase::{Candidate, ShareIncrease},
@@ -17,34 +17,37 @@
     version_rollout::VersionRollout,
 };
 
-/// How many engines of the base an instance assumes when the bundle names none.
+/// Number of engines assumed for a base without engines in the bundle.
 const MIN_BASE_ENGINES: u32 = 1;
 const MS_PER_S: u64 = 1_000;
 
 impl RolloutController {
-    /// Weighs all evidence; returns whether a brake was tripped, which peers must hear at once.
+    /// Evaluates all evidence; returns whether a version was braked, which peers must learn at once.
     ///
-    /// Call it after each failure as well as now and then: the evidence is strongest right after one.
+    /// To be called periodically and after each failure, when the evidence is strongest.
     pub fn evaluate(&mut self, base_engines: impl Fn(&ShareIncrease) -> u32, now_ms: u64) -> bool {
-        for report in self.own.values() {
+        for report in self.own_reports.values() {
             self.evidence.merge(report.clone());
         }
         let rollouts = self.rollouts.values();
         let records = rollouts.flat_map(|rollout| {
             let origin = rollout.origin;
-            rollout.moves.iter().map(move |record| (origin, record))
+            rollout
+                .versions
+                .iter()
+                .map(move |version| (origin, version))
         });
-        let running = records.filter(|(origin, record)| self.is_running(*origin, record));
+        let running = records.filter(|(origin, version)| self.is_running(*origin, version));
         let running: Vec<_> = running
-            .map(|(origin, record)| (origin, record.clone()))
+            .map(|(origin, version)| (origin, version.clone()))
             .collect();
         let mut is_new = false;
-        for (origin, record) in running {
-            let candidate = record.change.candidate.clone();
-            let stage = &record.stages[usize::from(record.stage())];
+        for (origin, version) in running {
+            let candidate = version.change.candidate.clone();
+            let stage = &version.stages[usize::from(version.stage())];
             let engines = Engines {
-                new: record.change.engines,
-                base: base_engines(&record.change).max(MIN_BASE_ENGINES),
+                new: version.change.engines,
+                base: base_engines(&version.change).max(MIN_BASE_ENGINES),
             };
             let key = (origin, candidate.clone());
             let judge = self.judges.entry(key.clone()).or_insert_with(|| {
@@ -52,8 +55,8 @@
                 Judge::new(
                     subject,
                     candidate.version.clone(),
-                    record.change.base.clone(),
-                    self.method,
+                    version.change.base.clone(),
+                    self.judge_config,
                 )
             });
             let verdict = judge.evaluate(&self.evidence, stage, engines, now_ms);
@@ -67,16 +70,19 @@
         is_new
     }
 
-    /// Returns what this instance acts on, for peers; `base_open` counts open answers of a version.
+    /// Updates the applied state of this instance and returns it for peers.
+    ///
+    /// `base_open` returns the number of open answers of a version. An instance that applies a record
+    /// in the closing phase hereby promises not to brake any more.
     pub fn update_applied_state(
         &mut self,
         revision: Revision,
         base_open: impl Fn(&ModelName, &VersionName) -> u32,
     ) -> AppliedState {
-        let mut moves = Vec::new();
-        for (origin, change) in self.changes() {
+        let mut shares = Vec::new();
+        for (origin, change) in self.share_increases() {
             let open = base_open(&change.candidate.model, &change.base);
-            moves.push(self.applied_share(origin, change, open));
+            shares.push(self.applied_share(origin, change, open));
         }
         self.sequence += 1;
         let applied = AppliedState {
@@ -84,7 +90,7 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             revision,
-            moves,
+            shares,
         };
         self.applied_states.merge(applied.clone());
         applied
@@ -100,9 +106,9 @@
         let candidate = change.candidate;
         let key = (origin, candidate.clone());
         let braked = self.brakes.cause(origin, &candidate).is_some();
-        let record = self.record(origin, &candidate);
-        let stage = record.map_or(0, VersionRollout::stage);
-        if record.is_some_and(|record| record.phase == Phase::Closing) && !braked {
+        let version = self.version_rollout(origin, &candidate);
+        let stage = version.map_or(0, VersionRollout::stage);
+        if version.is_some_and(|version| version.phase == Phase::Closing) && !braked {
             self.promised.insert(key.clone());
         }
         AppliedShare {
@@ -116,11 +122,11 @@
         }
     }
 
-    /// Returns the records that are due to be written: first those not yet made, then next steps.
+    /// Returns the records to write: those of new rollouts, then the next steps of known ones.
     ///
-    /// A new record is to be written if absent, a next step if the record has not changed.
-    /// `is_listed` tells whether the list of live instances could be had lately, and `rate` gives the
-    /// requests a second for a model.
+    /// A new record is to be written if it is absent, a next step if the stored record has not changed.
+    /// `is_listed` tells whether the list of live instances is recent, and `rate` returns the requests
+    /// per second for a model.
     pub fn due_records(
         &self,
         models: &[Model],
@@ -129,7 +135,7 @@
         now_ms: u64,
     ) -> Vec<Rollout> {
         let context = self.context(is_listed, now_ms);
-        let mut due = self.missing(models, rate, is_listed);
+        let mut due = self.new_records(models, rate, is_listed);
         due.extend(self.rollouts.values().filter_map(|rollout| {
             let origin = rollout.origin;
             let answers = |candidate: &Candidate| {
@@ -151,7 +157,7 @@
         due
     }
 
-    /// Tells how the rollout of a version stands; `is_fresh` tells whether the store answered lately.
+    /// Returns the status of a rollout for operators; `is_fresh` tells whether the store answered recently.
     pub fn reported_status(
         &self,
         origin: Revision,
@@ -160,7 +166,12 @@
         now_ms: u64,
     ) -> ReportedStatus {
         let context = self.context(is_fresh, now_ms);
-        ReportedStatus::of(origin, self.record(origin, candidate), &context, is_fresh)
+        ReportedStatus::of(
+            origin,
+            self.version_rollout(origin, candidate),
+            &context,
+            is_fresh,
+        )
     }
 
     fn context(&self, is_listed: bool, now_ms: u64) -> StepContext<'_> {
@@ -173,7 +184,7 @@
         }
     }
 
-    fn missing(
+    fn new_records(
         &self,
         models: &[Model],
         rate: impl Fn(&ModelName) -> f64,
@@ -184,12 +195,12 @@
             let Some(part) = self.parts.get(&model.name) else {
                 continue;
             };
-            if self.rollouts.contains_key(&part.origin) || part.moves.is_empty() || !is_listed {
+            if self.rollouts.contains_key(&part.origin) || part.increases.is_empty() || !is_listed {
                 continue;
             }
-            let demand = Demand {
-                within: Duration::from_secs(model.complete_within_s),
-                answer: Duration::from_millis(model.deadline_ms),
+            let input = PlanInput {
+                rollout_time: Duration::from_secs(model.complete_within_s),
+                answer_time: Duration::from_millis(model.deadline_ms),
                 instances: self.live.len() as u32,
                 requests_per_s: rate(&model.name),
             };
@@ -197,27 +208,27 @@
             let entry = found
                 .entry(part.origin)
                 .or_insert((part.rolled_ms, Vec::new()));
-            entry.1.extend(part.moves.iter().map(|change| {
+            entry.1.extend(part.increases.iter().map(|change| {
                 let from_ppm = self.local_share(part.origin, change);
                 let change = ShareIncrease {
                     from_ppm,
                     ..change.clone()
                 };
-                let stages = plan(&change, &demand, self.method.steps);
+                let stages = plan_stages(&change, &input, self.judge_config.stage_templates);
                 (change, stages, deadline_ms)
             }));
         }
-        let record = |(origin, (rolled_ms, moves))| {
-            Rollout::new(origin, rolled_ms, self.me.clone(), moves, &self.live)
+        let rollout = |(origin, (rolled_ms, increases))| {
+            Rollout::new(origin, rolled_ms, self.me.clone(), increases, &self.live)
         };
-        found.into_iter().map(record).collect()
+        found.into_iter().map(rollout).collect()
     }
 
-    pub(super) fn is_running(&self, origin: Revision, record: &VersionRollout) -> bool {
-        let candidate = &record.change.candidate;
+    pub(super) fn is_running(&self, origin: Revision, version: &VersionRollout) -> bool {
+        let candidate = &version.change.candidate;
         let part = self.parts.get(&candidate.model);
         let is_current = part.is_some_and(|part| part.origin == origin);
-        let is_open = matches!(record.phase, Phase::Stage { .. } | Phase::Closing);
+        let is_open = matches!(version.phase, Phase::Stage { .. } | Phase::Closing);
         is_current && is_open && self.brakes.cause(origin, candidate).is_none()
     }
 }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What all instances have seen, merged without coordination.
+//! Evidence about versions, collected on all instances and merged without coordination.
 
 use std::collections::BTreeMap;
 
@@ -6,88 +6,90 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-use crate::tally::{Tally, Trials};
+use crate::tally::{Tally, TrialCounts};
 
-/// How close in time the breaks of one target count as one incident, in milliseconds.
-pub const INCIDENT_MS: u64 = 10_000;
-/// How many incidents, and failing targets, a report keeps.
-const KEPT_INCIDENTS: usize = 64;
-const KEPT_TARGETS: usize = 16;
+/// Time within which broken trials on one target count as one incident, in milliseconds.
+pub const INCIDENT_WINDOW_MS: u64 = 10_000;
+/// Maximum numbers of incidents and of failing targets in a report.
+const MAX_INCIDENTS: usize = 64;
+const MAX_FAILING_TARGETS: usize = 16;
 
-/// A kind of request whose faults may differ from others', for example an adapter.
+/// A class of requests that may fail independently of others, for example the requests for one adapter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Route(pub SmolStr);
+pub struct RequestClass(pub SmolStr);
 
-/// One chunk of an answer, from the side of the instance.
+/// One chunk of an answer as the instance sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trial {
-    /// The model.
+    /// Model.
     pub model: ModelName,
-    /// The version that was chosen.
+    /// Version chosen for the request.
     pub version: VersionName,
-    /// The kind of request.
-    pub route: Route,
-    /// The target.
+    /// Class of the request.
+    pub class: RequestClass,
+    /// Target.
     pub target: TargetName,
-    /// Whether it is the first of its answer.
+    /// Whether it is the first chunk of its answer.
     pub is_first: bool,
-    /// When it began, as wall clock in milliseconds since 1970.
+    /// When it began, as Unix time in milliseconds.
     pub begun_ms: u64,
 }
 
-/// What evidence is about: a model since the revision at which its part of the bundle changed.
+/// Subject of evidence: a model since the revision at which its configuration changed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Subject {
-    /// The revision.
+    /// Revision at which the configuration of the model changed.
     pub origin: Revision,
-    /// The model.
+    /// Model.
     pub model: ModelName,
 }
 
-/// The death, pause or loss of one target, which hits all that runs there.
+/// The crash, pause or disconnection of a target, which affects all its answers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incident {
-    /// The version that the target served.
+    /// Version that the target served.
     pub version: VersionName,
-    /// The target.
+    /// Target.
     pub target: TargetName,
-    /// The wall clock in milliseconds since 1970.
+    /// Unix time in milliseconds.
     pub at_ms: u64,
 }
 
-/// One version on one route.
+/// Trial counts of one version and request class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
-    /// The version.
+pub struct ReportLine {
+    /// Version.
     pub version: VersionName,
-    /// The route.
-    pub route: Route,
-    /// The sums.
+    /// Request class.
+    #[serde(rename = "route")]
+    pub class: RequestClass,
+    /// Counts.
     pub tally: Tally,
 }
 
-/// All that one instance has seen of a subject while it sent traffic to the candidate.
+/// All evidence on a subject that one instance collected while it sent traffic to the candidate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
-    /// What it is about.
+pub struct EvidenceReport {
+    /// Subject.
     pub subject: Subject,
-    /// The instance.
+    /// Instance that collected it.
     pub instance: InstanceName,
-    /// Tells the runs of a restarted instance apart; rises.
+    /// Increases with each restart of the instance.
     pub incarnation: u64,
-    /// Tells newer reports from older ones; rises.
+    /// Increases with each change of the report.
     pub sequence: u64,
-    /// The sums, by version and route.
-    pub lines: Vec<Line>,
+    /// Trial counts by version and request class.
+    pub lines: Vec<ReportLine>,
     /// Incidents of targets.
     pub incidents: Vec<Incident>,
-    /// Failures by target.
-    pub blamed: Vec<(VersionName, TargetName, u32)>,
+    /// Number of failures by version and target.
+    #[serde(rename = "blamed")]
+    pub target_failures: Vec<(VersionName, TargetName, u32)>,
 }
 
-impl Report {
-    /// Makes an empty report.
+impl EvidenceReport {
+    /// Creates an empty report.
     pub fn new(subject: Subject, instance: InstanceName, incarnation: u64) -> Self {
         Self {
             subject,
@@ -96,18 +98,18 @@
             sequence: 0,
             lines: Vec::new(),
             incidents: Vec::new(),
-            blamed: Vec::new(),
+            target_failures: Vec::new(),
         }
     }
 
-    /// Returns the sums of a version on a route, which the caller may add to.
-    pub fn tally(&mut self, version: &VersionName, route: &Route) -> &mut Tally {
+    /// Returns the counts of a version and request class for the caller to add to.
+    pub fn tally(&mut self, version: &VersionName, class: &RequestClass) -> &mut Tally {
         self.sequence += 1;
-        let is_it = |line: &Line| line.version == *version && line.route == *route;
-        let at = self.lines.iter().position(is_it).unwrap_or_else(|| {
-            self.lines.push(Line {
+        let is_same = |line: &ReportLine| line.version == *version && line.class == *class;
+        let at = self.lines.iter().position(is_same).unwrap_or_else(|| {
+            self.lines.push(ReportLine {
                 version: version.clone(),
-                route: route.clone(),
+                class: class.clone(),
                 tally: Tally::default(),
             });
             self.lines.len() - 1
@@ -115,9 +117,9 @@
         &mut self.lines[at].tally
     }
 
-    /// Returns the sums that a trial belongs to.
-    pub fn trials(&mut self, trial: &Trial) -> &mut Trials {
-        let tally = self.tally(&trial.version, &trial.route);
+    /// Returns the counts that a trial belongs to.
+    pub fn trial_counts(&mut self, trial: &Trial) -> &mut TrialCounts {
+        let tally = self.tally(&trial.version, &trial.class);
         if trial.is_first {
             &mut tally.first
         } else {
@@ -125,23 +127,24 @@
         }
     }
 
-    /// Notes on which target a trial failed.
-    pub fn blame(&mut self, version: &VersionName, target: &TargetName) {
-        let is_it = |(v, t, _): &&mut (_, _, u32)| v == version && t == target;
-        if let Some((_, _, count)) = self.blamed.iter_mut().find(is_it) {
+    /// Records on which target a trial failed.
+    pub fn record_target_failure(&mut self, version: &VersionName, target: &TargetName) {
+        let is_same = |(v, t, _): &&mut (_, _, u32)| v == version && t == target;
+        if let Some((_, _, count)) = self.target_failures.iter_mut().find(is_same) {
             *count += 1;
-        } else if self.blamed.len() < KEPT_TARGETS {
-            self.blamed.push((version.clone(), target.clone(), 1));
+        } else if self.target_failures.len() < MAX_FAILING_TARGETS {
+            self.target_failures
+                .push((version.clone(), target.clone(), 1));
         }
     }
 
-    /// Notes that a trial broke off on a target; returns whether its failure is to be discounted.
+    /// Records that a trial broke off on a target; returns whether its failure is to be discounted.
     ///
-    /// An engine that dies takes all its streams along: dozens of failures at once that say nothing
-    /// about the version. What ran there before the first break is discounted, and the break counts as
-    /// one incident. A trial begun after it reached the target again and counts in full, so a version
-    /// that breaks each connection is not excused.
-    pub fn broke(
+    /// An engine that crashes breaks all its streams: dozens of failures at once that say nothing about
+    /// the version. Trials that were running at the first break are discounted, and the break counts as
+    /// one incident. A trial begun later reached the target again and counts in full, so a version that
+    /// breaks each connection is still found.
+    pub fn record_break(
         &mut self,
         version: &VersionName,
         target: &TargetName,
@@ -149,12 +152,12 @@
         now_ms: u64,
     ) -> bool {
         let is_recent = |incident: &&Incident| {
-            incident.target == *target && now_ms.saturating_sub(incident.at_ms) < INCIDENT_MS
+            incident.target == *target && now_ms.saturating_sub(incident.at_ms) < INCIDENT_WINDOW_MS
         };
         if let Some(incident) = self.incidents.iter().rev().find(is_recent) {
             return begun_ms <= incident.at_ms;
         }
-        if self.incidents.len() < KEPT_INCIDENTS {
+        if self.incidents.len() < MAX_INCIDENTS {
             self.incidents.push(Incident {
                 version: version.clone(),
                 target: target.clone(),
@@ -165,17 +168,17 @@
     }
 }
 
-/// The newest reports of all instances, a grow-only state that merges in any order.
+/// The newest reports of all instances, which merge in any order.
 ///
 /// # Examples
 ///
 /// ```
-/// use celerypond_rollout::{Evidence, Report, Route, Subject};
+/// use celerypond_rollout::{Evidence, EvidenceReport, RequestClass, Subject};
 /// use celerypond_types::Revision;
 ///
 /// let subject = Subject { origin: Revision(2), model: "draft".into() };
-/// let mut report = Report::new(subject.clone(), "i1".into(), 1);
-/// report.tally(&"v2".into(), &Route("".into())).first.sent += 1;
+/// let mut report = EvidenceReport::new(subject.clone(), "i1".into(), 1);
+/// report.tally(&"v2".into(), &RequestClass("".into())).first.sent += 1;
 /// let mut evidence = Evidence::default();
 /// assert!(evidence.merge(report.clone()));
 /// assert!(!evidence.merge(report));
@@ -183,12 +186,12 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
-    reports: BTreeMap<(Subject, InstanceName, u64), Report>,
+    reports: BTreeMap<(Subject, InstanceName, u64), EvidenceReport>,
 }
 
 impl Evidence {
-    /// Takes a report; returns whether it is newer than the one held.
-    pub fn merge(&mut self, report: Report) -> bool {
+    /// Stores a report unless a newer one is known; returns whether it was stored.
+    pub fn merge(&mut self, report: EvidenceReport) -> bool {
         let is_newer = self.is_newer(&report);
         if is_newer {
             self.reports.insert(key(&report), report);
@@ -196,86 +199,105 @@
         is_newer
     }
 
-    /// Returns whether a report is newer than the one held.
-    pub fn is_newer(&self, report: &Report) -> bool {
+    /// Returns whether a report is newer than the known one.
+    pub fn is_newer(&self, report: &EvidenceReport) -> bool {
         let held = self.reports.get(&key(report));
         held.is_none_or(|held| held.sequence < report.sequence)
     }
 
     /// Returns all reports.
-    pub fn all(&self) -> impl Iterator<Item = &Report> {
+    pub fn reports(&self) -> impl Iterator<Item = &EvidenceReport> {
         self.reports.values()
     }
 
-    /// Returns the reports about a subject.
-    pub fn reports<'a>(&'a self, subject: &'a Subject) -> impl Iterator<Item = &'a Report> {
+    /// Returns the reports on a subject.
+    pub fn reports_on<'a>(
+        &'a self,
+        subject: &'a Subject,
+    ) -> impl Iterator<Item = &'a EvidenceReport> {
         self.reports
             .values()
             .filter(move |report| report.subject == *subject)
     }
 
-    /// Returns the sums of a version over all instances, on one route or on all.
-    pub fn total(&self, subject: &Subject, version: &VersionName, route: Option<&Route>) -> Tally {
+    /// Returns the counts of a version over all instances, for one request class or for all.
+    pub fn total(
+        &self,
+        subject: &Subject,
+        version: &VersionName,
+        class: Option<&RequestClass>,
+    ) -> Tally {
         let mut total = Tally::default();
-        let lines = self.reports(subject).flat_map(|report| &report.lines);
+        let lines = self.reports_on(subject).flat_map(|report| &report.lines);
         for line in lines {
-            if line.version == *version && route.is_none_or(|route| *route == line.route) {
+            if line.version == *version && class.is_none_or(|class| *class == line.class) {
                 total.merge(&line.tally);
             }
         }
         total
     }
 
-    /// Returns the sums of a version over all instances by route.
-    pub fn totals(&self, subject: &Subject, version: &VersionName) -> BTreeMap<&Route, Tally> {
-        let mut totals: BTreeMap<&Route, Tally> = BTreeMap::new();
+    /// Returns the counts of a version over all instances by request class.
+    pub fn totals_by_class(
+        &self,
+        subject: &Subject,
+        version: &VersionName,
+    ) -> BTreeMap<&RequestClass, Tally> {
+        let mut totals: BTreeMap<&RequestClass, Tally> = BTreeMap::new();
         for report in self.reports.values() {
             if report.subject != *subject {
                 continue;
             }
             for line in report.lines.iter().filter(|line| line.version == *version) {
-                totals.entry(&line.route).or_default().merge(&line.tally);
+                totals.entry(&line.class).or_default().merge(&line.tally);
             }
         }
         totals
     }
 
-    /// Returns the incidents of a version, each counted once however many instances saw it.
+    /// Returns the incidents of a version, each of them once even if several instances reported it.
     pub fn incidents(&self, subject: &Subject, version: &VersionName) -> Vec<Incident> {
-        let all = self.reports(subject).flat_map(|report| &report.incidents);
+        let all = self
+            .reports_on(subject)
+            .flat_map(|report| &report.incidents);
         let mut seen: Vec<_> = all
             .filter(|seen| seen.version == *version)
             .cloned()
             .collect();
         seen.sort_by(|a, b| (&a.target, a.at_ms).cmp(&(&b.target, b.at_ms)));
         seen.dedup_by(|later, kept| {
-            later.target == kept.target && later.at_ms.saturating_sub(kept.at_ms) < INCIDENT_MS
+            later.target == kept.target
+                && later.at_ms.saturating_sub(kept.at_ms) < INCIDENT_WINDOW_MS
         });
         seen.sort_by_key(|incident| incident.at_ms);
         seen
     }
 
-    /// Returns the failures of a version by target.
-    pub fn blamed(&self, subject: &Subject, version: &VersionName) -> BTreeMap<TargetName, u64> {
-        let mut blamed = BTreeMap::new();
+    /// Returns the number of failures of a version by target.
+    pub fn failures_by_target(
+        &self,
+        subject: &Subject,
+        version: &VersionName,
+    ) -> BTreeMap<TargetName, u64> {
+        let mut failures = BTreeMap::new();
         for (_, target, count) in self
-            .reports(subject)
-            .flat_map(|report| &report.blamed)
+            .reports_on(subject)
+            .flat_map(|report| &report.target_failures)
             .filter(|(found, _, _)| found == version)
         {
-            *blamed.entry(target.clone()).or_default() += u64::from(*count);
+            *failures.entry(target.clone()).or_default() += u64::from(*count);
         }
-        blamed
+        failures
     }
 
-    /// Drops all that is about other subjects.
-    pub fn keep(&mut self, subjects: &[Subject]) {
+    /// Removes the reports on all other subjects than these.
+    pub fn retain_subjects(&mut self, subjects: &[Subject]) {
         self.reports
             .retain(|(subject, _, _), _| subjects.contains(subject));
     }
 }
 
-fn key(report: &Report) -> (Subject, InstanceName, u64) {
+fn key(report: &EvidenceReport) -> (Subject, InstanceName, u64) {
     (
         report.subject.clone(),
         report.instance.clone(),
--- a/crates/rollout/src/operation/replies.rs
+++ b/crates/rollout/src/operation/replies.rs
@@ -1,4 +1,4 @@
-//! What each reply of the store means for a step.
+//! Handling of the replies of the store to an operation.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +11,11 @@
 };
 use crate::{
     record::{
-        approval_key, bundle_key, Approval, Current, ModelPart, Signature, Submission, CURRENT_KEY,
+        approval_key, bundle_key, Approval, CurrentBundle, ModelPart, Signature, Submission,
+        CURRENT_KEY,
     },
     share_increase::share_increases,
-    store::{parse, Condition, StoreReply},
+    store::{parse_json, Condition, StoreReply},
 };
 
 impl Operation {
@@ -22,7 +23,7 @@
         let StoreReply::Found { value, .. } = reply else {
             return OperationStep::Finished(Err(OperationError::BundleNotFound(self.digest)));
         };
-        let Some(submission) = parse::<Submission>(&value) else {
+        let Some(submission) = parse_json::<Submission>(&value) else {
             return OperationStep::Finished(Err(OperationError::Malformed));
         };
         if submission.bundle.digest() != self.digest {
@@ -49,10 +50,10 @@
         let StoreReply::Found { value, .. } = reply else {
             return OperationStep::Finished(Err(OperationError::NotApproved(self.digest)));
         };
-        let Some(approval) = parse::<Approval>(&value) else {
+        let Some(approval) = parse_json::<Approval>(&value) else {
             return OperationStep::Finished(Err(OperationError::Malformed));
         };
-        // An approval that names other content, or the submitter, signs nothing off.
+        // An approval of other content, or by the submitter, does not count.
         if approval.digest != self.digest {
             return OperationStep::Finished(Err(OperationError::NotApproved(self.digest)));
         }
@@ -65,7 +66,7 @@
 
     pub(super) fn on_current(&mut self, reply: StoreReply) -> OperationStep {
         self.current = match reply {
-            StoreReply::Found { version, value } => match parse::<Current>(&value) {
+            StoreReply::Found { version, value } => match parse_json::<CurrentBundle>(&value) {
                 Some(current) => Some((version, current)),
                 None => return OperationStep::Finished(Err(OperationError::Malformed)),
             },
@@ -73,11 +74,11 @@
         };
         let current = self.current.as_ref().map(|(_, current)| current);
         let found = current.map_or_else(Revision::default, |current| current.revision);
-        let is_stale = matches!(
+        let has_unexpected_revision = matches!(
             self.request,
             OperationRequest::Roll { expected: Some(expected), .. } if expected != found
         );
-        if is_stale {
+        if has_unexpected_revision {
             return OperationStep::Finished(Ok(OperationOutcome::LostRace {
                 winner: current.cloned(),
             }));
@@ -87,22 +88,30 @@
                 let key = bundle_key(current.digest);
                 self.read(Awaiting::Previous(current), key)
             }
-            None => self.prepare(None, None),
+            None => self.prepare_roll(None, None),
         }
     }
 
-    pub(super) fn on_previous(&mut self, current: &Current, reply: StoreReply) -> OperationStep {
+    pub(super) fn on_previous(
+        &mut self,
+        current: &CurrentBundle,
+        reply: StoreReply,
+    ) -> OperationStep {
         let StoreReply::Found { value, .. } = reply else {
             return OperationStep::Finished(Err(OperationError::Malformed));
         };
-        let Some(previous) = parse::<Submission>(&value) else {
+        let Some(previous) = parse_json::<Submission>(&value) else {
             return OperationStep::Finished(Err(OperationError::Malformed));
         };
-        self.prepare(Some(current), Some(&previous.bundle))
+        self.prepare_roll(Some(current), Some(&previous.bundle))
     }
 
-    fn prepare(&mut self, current: Option<&Current>, previous: Option<&Bundle>) -> OperationStep {
-        let mut next = successor(current, self.digest, &self.signature);
+    fn prepare_roll(
+        &mut self,
+        current: Option<&CurrentBundle>,
+        previous: Option<&Bundle>,
+    ) -> OperationStep {
+        let mut next = next_current(current, self.digest, &self.signature);
         let bundle = self.bundle.as_ref();
         for model in bundle.iter().flat_map(|bundle| &bundle.models) {
             let before = previous.and_then(|bundle| bundle.model(&model.name));
@@ -111,18 +120,18 @@
             let part = part.unwrap_or_else(|| ModelPart {
                 origin: next.revision,
                 rolled_ms: next.signature.at_ms,
-                moves: share_increases(before, model),
+                increases: share_increases(before, model),
             });
             next.parts.insert(model.name.clone(), part);
         }
-        // The record of the bundle in force is completed before `current` is overwritten: else a
-        // daemon that died between a roll and its record would leave a hole in the trail.
-        self.audits.extend(current.map(Current::audit));
+        // The audit record of the bundle in force is written before `current` is overwritten, in case
+        // the daemon that rolled it crashed before it wrote the record.
+        self.audits.extend(current.map(CurrentBundle::audit));
         self.next = Some(next.clone());
         self.write_audits(AfterAudit::Roll(next))
     }
 
-    pub(super) fn write_current(&mut self, next: &Current) -> OperationStep {
+    pub(super) fn write_current(&mut self, next: &CurrentBundle) -> OperationStep {
         let condition = self
             .current
             .as_ref()
@@ -134,7 +143,7 @@
     }
 
     pub(super) fn on_success(&mut self) -> OperationStep {
-        let done = match &self.request {
+        let outcome = match &self.request {
             OperationRequest::Submit(_) => {
                 OperationOutcome::Submitted(self.digest, self.signature.clone())
             }
@@ -147,19 +156,19 @@
                 None => return OperationStep::Finished(Err(OperationError::OutcomeUnknown)),
             },
         };
-        self.write_audits(AfterAudit::End(done))
+        self.write_audits(AfterAudit::End(outcome))
     }
 
-    /// Looks who holds the object that this step could not write.
+    /// Determines from the stored object whether this operation or another one wrote it.
     ///
-    /// The failure: the first write took effect, its reply was lost and the repeat met a conflict.
-    /// Without the nonce the operator would be told that they lost a race which they won.
+    /// If a write takes effect but its reply is lost, repeating it fails with a conflict. Without the
+    /// nonce the operator would be told that another operation was first.
     pub(super) fn on_read_back(&mut self, reply: StoreReply) -> OperationStep {
         let StoreReply::Found { value, .. } = reply else {
             return OperationStep::Finished(Err(OperationError::OutcomeUnknown));
         };
         match &self.request {
-            OperationRequest::Submit(_) => match parse::<Submission>(&value) {
+            OperationRequest::Submit(_) => match parse_json::<Submission>(&value) {
                 Some(found) if found.signature == self.signature => self.on_success(),
                 Some(found) => OperationStep::Finished(Ok(OperationOutcome::Submitted(
                     self.digest,
@@ -167,19 +176,19 @@
                 ))),
                 None => OperationStep::Finished(Err(OperationError::Malformed)),
             },
-            OperationRequest::Approve(_) => match parse::<Approval>(&value) {
+            OperationRequest::Approve(_) => match parse_json::<Approval>(&value) {
                 Some(found) if found.signature == self.signature => self.on_success(),
                 Some(found) => OperationStep::Finished(Ok(OperationOutcome::Approved(found))),
                 None => OperationStep::Finished(Err(OperationError::Malformed)),
             },
-            OperationRequest::Roll { .. } => match parse::<Current>(&value) {
+            OperationRequest::Roll { .. } => match parse_json::<CurrentBundle>(&value) {
                 Some(found) => self.resolve_roll(found),
                 None => OperationStep::Finished(Err(OperationError::Malformed)),
             },
         }
     }
 
-    fn resolve_roll(&mut self, found: Current) -> OperationStep {
+    fn resolve_roll(&mut self, found: CurrentBundle) -> OperationStep {
         if found.nonces.contains(&self.signature.nonce) {
             return self.on_success();
         }
@@ -188,7 +197,7 @@
             .as_ref()
             .map_or(0, |(_, current)| current.revision.0);
         if found.revision.0 <= base {
-            // The condition failed, so a later revision exists and this read was stale.
+            // The condition of the write failed, so a later revision exists and this read was stale.
             return self.retry(true);
         }
         let is_nonce_dropped = found.revision.0.saturating_sub(base) > KEPT_NONCES as u64;
@@ -201,13 +210,17 @@
     }
 }
 
-fn successor(current: Option<&Current>, digest: Digest, signature: &Signature) -> Current {
+fn next_current(
+    current: Option<&CurrentBundle>,
+    digest: Digest,
+    signature: &Signature,
+) -> CurrentBundle {
     let mut nonces = vec![signature.nonce];
     nonces.extend(current.iter().flat_map(|current| current.nonces.iter()));
     nonces.truncate(KEPT_NONCES);
-    // A clock that lags behind the last roller's must not order the trail against the revisions.
+    // Audit records sort by time. A clock behind that of the last roll must not change their order.
     let earliest_ms = current.map_or(0, |current| current.signature.at_ms + 1);
-    Current {
+    CurrentBundle {
         revision: current
             .map_or_else(Revision::default, |current| current.revision)
             .next(),
--- a/crates/rollout/src/splitter.rs
+++ b/crates/rollout/src/splitter.rs
@@ -1,60 +1,59 @@
-//! Deterministic traffic shares.
+//! Deterministic traffic splitting.
 
-/// One whole share, in parts per million.
-pub const WHOLE_PPM: u32 = 1_000_000;
+/// All traffic, in parts per million.
+pub const FULL_SHARE_PPM: u32 = 1_000_000;
 
-/// Sends a share of requests to a version by error diffusion.
+/// Selects a share of requests by error diffusion.
 ///
-/// Drawing each request by chance overshoots with small counts: at 1 % the first hundred requests may
-/// well hold four. Here the count of any prefix stays within one of the share.
+/// Random selection overshoots with small counts: at 1 % it may well select four of the first hundred
+/// requests. Here the number selected of the first n requests stays within one of their share.
 ///
 /// # Examples
 ///
 /// ```
-/// use celerypond_rollout::Splitter;
+/// use celerypond_rollout::TrafficSplitter;
 ///
-/// let mut splitter = Splitter::default();
-/// let chosen = (0..1_000).filter(|_| splitter.take(10_000)).count();
+/// let mut splitter = TrafficSplitter::default();
+/// let chosen = (0..1_000).filter(|_| splitter.selects_next(10_000)).count();
 /// assert_eq!(chosen, 10);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Splitter {
+pub struct TrafficSplitter {
     credit: u32,
 }
 
-impl Splitter {
-    /// Returns whether the next request goes to the version, whose share is in parts per million.
-    pub fn take(&mut self, share_ppm: u32) -> bool {
-        // A credit saved up under an earlier share must not be spent once the share is zero.
+impl TrafficSplitter {
+    /// Returns whether to select the next request at a share in parts per million.
+    pub fn selects_next(&mut self, share_ppm: u32) -> bool {
+        // Credit from an earlier share must not select a request once the share is zero.
         if share_ppm == 0 {
             self.credit = 0;
             return false;
         }
-        self.credit += share_ppm.min(WHOLE_PPM);
-        let is_chosen = self.credit >= WHOLE_PPM;
+        self.credit += share_ppm.min(FULL_SHARE_PPM);
+        let is_chosen = self.credit >= FULL_SHARE_PPM;
         if is_chosen {
-            self.credit -= WHOLE_PPM;
+            self.credit -= FULL_SHARE_PPM;
         }
         is_chosen
     }
 }
 
-/// Returns whether the request with this number goes to a version, for counters that threads share.
+/// Returns whether to select the request with this number, for a counter that several threads share.
 ///
-/// It is the same error diffusion without state: of the first n requests, the whole part of the share of
-/// n are chosen.
+/// This is stateless error diffusion: of the first n requests, the share of n rounded down is selected.
 ///
 /// # Examples
 ///
 /// ```
-/// use celerypond_rollout::takes;
+/// use celerypond_rollout::selects;
 ///
-/// assert_eq!((0..1_000).filter(|number| takes(*number, 10_000)).count(), 10);
+/// assert_eq!((0..1_000).filter(|number| selects(*number, 10_000)).count(), 10);
 /// ```
-pub const fn takes(number: u64, share_ppm: u32) -> bool {
+pub const fn selects(number: u64, share_ppm: u32) -> bool {
     let share = share_ppm as u128;
     let number = number as u128;
-    let before = number * share / WHOLE_PPM as u128;
-    let after = (number + 1) * share / WHOLE_PPM as u128;
+    let before = number * share / FULL_SHARE_PPM as u128;
+    let after = (number + 1) * share / FULL_SHARE_PPM as u128;
     after > before
 }
--- a/crates/rollout/tests/runner.rs
+++ b/crates/rollout/tests/runner.rs
@@ -1,8 +1,8 @@
-//! Runs all tests of the crate as one program.
+//! Builds all tests of the crate as one binary.
 
 mod fake_fleet;
 mod fake_store;
-mod test_in_force;
+mod test_bundle_tracker;
 mod test_merge;
 mod test_operation;
 mod test_rollout;
--- a/crates/rollout/tests/test_rollout.rs
+++ b/crates/rollout/tests/test_rollout.rs
@@ -1,67 +1,67 @@
-//! Rollouts over a fake fleet: bad versions are kept from traffic, and reports are true.
+//! Rollouts in a simulated fleet: bad versions lose their traffic, and reported results are true.
 
-use celerypond_rollout::{Cause, Method, Phase};
+use celerypond_rollout::{Cause, JudgeConfig, Phase};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use rstest::rstest;
 
-use crate::fake_fleet::{FakeFleet, Kind, Outcome, Setting, Trouble, Way};
+use crate::fake_fleet::{Defect, Disruption, FakeFleet, Outcome, Scenario, Strategy};
 
 const END_MS: u64 = 400_000;
-/// How soon after the first brake the last request may go to a bad version.
+/// Maximum time from the first brake to the last request for a bad version.
 const BRAKE_BOUND_MS: u64 = 1_000;
 
-/// A rollout in two and a half minutes, with an ordinary crash somewhere every few minutes.
-fn quick(kind: Kind) -> Setting {
-    Setting {
+/// Returns a rollout of 150 s with a crash of some engine every few minutes.
+fn short_rollout(defect: Defect) -> Scenario {
+    Scenario {
         within_s: 150,
-        ..Setting::holding(kind)
+        ..Scenario::holding(defect)
     }
 }
 
-fn run(setting: Setting, seed: u64) -> Outcome {
-    FakeFleet::new(setting, seed).run(END_MS, 3_000).clone()
+fn run(scenario: Scenario, seed: u64) -> Outcome {
+    FakeFleet::new(scenario, seed).run(END_MS, 3_000).clone()
 }
 
-fn is_taken_back(outcome: &Outcome) -> bool {
+fn is_rolled_back(outcome: &Outcome) -> bool {
     matches!(outcome.phase, Some(Phase::TakenBack { .. }))
 }
 
-const STORE_LOST: [(u64, Trouble); 2] = [
-    (3_000, Trouble::StoreDown(true)),
-    (300_000, Trouble::StoreDown(false)),
+const STORE_OUTAGE: [(u64, Disruption); 2] = [
+    (3_000, Disruption::StoreDown(true)),
+    (300_000, Disruption::StoreDown(false)),
 ];
 
 #[rstest]
-fn a_bad_version_gets_no_request_soon_after_its_fault_shows(
+fn bad_version_gets_no_requests_soon_after_its_first_fault(
     #[values(
-        Kind::AtOnce,
-        Kind::AfterMinutes,
-        Kind::UnderLoad,
-        Kind::OneRoute,
-        Kind::Slow
+        Defect::Immediate,
+        Defect::Delayed,
+        Defect::UnderLoad,
+        Defect::OneClass,
+        Defect::Slow
     )]
-    kind: Kind,
-    #[values(false, true)] is_store_lost: bool,
+    defect: Defect,
+    #[values(false, true)] is_store_down: bool,
 ) {
-    // Callers of the new version see failures, or slow tokens. The instances that send to it tell each
-    // other what they see; one of them trips the brake and all drop the share, with or without the
-    // store. Engines of both versions die meanwhile. The report waits until the store is back.
-    let troubles = if is_store_lost {
-        STORE_LOST.to_vec()
+    // Callers of the new version get failures or slow tokens. An instance must brake it and all must set
+    // its share to 0, also while the store is down and although engines of both versions crash. The
+    // result is reported once the store is available.
+    let disruptions = if is_store_down {
+        STORE_OUTAGE.to_vec()
     } else {
         Vec::new()
     };
-    // Without the store the first stage stays, at which only faults of the first stage can show.
-    let shows_early = matches!(kind, Kind::AtOnce | Kind::Slow);
+    // Without the store the rollout stays at its first stage, where only some defects show.
+    let shows_early = matches!(defect, Defect::Immediate | Defect::Slow);
     for seed in 0..3 {
-        let setting = Setting {
-            troubles: troubles.clone(),
+        let scenario = Scenario {
+            disruptions: disruptions.clone(),
             crash_mtbf_s: 1_200.0,
-            ..quick(kind)
+            ..short_rollout(defect)
         };
-        let outcome = run(setting, seed);
-        assert!(is_taken_back(&outcome), "seed {seed}: {outcome:?}");
-        assert_eq!(outcome.lie, None, "seed {seed}");
+        let outcome = run(scenario, seed);
+        assert!(is_rolled_back(&outcome), "seed {seed}: {outcome:?}");
+        assert_eq!(outcome.false_ending, None, "seed {seed}");
         assert!(
             outcome.overshoot <= 1.0,
             "seed {seed}: {}",
@@ -72,54 +72,54 @@
             assert!(late_ms <= BRAKE_BOUND_MS, "seed {seed}: {late_ms} ms");
         }
         assert!(
-            !is_store_lost || !shows_early || outcome.ended_ms > 300_000,
+            !is_store_down || !shows_early || outcome.ended_ms > 300_000,
             "seed {seed}"
         );
     }
 }
 
 #[rstest]
-#[case::engines_of_both_versions_die_often(200.0, Vec::new())]
+#[case::engines_of_both_versions_crash_often(200.0, Vec::new())]
 #[case::all_engines_fail_for_a_while(7_200.0, vec![
-    (30_000, Trouble::General(true)), (36_000, Trouble::General(false)),
-    (85_000, Trouble::General(true)), (91_000, Trouble::General(false)),
+    (30_000, Disruption::AllEnginesFail(true)), (36_000, Disruption::AllEnginesFail(false)),
+    (85_000, Disruption::AllEnginesFail(true)), (91_000, Disruption::AllEnginesFail(false)),
 ])]
-fn a_good_version_is_not_blamed_for_what_hits_both(
+fn good_version_is_not_braked_for_faults_of_both_versions(
     #[case] crash_mtbf_s: f64,
-    #[case] troubles: Vec<(u64, Trouble)>,
+    #[case] disruptions: Vec<(u64, Disruption)>,
 ) {
-    // Callers of both versions see failures: one engine takes all its streams along, or all engines
-    // fail a third of all chunks for some seconds. The base shows the same in the same window.
+    // Callers of both versions get failures: engines crash and break all their streams, or all engines fail
+    // a third of all chunks for some seconds. The new version must not be braked for them.
     for seed in 0..4 {
-        let setting = Setting {
+        let scenario = Scenario {
             crash_mtbf_s,
-            troubles: troubles.clone(),
-            ..quick(Kind::Good)
+            disruptions: disruptions.clone(),
+            ..short_rollout(Defect::None)
         };
-        let outcome = run(setting, seed);
+        let outcome = run(scenario, seed);
         assert_eq!(outcome.phase, Some(Phase::Done), "seed {seed}: {outcome:?}");
         assert!(
             outcome.ended_ms <= 150_000,
             "seed {seed}: {}",
             outcome.ended_ms
         );
-        assert_eq!(outcome.lie, None, "seed {seed}");
+        assert_eq!(outcome.false_ending, None, "seed {seed}");
     }
 }
 
 #[rstest]
-fn no_stage_sends_more_of_all_traffic_to_the_version_than_it_may(
+fn no_stage_exceeds_its_share_of_all_traffic(
     #[values(None, Some(0), Some(1), Some(2), Some(3), Some(4), Some(5), Some(6))]
-    favourite: Option<usize>,
+    hot_instance: Option<usize>,
 ) {
-    // Callers of all instances together. Half of them may prefer one instance, which may be one of the
-    // few that send to the version. Only chance may carry the share of a stage above its cap.
+    // Half of the callers may use a single instance, which may be one of a few senders. The share of a
+    // stage over all instances must still exceed its cap by statistical variation only.
     let caps = [0.1, 0.1, 0.3, 0.6, 0.9, 1.0];
-    let setting = Setting {
-        favourite,
-        ..quick(Kind::Good)
+    let scenario = Scenario {
+        hot_instance,
+        ..short_rollout(Defect::None)
     };
-    for (stage, (all, new)) in run(setting, 0).stages {
+    for (stage, (all, new)) in run(scenario, 0).stages {
         let mean = all as f64 * caps[usize::from(stage)];
         let most = mean + 4.0 * mean.sqrt() + 1.0;
         assert!(new as f64 <= most, "stage {stage}: {new} of {all}");
@@ -127,17 +127,17 @@
 }
 
 #[rstest]
-#[case::isolated(Trouble::Isolate(3, true), Trouble::Isolate(3, false))]
-#[case::paused(Trouble::Pause(3, true), Trouble::Pause(3, false))]
-fn an_instance_out_of_reach_holds_the_report_back(#[case] lost: Trouble, #[case] back: Trouble) {
-    // The operator sees "not yet known" while one instance can't be heard, past the deadline too. It
-    // still acts on an early stage; "done" would be false there. The report follows once it is back.
+#[case::isolated(Disruption::Isolate(3, true), Disruption::Isolate(3, false))]
+#[case::paused(Disruption::Pause(3, true), Disruption::Pause(3, false))]
+fn unreachable_instance_delays_the_report(#[case] begin: Disruption, #[case] end: Disruption) {
+    // An unreachable instance still applies an early stage, so "done" would be false. The result must not
+    // be reported before the instance is back, even past the deadline.
     for seed in 0..2 {
-        let troubles = vec![(40_000, lost), (200_000, back)];
+        let disruptions = vec![(40_000, begin), (200_000, end)];
         let outcome = run(
-            Setting {
-                troubles,
-                ..quick(Kind::Good)
+            Scenario {
+                disruptions,
+                ..short_rollout(Defect::None)
             },
             seed,
         );
@@ -147,28 +147,28 @@
             "seed {seed}: {}",
             outcome.ended_ms
         );
-        assert_eq!(outcome.lie, None, "seed {seed}");
+        assert_eq!(outcome.false_ending, None, "seed {seed}");
     }
 }
 
 #[test]
-fn an_isolated_instance_finds_the_fault_by_itself() {
-    // Callers of one instance that hears nobody still see the bad version at the share of its stage.
-    // The brake of the others does not reach it; its own evidence must do.
+fn isolated_instance_brakes_by_its_own_evidence() {
+    // The brake of its peers does not reach an isolated instance, which still sends requests to the bad
+    // version. It must brake by its own evidence.
     for seed in 0..3 {
-        let troubles = vec![
-            (45_000, Trouble::Isolate(3, true)),
-            (220_000, Trouble::Isolate(3, false)),
+        let disruptions = vec![
+            (45_000, Disruption::Isolate(3, true)),
+            (220_000, Disruption::Isolate(3, false)),
         ];
         let outcome = run(
-            Setting {
-                troubles,
-                ..quick(Kind::AfterMinutes)
+            Scenario {
+                disruptions,
+                ..short_rollout(Defect::Delayed)
             },
             seed,
         );
         assert!(
-            is_taken_back(&outcome) && outcome.lie.is_none(),
+            is_rolled_back(&outcome) && outcome.false_ending.is_none(),
             "seed {seed}: {outcome:?}"
         );
         assert!(
@@ -180,89 +180,92 @@
 }
 
 #[rstest]
-#[case::deadline_in_an_outage(12.0, vec![(60_000, Trouble::StoreDown(true)), (200_000, Trouble::StoreDown(false))], Cause::Deadline)]
-#[case::hardly_any_request(0.05, Vec::new(), Cause::TooLittleEvidence)]
-fn a_version_that_could_not_be_proved_in_time_is_taken_back(
+#[case::deadline_in_an_outage(12.0, vec![(60_000, Disruption::StoreDown(true)), (200_000, Disruption::StoreDown(false))], Cause::Deadline)]
+#[case::too_few_requests(0.05, Vec::new(), Cause::TooLittleEvidence)]
+fn version_without_enough_evidence_by_the_deadline_is_rolled_back(
     #[case] rate: f64,
-    #[case] troubles: Vec<(u64, Trouble)>,
+    #[case] disruptions: Vec<(u64, Disruption)>,
     #[case] cause: Cause,
 ) {
-    // The operator is told that the version was taken back, and why: the deadline came in the middle
-    // of the stages, since no step could be written or too few requests came to judge it by.
+    // The deadline passes before the final share, because the store is down or there are too few requests.
+    // The version must be rolled back with the right cause.
     let outcome = run(
-        Setting {
+        Scenario {
             rate,
-            troubles,
-            ..quick(Kind::Good)
+            disruptions,
+            ..short_rollout(Defect::None)
         },
         1,
     );
     assert_eq!(outcome.phase, Some(Phase::TakenBack { cause }));
-    assert_eq!(outcome.lie, None);
+    assert_eq!(outcome.false_ending, None);
 }
 
 #[test]
-fn a_later_bundle_ends_the_rollout_as_superseded() {
-    let troubles = vec![(30_000, Trouble::Supersede)];
+fn later_bundle_supersedes_the_rollout() {
+    let disruptions = vec![(30_000, Disruption::Supersede)];
     let outcome = run(
-        Setting {
-            troubles,
-            ..quick(Kind::Good)
+        Scenario {
+            disruptions,
+            ..short_rollout(Defect::None)
         },
         1,
     );
     assert_eq!(outcome.phase, Some(Phase::Superseded));
 }
 
-/// Outages, partitions, pauses and restarts at random until 200 s, then none.
-fn random_troubles(rng: &mut SmallRng) -> Vec<(u64, Trouble)> {
-    let mut troubles = Vec::new();
+/// Returns random outages, partitions, pauses and restarts that all end by 200 s.
+fn random_disruptions(rng: &mut SmallRng) -> Vec<(u64, Disruption)> {
+    let mut disruptions = Vec::new();
     for _ in 0..6 {
         let at = rng.random_range(0..7);
         let start = rng.random_range(0..170_000);
         let end = start + rng.random_range(500..30_000);
         let on_off = match rng.random_range(0..4) {
-            0 => [Trouble::StoreDown(true), Trouble::StoreDown(false)],
-            1 => [Trouble::Isolate(at, true), Trouble::Isolate(at, false)],
-            2 => [Trouble::Pause(at, true), Trouble::Pause(at, false)],
-            _ => [Trouble::Restart(at), Trouble::Restart((at + 1) % 7)],
+            0 => [Disruption::StoreDown(true), Disruption::StoreDown(false)],
+            1 => [
+                Disruption::Isolate(at, true),
+                Disruption::Isolate(at, false),
+            ],
+            2 => [Disruption::Pause(at, true), Disruption::Pause(at, false)],
+            _ => [Disruption::Restart(at), Disruption::Restart((at + 1) % 7)],
         };
-        troubles.extend([(start, on_off[0]), (end, on_off[1])]);
+        disruptions.extend([(start, on_off[0]), (end, on_off[1])]);
     }
     for at in 0..7 {
-        troubles.extend([
-            (200_000, Trouble::Isolate(at, false)),
-            (200_000, Trouble::Pause(at, false)),
+        disruptions.extend([
+            (200_000, Disruption::Isolate(at, false)),
+            (200_000, Disruption::Pause(at, false)),
         ]);
     }
-    troubles.push((200_000, Trouble::StoreDown(false)));
-    troubles
+    disruptions.push((200_000, Disruption::StoreDown(false)));
+    disruptions
 }
 
 #[rstest]
-#[case::good(Kind::Good)]
-#[case::bad(Kind::AfterMinutes)]
-#[case::bad_under_load(Kind::UnderLoad)]
-fn each_ending_is_true_everywhere_when_it_is_reported(#[case] kind: Kind) {
-    // The operator reads "done" or "taken back" and it holds at every instance that serves. Meanwhile
-    // writers die right after their writes, replies are lost, the store has outages, instances are
-    // cut off, paused and replaced, and all of them race for the next step.
+#[case::good(Defect::None)]
+#[case::bad(Defect::Delayed)]
+#[case::bad_under_load(Defect::UnderLoad)]
+fn reported_result_is_true_on_all_instances(#[case] defect: Defect) {
+    // When "done" or "taken back" is written, it must be true on each instance that serves, although
+    // writers crash after their writes, replies are lost, the store has outages, instances are isolated,
+    // paused and restarted, and all of them race for the next step.
     for seed in 0..10 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let setting = Setting {
-            troubles: random_troubles(&mut rng),
-            lost: 0.3,
-            killed: 0.3,
-            ..quick(kind)
+        let scenario = Scenario {
+            disruptions: random_disruptions(&mut rng),
+            lost_reply: 0.3,
+            crash_after_write: 0.3,
+            ..short_rollout(defect)
         };
-        let outcome = run(setting, seed);
-        assert_eq!(outcome.lie, None, "seed {seed}");
+        let outcome = run(scenario, seed);
+        assert_eq!(outcome.false_ending, None, "seed {seed}");
         assert!(
             outcome.phase.is_some_and(|phase| phase.is_ended()),
-            "seed {seed}: no ending"
+            "seed {seed}: no final phase"
         );
         assert!(
-            kind == Kind::Good || is_taken_back(&outcome),
+            defect == Defect::None || is_rolled_back(&outcome),
             "seed {seed}: {:?}",
             outcome.phase
         );
@@ -271,19 +274,19 @@
 }
 
 #[test]
-fn without_the_discount_ordinary_crashes_would_blame_a_good_version() {
-    let method = Method {
-        targets: false,
-        discount: false,
-        ..Method::default()
+fn without_the_discount_crashes_would_brake_a_good_version() {
+    let config = JudgeConfig {
+        stricter_for_single_target: false,
+        discount_incidents: false,
+        ..JudgeConfig::default()
     };
-    let blamed = (0..4).filter(|seed| {
-        let setting = Setting {
+    let braked = (0..4).filter(|seed| {
+        let scenario = Scenario {
             crash_mtbf_s: 200.0,
-            way: Way::Judged(method),
-            ..quick(Kind::Good)
+            strategy: Strategy::Judged(config),
+            ..short_rollout(Defect::None)
         };
-        is_taken_back(&run(setting, *seed))
+        is_rolled_back(&run(scenario, *seed))
     });
-    assert!(blamed.count() > 0);
+    assert!(braked.count() > 0);
 }
--- a/crates/rollout/tests/test_scripts.rs
+++ b/crates/rollout/tests/test_scripts.rs
@@ -1,11 +1,11 @@
-//! Scripted scenarios of a few instances; the scripts say what the operator sees and why.
+//! Scripted scenarios of a few instances; each script explains the failure that it guards against.
 
 use std::{collections::BTreeMap, error::Error, fmt::Write as _};
 
 use celerypond_bundle::Model;
 use celerypond_rollout::{
-    parse, rollout_key, share_increases, Condition, Failure, Method, ModelPart, Rollout,
-    RolloutController, Route, StoreCall, StoreReply, Trial,
+    parse_json, rollout_key, share_increases, Condition, Failure, JudgeConfig, ModelPart,
+    RequestClass, Rollout, RolloutController, StoreCall, StoreReply, Trial,
 };
 use celerypond_types::{InstanceName, Revision};
 use goldenscript::Context;
@@ -41,13 +41,13 @@
     fn start(&mut self, name: &str) {
         self.incarnation += 1;
         let mut controller =
-            RolloutController::new(name.into(), self.incarnation, Method::default());
+            RolloutController::new(name.into(), self.incarnation, JudgeConfig::default());
         let next = &Self::models()[0];
-        let moves = share_increases(Some(&model("v1", 0)), next);
+        let increases = share_increases(Some(&model("v1", 0)), next);
         let part = ModelPart {
             origin: ORIGIN,
             rolled_ms: 0,
-            moves,
+            increases,
         };
         controller.set_parts(BTreeMap::from([(next.name.clone(), part)]));
         controller.set_live(&self.live);
@@ -58,7 +58,7 @@
         match self.store.call(&StoreCall::read(rollout_key(ORIGIN))) {
             StoreReply::Found { version, value } => {
                 self.versions.insert(name.to_owned(), version);
-                let rollout = parse(&value).unwrap();
+                let rollout = parse_json(&value).unwrap();
                 self.controllers
                     .get_mut(name)
                     .unwrap()
@@ -70,7 +70,7 @@
         }
     }
 
-    fn plan(&mut self, name: &str) -> String {
+    fn plan_stages(&mut self, name: &str) -> String {
         let due = self.controllers[name].due_records(
             &Self::models(),
             |_| 100.0,
@@ -79,7 +79,7 @@
         );
         let phases: Vec<_> = due
             .iter()
-            .map(|rollout| format!("{:?}", rollout.moves[0].phase))
+            .map(|rollout| format!("{:?}", rollout.versions[0].phase))
             .collect();
         self.planned.insert(name.to_owned(), due);
         if phases.is_empty() {
@@ -111,7 +111,7 @@
         out
     }
 
-    fn act(&mut self, name: &str) {
+    fn apply(&mut self, name: &str) {
         let open = self.open.get(name).copied().unwrap_or(0);
         self.controllers
             .get_mut(name)
@@ -120,11 +120,11 @@
     }
 
     fn gossip(&mut self, from: &str, to: &str) {
-        self.act(from);
+        self.apply(from);
         let sender = self.controllers[from].clone();
         let receiver = self.controllers.get_mut(to).unwrap();
         receiver.merge_snapshot(&sender.snapshot());
-        for report in sender.evidence().all() {
+        for report in sender.evidence().reports() {
             receiver.merge_report(report.clone());
         }
         for applied in self
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Sends `count` requests to each version; those to the new one fail if it is bad.
+    /// Records `count` requests for each version, which fail for the new one if it is bad.
     fn requests(&mut self, name: &str, count: u64, is_bad: bool) -> String {
         let controller = self.controllers.get_mut(name).unwrap();
         for at in 0..2 * count {
@@ -144,7 +144,7 @@
             let trial = Trial {
                 model: "draft".into(),
                 version: version.into(),
-                route: Route("draft".into()),
+                class: RequestClass("draft".into()),
                 target: format!("{version}-{}", 1 + at / 2 % 2).as_str().into(),
                 is_first: true,
                 begun_ms: self.now,
@@ -156,9 +156,9 @@
                 controller.record_success(&trial, 400_000);
             }
         }
-        let is_tripped = controller.evaluate(|_| 2, self.now);
-        if is_tripped {
-            "brake tripped".to_owned()
+        let is_braked = controller.evaluate(|_| 2, self.now);
+        if is_braked {
+            "version braked".to_owned()
         } else {
             String::new()
         }
@@ -171,8 +171,8 @@
             .objects
             .get(&rollout_key(ORIGIN))
             .map(|(_, value)| value);
-        if let Some(rollout) = value.and_then(|value| parse::<Rollout>(value)) {
-            let record = &rollout.moves[0];
+        if let Some(rollout) = value.and_then(|value| parse_json::<Rollout>(value)) {
+            let record = &rollout.versions[0];
             writeln!(
                 out,
                 "store: {:?}, step {}, by {}",
@@ -184,11 +184,11 @@
         for (name, controller) in &self.controllers {
             let share = controller.local_share(ORIGIN, &change) / 10_000;
             let braked = controller.brakes().cause(ORIGIN, &candidate()).is_some();
-            let word = controller
+            let applied = controller
                 .applied_states()
                 .get(&name.as_str().into())
                 .and_then(|applied| applied.find(ORIGIN, &candidate()));
-            let promised = word.is_some_and(|word| word.promised);
+            let promised = applied.is_some_and(|applied| applied.promised);
             let synced = controller.is_synced();
             writeln!(
                 out,
@@ -208,38 +208,50 @@
         let words: Vec<_> = std::iter::from_fn(|| args.next_pos().map(str::to_owned)).collect();
         let first = words.first().cloned().unwrap_or_default();
         match command.name.as_str() {
+            // Starts instances, which are all that are live.
             "start" => {
                 self.live = words.iter().map(InstanceName::new).collect();
                 for name in &words {
                     self.start(name);
                 }
             }
+            // Restarts an instance, which loses its state.
             "restart" => self.start(&first),
+            // Sets the time in seconds after the roll.
             "now" => self.now = first.parse::<u64>()? * 1_000,
             "store" => self.store.down = first == "down",
+            // Sets the number of open answers of the base on an instance.
             "open" => {
                 self.open.insert(first, words[1].parse()?);
             }
+            // Reads the record from the store.
             "read" => return Ok(self.read(&first).to_owned()),
-            "plan" => return Ok(self.plan(&first)),
+            // Plans the next record, which `write` writes.
+            "plan" => return Ok(self.plan_stages(&first)),
             "write" => return Ok(self.write(&first)),
-            "drive" => {
+            // Reads, updates the applied state, plans and writes.
+            "step" => {
                 self.read(&first);
-                self.act(&first);
-                let planned = self.plan(&first);
+                self.apply(&first);
+                let planned = self.plan_stages(&first);
                 let written = self.write(&first);
                 return Ok(format!("{planned}\n{written}"));
             }
-            "act" => self.act(&first),
+            "apply" => self.apply(&first),
+            // Sends all state of the first instance to the second.
             "gossip" => self.gossip(&first, &words[1]),
-            "good" => return Ok(self.requests(&first, words[1].parse()?, false)),
-            "bad" => return Ok(self.requests(&first, words[1].parse()?, true)),
+            // Records successful requests for both versions, and evaluates them.
+            "succeed" => return Ok(self.requests(&first, words[1].parse()?, false)),
+            // The same, but those for the new version fail.
+            "fail" => return Ok(self.requests(&first, words[1].parse()?, true)),
+            // Shows the status that operators get from an instance.
             "report" => {
                 let controller = &self.controllers[&first];
                 let status =
                     controller.reported_status(ORIGIN, &candidate(), !self.store.down, self.now);
                 return Ok(serde_json::to_string(&status)?);
             }
+            // Shows the record in the store and the state of each instance.
             "status" => return Ok(self.status()),
             name => return Err(format!("no command {name}").into()),
         }
--- a/daemon/src/rollouts/driver.rs
+++ b/daemon/src/rollouts/driver.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use celerypond_fleet::EntryKind;
 use celerypond_platform::{PlatformError, Version};
-use celerypond_rollout::{rank, rollout_key, Rollout, ShareIncrease};
+use celerypond_rollout::{rendezvous_order, rollout_key, Rollout, ShareIncrease};
 use celerypond_types::{ModelName, Revision};
 use tokio::time::{self, Instant};
 
@@ -69,7 +69,7 @@
         });
         let is_talking = force.headline.parts.values().any(|part| {
             let rollout = controller.rollout(part.origin);
-            rollout.is_some_and(|rollout| rollout.moves.iter().any(|it| !it.phase.is_ended()))
+            rollout.is_some_and(|rollout| rollout.versions.iter().any(|it| !it.phase.is_ended()))
         });
         node.rollouts.shares.publish(&controller, &force.bundle);
         (tripped, acting, is_talking || !controller.is_synced())
@@ -87,7 +87,7 @@
 
 /// Returns whether this instance is one of those that read the records for all.
 fn is_reader(node: &Node) -> bool {
-    let ranked = rank("rollout reader", &listed(node));
+    let ranked = rendezvous_order("rollout reader", &listed(node));
     let mut readers = ranked.iter().take(READERS);
     readers.any(|name| *name == node.settings.instance)
 }
@@ -100,7 +100,7 @@
     *lock(&node.rollouts.read) = Some(Instant::now());
     let mut is_new = false;
     for object in listing.objects {
-        if let Some(rollout) = celerypond_rollout::parse::<Rollout>(&object.value) {
+        if let Some(rollout) = celerypond_rollout::parse_json::<Rollout>(&object.value) {
             versions.insert(rollout.origin, object.version);
             is_new |= node.rollouts.controller().merge_rollout(rollout);
         }
@@ -130,7 +130,7 @@
     for rollout in due {
         let first = *since.entry(rollout.origin).or_insert_with(Instant::now);
         let live = listed(node);
-        let turn = rank(&format!("driver {}", rollout.origin), &live);
+        let turn = rendezvous_order(&format!("driver {}", rollout.origin), &live);
         let place = turn.iter().position(|name| *name == node.settings.instance);
         let place = place.unwrap_or(turn.len()) as u32;
         if first.elapsed() >= PATIENCE * place {
@@ -149,7 +149,7 @@
     match result {
         Ok(version) => {
             versions.insert(rollout.origin, version);
-            for record in &rollout.moves {
+            for record in &rollout.versions {
                 let candidate = &record.change.candidate;
                 let (model, version) = (&candidate.model, &candidate.version);
                 log::info!("rollout of {model} {version}: {:?}", record.phase);
