--- a/crates/ledger/src/call_key.rs
+++ b/crates/ledger/src/call_key.rs
@@ -1,11 +1,11 @@
-//! The key of a call and the tag of its body.
+//! The key of a call and the fingerprint of its request.
 
 use std::fmt;
 
 use celerypond_types::{AccountName, Digest, RequestKey};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// The identity of a keyed call: a digest of the account and the caller's key.
+/// The identity of a call with an idempotency key: a digest of the account and that key.
 ///
 /// # Examples
 ///
@@ -19,17 +19,18 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallKey(u128);
 
-/// A digest of a call's body, by which the reuse of a key for another call is found.
+/// A digest of a call's method, path and body, which shows that a key is reused for another call.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RequestFingerprint(u64);
 
 impl CallKey {
-    /// Makes the key of a call.
+    /// Computes the key of a call from the account and its idempotency key.
     pub fn of(account: &AccountName, key: &RequestKey) -> Self {
         let account = account.as_str();
-        // The length keeps two accounts from making the same text by moving the border.
+        // Without the length, two accounts could make the same text by moving the boundary between
+        // account and key.
         let text = format!("{}:{account}{key}", account.len());
-        Self(leading(Digest::of(text.as_bytes())))
+        Self(leading_bits(Digest::of(text.as_bytes())))
     }
 
     /// Returns the shard of this key out of `count`, which must not be 0.
@@ -39,20 +40,22 @@
 }
 
 impl RequestFingerprint {
-    /// Makes the tag of a call from its method, path and body.
+    /// Computes the fingerprint of a call from its method, path and body.
     pub fn of(method: &str, path: &str, body: &[u8]) -> Self {
         let head = format!("{method} {path}\n");
         let text = [head.as_bytes(), body].concat();
-        Self((leading(Digest::of(&text)) >> 64) as u64)
+        Self((leading_bits(Digest::of(&text)) >> 64) as u64)
     }
 }
 
-fn leading(digest: Digest) -> u128 {
+/// Returns the first 128 bits of a digest.
+fn leading_bits(digest: Digest) -> u128 {
     let bytes = digest.as_bytes().iter().take(16);
-    bytes.fold(0, |all, byte| all << 8 | u128::from(*byte))
+    bytes.fold(0, |bits, byte| bits << 8 | u128::from(*byte))
 }
 
-macro_rules! hex {
+/// Implements formatting and serialization of an integer type as fixed-width hexadecimal text.
+macro_rules! impl_hex_format {
     ($name:ident, $int:ty, $format:literal) => {
         impl fmt::Display for $name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -67,14 +70,14 @@
         }
 
         impl Serialize for $name {
-            fn serialize<S: Serializer>(&self, out: S) -> Result<S::Ok, S::Error> {
-                out.collect_str(self)
+            fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+                serializer.collect_str(self)
             }
         }
 
         impl<'de> Deserialize<'de> for $name {
-            fn deserialize<D: Deserializer<'de>>(input: D) -> Result<Self, D::Error> {
-                let text = smol_str::SmolStr::deserialize(input)?;
+            fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+                let text = smol_str::SmolStr::deserialize(deserializer)?;
                 let value = <$int>::from_str_radix(&text, 16);
                 value.map(Self).map_err(serde::de::Error::custom)
             }
@@ -82,5 +85,5 @@
     };
 }
 
-hex!(CallKey, u128, "{:032x}");
-hex!(RequestFingerprint, u64, "{:016x}");
+impl_hex_format!(CallKey, u128, "{:032x}");
+impl_hex_format!(RequestFingerprint, u64, "{:016x}");
--- a/crates/ledger/src/call_state.rs
+++ b/crates/ledger/src/call_state.rs
@@ -1,4 +1,4 @@
-//! A call that may not be repeated, from permission to outcome.
+//! The states of a non-idempotent call: unsent, sent and finished.
 
 use std::time::Duration;
 
@@ -9,8 +9,9 @@
 
 /// A call of which no byte can have reached a service.
 ///
-/// It can't be cloned, and only [`UnsentCall::mark_sent`] makes a [`SentCall`], so a call is sent at most once.
-/// Only an unsent call can end as not run, as the state that lost that right has no such function:
+/// It can't be cloned, and only [`UnsentCall::mark_sent`] turns it into a [`SentCall`], so a call is
+/// sent at most once. Only an unsent call can be finished as not run without a response of the
+/// service:
 ///
 /// ```
 /// use std::time::Duration;
@@ -19,8 +20,8 @@
 /// use celerypond_types::{NotRunReason, Outcome};
 /// use tokio::time::Instant;
 ///
-/// let by = Instant::now() + Duration::from_secs(1);
-/// let finished = UnsentCall::unkeyed(by).not_run(NotRunReason::NotConnected, Duration::ZERO);
+/// let send_by = Instant::now() + Duration::from_secs(1);
+/// let finished = UnsentCall::unkeyed(send_by).not_run(NotRunReason::NotConnected, Duration::ZERO);
 /// assert!(matches!(finished.outcome(), Outcome::NotRun { .. }));
 /// ```
 ///
@@ -36,7 +37,7 @@
 /// sent.not_run(NotRunReason::NotConnected, Duration::ZERO);
 /// ```
 ///
-/// Nor can it be sent twice:
+/// It can't be sent twice:
 ///
 /// ```compile_fail,E0382
 /// use std::time::Duration;
@@ -63,7 +64,7 @@
     intent: Option<Intent>,
 }
 
-/// A call with its outcome.
+/// A finished call with its outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[must_use = "the caller waits for the outcome"]
 pub struct FinishedCall {
@@ -71,7 +72,8 @@
     outcome: Outcome<ServiceResponse>,
 }
 
-/// An intent that this process has written, told from a later one of the same key.
+/// Identifies an intent that this process has written. The number distinguishes it from later ones
+/// of the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Intent {
     pub(crate) key: CallKey,
@@ -79,7 +81,7 @@
 }
 
 impl UnsentCall {
-    /// Makes a call without a key, which needs no record. It must be sent by `by`.
+    /// Creates a call without a key, which needs no record. It must be sent by `send_by`.
     pub const fn unkeyed(send_by: Instant) -> Self {
         Self {
             intent: None,
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Returns the key, by which the outcome finds its shard.
+    /// Returns the key of the call, which determines the shard that takes its outcome.
     pub const fn key(&self) -> Option<CallKey> {
         match self.intent {
             Some(intent) => Some(intent.key),
@@ -102,13 +104,14 @@
         }
     }
 
-    /// Makes the call one that may have been sent; to be called right before the first write.
+    /// Marks the call as one that may have been sent. Must be called right before the first write to
+    /// the connection.
     ///
     /// # Errors
     ///
-    /// The call as not run, when the time by which it must be sent has passed. The process may have
-    /// been paused since the intent was recorded. Others were told by then that the call is
-    /// unknown and have moved on; sent now, it would take effect long after its caller gave up.
+    /// Returns the call as not run if it should have been sent by now, as happens if the process was
+    /// paused after the intent was recorded. Callers at other instances have been told by then that
+    /// the outcome is unknown; a call sent now would take effect long after they gave up.
     pub fn mark_sent(self, now: Instant) -> Result<SentCall, FinishedCall> {
         if now > self.send_by {
             return Err(self.not_run(NotRunReason::Overload, Duration::ZERO));
@@ -118,7 +121,7 @@
         })
     }
 
-    /// Ends the call as not run.
+    /// Finishes the call as not run.
     pub fn not_run(self, reason: NotRunReason, retry_after: Duration) -> FinishedCall {
         let outcome = Outcome::NotRun {
             reason,
@@ -132,25 +135,25 @@
 }
 
 impl SentCall {
-    /// Ends the call with the answer of its service.
+    /// Finishes the call with the response of its service.
     ///
-    /// An answer that the service's `proof` names is a call that did not run. Any other answer that
-    /// the service failed, or wants the call later, says nothing about what ran before it.
+    /// A status in `not_run_codes` means that the call did not run. Any other status by which the
+    /// service failed or asks for a retry later leaves open whether the call ran.
     pub fn answered(
         self,
-        reply: ServiceResponse,
+        response: ServiceResponse,
         retry_after: Duration,
         not_run_codes: &NotRunCodes,
     ) -> FinishedCall {
-        let outcome = if not_run_codes.contains(reply.status) {
+        let outcome = if not_run_codes.contains(response.status) {
             Outcome::NotRun {
                 reason: NotRunReason::Refused,
                 retry_after,
             }
-        } else if is_inconclusive(reply.status) {
+        } else if is_inconclusive(response.status) {
             Outcome::Unknown
         } else {
-            Outcome::Ran(reply)
+            Outcome::Ran(response)
         };
         FinishedCall {
             intent: self.intent,
@@ -158,7 +161,8 @@
         }
     }
 
-    /// Ends the call without an answer: a reset, a timeout, an answer that broke off.
+    /// Finishes the call without a complete response, after a reset, a timeout or a truncated
+    /// response.
     pub const fn unanswered(self) -> FinishedCall {
         FinishedCall {
             intent: self.intent,
@@ -168,7 +172,7 @@
 }
 
 impl FinishedCall {
-    /// Returns the key, by which the outcome finds its shard.
+    /// Returns the key of the call, which determines the shard that takes its outcome.
     pub const fn key(&self) -> Option<CallKey> {
         match self.intent {
             Some(intent) => Some(intent.key),
@@ -180,7 +184,7 @@
         self.intent
     }
 
-    /// Returns the outcome.
+    /// Returns the outcome of the call.
     pub fn outcome(self) -> Outcome<ServiceResponse> {
         self.outcome
     }
--- a/crates/ledger/src/effect.rs
+++ b/crates/ledger/src/effect.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of a shard.
+//! The inputs and outputs of a shard.
 
 use std::time::Duration;
 
@@ -10,129 +10,129 @@
 
 use crate::{BatchDecodeError, CallKey, RequestFingerprint, ServiceResponse, UnsentCall};
 
-/// A waiting caller, in the terms of the user of the shard.
+/// Identifies a caller that waits for an answer. Assigned by the user of the shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// A call that arrives.
+/// A call that arrives at a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// The caller, who gets exactly one answer.
+    /// The caller, which gets exactly one answer.
     pub id: CallId,
     /// The key of the call.
     pub key: CallKey,
-    /// The tag of its body.
+    /// The fingerprint of its request.
     pub fingerprint: RequestFingerprint,
-    /// When it must have been sent; later it ends as not run.
+    /// The time by which the call must be sent. A call that is not sent by then ends as not run.
     pub send_by: Instant,
-    /// How long the service may take after that.
+    /// How long the service may take after `send_by`.
     pub service_timeout: Duration,
 }
 
-/// What a caller is told.
+/// The answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// What became of the call. `NotRun` speaks of this attempt; an earlier one that ended as
-    /// unknown stays so.
+    /// The outcome of the call. `NotRun` refers to this attempt only: an earlier attempt that ended
+    /// as unknown may still have run.
     Outcome(Outcome<ServiceResponse>),
-    /// The key was used for a call with another body; nothing was sent.
+    /// The key was used for a call with another request; nothing was sent.
     KeyReused,
 }
 
-/// What the user of a shard does for it.
+/// An action that the user of a shard carries out for it.
 ///
-/// Of the first four, one at a time is under way, and its reply goes to [`Shard::handle_list_reply`],
-/// [`Shard::handle_read_reply`] or [`Shard::handle_write_reply`].
+/// At most one operation of the store (one of the first four) is under way at a time. Its reply goes
+/// to [`Shard::handle_list_reply`], [`Shard::handle_read_reply`] or [`Shard::handle_write_reply`].
 ///
 /// [`Shard::handle_list_reply`]: crate::Shard::handle_list_reply
 /// [`Shard::handle_read_reply`]: crate::Shard::handle_read_reply
 /// [`Shard::handle_write_reply`]: crate::Shard::handle_write_reply
 #[derive(Debug)]
 pub enum Effect {
-    /// List all objects under the prefix.
+    /// List all objects whose keys start with the prefix.
     List {
-        /// The prefix.
+        /// The prefix of the keys.
         prefix: SmolStr,
     },
     /// Read an object.
     Get {
-        /// The key.
+        /// The key of the object.
         key: SmolStr,
     },
-    /// Create an object if there is none.
+    /// Create an object if it does not exist.
     Create {
-        /// The key.
+        /// The key of the object.
         key: SmolStr,
-        /// The value.
+        /// The value of the object.
         value: Bytes,
     },
-    /// Replace an object if it has this version.
+    /// Replace an object if it has the expected version.
     Update {
-        /// The key.
+        /// The key of the object.
         key: SmolStr,
-        /// The version it must have.
+        /// The version that the object must have.
         expected_version: Version,
-        /// The value.
+        /// The new value of the object.
         value: Bytes,
     },
-    /// Send the call of this caller, and give the outcome to [`Shard::handle_finished_call`].
+    /// Send the call of this caller, and pass the result to [`Shard::handle_finished_call`].
     ///
     /// [`Shard::handle_finished_call`]: crate::Shard::handle_finished_call
     Dispatch {
-        /// Whose call it is.
+        /// The caller whose call is sent.
         id: CallId,
-        /// The permission to send it.
+        /// The permission to send the call.
         unsent: UnsentCall,
     },
     /// Answer a caller.
     Answer {
         /// The caller.
         id: CallId,
-        /// What the caller is told.
+        /// The answer.
         answer: Answer,
     },
-    /// Report an object that cannot be read; the shard refuses calls until it can.
+    /// Report an object that can't be decoded. The shard refuses calls until it can be.
     ReportCorruption {
-        /// What is wrong.
+        /// Which object can't be decoded.
         error: BatchDecodeError,
     },
 }
 
-/// The reply to a create or an update.
+/// The reply to [`Effect::Create`] or [`Effect::Update`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteReply {
-    /// It took effect.
+    /// The write took effect and gave the object this version.
     Written(Version),
-    /// The condition does not hold.
+    /// The object exists or has another version than expected.
     Conflict,
-    /// It may have taken effect, or still may.
+    /// The write may have taken effect, or may still take effect.
     Ambiguous,
-    /// It took no effect, as the store is down.
+    /// The write had no effect, because the store is down or rejected it.
     NotApplied,
-    /// It was not sent, as the rate is used up.
+    /// The write was not applied, because the request rate is used up.
     RateLimited {
-        /// When to come back.
+        /// How long to wait before the next attempt.
         retry_after: Duration,
     },
 }
 
-/// The reply to a get.
+/// The reply to [`Effect::Get`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadReply {
     /// The object.
     Found(Object),
-    /// There is no such object.
+    /// The object does not exist.
     Missing,
-    /// No answer.
+    /// The read failed.
     Failed,
 }
 
-/// The reply to a list.
+/// The reply to [`Effect::List`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListReply {
     /// All objects.
     Listed(Vec<Object>),
-    /// No answer.
+    /// The list failed.
     Failed,
 }
 
--- a/crates/ledger/src/failure.rs
+++ b/crates/ledger/src/failure.rs
@@ -1,54 +1,54 @@
-//! What a failed exchange with a service proves.
+//! What a failed exchange with a service shows about the call.
 
 use thiserror::Error;
 
 use crate::NotRunCodes;
 
-/// A failed exchange, by what was seen of it.
+/// A failed exchange with a service, as seen by the client.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, Hash)]
 pub enum Failure {
-    /// Nothing listens at the address.
+    /// The connection was refused: nothing listens at the address.
     #[error("the connection was refused")]
     Refused,
-    /// The connection was not made in time.
-    #[error("the connection was not made in time")]
+    /// The connection was not established in time.
+    #[error("timed out while connecting")]
     NotConnected,
     /// The connection was closed or reset.
     #[error("the connection was closed")]
     Closed,
-    /// The answer did not arrive in time.
-    #[error("the answer did not arrive in time")]
+    /// The response did not arrive in time.
+    #[error("timed out while waiting for the response")]
     Timeout,
-    /// The answer broke off.
-    #[error("the answer broke off")]
+    /// The connection ended in the middle of the response.
+    #[error("the response is truncated")]
     Truncated,
-    /// The answer has a status of failure.
-    #[error("the answer has the status {0}")]
+    /// The response has an error status.
+    #[error("the response has status {0}")]
     Status(u16),
 }
 
-/// What may be done after a failure.
+/// Whether and how a call may be retried after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RetryDecision {
-    /// The call did not run: send it to another target, or later to the same one.
+    /// The call did not run; it may be sent to another target, or to the same one later.
     RetryNotRun,
-    /// The call may have run; as it is idempotent, repeat it after a wait.
+    /// The call may have run; as it is idempotent, it may be repeated after a delay.
     RetryIdempotent,
     /// The call may have run and must not be sent again.
     Unknown,
-    /// The service's answer is final.
+    /// The response of the service is final.
     Final,
 }
 
 impl Failure {
-    /// Returns what may be done after this failure.
+    /// Returns whether and how the call may be retried.
     ///
-    /// The order of questions is that of the paper "Retry Classification When the Failure Arrives
-    /// as a Timeout": failures that prove something first, then whether the call is idempotent.
-    /// Two of its rules are not followed. It takes a reset while the request is sent as a sign
-    /// that the request was not completed, and some 5xx answers as an invitation to repeat; in
-    /// `tests/test_failure.rs` the same reset and the same 503 come from a service that ran the
-    /// call, so without the bundle's word they prove nothing.
+    /// The checks follow the order of the paper "Retry Classification When the Failure Arrives as a
+    /// Timeout": first whether the failure proves that the call did not run, then whether the call
+    /// is idempotent. Two of its rules are not applied: it takes a reset while the request is sent
+    /// as a sign that the request was not completed, and some 5xx responses as a request to retry.
+    /// In `tests/test_failure.rs` the same reset and the same 503 come from a service that ran the
+    /// call, so without a declaration in the bundle they prove nothing.
     ///
     /// # Examples
     ///
@@ -74,8 +74,8 @@
     }
 }
 
-/// Returns whether an answer says that the service failed or wants the call later, neither of
-/// which tells whether the call ran.
+/// Returns whether a response with this status leaves open whether the call ran: the service failed
+/// or asks for a retry later, and may have done so after it ran the call.
 pub(crate) const fn is_inconclusive(status: u16) -> bool {
     matches!(status, 408 | 429 | 500..)
 }
--- a/crates/ledger/src/settings.rs
+++ b/crates/ledger/src/settings.rs
@@ -5,26 +5,28 @@
 /// The settings of a shard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// How long a key is remembered. A key that is forgotten while its caller still retries lets
-    /// the call run again, so this must be longer than any caller retries.
+    /// How long a key is remembered. Must be longer than any caller retries: a retry after the key
+    /// was forgotten runs the call again.
     pub retention: Duration,
-    /// The least time between two writes, by which the write rate is kept.
+    /// The minimum time between two writes, which limits the write rate.
     pub min_write_interval: Duration,
-    /// How long a result may wait for an intent to ride with.
+    /// How long a result may wait for an intent to be written in the same batch.
     pub linger: Duration,
-    /// What is added to the time a call may take before others give it up.
+    /// What is added to the time that a call may take before it is given up as unknown.
     pub timeout_margin: Duration,
-    /// The first wait after the store failed; it doubles up to `max_store_retry_delay`.
+    /// The first delay after a failure of the store; it doubles up to `max_store_retry_delay`.
     pub min_store_retry_delay: Duration,
-    /// The longest wait after the store failed.
+    /// The maximum delay after a failure of the store.
     pub max_store_retry_delay: Duration,
-    /// The first wait before the log is read again for the result of another writer's call.
+    /// The first delay between reads of the log for the result of another writer's call; it doubles
+    /// up to `max_poll_delay`.
     pub min_poll_delay: Duration,
-    /// The longest such wait.
+    /// The maximum delay between such reads.
     pub max_poll_delay: Duration,
-    /// How many calls may wait for their intent.
+    /// How many calls may wait for their intents to be written; further calls are refused.
     pub max_queued_calls: usize,
-    /// How many keys are remembered; more are refused. A key takes about 300 bytes and its result.
+    /// How many keys are remembered; calls with further keys are refused. A key takes about 300
+    /// bytes of memory in addition to its result.
     pub max_keys: usize,
 }
 
