--- a/crates/ledger/src/batch.rs
+++ b/crates/ledger/src/batch.rs
@@ -9,79 +9,84 @@
 
 use crate::{CallKey, RequestFingerprint, ServiceResponse};
 
-/// The part of an object's size that does not depend on bodies, in bytes a record.
-const RECORD_BYTES: usize = 180;
+/// The estimated size of a stored record without the body and media type of a response, in bytes.
+const RECORD_OVERHEAD_BYTES: usize = 180;
 
-/// One process that writes, for as long as it runs.
+/// Identifies one run of a process that writes to a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WriterId(pub u64);
 
-/// The ordinal of a batch in its shard.
+/// The position of a batch in the log of its shard, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct SequenceNumber(pub u64);
 
-/// An object of a shard, used again for a later batch when its records have expired.
+/// The number of an object of a shard. An object is reused for a later batch once its records have
+/// expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Slot(pub u32);
 
-/// The value of one object: what one write adds to the log of a shard.
+/// The value of one object: the records that one write appends to the log of a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Batch {
-    /// The place in the log.
+    /// The position in the log.
     pub(crate) sequence: SequenceNumber,
     /// The oldest batch that is still in the log.
-    pub(crate) first: SequenceNumber,
+    #[serde(rename = "first")]
+    pub(crate) oldest: SequenceNumber,
     /// The slot that takes the next batch.
-    pub(crate) next: Slot,
-    /// Who wrote this batch.
+    #[serde(rename = "next")]
+    pub(crate) next_slot: Slot,
     pub(crate) writer: WriterId,
-    /// Tells this write from any other of the same writer.
+    /// Distinguishes this write from all others of the same writer.
     pub(crate) nonce: u64,
-    /// How long the writer had known the batch before this one, in milliseconds. Sums of these are
-    /// ages that are never too high, and no clocks of two instances are compared.
-    pub(crate) gap_ms: u64,
-    /// What became of calls, in order.
+    /// How long the writer had known the previous batch when it wrote this one, in milliseconds.
+    /// The sum of these intervals is a lower bound of a batch's age, without comparing the clocks
+    /// of two instances.
+    #[serde(rename = "gap_ms")]
+    pub(crate) since_previous_ms: u64,
+    /// The records, in the order in which they apply.
     pub(crate) records: Vec<Record>,
 }
 
-/// What became of one call; the last record of a key counts.
+/// The state of one call; the last record of a key is the valid one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Record {
     pub(crate) key: CallKey,
     #[serde(rename = "body")]
     pub(crate) fingerprint: RequestFingerprint,
-    pub(crate) state: State,
+    pub(crate) state: CallState,
 }
 
-/// What is known of a key.
+/// What a record says of its call: an intent to send it, or one of the results.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum State {
-    /// The writer of this record, and nobody else, may send the call once.
+pub(crate) enum CallState {
+    /// An intent: the writer of this record, and no other, may send the call once.
     Started {
-        /// How long until the writer has sent the call and heard of it, or given up.
+        /// How long until the writer has either got the result of the call or given up.
         ttl_ms: u64,
     },
     /// The call ran.
     Ran(ServiceResponse),
     /// The call may have run and is never sent again.
     Unknown,
-    /// The call was never sent and never will be; the key is free. Only the writer of the intent
-    /// may say so.
+    /// The call was never sent and never will be; the key can be used again. Only the writer of the
+    /// intent may write this.
     Released,
 }
 
-/// An object that is not a batch.
+/// The error for an object of a shard that does not contain a batch.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the object at version {0} is not a batch")]
+#[error("the object at version {0} does not contain a valid batch")]
 pub struct BatchDecodeError(pub Version);
 
 impl Batch {
     pub(crate) fn encode(&self) -> Bytes {
-        // A batch has no map with keys other than text and no fallible serializer.
+        // Serialization can't fail: a batch has no map with keys other than text and no serializer
+        // that returns an error.
         serde_json::to_vec(self).unwrap_or_default().into()
     }
 
@@ -89,21 +94,26 @@
         serde_json::from_slice(value).map_err(|_| BatchDecodeError(version))
     }
 
-    pub(crate) fn is(&self, other: &Self) -> bool {
+    /// Returns whether both batches come from the same write.
+    pub(crate) fn is_same_write(&self, other: &Self) -> bool {
         self.writer == other.writer && self.nonce == other.nonce
     }
 
-    pub(crate) const fn gap(&self) -> Duration {
-        Duration::from_millis(self.gap_ms)
+    pub(crate) const fn since_previous(&self) -> Duration {
+        Duration::from_millis(self.since_previous_ms)
     }
 }
 
 impl Record {
-    /// Returns about how many bytes this record takes in an object.
-    pub(crate) fn size(&self) -> usize {
+    /// Returns the estimated size of this record in an object, in bytes.
+    pub(crate) fn estimated_size(&self) -> usize {
         match &self.state {
-            State::Ran(reply) => RECORD_BYTES + reply.media_type.len() + reply.body.len() * 4 / 3,
-            State::Started { .. } | State::Unknown | State::Released => RECORD_BYTES,
+            CallState::Ran(response) => {
+                RECORD_OVERHEAD_BYTES + response.media_type.len() + response.body.len() * 4 / 3
+            }
+            CallState::Started { .. } | CallState::Unknown | CallState::Released => {
+                RECORD_OVERHEAD_BYTES
+            }
         }
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,24 +1,25 @@
-//! Calls that may not be repeated: a sharded append log of intents and results.
+//! Non-idempotent calls, run at most once: a sharded append-only log of intents and results.
 //!
-//! A call with a key is recorded in the store before it is sent, and only the writer of that record
-//! may send it, once. A call without a key is sent once and never again.
+//! A call with an idempotency key is recorded in the store before it is sent. Only the writer of
+//! that record may send the call, and only once. A call without a key is sent once and never
+//! retried.
 
 mod batch;
-mod book;
+mod batch_write;
 mod call_key;
 mod call_state;
-mod callers;
 mod effect;
 mod failure;
-mod flight;
-mod health;
 mod log;
 mod not_run_codes;
 mod response;
 mod schedule;
 mod settings;
 mod shard;
-mod stored;
+mod shard_state;
+mod store_backoff;
+mod stored_batch;
+mod waiting_callers;
 
 pub use batch::{BatchDecodeError, SequenceNumber, Slot, WriterId};
 pub use call_key::{CallKey, RequestFingerprint};
--- a/crates/ledger/src/schedule.rs
+++ b/crates/ledger/src/schedule.rs
@@ -1,32 +1,32 @@
-//! When a shard calls the store next.
+//! The times of a shard's next operations at the store.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use crate::{book::Book, Settings};
+use crate::{shard_state::ShardState, Settings};
 
-/// How many batches are read one by one before the log is listed instead.
-const CATCH_UP: u32 = 16;
+/// How many batches are read one by one before the whole log is listed instead.
+const MAX_SINGLE_READS: u32 = 16;
 
-/// When a shard calls the store next, and for what.
+/// Decides which operation the shard does next at the store, and when.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Schedule {
-    /// No write before this time, by which the write rate is kept.
-    next_write: Instant,
-    /// No call of the store before this time.
-    hold: Instant,
+    /// The earliest time of the next write, which limits the write rate.
+    next_write_at: Instant,
+    /// The earliest time of the next operation of any kind.
+    not_before: Instant,
     poll_at: Instant,
-    poll_wait: Duration,
-    /// Whether the log must be listed anew.
-    reload: bool,
-    /// How many batches of others were read since the log was known to its end; 0 if it is.
-    behind: u32,
+    poll_delay: Duration,
+    /// Whether the log must be listed.
+    needs_list: bool,
+    /// How many batches of other writers were read since the end of the log was last reached.
+    batches_since_end: u32,
 }
 
-/// A call of the store.
+/// A kind of operation at the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Due {
+pub(crate) enum DueOperation {
     List,
     Write,
     Poll,
@@ -35,64 +35,74 @@
 impl Schedule {
     pub(crate) const fn new(settings: &Settings, now: Instant) -> Self {
         Self {
-            next_write: now,
-            hold: now,
+            next_write_at: now,
+            not_before: now,
             poll_at: now,
-            poll_wait: settings.min_poll_delay,
-            reload: true,
-            behind: 0,
+            poll_delay: settings.min_poll_delay,
+            needs_list: true,
+            batches_since_end: 0,
         }
     }
 
-    /// Returns the next call of the store; `None` if nobody waits for one.
-    pub(crate) fn next(&self, book: &Book) -> Option<(Instant, Due)> {
-        let polls = self.behind > 0 || !book.callers.followers.is_empty();
-        let poll = polls.then_some((self.poll_at, Due::Poll));
-        let write = book.write_due().filter(|_| self.behind == 0);
-        let write = write.map(|at| (at.max(self.next_write), Due::Write));
+    /// Returns the next operation and its time; `None` if no call needs one.
+    pub(crate) fn next(&self, state: &ShardState) -> Option<(Instant, DueOperation)> {
+        let must_poll = self.batches_since_end > 0 || !state.callers.awaiting_remote.is_empty();
+        let poll = must_poll.then_some((self.poll_at, DueOperation::Poll));
+        let write = state.write_due_at().filter(|_| self.batches_since_end == 0);
+        let write = write.map(|at| (at.max(self.next_write_at), DueOperation::Write));
         let (at, due) = write.into_iter().chain(poll).min_by_key(|(at, _)| *at)?;
-        let open = self.hold.max(book.health.until().unwrap_or(self.hold));
-        Some((at.max(open), if self.reload { Due::List } else { due }))
+        let allowed_at = self
+            .not_before
+            .max(state.backoff.retry_at().unwrap_or(self.not_before));
+        Some((
+            at.max(allowed_at),
+            if self.needs_list {
+                DueOperation::List
+            } else {
+                due
+            },
+        ))
     }
 
-    /// A call came, and the result it may wait for can be there already.
-    pub(crate) fn called(&mut self, settings: &Settings, now: Instant) {
-        self.poll_wait = settings.min_poll_delay;
-        self.poll_at = self.poll_at.min(now + self.poll_wait);
+    /// Resets the poll delay when a call arrives, as the result that it may wait for can be in the
+    /// log already.
+    pub(crate) fn call_arrived(&mut self, settings: &Settings, now: Instant) {
+        self.poll_delay = settings.min_poll_delay;
+        self.poll_at = self.poll_at.min(now + self.poll_delay);
     }
 
-    pub(crate) const fn hold(&mut self, until: Instant) {
-        self.hold = until;
+    pub(crate) const fn set_not_before(&mut self, at: Instant) {
+        self.not_before = at;
     }
 
-    pub(crate) const fn write_after(&mut self, at: Instant) {
-        self.next_write = at;
+    pub(crate) const fn set_next_write_at(&mut self, at: Instant) {
+        self.next_write_at = at;
     }
 
-    pub(crate) const fn reload(&mut self) {
-        self.reload = true;
+    pub(crate) const fn request_list(&mut self) {
+        self.needs_list = true;
     }
 
-    /// A batch of another writer was read; more are likely to follow.
+    /// Schedules an immediate poll after a batch of another writer was read, as more are likely to
+    /// follow.
     ///
-    /// Without reading on, each missing batch would cost a write that loses, at the pace of writes,
-    /// and a shard that is slower than the others together would never get to write.
-    pub(crate) const fn followed(&mut self, now: Instant) {
+    /// If the shard did not read on, each missing batch would cost a write that loses, at most one
+    /// per write interval. A shard that writes more slowly than all others together would then never
+    /// succeed.
+    pub(crate) const fn batch_found(&mut self, now: Instant) {
         self.poll_at = now;
-        self.behind += 1;
-        self.reload |= self.behind > CATCH_UP;
+        self.batches_since_end += 1;
+        self.needs_list |= self.batches_since_end > MAX_SINGLE_READS;
     }
 
-    /// The log was read to its end.
-    pub(crate) fn at_head(&mut self, settings: &Settings, now: Instant) {
-        self.behind = 0;
-        self.poll_at = now + self.poll_wait;
-        self.poll_wait = (self.poll_wait * 2).min(settings.max_poll_delay);
+    pub(crate) fn end_of_log_reached(&mut self, settings: &Settings, now: Instant) {
+        self.batches_since_end = 0;
+        self.poll_at = now + self.poll_delay;
+        self.poll_delay = (self.poll_delay * 2).min(settings.max_poll_delay);
     }
 
-    /// The log was listed.
     pub(crate) const fn listed(&mut self) {
-        self.reload = false;
-        self.behind = 0;
+        self.needs_list = false;
+        self.batches_since_end = 0;
     }
 }
--- a/crates/ledger/src/shard.rs
+++ b/crates/ledger/src/shard.rs
@@ -6,24 +6,24 @@
 use tokio::time::Instant;
 
 use crate::{
-    book::Book,
-    flight::{Flight, Step},
+    batch_write::{BatchWrite, StoreOperation},
     log::Log,
-    schedule::{Due, Schedule},
-    stored::Stored,
+    schedule::{DueOperation, Schedule},
+    shard_state::ShardState,
+    stored_batch::StoredBatch,
     BatchDecodeError, Call, Effect, FinishedCall, ListReply, ReadReply, Settings, Slot, WriteReply,
     WriterId,
 };
 
-/// The ordinal of a shard.
+/// The number of a shard, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ShardNumber(pub u16);
 
 /// One shard of the ledger, as one instance sees it.
 ///
-/// Any number of instances may run the same shard at once. An intent counts once a write under a
-/// condition has put it into the log, so one instance at most gets to send the call of a key. That
-/// one instance gets most calls of a shard only makes it faster.
+/// Any number of instances may run the same shard at the same time. An intent is valid once a
+/// conditional write has put it into the log, so at most one instance may send the call of a key.
+/// Routing most calls of a shard to one instance only improves performance.
 ///
 /// # Examples
 ///
@@ -53,311 +53,333 @@
 #[derive(Debug)]
 pub struct Shard {
     number: ShardNumber,
-    book: Book,
-    step: Step,
+    state: ShardState,
+    operation: StoreOperation,
     rng: SmallRng,
     schedule: Schedule,
 }
 
 impl Shard {
-    /// Makes a shard that knows nothing yet. The seed must differ between processes, also between
-    /// two runs of one instance, as the identity of the writer comes from it.
+    /// Creates a shard that has not read its log. The seed determines the writer's identity, so it
+    /// must differ between all processes, including two runs of the same instance.
     pub fn new(number: ShardNumber, settings: Settings, seed: u64, now: Instant) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         Self {
             number,
-            book: Book::new(settings, WriterId(rng.random()), now),
-            step: Step::Idle,
+            state: ShardState::new(settings, WriterId(rng.random()), now),
+            operation: StoreOperation::Idle,
             rng,
             schedule: Schedule::new(&settings, now),
         }
     }
 
-    /// Takes a call that arrives.
+    /// Handles a call that arrives.
     pub fn handle_call(&mut self, call: Call, now: Instant) -> Vec<Effect> {
-        self.book.admit(self.step.calls(), call.into(), now);
-        self.schedule.called(&self.book.settings, now);
+        self.state.admit(self.operation.calls(), call.into(), now);
+        self.schedule.call_arrived(&self.state.settings, now);
         self.advance(now)
     }
 
-    /// Takes the outcome of a call that was to be sent.
+    /// Handles the outcome of a call that was handed out by [`Effect::Dispatch`].
     pub fn handle_finished_call(&mut self, finished: FinishedCall, now: Instant) -> Vec<Effect> {
-        self.book.finish(finished, now);
+        self.state.finish(finished, now);
         self.advance(now)
     }
 
-    /// Takes the reply to a list.
+    /// Handles the reply to [`Effect::List`].
     pub fn handle_list_reply(&mut self, reply: ListReply, now: Instant) -> Vec<Effect> {
-        if matches!(self.step, Step::Loading) {
-            self.step = Step::Idle;
+        if matches!(self.operation, StoreOperation::Listing) {
+            self.operation = StoreOperation::Idle;
             match reply {
-                ListReply::Listed(objects) => self.load(&objects, now),
+                ListReply::Listed(objects) => self.load_log(&objects, now),
                 ListReply::Failed => self.store_failed(now),
             }
         }
         self.advance(now)
     }
 
-    /// Takes the reply to a get.
+    /// Handles the reply to [`Effect::Get`].
     pub fn handle_read_reply(&mut self, reply: ReadReply, now: Instant) -> Vec<Effect> {
-        match std::mem::take(&mut self.step) {
-            Step::Polling => self.polled(reply, now),
-            Step::Checking(flight) => self.checked(flight, reply, now),
-            other => self.step = other,
+        match std::mem::take(&mut self.operation) {
+            StoreOperation::Polling => self.finish_poll(reply, now),
+            StoreOperation::ReadingBack(write) => self.finish_read_back(write, reply, now),
+            other => self.operation = other,
         }
         self.advance(now)
     }
 
-    /// Takes the reply to a create or update.
+    /// Handles the reply to [`Effect::Create`] or [`Effect::Update`].
     pub fn handle_write_reply(&mut self, reply: WriteReply, now: Instant) -> Vec<Effect> {
-        match std::mem::take(&mut self.step) {
-            Step::Writing(flight) => self.wrote(flight, reply, now),
-            other => self.step = other,
+        match std::mem::take(&mut self.operation) {
+            StoreOperation::Writing(write) => self.finish_write(write, reply, now),
+            other => self.operation = other,
         }
         self.advance(now)
     }
 
-    /// Does what is due; to be called at [`Shard::wake_at`].
+    /// Does what is due. Must be called at the time that [`Shard::wake_at`] returns.
     pub fn tick(&mut self, now: Instant) -> Vec<Effect> {
         self.advance(now)
     }
 
-    /// Returns when [`Shard::tick`] is due.
+    /// Returns when [`Shard::tick`] must be called next.
     pub fn wake_at(&self) -> Option<Instant> {
-        let store = match &self.step {
-            Step::Idle => self.schedule.next(&self.book).map(|(at, _)| at),
-            Step::Uncertain(_, at) => Some(*at),
-            Step::Loading | Step::Polling | Step::Writing(_) | Step::Checking(_) => None,
+        let store = match &self.operation {
+            StoreOperation::Idle => self.schedule.next(&self.state).map(|(at, _)| at),
+            StoreOperation::WaitingToRewrite(_, at) => Some(*at),
+            StoreOperation::Listing
+            | StoreOperation::Polling
+            | StoreOperation::Writing(_)
+            | StoreOperation::ReadingBack(_) => None,
         };
-        store.into_iter().chain(self.book.callers.first_end()).min()
+        store
+            .into_iter()
+            .chain(self.state.callers.next_deadline())
+            .min()
     }
 
-    /// Returns whether nobody waits and nothing is left to write, so the shard may be dropped.
+    /// Returns whether no caller waits and nothing is left to write, so that the shard may be
+    /// dropped.
     pub fn is_idle(&self) -> bool {
-        self.book.callers.first_end().is_none()
-            && self.book.ends.is_empty()
-            && matches!(self.step, Step::Idle)
+        self.state.callers.next_deadline().is_none()
+            && self.state.unwritten_results.is_empty()
+            && matches!(self.operation, StoreOperation::Idle)
     }
 
     /// Returns how many keys are remembered.
     pub fn key_count(&self) -> usize {
-        self.book.keys()
+        self.state.key_count()
     }
 
     /// Returns how many objects the shard has.
     pub fn slot_count(&self) -> u32 {
-        self.book.log.as_ref().map_or(0, Log::slots)
+        self.state.log.as_ref().map_or(0, Log::slot_count)
     }
 
     fn advance(&mut self, now: Instant) -> Vec<Effect> {
-        self.book.expire(now);
-        self.pump(now);
-        std::mem::take(&mut self.book.callers.effects)
+        self.state.expire(now);
+        self.start_due_operation(now);
+        std::mem::take(&mut self.state.callers.effects)
     }
 
-    /// Looks again at all who wait, after the log or its ends changed.
-    fn admit_again(&mut self, now: Instant) {
-        self.book.admit_again(self.step.calls(), now);
+    /// Admits all waiting calls again, after the log or the unwritten results changed.
+    fn readmit_waiting(&mut self, now: Instant) {
+        self.state.readmit_waiting(self.operation.calls(), now);
     }
 
-    /// Starts the next call of the store if one is due.
-    fn pump(&mut self, now: Instant) {
-        if let Step::Uncertain(_, at) = self.step {
+    /// Starts the next operation at the store if none is under way and one is due.
+    fn start_due_operation(&mut self, now: Instant) {
+        if let StoreOperation::WaitingToRewrite(_, at) = self.operation {
             if at <= now {
-                self.write_again();
+                self.rewrite();
             }
             return;
         }
-        let due = self.schedule.next(&self.book).filter(|(at, _)| *at <= now);
-        match due.filter(|_| matches!(self.step, Step::Idle)) {
-            Some((_, Due::List)) => self.list(),
-            Some((_, Due::Write)) => self.write(now),
-            Some((_, Due::Poll)) => self.poll(),
+        let due = self.schedule.next(&self.state).filter(|(at, _)| *at <= now);
+        match due.filter(|_| matches!(self.operation, StoreOperation::Idle)) {
+            Some((_, DueOperation::List)) => self.list(),
+            Some((_, DueOperation::Write)) => self.write(now),
+            Some((_, DueOperation::Poll)) => self.poll(),
             None => {}
         }
     }
 
     fn list(&mut self) {
         let prefix = self.prefix();
-        self.book.callers.effects.push(Effect::List { prefix });
-        self.step = Step::Loading;
+        self.state.callers.effects.push(Effect::List { prefix });
+        self.operation = StoreOperation::Listing;
     }
 
-    /// Reads the next place of the log.
+    /// Reads the slot of the next batch.
     fn poll(&mut self) {
-        let Some(log) = &self.book.log else { return };
-        let key = self.slot_key(log.place().slot);
-        self.book.callers.effects.push(Effect::Get { key });
-        self.step = Step::Polling;
+        let Some(log) = &self.state.log else { return };
+        let key = self.slot_key(log.append_position().slot);
+        self.state.callers.effects.push(Effect::Get { key });
+        self.operation = StoreOperation::Polling;
     }
 
     fn write(&mut self, now: Instant) {
-        let min_interval = self.book.settings.min_write_interval;
-        self.schedule.write_after(now + min_interval);
-        if let Some(flight) = self.book.flight(self.rng.random(), now) {
-            self.send(flight);
+        let min_interval = self.state.settings.min_write_interval;
+        self.schedule.set_next_write_at(now + min_interval);
+        if let Some(write) = self.state.prepare_write(self.rng.random(), now) {
+            self.send_write(write);
         }
     }
 
-    fn send(&mut self, flight: Flight) {
-        let key = self.slot_key(flight.place.slot);
-        self.book.callers.effects.push(flight.write(key));
-        self.step = Step::Writing(flight);
+    fn send_write(&mut self, write: BatchWrite) {
+        let key = self.slot_key(write.position.slot);
+        self.state.callers.effects.push(write.effect(key));
+        self.operation = StoreOperation::Writing(write);
     }
 
-    fn write_again(&mut self) {
-        match std::mem::take(&mut self.step) {
-            Step::Uncertain(flight, _) => self.send(flight),
-            other => self.step = other,
+    fn rewrite(&mut self) {
+        match std::mem::take(&mut self.operation) {
+            StoreOperation::WaitingToRewrite(write, _) => self.send_write(write),
+            other => self.operation = other,
         }
     }
 
-    fn wrote(&mut self, mut flight: Flight, reply: WriteReply, now: Instant) {
+    fn finish_write(&mut self, mut write: BatchWrite, reply: WriteReply, now: Instant) {
         match reply {
-            WriteReply::Written(version) => self.won(flight, version, now),
-            WriteReply::Conflict => self.check(flight),
+            WriteReply::Written(version) => self.commit(write, version, now),
+            WriteReply::Conflict => self.read_back(write),
             WriteReply::Ambiguous => {
-                flight.doubtful = true;
-                self.check(flight);
+                write.may_have_taken_effect = true;
+                self.read_back(write);
             }
-            WriteReply::NotApplied => self.stuck(flight, now),
-            WriteReply::RateLimited { retry_after } if flight.doubtful => {
-                self.step = Step::Uncertain(flight, now + retry_after);
+            WriteReply::NotApplied => self.fail_write(write, now),
+            WriteReply::RateLimited { retry_after } if write.may_have_taken_effect => {
+                self.operation = StoreOperation::WaitingToRewrite(write, now + retry_after);
             }
             WriteReply::RateLimited { retry_after } => {
-                self.schedule.write_after(now + retry_after);
-                self.put_back(flight, now);
+                self.schedule.set_next_write_at(now + retry_after);
+                self.requeue(write, now);
             }
         }
     }
 
-    /// Reads the place of the batch, to learn which batch is there.
-    fn check(&mut self, flight: Flight) {
-        let key = self.slot_key(flight.place.slot);
-        self.book.callers.effects.push(Effect::Get { key });
-        self.step = Step::Checking(flight);
+    /// Reads the slot of a write, to learn which batch is there.
+    fn read_back(&mut self, write: BatchWrite) {
+        let key = self.slot_key(write.position.slot);
+        self.state.callers.effects.push(Effect::Get { key });
+        self.operation = StoreOperation::ReadingBack(write);
     }
 
-    fn checked(&mut self, flight: Flight, reply: ReadReply, now: Instant) {
+    fn finish_read_back(&mut self, write: BatchWrite, reply: ReadReply, now: Instant) {
         let found = match reply {
-            ReadReply::Failed => return self.stuck(flight, now),
+            ReadReply::Failed => return self.fail_write(write, now),
             ReadReply::Missing => None,
-            ReadReply::Found(object) => match Stored::read(flight.place.slot, &object) {
-                Ok(found) => Some(found),
-                Err(error) => return self.broken(flight, error, now),
-            },
+            ReadReply::Found(object) => {
+                match StoredBatch::from_slot(write.position.slot, &object) {
+                    Ok(found) => Some(found),
+                    Err(error) => return self.fail_write_on_corruption(write, error, now),
+                }
+            }
         };
-        let sequence = flight.place.sequence;
+        let sequence = write.position.sequence;
         match found {
-            Some(found) if found.batch.is(&flight.batch) => self.won(flight, found.version, now),
+            Some(found) if found.batch.is_same_write(&write.batch) => {
+                self.commit(write, found.version, now)
+            }
             Some(found) if found.batch.sequence == sequence => {
-                self.put_back(flight, now);
-                self.follow(&found, now);
+                self.requeue(write, now);
+                self.apply_found(&found, now);
             }
-            // The place was used again since, so this instance was paused for long.
+            // The slot was reused since, so this instance was paused for a long time.
             Some(found) if found.batch.sequence > sequence => {
-                self.schedule.reload();
-                self.put_back(flight, now);
+                self.schedule.request_list();
+                self.requeue(write, now);
             }
-            // The write has not taken effect and still may, or an old value was read.
+            // The write has not taken effect but still may, or the read returned an old value.
             Some(_) | None => {
-                self.step = Step::Uncertain(flight, now + self.book.settings.min_poll_delay)
+                self.operation = StoreOperation::WaitingToRewrite(
+                    write,
+                    now + self.state.settings.min_poll_delay,
+                )
             }
         }
     }
 
-    /// Sends the calls whose intents are in the log.
-    fn won(&mut self, flight: Flight, version: Version, now: Instant) {
-        self.book.won(flight, version, now);
-        self.admit_again(now);
+    /// Adds a written batch to the log and hands out its calls to be sent.
+    fn commit(&mut self, write: BatchWrite, version: Version, now: Instant) {
+        self.state.commit(write, version, now);
+        self.readmit_waiting(now);
     }
 
-    /// Ends a write that the store did not answer.
+    /// Ends an attempt to write that the store did not answer.
     ///
-    /// Its callers are told at once that their calls did not run. That stays true though the
-    /// intents may be in the log: nobody else sends them, and this instance has let them go.
-    fn stuck(&mut self, mut flight: Flight, now: Instant) {
+    /// The callers are told immediately that their calls did not run. That remains true even if the
+    /// intents are in the log: no other instance sends the calls, and this one has abandoned them.
+    fn fail_write(&mut self, mut write: BatchWrite, now: Instant) {
         self.store_failed(now);
-        let wait = self.book.let_go(&mut flight.calls, now);
-        if flight.doubtful {
-            self.step = Step::Uncertain(flight, now + wait);
+        let delay = self.state.abandon(&mut write.calls, now);
+        if write.may_have_taken_effect {
+            self.operation = StoreOperation::WaitingToRewrite(write, now + delay);
         } else {
-            self.put_back(flight, now);
+            self.requeue(write, now);
         }
     }
 
     fn store_failed(&mut self, now: Instant) {
-        self.book.store_failed(&mut self.rng, now);
-        // Refuses those in the queue.
-        self.admit_again(now);
+        self.state.store_failed(&mut self.rng, now);
+        // Refuses the calls in the queue.
+        self.readmit_waiting(now);
     }
 
-    /// Takes back what a batch would have written, as the batch is not in the log and never will
-    /// be.
-    fn put_back(&mut self, flight: Flight, now: Instant) {
-        self.book.put_back(flight);
-        self.admit_again(now);
+    /// Puts the results and calls of a write back into the queues. The batch must not be in the log,
+    /// now or later.
+    fn requeue(&mut self, write: BatchWrite, now: Instant) {
+        self.state.requeue(write);
+        self.readmit_waiting(now);
     }
 
-    fn polled(&mut self, reply: ReadReply, now: Instant) {
-        let Some(log) = &self.book.log else { return };
-        let place = log.place();
+    fn finish_poll(&mut self, reply: ReadReply, now: Instant) {
+        let Some(log) = &self.state.log else { return };
+        let position = log.append_position();
         let found = match reply {
             ReadReply::Failed => return self.store_failed(now),
             ReadReply::Missing => None,
-            ReadReply::Found(object) => match Stored::read(place.slot, &object) {
+            ReadReply::Found(object) => match StoredBatch::from_slot(position.slot, &object) {
                 Ok(found) => Some(found),
-                Err(error) => return self.report(error, now),
+                Err(error) => return self.report_corruption(error, now),
             },
         };
         match found {
-            Some(found) if found.batch.sequence == place.sequence => self.follow(&found, now),
-            Some(found) if found.batch.sequence > place.sequence => {
-                self.schedule.reload();
+            Some(found) if found.batch.sequence == position.sequence => {
+                self.apply_found(&found, now)
+            }
+            Some(found) if found.batch.sequence > position.sequence => {
+                self.schedule.request_list();
             }
-            Some(_) | None => self.at_head(now),
+            Some(_) | None => self.end_of_log_reached(now),
         }
     }
 
-    /// Notes that the log was read to its end.
-    fn at_head(&mut self, now: Instant) {
-        self.schedule.at_head(&self.book.settings, now);
-        self.book.at_head(now);
+    fn end_of_log_reached(&mut self, now: Instant) {
+        self.schedule.end_of_log_reached(&self.state.settings, now);
+        self.state.end_of_log_reached(now);
     }
 
-    /// Adds a batch that this shard did not know to be in the log, and reads on.
-    fn follow(&mut self, found: &Stored, now: Instant) {
-        self.schedule.followed(now);
-        self.book.apply(found, now);
-        self.admit_again(now);
+    /// Adds a batch that a read has found to the log, and schedules the next read.
+    fn apply_found(&mut self, found: &StoredBatch, now: Instant) {
+        self.schedule.batch_found(now);
+        self.state.apply_found(found, now);
+        self.readmit_waiting(now);
     }
 
-    fn load(&mut self, objects: &[Object], now: Instant) {
-        let batches = objects.iter().map(Stored::listed);
+    fn load_log(&mut self, objects: &[Object], now: Instant) {
+        let batches = objects.iter().map(StoredBatch::from_listed);
         let batches = match batches.collect() {
             Ok(batches) => batches,
-            Err(error) => return self.report(error, now),
+            Err(error) => return self.report_corruption(error, now),
         };
-        match Log::load(self.book.settings.retention, batches, now) {
+        match Log::from_list(self.state.settings.retention, batches, now) {
             Ok(log) => {
                 self.schedule.listed();
-                self.book.take_over(log, now);
-                self.admit_again(now);
+                self.state.replace_log(log, now);
+                self.readmit_waiting(now);
             }
-            Err(_gap) => self.schedule.hold(now + self.book.settings.min_poll_delay),
+            Err(_incomplete) => self
+                .schedule
+                .set_not_before(now + self.state.settings.min_poll_delay),
         }
     }
 
-    fn broken(&mut self, flight: Flight, error: BatchDecodeError, now: Instant) {
-        self.book
+    fn fail_write_on_corruption(
+        &mut self,
+        write: BatchWrite,
+        error: BatchDecodeError,
+        now: Instant,
+    ) {
+        self.state
             .callers
             .effects
             .push(Effect::ReportCorruption { error });
-        self.stuck(flight, now);
+        self.fail_write(write, now);
     }
 
-    fn report(&mut self, error: BatchDecodeError, now: Instant) {
-        self.book
+    fn report_corruption(&mut self, error: BatchDecodeError, now: Instant) {
+        self.state
             .callers
             .effects
             .push(Effect::ReportCorruption { error });
