--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/memory_store.rs
@@ -1,4 +1,4 @@
-//! A store in memory.
+//! An in-memory store.
 
 use std::collections::BTreeMap;
 
@@ -7,27 +7,28 @@
 use celerypond_platform::{Object, Version};
 use smol_str::SmolStr;
 
+/// A versioned object store with conditional writes, like the one of the platform.
 #[derive(Debug)]
-pub(crate) struct Store {
+pub(crate) struct MemoryStore {
     pub(crate) objects: BTreeMap<SmolStr, Object>,
-    pub(crate) writes: u64,
-    version: u64,
-    /// Off, every write takes effect.
-    pub(crate) conditions: bool,
+    pub(crate) write_count: u64,
+    last_version: u64,
+    /// Whether conditions of writes are checked. If not, every write takes effect.
+    pub(crate) checks_conditions: bool,
 }
 
-impl Store {
+impl MemoryStore {
     pub(crate) fn new() -> Self {
         Self {
             objects: BTreeMap::new(),
-            writes: 0,
-            version: 0,
-            conditions: true,
+            write_count: 0,
+            last_version: 0,
+            checks_conditions: true,
         }
     }
 
     pub(crate) fn write(&mut self, effect: &Effect) -> WriteReply {
-        let (key, before, value) = match effect {
+        let (key, expected_version, value) = match effect {
             Effect::Create { key, value } => (key, None, value),
             Effect::Update {
                 key,
@@ -36,17 +37,22 @@
             } => (key, Some(*expected_version), value),
             other => panic!("not a write: {other:?}"),
         };
-        self.put(key, before, value.clone())
+        self.put(key, expected_version, value.clone())
     }
 
-    pub(crate) fn put(&mut self, key: &str, before: Option<Version>, value: Bytes) -> WriteReply {
+    pub(crate) fn put(
+        &mut self,
+        key: &str,
+        expected_version: Option<Version>,
+        value: Bytes,
+    ) -> WriteReply {
         let found = self.objects.get(key).map(|object| object.version);
-        if self.conditions && found != before {
+        if self.checks_conditions && found != expected_version {
             return WriteReply::Conflict;
         }
-        self.version += 1;
-        self.writes += 1;
-        let version = Version(self.version);
+        self.last_version += 1;
+        self.write_count += 1;
+        let version = Version(self.last_version);
         let key = SmolStr::new(key);
         let object = Object {
             key: key.clone(),
--- a/crates/ledger/tests/test_failure.rs
+++ b/crates/ledger/tests/test_failure.rs
@@ -1,4 +1,4 @@
-//! What failures of a service prove, seen on sockets.
+//! What failures of a service prove about a call, tested with real sockets.
 
 use std::time::Duration;
 
@@ -9,36 +9,37 @@
     net::{TcpListener, TcpStream},
 };
 
-const WAIT: Duration = Duration::from_millis(100);
+const TIMEOUT: Duration = Duration::from_millis(100);
 const REQUEST: &[u8] = b"POST /holds HTTP/1.1\r\ncontent-length: 2\r\n\r\n{}";
-const BUSY: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
+const UNAVAILABLE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
 
-/// What the service does with a connection, step by step.
+/// A step of a service that handles a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
     Read,
+    /// Runs the call.
     Run,
-    Answer(&'static [u8]),
+    Respond(&'static [u8]),
     Hang,
 }
 
-use Step::{Answer, Hang, Read, Run};
+use Step::{Hang, Read, Respond, Run};
 
-// The same failure is made once by a service that ran the call and once by one that did not. What a
-// caller can see is equal in both, so to say "not run" for it would be false in one of them. Only a
-// connection that was never made comes with no run at all.
+// Guards against a failure that is reported as "not run" although it can also occur after a run.
+// Each failure is caused once by a service that ran the call and once by one that did not; the client
+// can't tell them apart.
 #[rstest]
 #[case::closed(&[], &[Read, Run], Failure::Closed)]
 #[case::closed_after_reading(&[Read], &[Read, Run], Failure::Closed)]
-#[case::silent(&[Read, Hang], &[Read, Run, Hang], Failure::Timeout)]
-#[case::busy(&[Read, Answer(BUSY)], &[Read, Run, Answer(BUSY)], Failure::Status(503))]
+#[case::no_response(&[Read, Hang], &[Read, Run, Hang], Failure::Timeout)]
+#[case::unavailable(&[Read, Respond(UNAVAILABLE)], &[Read, Run, Respond(UNAVAILABLE)], Failure::Status(503))]
 #[tokio::test]
-async fn a_failure_that_looks_the_same_after_a_run_is_no_proof(
-    #[case] idle: &'static [Step],
-    #[case] ran: &'static [Step],
+async fn failure_that_can_follow_a_run_leaves_the_outcome_unknown(
+    #[case] steps_without_run: &'static [Step],
+    #[case] steps_with_run: &'static [Step],
     #[case] failure: Failure,
 ) {
-    for (steps, runs) in [(idle, 0), (ran, 1)] {
+    for (steps, runs) in [(steps_without_run, 0), (steps_with_run, 1)] {
         assert_eq!(exchange(steps).await, (failure, runs), "{steps:?}");
     }
     let decision = |idempotent| failure.retry_decision(idempotent, &NotRunCodes::default());
@@ -46,8 +47,9 @@
     assert_eq!(decision(true), RetryDecision::RetryIdempotent);
 }
 
+// Only a connection that was never established proves that the call did not run.
 #[tokio::test]
-async fn a_refused_connection_is_a_proof() {
+async fn refused_connection_is_retried() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -60,12 +62,12 @@
 }
 
 #[rstest]
-#[case::word_of_the_bundle(429, &[429], RetryDecision::RetryNotRun)]
-#[case::no_word(429, &[], RetryDecision::Unknown)]
-#[case::another_word(503, &[429], RetryDecision::Unknown)]
-#[case::done_is_no_word(200, &[200], RetryDecision::Final)]
+#[case::declared(429, &[429], RetryDecision::RetryNotRun)]
+#[case::not_declared(429, &[], RetryDecision::Unknown)]
+#[case::other_code_declared(503, &[429], RetryDecision::Unknown)]
+#[case::success_cannot_be_declared(200, &[200], RetryDecision::Final)]
 #[case::rejected(422, &[], RetryDecision::Final)]
-fn a_status_proves_what_the_bundle_says(
+fn status_is_retried_only_if_declared_in_the_bundle(
     #[case] status: u16,
     #[case] codes: &[u16],
     #[case] decision: RetryDecision,
@@ -77,17 +79,17 @@
     );
 }
 
-/// Sends one request to a service that goes through `steps`, and returns what the caller sees and
-/// how often the call ran.
+/// Sends one request to a service that goes through `steps`. Returns the failure that the client
+/// observes and how often the call ran.
 async fn exchange(steps: &'static [Step]) -> (Failure, usize) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut caller = TcpStream::connect(listener.local_addr().unwrap())
         .await
         .unwrap();
     let (mut service, _) = listener.accept().await.unwrap();
-    let seen = async {
+    let failure = async {
         caller.write_all(REQUEST).await.unwrap();
-        see(&mut caller).await
+        observe_failure(&mut caller).await
     };
     let serve = async {
         let mut runs = 0;
@@ -99,23 +101,23 @@
                     .map(drop)
                     .unwrap(),
                 Run => runs += 1,
-                Answer(text) => service.write_all(text).await.unwrap(),
-                Hang => tokio::time::sleep(2 * WAIT).await,
+                Respond(text) => service.write_all(text).await.unwrap(),
+                Hang => tokio::time::sleep(2 * TIMEOUT).await,
             }
         }
         drop(service);
         runs
     };
-    tokio::join!(seen, serve)
+    tokio::join!(failure, serve)
 }
 
-async fn see(caller: &mut TcpStream) -> Failure {
-    let mut answer = [0; 256];
-    match tokio::time::timeout(WAIT, caller.read(&mut answer)).await {
+async fn observe_failure(caller: &mut TcpStream) -> Failure {
+    let mut response = [0; 256];
+    match tokio::time::timeout(TIMEOUT, caller.read(&mut response)).await {
         Err(_elapsed) => Failure::Timeout,
         Ok(Err(_) | Ok(0)) => Failure::Closed,
         Ok(Ok(count)) => {
-            let text = String::from_utf8_lossy(&answer[..count]).into_owned();
+            let text = String::from_utf8_lossy(&response[..count]).into_owned();
             let status = text.split(' ').nth(1).and_then(|code| code.parse().ok());
             Failure::Status(status.unwrap())
         }
--- a/crates/ledger/tests/test_history.rs
+++ b/crates/ledger/tests/test_history.rs
@@ -1,85 +1,99 @@
-//! Histories of concurrent calls under faults.
+//! Checks of random histories of concurrent calls with injected faults.
 
 use std::time::Duration;
 
 use rstest::rstest;
 
-use crate::world::{Faults, World};
+use crate::simulation::{Faults, Simulation};
 
-const NODES: usize = 3;
-const FAULTY: Duration = Duration::from_secs(90);
-/// Longer than any fault lasts and callers try, within the time that keys are remembered.
-const REST: Duration = Duration::from_secs(20);
+const INSTANCES: usize = 3;
+const FAULTS_DURATION: Duration = Duration::from_secs(90);
+/// Longer than any fault lasts and callers retry, but shorter than keys are remembered.
+const RECOVERY: Duration = Duration::from_secs(20);
 const SEEDS: u64 = 40;
 
-const QUIET: Faults = Faults {
+const NO_FAULTS: Faults = Faults {
     lost_reply: 0.0,
     late_request: 0.0,
-    false_down: 0.0,
-    service: 0.0,
+    false_not_applied: 0.0,
+    service_failure: 0.0,
     outages: false,
     pauses: false,
     crashes: false,
     retention: Duration::from_secs(50),
-    pause_ms: 15_000,
+    max_pause_ms: 15_000,
 };
-const STORE: Faults = Faults {
+const STORE_FAULTS: Faults = Faults {
     lost_reply: 0.05,
     late_request: 0.05,
-    false_down: 0.02,
+    false_not_applied: 0.02,
     outages: true,
-    ..QUIET
+    ..NO_FAULTS
 };
-const ALL: Faults = Faults {
-    service: 0.1,
+const ALL_FAULTS: Faults = Faults {
+    service_failure: 0.1,
     pauses: true,
     crashes: true,
-    ..STORE
+    ..STORE_FAULTS
 };
 
-// Callers send the same key to several instances at once and try again elsewhere, up to three
-// times, when they hear nothing, or not run, or unknown. Meanwhile the store goes down, loses
-// replies, takes writes late and calls done writes undone; instances stop for seconds or die at any
-// step; the service refuses, fails after it ran, or never answers. A key that runs twice, or runs
-// though its callers were told not run, shows as a fault here.
+// Guards against a key that runs twice, or runs although its callers were told that it did not.
+//
+// Callers send the same key to several instances at the same time, and retry up to three times at
+// other instances if they get no answer, "not run" or "unknown". The store becomes unavailable, loses
+// replies, applies writes late and reports applied writes as not applied; instances pause for
+// seconds or crash at any step; the service refuses calls, fails after it ran them, or does not
+// respond.
 #[rstest]
-#[case::quiet(QUIET)]
-#[case::store(STORE)]
-#[case::pauses(Faults { pauses: true, ..STORE })]
-#[case::service(Faults { service: 0.2, ..STORE })]
-#[case::crashes(Faults { crashes: true, lost_reply: 0.02, ..QUIET })]
-#[case::all(ALL)]
-#[case::slots_used_again(Faults { retention: Duration::from_secs(28), pause_ms: 4000, ..ALL })]
-fn a_key_runs_once_at_most_and_not_run_is_true(#[case] faults: Faults) {
+#[case::no_faults(NO_FAULTS)]
+#[case::store_faults(STORE_FAULTS)]
+#[case::pauses(Faults { pauses: true, ..STORE_FAULTS })]
+#[case::service_failures(Faults { service_failure: 0.2, ..STORE_FAULTS })]
+#[case::crashes(Faults { crashes: true, lost_reply: 0.02, ..NO_FAULTS })]
+#[case::all_faults(ALL_FAULTS)]
+#[case::slot_reuse(Faults { retention: Duration::from_secs(28), max_pause_ms: 4000, ..ALL_FAULTS })]
+fn call_runs_at_most_once_and_not_run_is_never_false(#[case] faults: Faults) {
     for seed in 0..SEEDS {
-        let mut world = World::new(seed, NODES, FAULTY, faults);
-        for second in 0..FAULTY.as_secs() {
+        let mut simulation = Simulation::new(seed, INSTANCES, FAULTS_DURATION, faults);
+        for second in 0..FAULTS_DURATION.as_secs() {
             let at = Duration::from_millis(second * 1000 + seed * 13);
-            let node = (second + seed) as usize;
+            let instance = (second + seed) as usize;
             for copy in 0..1 + second as usize % 3 {
-                let wait = at + Duration::from_millis(copy as u64 * 3);
-                world.arrive(wait, (node + copy) % NODES, &format!("key-{second}"), 3);
+                let delay = at + Duration::from_millis(copy as u64 * 3);
+                simulation.schedule_call(
+                    delay,
+                    (instance + copy) % INSTANCES,
+                    &format!("key-{second}"),
+                    3,
+                );
             }
         }
-        for second in FAULTY.as_secs() - 20..FAULTY.as_secs() {
-            let node = second as usize % NODES;
-            world.arrive(FAULTY + REST, node, &format!("key-{second}"), 0);
+        for second in FAULTS_DURATION.as_secs() - 20..FAULTS_DURATION.as_secs() {
+            let instance = second as usize % INSTANCES;
+            simulation.schedule_call(
+                FAULTS_DURATION + RECOVERY,
+                instance,
+                &format!("key-{second}"),
+                0,
+            );
         }
-        let healed = world.now + FAULTY + REST;
-        world.run();
-        let found = world.history.check();
+        let faults_end = simulation.now + FAULTS_DURATION + RECOVERY;
+        simulation.run();
+        let violations = simulation.history.check();
         assert_eq!(
-            found,
+            violations,
             Vec::<String>::new(),
             "seed {seed}: {}",
-            world.summary()
+            simulation.summary()
         );
-        let may_be_lost = faults.service > 0.0 || faults.crashes;
-        let found = world.history.check_after(healed, may_be_lost);
-        assert_eq!(found, Vec::<String>::new(), "seed {seed}");
+        let outcomes_may_be_lost = faults.service_failure > 0.0 || faults.crashes;
+        let violations = simulation
+            .history
+            .check_calls_after_faults(faults_end, outcomes_may_be_lost);
+        assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
         assert!(
-            world.history.executions.len() > 20,
-            "seed {seed}: hardly a call ran"
+            simulation.history.executions.len() > 20,
+            "seed {seed}: too few calls ran"
         );
     }
 }
--- a/crates/ledger/tests/test_replies.rs
+++ b/crates/ledger/tests/test_replies.rs
@@ -1,4 +1,4 @@
-//! Errors of the platform as replies to a shard.
+//! Conversion of platform errors to replies of the store.
 
 use std::time::Duration;
 
@@ -8,8 +8,9 @@
 
 const WAIT: Duration = Duration::from_secs(1);
 
-// A write whose error does not prove that it had no effect must reach the shard as ambiguous. As
-// "down" it would be given up, and the calls in it refused, though the shard could still find it.
+// Guards against an error that leaves open whether the write took effect but is reported as not
+// applied. The shard would abandon the write and refuse its calls, although it could still find the
+// batch in the log.
 #[rstest]
 #[case(Ok(Version(3)), WriteReply::Written(Version(3)))]
 #[case(Err(PlatformError::Conflict), WriteReply::Conflict)]
@@ -21,7 +22,7 @@
 #[case(Err(PlatformError::Malformed), WriteReply::Ambiguous)]
 #[case(Err(PlatformError::OverBudget { retry_after: WAIT }), WriteReply::RateLimited { retry_after: WAIT })]
 #[case(Err(PlatformError::RateLimited { retry_after: WAIT }), WriteReply::RateLimited { retry_after: WAIT })]
-fn an_error_says_no_more_than_it_proves(
+fn write_error_becomes_not_applied_only_if_it_proves_it(
     #[case] result: Result<Version, PlatformError>,
     #[case] reply: WriteReply,
 ) {
--- a/crates/ledger/tests/test_scripts.rs
+++ b/crates/ledger/tests/test_scripts.rs
@@ -12,7 +12,7 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-use crate::store::Store;
+use crate::memory_store::MemoryStore;
 
 type Failure = Box<dyn Error>;
 
@@ -29,7 +29,7 @@
 
 struct Driver {
     now: Instant,
-    store: Store,
+    store: MemoryStore,
     shards: BTreeMap<String, Shard>,
     requests: BTreeMap<String, Effect>,
     unsent: BTreeMap<u64, UnsentCall>,
@@ -41,7 +41,7 @@
     fn new() -> Self {
         Self {
             now: Instant::now(),
-            store: Store::new(),
+            store: MemoryStore::new(),
             shards: BTreeMap::new(),
             requests: BTreeMap::new(),
             unsent: BTreeMap::new(),
--- a/crates/ledger/tests/test_sockets.rs
+++ b/crates/ledger/tests/test_sockets.rs
@@ -1,4 +1,4 @@
-//! Shards over the client and a platform on a socket.
+//! Shards with the platform client and a simulated platform on a socket.
 
 use std::{
     collections::VecDeque,
@@ -22,11 +22,13 @@
     burst: Duration::from_secs(1),
 };
 
-// Three instances get the same key at once, and the replies to the next two writes are lost after
-// they took effect. Each write without a reply is read back; the call runs once, and all three
-// callers get its result.
+// Guards against a call that runs twice, or not at all, after the store's replies were lost.
+//
+// Three instances get the same key at the same time. The replies to the first two writes are lost
+// after the writes took effect, so these writes are read back. The call runs once, and all three
+// callers get its response.
 #[tokio::test]
-async fn a_key_runs_once_though_replies_are_lost() {
+async fn call_runs_once_if_store_replies_are_lost() {
     let platform = Platform::new(Listing::default(), Duration::ZERO);
     let server = platform
         .serve("127.0.0.1:0".parse().unwrap())
@@ -44,18 +46,18 @@
             timeout: TIMEOUT,
             rates: RATES,
         });
-        call(seed, client, &runs)
+        run_call(seed, client, &runs)
     });
     let answers = futures::future::join_all(calls).await;
-    let reply = ServiceResponse::new(200, "text/plain", "held");
+    let response = ServiceResponse::new(200, "text/plain", "held");
     for answer in answers {
-        assert_eq!(answer, Answer::Outcome(Outcome::Ran(reply.clone())));
+        assert_eq!(answer, Answer::Outcome(Outcome::Ran(response.clone())));
     }
     assert_eq!(runs.load(Relaxed), 1);
 }
 
-/// Runs a shard until its one call is answered and nothing is left to write.
-async fn call(seed: u64, client: Client, runs: &AtomicUsize) -> Answer {
+/// Runs a shard with one call until the call is answered and nothing is left to write.
+async fn run_call(seed: u64, client: Client, runs: &AtomicUsize) -> Answer {
     let now = Instant::now();
     let mut shard = Shard::new(ShardNumber(0), Settings::default(), seed, now);
     let call = Call {
@@ -66,10 +68,10 @@
         service_timeout: Duration::from_secs(1),
     };
     let mut effects = VecDeque::from(shard.handle_call(call, now));
-    let mut told = None;
+    let mut caller_answer = None;
     loop {
         let Some(effect) = effects.pop_front() else {
-            match told {
+            match caller_answer {
                 Some(answer) if shard.is_idle() => return answer,
                 _ => tokio::time::sleep_until(shard.wake_at().unwrap()).await,
             }
@@ -83,38 +85,38 @@
                 shard.handle_list_reply(reply, Instant::now())
             }
             Effect::Get { key } => {
-                let found = client.get(&key).await.map_err(|e| *e.current_context());
-                shard.handle_read_reply(found.into(), Instant::now())
+                let result = client.get(&key).await.map_err(|e| *e.current_context());
+                shard.handle_read_reply(result.into(), Instant::now())
             }
             Effect::Create { key, value } => {
-                let done = client
+                let result = client
                     .create(&key, value)
                     .await
                     .map_err(|e| *e.current_context());
-                shard.handle_write_reply(done.into(), Instant::now())
+                shard.handle_write_reply(result.into(), Instant::now())
             }
             Effect::Update {
                 key,
                 expected_version,
                 value,
             } => {
-                let done = client.update(&key, expected_version, value).await;
+                let result = client.update(&key, expected_version, value).await;
                 shard.handle_write_reply(
-                    done.map_err(|e| *e.current_context()).into(),
+                    result.map_err(|e| *e.current_context()).into(),
                     Instant::now(),
                 )
             }
             Effect::Dispatch { unsent, .. } => {
                 let sent = unsent.mark_sent(Instant::now()).unwrap();
                 runs.fetch_add(1, Relaxed);
-                let reply = ServiceResponse::new(200, "text/plain", "held");
+                let response = ServiceResponse::new(200, "text/plain", "held");
                 shard.handle_finished_call(
-                    sent.answered(reply, TIMEOUT, &NotRunCodes::default()),
+                    sent.answered(response, TIMEOUT, &NotRunCodes::default()),
                     Instant::now(),
                 )
             }
             Effect::Answer { answer, .. } => {
-                told = Some(answer);
+                caller_answer = Some(answer);
                 Vec::new()
             }
             Effect::ReportCorruption { error } => panic!("{error}"),
