--- a/crates/ledger/src/shard_state.rs
+++ b/crates/ledger/src/shard_state.rs
@@ -90,7 +90,7 @@
         }
         match &entry.state {
             CallState::Ran(response) => {
-                callers.answer_outcome(&call.callers, Outcome::Ran(response.clone()));
+                callers.answer_outcome(&call.callers, Outcome::Ran(response.clone()))
             }
             CallState::Unknown => callers.answer_outcome(&call.callers, Outcome::Unknown),
             // Only the writer of an intent may send the call, and this instance does not run it, so
