--- a/crates/rollout/src/controller/evaluation.rs
+++ b/crates/rollout/src/controller/evaluation.rs
@@ -190,7 +190,7 @@
         rate: impl Fn(&ModelName) -> f64,
         is_listed: bool,
     ) -> Vec<Rollout> {
-        let mut found: BTreeMap<Revision, (u64, Vec<_>)> = BTreeMap::new();
+        let mut by_origin: BTreeMap<Revision, (u64, Vec<_>)> = BTreeMap::new();
         for model in models {
             let Some(part) = self.parts.get(&model.name) else {
                 continue;
@@ -205,7 +205,7 @@
                 requests_per_s: rate(&model.name),
             };
             let deadline_ms = part.rolled_ms + model.complete_within_s * MS_PER_S;
-            let entry = found
+            let entry = by_origin
                 .entry(part.origin)
                 .or_insert((part.rolled_ms, Vec::new()));
             entry.1.extend(part.increases.iter().map(|change| {
@@ -221,7 +221,7 @@
         let rollout = |(origin, (rolled_ms, increases))| {
             Rollout::new(origin, rolled_ms, self.me.clone(), increases, &self.live)
         };
-        found.into_iter().map(rollout).collect()
+        by_origin.into_iter().map(rollout).collect()
     }
 
     pub(super) fn is_running(&self, origin: Revision, version: &VersionRollout) -> bool {
--- a/crates/rollout/src/operation.rs
+++ b/crates/rollout/src/operation.rs
@@ -90,19 +90,28 @@
 /// The reply that an operation awaits.
 #[derive(Clone, Debug, PartialEq)]
 enum Awaiting {
+    /// Read of the bundle.
     Bundle,
+    /// Read of the approval.
     Approval,
+    /// Read of `current`.
     Current,
+    /// Read of the bundle in force, whose `current` object is known.
     Previous(CurrentBundle),
+    /// Write that decides the outcome.
     Write,
+    /// Read of the object after the write failed.
     ReadBack,
+    /// Write of an audit record.
     Audit(AfterAudit),
 }
 
 /// Continuation after the audit records are written.
 #[derive(Clone, Debug, PartialEq)]
 enum AfterAudit {
+    /// Writes this object as `current`.
     Roll(CurrentBundle),
+    /// Ends the operation.
     End(OperationOutcome),
 }
 
--- a/crates/rollout/tests/fake_fleet.rs
+++ b/crates/rollout/tests/fake_fleet.rs
@@ -33,16 +33,22 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Defect {
     None,
+    /// Most answers fail from the start.
     Immediate,
+    /// Most answers fail from [`FakeFleet::fault_ms`] on.
     Delayed,
+    /// Half of the answers fail on engines with many open requests.
     UnderLoad,
+    /// Most answers of the rarest request class fail.
     OneClass,
+    /// All chunks take 2.5 times as long.
     Slow,
 }
 
 /// How bad versions are detected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Strategy {
+    /// The judge of each controller.
     Judged(JudgeConfig),
     /// Baseline: fixed stages, random selection on all instances and a threshold on the error rate that is
     /// checked every 10 s.
@@ -70,12 +76,17 @@
     pub(crate) instances: usize,
     pub(crate) base_engines: usize,
     pub(crate) new_engines: usize,
+    /// Requests per second over all instances.
     pub(crate) rate: f64,
+    /// Time for the whole rollout.
     pub(crate) within_s: u64,
+    /// Final share of the new version.
     pub(crate) percent: u8,
+    /// Mean time between the crashes of an engine.
     pub(crate) crash_mtbf_s: f64,
     pub(crate) defect: Defect,
     pub(crate) strategy: Strategy,
+    /// Disruptions and their times in milliseconds.
     pub(crate) disruptions: Vec<(u64, Disruption)>,
     /// Probability that the reply to a write is lost.
     pub(crate) lost_reply: f64,
@@ -88,7 +99,7 @@
 }
 
 impl Scenario {
-    /// A small fleet of the size of the site Holding: 20 engines, 7 instances, 12 requests per second.
+    /// Returns a rollout at the site Holding: 20 engines, 7 instances, 12 requests per second.
     pub(crate) fn holding(defect: Defect) -> Self {
         Self {
             instances: 7,
@@ -137,6 +148,7 @@
 /// Result of a simulation.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
+    /// Final phase, if the rollout ended, and when it did.
     pub(crate) phase: Option<Phase>,
     pub(crate) ended_ms: u64,
     /// When the defect first affected a caller.
@@ -145,11 +157,13 @@
     pub(crate) detectable_ms: Option<u64>,
     /// When the first instance braked the version.
     pub(crate) braked_ms: Option<u64>,
+    /// When the last request was sent to the new version.
     pub(crate) last_sent_ms: u64,
     pub(crate) sent_after_first_fault: u64,
     pub(crate) sent_after_detectable: u64,
     /// Requests that the defect affected.
     pub(crate) faulty_requests: u64,
+    /// Requests sent to the new version, and to both versions.
     pub(crate) sent_new: u64,
     pub(crate) sent: u64,
     /// Numbers of all requests and of those for the new version by stage, over all instances.
@@ -164,12 +178,19 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
+    /// A request arrives.
     Arrival,
+    /// The current chunk of a request ends.
     Chunk(usize),
+    /// An instance performs its periodic work.
     Tick(usize),
+    /// An engine crashes.
     Crash(usize),
+    /// An engine has restarted.
     Recover(usize),
+    /// A snapshot arrives: sender, receiver and index of the snapshot.
     Push(usize, usize, usize),
+    /// A disruption of the scenario takes effect.
     Disruption(usize),
 }
 
@@ -211,8 +232,9 @@
     model: Model,
     rng: SmallRng,
     now: u64,
+    /// Scheduled events by time and order of scheduling.
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    count: u64,
+    event_count: u64,
     instances: Vec<Instance>,
     engines: Vec<Engine>,
     requests: Vec<Request>,
@@ -229,8 +251,8 @@
     pub(crate) outcome: Outcome,
     /// Time of the last check of the error rate, and the numbers of errors and requests then.
     last_check: (u64, u64, u64),
-    base: VersionName,
-    new: VersionName,
+    base_version: VersionName,
+    new_version: VersionName,
 }
 
 pub(crate) fn candidate() -> Candidate {
@@ -279,11 +301,11 @@
             events: BinaryHeap::new(),
             outcome: Outcome::default(),
             last_check: (0, 0, 0),
-            base: "v1".into(),
-            new: "v2".into(),
+            base_version: "v1".into(),
+            new_version: "v2".into(),
             is_all_engines_failing: false,
             now: 0,
-            count: 0,
+            event_count: 0,
             scenario,
             model,
             rng,
@@ -332,8 +354,8 @@
     }
 
     fn schedule(&mut self, time: u64, event: Event) {
-        self.count += 1;
-        self.events.push(Reverse((time, self.count, event)));
+        self.event_count += 1;
+        self.events.push(Reverse((time, self.event_count, event)));
     }
 
     fn exponential(&mut self, mean: f64) -> f64 {
@@ -475,13 +497,13 @@
                 let share = self.share_of(instance);
                 let is_new = self.rng.random_range(0..1_000_000) < share;
                 if is_new {
-                    self.new.clone()
+                    self.new_version.clone()
                 } else {
-                    self.base.clone()
+                    self.base_version.clone()
                 }
             }
         };
-        let is_new = version == self.new;
+        let is_new = version == self.new_version;
         self.count_sent(instance, is_new);
         let Some(engine) = self.pick_engine(instance, is_new) else {
             return;
@@ -525,7 +547,9 @@
     }
 
     fn count_sent(&mut self, instance: usize, is_new: bool) {
-        let stage = self.record(instance).map_or(0, VersionRollout::stage);
+        let stage = self
+            .version_rollout(instance)
+            .map_or(0, VersionRollout::stage);
         let share = self.share_of(instance);
         let outcome = &mut self.outcome;
         let entry = outcome.stages.entry(stage).or_default();
@@ -547,7 +571,7 @@
         }
     }
 
-    fn record(&self, instance: usize) -> Option<&VersionRollout> {
+    fn version_rollout(&self, instance: usize) -> Option<&VersionRollout> {
         self.instances[instance]
             .controller
             .rollout(ORIGIN)?
@@ -565,10 +589,10 @@
             usize::MAX
         };
         let errors = &self.instances[instance].errors;
-        let is_out = |at: usize| errors.get(&at).is_some_and(|(_, until)| *until > self.now);
+        let is_ejected = |at: usize| errors.get(&at).is_some_and(|(_, until)| *until > self.now);
         let free = (0..self.engines.len()).filter(|at| {
             let engine = &self.engines[*at];
-            engine.is_new == is_new && engine.is_up && !is_out(*at)
+            engine.is_new == is_new && engine.is_up && !is_ejected(*at)
         });
         let free: Vec<_> = free.take(limit).collect();
         if free.is_empty() {
@@ -661,7 +685,7 @@
             let tokens = if is_first { 1 } else { 32 };
             controller.record_success(&trial, time_us / tokens);
         }
-        if failed.is_some() && trial.version == self.new {
+        if failed.is_some() && trial.version == self.new_version {
             self.check_detectable();
             self.evaluate(instance);
         }
@@ -679,17 +703,17 @@
         let request = &mut self.requests[at];
         request.is_open = false;
         self.engines[request.engine].active -= 1;
-        let is_base = request.trial.version == self.base;
+        let is_base = request.trial.version == self.base_version;
         self.instances[request.instance].base_open -= u32::from(is_base);
     }
 
     fn crash(&mut self, engine: usize) {
         self.engines[engine].is_up = false;
         self.schedule(self.now + RESTART_MS, Event::Recover(engine));
-        let hit: Vec<_> = (0..self.requests.len())
+        let broken: Vec<_> = (0..self.requests.len())
             .filter(|at| self.requests[*at].is_open && self.requests[*at].engine == engine)
             .collect();
-        for at in hit {
+        for at in broken {
             let (instance, trial) = (self.requests[at].instance, self.requests[at].trial.clone());
             self.instances[instance]
                 .controller
@@ -760,8 +784,8 @@
         {
             all.merge(report.clone());
         }
-        let record = self.record(0);
-        let stage = record.map(|record| record.stages[usize::from(record.stage())].clone());
+        let rollout = self.version_rollout(0);
+        let stage = rollout.map(|rollout| rollout.stages[usize::from(rollout.stage())].clone());
         let Some(stage) = stage else { return };
         let engines = self.engine_counts();
         if self
@@ -786,7 +810,7 @@
                 .own_reports()
                 .flat_map(|report| &report.lines)
             {
-                if line.version == self.new {
+                if line.version == self.new_version {
                     let tally = &line.tally.first;
                     let failed = tally.failures() + tally.discounted;
                     sums = (sums.0 + failed, sums.1 + tally.times.count() + failed);
@@ -923,8 +947,8 @@
 }
 
 fn use_fixed_stages(rollout: &mut Rollout) {
-    let record = &mut rollout.versions[0];
-    let last = record.stages.last().cloned().unwrap();
+    let version = &mut rollout.versions[0];
+    let last = version.stages.last().cloned().unwrap();
     let shares = [50_000, 250_000, 500_000, last.share_ppm];
     let until = |at: usize| {
         if at < 3 {
@@ -933,7 +957,7 @@
             last.until_ms
         }
     };
-    record.stages = shares
+    version.stages = shares
         .iter()
         .enumerate()
         .map(|(at, share)| Stage {
@@ -944,6 +968,6 @@
             answers: 0,
         })
         .collect();
-    record.senders = None;
-    record.local_ppm = shares[0];
+    version.senders = None;
+    version.local_ppm = shares[0];
 }
--- a/crates/rollout/tests/test_bundle_tracker.rs
+++ b/crates/rollout/tests/test_bundle_tracker.rs
@@ -107,10 +107,10 @@
 
     fn fetch(&mut self, at: usize) {
         let names = self.names();
-        let asked = self.instances[at]
+        let source = self.instances[at]
             .tracker
             .next_fetch(self.now, &names, &mut self.rng);
-        let body = match asked {
+        let bundle = match source {
             Some((Source::Store, digest)) => {
                 match self.store.call(&StoreCall::read(bundle_key(digest))) {
                     StoreReply::Found { value, .. } => {
@@ -125,14 +125,15 @@
                     .iter()
                     .find(|instance| instance.name == peer)
                     .unwrap();
-                let held = instance.tracker.active();
-                held.filter(|(held, _)| held.digest == digest)
-                    .map(|(_, body)| (**body).clone())
+                let active = instance.tracker.active();
+                active
+                    .filter(|(header, _)| header.digest == digest)
+                    .map(|(_, bundle)| (**bundle).clone())
             }
             None => None,
         };
-        if let Some(body) = body {
-            self.instances[at].tracker.accept_bundle(body).unwrap();
+        if let Some(bundle) = bundle {
+            self.instances[at].tracker.accept_bundle(bundle).unwrap();
         }
     }
 
