--- a/crates/orders/src/lib.rs
+++ b/crates/orders/src/lib.rs
@@ -1,23 +1,23 @@
 //! Fenced orders to engines.
 //!
-//! [`Driver`] is a pure state machine for one shard of engines: it holds the shard's lease, compares
+//! [`Reconciler`] is a pure state machine for one shard of engines: it holds the shard's lease, compares
 //! what the bundle wants with what the engines report, and says which orders to send and until when
 //! each may be sent.
 
-mod driver;
 mod guard;
 mod holder;
 mod lease;
 mod order;
 mod pace;
+mod reconciler;
 mod settings;
 mod shard;
 
-pub use driver::{Driver, Effect, Input, Sent};
 pub use guard::Guard;
 pub use holder::{Holder, StoreCall, StoreReply};
 pub use lease::{Lease, LeaseError};
 pub use order::{Desired, Order, Report};
 pub use pace::Pace;
+pub use reconciler::{Effect, Input, Reconciler, Sent};
 pub use settings::Settings;
 pub use shard::Shard;
--- a/crates/orders/src/driver.rs
+++ b/crates/orders/src/reconciler.rs
@@ -78,7 +78,7 @@
 
 /// Orders to the engines of one shard, as a state machine.
 #[derive(Debug)]
-pub struct Driver {
+pub struct Reconciler {
     settings: Settings,
     holder: Holder,
     pace: Pace,
@@ -88,7 +88,7 @@
     count: u64,
 }
 
-impl Driver {
+impl Reconciler {
     /// Makes a driver that wants no lease yet.
     pub fn new(settings: Settings, holder: Holder) -> Self {
         Self {
--- a/crates/orders/tests/site.rs
+++ b/crates/orders/tests/site.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use celerypond_orders::{
-    Desired, Driver, Effect, Guard, Holder, Input, Lease, Order, Report, Sent, Settings, StoreCall,
-    StoreReply,
+    Desired, Effect, Guard, Holder, Input, Lease, Order, Reconciler, Report, Sent, Settings,
+    StoreCall, StoreReply,
 };
 use celerypond_types::{FencingNumber, InstanceName, TargetName, VersionName};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
@@ -66,7 +66,7 @@
 /// Drivers, engines and a store.
 #[derive(Debug)]
 pub(crate) struct Site {
-    pub(crate) drivers: Vec<Option<Driver>>,
+    pub(crate) drivers: Vec<Option<Reconciler>>,
     pub(crate) engines: BTreeMap<TargetName, Engine>,
     pub(crate) settings: Settings,
     pub(crate) now: Instant,
@@ -132,7 +132,7 @@
         for at in 0..drivers {
             let rng = SmallRng::seed_from_u64(site.rng.random());
             let holder = Holder::new(format!("i{at}").as_str().into(), site.settings.clone(), rng);
-            let driver = Driver::new(site.settings.clone(), holder);
+            let driver = Reconciler::new(site.settings.clone(), holder);
             site.drivers.push(Some(driver));
             let offset = Duration::from_millis(site.rng.random_range(0..1000));
             site.put(offset, What::Tick(at));
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use celerypond_bundle::{Bundle, Fencing, TargetKind};
 use celerypond_orders::{
-    Desired, Driver, Effect, Guard, Holder, Input, Order, Report, Sent, Settings, Shard, StoreCall,
-    StoreReply,
+    Desired, Effect, Guard, Holder, Input, Order, Reconciler, Report, Sent, Settings, Shard,
+    StoreCall, StoreReply,
 };
 use celerypond_platform::{PlatformError, Version};
 use celerypond_telemetry::Counter;
@@ -43,7 +43,7 @@
 struct Actor {
     node: Arc<Node>,
     shard: Shard,
-    driver: Driver,
+    reconciler: Reconciler,
     inputs: mpsc::Sender<Input>,
     received: mpsc::Receiver<Input>,
     wanted: Wanted,
@@ -73,7 +73,7 @@
         Self {
             node: Arc::clone(node),
             shard,
-            driver: Driver::new(settings, holder),
+            reconciler: Reconciler::new(settings, holder),
             inputs,
             received,
             wanted: Wanted::default(),
@@ -96,7 +96,7 @@
     }
 
     fn step(&mut self, input: Input) {
-        for effect in self.driver.step(input, Instant::now()) {
+        for effect in self.reconciler.step(input, Instant::now()) {
             self.carry_out(effect);
         }
     }
@@ -106,7 +106,7 @@
         let Some(force) = self.node.force.load_full() else {
             return;
         };
-        self.driver.want(is_driver(&self.node, self.shard));
+        self.reconciler.want(is_driver(&self.node, self.shard));
         self.wanted.follow(force);
         let wanted = self.wanted.of_shard(self.shard);
         for gone in self
@@ -115,14 +115,14 @@
             .iter()
             .filter(|name| !wanted.contains_key(*name))
         {
-            self.driver.remove(gone);
+            self.reconciler.remove(gone);
         }
         self.wanted.known = wanted.keys().cloned().collect();
         for (target, (guard, desired)) in wanted {
             if let Some(versions) = self.node.reported(&target) {
                 self.step(Input::Reported(target.clone(), Report { versions }));
             }
-            self.driver.set(target, guard, desired);
+            self.reconciler.set(target, guard, desired);
         }
     }
 
