--- a/bench/src/orders.rs
+++ b/bench/src/orders.rs
@@ -54,7 +54,7 @@
             site.engine(&format!("e{at}"), Guard::Fencing);
         }
         site.weights = SERVED;
-        site.want(0, true);
+        site.set_wanted(0, true);
         let names = (0..versions).map(|at| (format!("v{at}").as_str().into(), "w".into()));
         site.desire(
             0,
@@ -80,7 +80,7 @@
     let samples = (0..seeds).map(|seed| {
         let mut site = Site::new(drivers, Settings::default(), seed);
         site.engine("e", Guard::Fencing);
-        (0..drivers).for_each(|at| site.want(at, true));
+        (0..drivers).for_each(|at| site.set_wanted(at, true));
         site.run(CALL_SECONDS * SECOND);
         site.calls as f64 / f64::from(CALL_SECONDS)
     });
@@ -110,7 +110,7 @@
         role: Some("serve".into()),
     };
     for at in 0..2 {
-        site.want(at, true);
+        site.set_wanted(at, true);
         site.desire(at, &desired);
     }
     site.run(Duration::from_secs(20) + Duration::from_millis(seed * 137));
@@ -122,7 +122,7 @@
     let before = log(&site).last().copied().unwrap_or_default();
     let holder = (0..2).find(|at| {
         let driver = site.drivers[*at].as_ref();
-        driver.is_some_and(|d| d.holder().may_send(guard, site.now).is_some())
+        driver.is_some_and(|d| d.lease_client().send_permit(guard, site.now).is_some())
     });
     if let Some(holder) = holder {
         site.drivers[holder] = None;
--- a/crates/orders/src/holder.rs
+++ b/crates/orders/src/lease_client.rs
@@ -84,7 +84,7 @@
 /// of the store only rise, so each holder has a higher one than those before; it stays the same
 /// while the holder renews.
 #[derive(Debug)]
-pub struct Holder {
+pub struct LeaseClient {
     name: InstanceName,
     settings: Settings,
     wanted: bool,
@@ -97,7 +97,7 @@
     rng: SmallRng,
 }
 
-impl Holder {
+impl LeaseClient {
     /// Makes a holder that does not want the lease yet.
     pub const fn new(name: InstanceName, settings: Settings, rng: SmallRng) -> Self {
         Self {
@@ -113,7 +113,7 @@
     }
 
     /// Says whether this instance shall hold the lease. Several may be told so; one will get it.
-    pub fn want(&mut self, wanted: bool) {
+    pub fn set_wanted(&mut self, wanted: bool) {
         self.wanted = wanted;
     }
 
@@ -123,7 +123,7 @@
     /// A holder that was paused past its lease finds `now` past that instant and sends nothing. The
     /// lease counts from before the write that renewed it, and a successor counts from after it
     /// read that write, so the successor's count ends later, whatever the two clocks show.
-    pub fn may_send(&self, guard: Guard, now: Instant) -> Option<(FencingNumber, Instant)> {
+    pub fn send_permit(&self, guard: Guard, now: Instant) -> Option<(FencingNumber, Instant)> {
         let held = self.held?;
         let last = self.last(&held);
         (self.is_clear(guard, now) && now < last).then_some((held.fencing, last))
@@ -135,11 +135,11 @@
     }
 
     /// Takes in that a target has seen a higher fencing number: the lease is another's.
-    pub fn fenced(&mut self) {
+    pub fn on_fenced(&mut self) {
         self.held = None;
     }
 
-    /// Returns the next call to the store, if one is due. Give its reply to [`Holder::replied`].
+    /// Returns the next call to the store, if one is due. Give its reply to [`LeaseClient::on_reply`].
     ///
     /// A lease that is no longer wanted is released once `is_idle` says that no order is under way
     /// and the longest wait for the holder before is over. A holder that released it earlier would
@@ -218,7 +218,7 @@
     }
 
     /// Takes in the reply to a call; returns the next call if it follows at once.
-    pub fn replied(&mut self, reply: StoreReply, now: Instant) -> Option<StoreCall> {
+    pub fn on_reply(&mut self, reply: StoreReply, now: Instant) -> Option<StoreCall> {
         match (self.phase, reply) {
             (Phase::Writing(write), StoreReply::Written(version)) => {
                 self.written(write, version);
--- a/crates/orders/src/lib.rs
+++ b/crates/orders/src/lib.rs
@@ -5,8 +5,8 @@
 //! each may be sent.
 
 mod guard;
-mod holder;
 mod lease;
+mod lease_client;
 mod order;
 mod pace;
 mod reconciler;
@@ -14,8 +14,8 @@
 mod shard;
 
 pub use guard::Guard;
-pub use holder::{Holder, StoreCall, StoreReply};
 pub use lease::{Lease, LeaseError};
+pub use lease_client::{LeaseClient, StoreCall, StoreReply};
 pub use order::{Desired, Order, Report};
 pub use pace::Pace;
 pub use reconciler::{Effect, Input, Reconciler, Sent};
--- a/crates/orders/src/reconciler.rs
+++ b/crates/orders/src/reconciler.rs
@@ -9,7 +9,7 @@
 use smol_str::SmolStr;
 use tokio::time::Instant;
 
-use crate::{Desired, Guard, Holder, Order, Pace, Report, Settings, StoreCall, StoreReply};
+use crate::{Desired, Guard, LeaseClient, Order, Pace, Report, Settings, StoreCall, StoreReply};
 
 /// What came of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 pub struct Reconciler {
     settings: Settings,
-    holder: Holder,
+    lease_client: LeaseClient,
     pace: Pace,
     engines: BTreeMap<TargetName, Engine>,
     /// The orders under way, also those to targets that were dropped since.
@@ -90,11 +90,11 @@
 
 impl Reconciler {
     /// Makes a driver that wants no lease yet.
-    pub fn new(settings: Settings, holder: Holder) -> Self {
+    pub fn new(settings: Settings, lease_client: LeaseClient) -> Self {
         Self {
             pace: Pace::new(settings.loads),
             settings,
-            holder,
+            lease_client,
             engines: BTreeMap::new(),
             flying: BTreeSet::new(),
             count: 0,
@@ -102,13 +102,13 @@
     }
 
     /// Returns who holds the lease, by the view of this instance.
-    pub const fn holder(&self) -> &Holder {
-        &self.holder
+    pub const fn lease_client(&self) -> &LeaseClient {
+        &self.lease_client
     }
 
     /// Says whether this instance shall drive the shard.
-    pub fn want(&mut self, wanted: bool) {
-        self.holder.want(wanted);
+    pub fn set_wanted(&mut self, wanted: bool) {
+        self.lease_client.set_wanted(wanted);
     }
 
     /// Sets what the bundle wants of a target.
@@ -139,7 +139,7 @@
         match input {
             Input::Tick => {}
             Input::Store(reply) => {
-                let next = self.holder.replied(reply, now);
+                let next = self.lease_client.on_reply(reply, now);
                 effects.extend(next.map(Effect::Store));
             }
             Input::Reported(target, report) => self.report(&target, report),
@@ -147,7 +147,7 @@
         }
         self.expire(now);
         let is_idle = self.flying.is_empty();
-        effects.extend(self.holder.tick(is_idle, now).map(Effect::Store));
+        effects.extend(self.lease_client.tick(is_idle, now).map(Effect::Store));
         let targets: Vec<TargetName> = self.engines.keys().cloned().collect();
         for target in targets {
             effects.extend(self.send(target, now));
@@ -173,7 +173,7 @@
     fn ended(&mut self, target: &TargetName, id: u64, sent: Sent, now: Instant) {
         self.flying.remove(&id);
         if sent == Sent::Fenced {
-            self.holder.fenced();
+            self.lease_client.on_fenced();
         }
         let Some(engine) = self.engines.get_mut(target) else {
             return;
@@ -221,7 +221,7 @@
         if engine.sending.is_some() || is_waiting {
             return None;
         }
-        let (fencing, last) = self.holder.may_send(engine.guard, now)?;
+        let (fencing, last) = self.lease_client.send_permit(engine.guard, now)?;
         let order = engine.next(self.settings.repeat, now)?;
         if let Order::Load { version, .. } = &order {
             if !self.pace.begin(now) {
--- a/crates/orders/tests/site.rs
+++ b/crates/orders/tests/site.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use celerypond_orders::{
-    Desired, Effect, Guard, Holder, Input, Lease, Order, Reconciler, Report, Sent, Settings,
+    Desired, Effect, Guard, Input, Lease, LeaseClient, Order, Reconciler, Report, Sent, Settings,
     StoreCall, StoreReply,
 };
 use celerypond_types::{FencingNumber, InstanceName, TargetName, VersionName};
@@ -131,8 +131,9 @@
         };
         for at in 0..drivers {
             let rng = SmallRng::seed_from_u64(site.rng.random());
-            let holder = Holder::new(format!("i{at}").as_str().into(), site.settings.clone(), rng);
-            let driver = Reconciler::new(site.settings.clone(), holder);
+            let lease_client =
+                LeaseClient::new(format!("i{at}").as_str().into(), site.settings.clone(), rng);
+            let driver = Reconciler::new(site.settings.clone(), lease_client);
             site.drivers.push(Some(driver));
             let offset = Duration::from_millis(site.rng.random_range(0..1000));
             site.put(offset, What::Tick(at));
@@ -162,9 +163,9 @@
         }
     }
 
-    pub(crate) fn want(&mut self, at: usize, wanted: bool) {
+    pub(crate) fn set_wanted(&mut self, at: usize, wanted: bool) {
         if let Some(driver) = &mut self.drivers[at] {
-            driver.want(wanted);
+            driver.set_wanted(wanted);
         }
     }
 
--- a/crates/orders/tests/test_fencing.rs
+++ b/crates/orders/tests/test_fencing.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_orders::{Desired, Guard, Holder, Lease, Settings, StoreCall, StoreReply};
+use celerypond_orders::{Desired, Guard, Lease, LeaseClient, Settings, StoreCall, StoreReply};
 use celerypond_types::FencingNumber;
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use rstest::rstest;
@@ -38,7 +38,7 @@
     change(&mut site);
     for step in 0..120 {
         for at in 0..3 {
-            site.want(at, rng.random_bool(0.8));
+            site.set_wanted(at, rng.random_bool(0.8));
             site.desire(at, &role(step / 4));
         }
         site.down = rng.random_bool(0.05);
@@ -87,7 +87,7 @@
         let mut site = Site::new(2, settings, seed);
         site.engine("a", Guard::Repair);
         for at in 0..2 {
-            site.want(at, true);
+            site.set_wanted(at, true);
             site.desire(at, &role(1));
         }
         site.run(SECOND * (10 + seed as u32 % 10));
@@ -121,7 +121,7 @@
         let mut site = Site::new(2, Settings::default(), seed);
         site.engine("a", Guard::Repair);
         for at in 0..2 {
-            site.want(at, true);
+            site.set_wanted(at, true);
             site.desire(at, &role(1));
         }
         site.run(15 * SECOND);
@@ -154,15 +154,15 @@
 fn a_lease_is_released_only_when_all_targets_are_clear() {
     let mut site = Site::new(3, Settings::default(), 1);
     site.engine("a", Guard::IdleClose);
-    site.want(0, true);
+    site.set_wanted(0, true);
     site.desire(0, &role(1));
     site.run(5 * SECOND);
     site.pause(0, 1000 * SECOND);
-    site.want(1, true);
+    site.set_wanted(1, true);
     site.run_until(60 * SECOND, |site| {
         site.trace.iter().any(|l| l.contains("taken by i1"))
     });
-    site.want(1, false);
+    site.set_wanted(1, false);
     site.run(12 * SECOND);
     assert!(!site.trace.iter().any(|l| l.contains("released by i1")));
     site.run(10 * SECOND);
@@ -176,26 +176,26 @@
 fn a_wait_outlives_the_lease_that_began_it() {
     let now = Instant::now();
     let rng = SmallRng::seed_from_u64(1);
-    let mut holder = Holder::new("i1".into(), Settings::default(), rng);
-    holder.want(true);
+    let mut lease_client = LeaseClient::new("i1".into(), Settings::default(), rng);
+    lease_client.set_wanted(true);
     let lease = Lease {
         holder: "i0".into(),
         nonce: 1,
         released: false,
     };
-    assert_eq!(holder.tick(true, now), Some(StoreCall::Read));
-    holder.replied(StoreReply::Found(5, lease.to_bytes()), now);
+    assert_eq!(lease_client.tick(true, now), Some(StoreCall::Read));
+    lease_client.on_reply(StoreReply::Found(5, lease.to_bytes()), now);
     let taken = now + 10 * SECOND;
-    assert!(holder.tick(true, taken).is_some());
-    holder.replied(StoreReply::Written(6), taken);
-    assert_eq!(holder.may_send(Guard::IdleClose, taken), None);
+    assert!(lease_client.tick(true, taken).is_some());
+    lease_client.on_reply(StoreReply::Written(6), taken);
+    assert_eq!(lease_client.send_permit(Guard::IdleClose, taken), None);
     let renewal = taken + 8 * SECOND;
-    assert!(holder.tick(true, renewal).is_some());
-    assert_eq!(holder.tick(true, taken + 10 * SECOND), None);
+    assert!(lease_client.tick(true, renewal).is_some());
+    assert_eq!(lease_client.tick(true, taken + 10 * SECOND), None);
     let again = taken + 11 * SECOND;
-    holder.replied(StoreReply::Written(7), again);
-    assert!(holder.may_send(Guard::Fencing, again).is_some());
-    assert_eq!(holder.may_send(Guard::IdleClose, again), None);
+    lease_client.on_reply(StoreReply::Written(7), again);
+    assert!(lease_client.send_permit(Guard::Fencing, again).is_some());
+    assert_eq!(lease_client.send_permit(Guard::IdleClose, again), None);
 }
 
 // The reply to a write of the lease is lost. The holder must not give orders by a lease that it may
@@ -206,21 +206,24 @@
 fn a_lost_reply_is_read_back(#[case] took_effect: bool) {
     let now = Instant::now();
     let rng = SmallRng::seed_from_u64(1);
-    let mut holder = Holder::new("i1".into(), Settings::default(), rng);
-    holder.want(true);
-    holder.tick(true, now);
-    let Some(StoreCall::Create(value)) = holder.replied(StoreReply::Missing, now) else {
+    let mut lease_client = LeaseClient::new("i1".into(), Settings::default(), rng);
+    lease_client.set_wanted(true);
+    lease_client.tick(true, now);
+    let Some(StoreCall::Create(value)) = lease_client.on_reply(StoreReply::Missing, now) else {
         panic!("no create");
     };
-    assert_eq!(holder.replied(StoreReply::Lost, now), Some(StoreCall::Read));
-    assert_eq!(holder.may_send(Guard::Fencing, now), None);
+    assert_eq!(
+        lease_client.on_reply(StoreReply::Lost, now),
+        Some(StoreCall::Read)
+    );
+    assert_eq!(lease_client.send_permit(Guard::Fencing, now), None);
     let found = if took_effect {
         StoreReply::Found(3, value)
     } else {
         StoreReply::Missing
     };
-    let next = holder.replied(found, now + SECOND);
-    let sent = holder.may_send(Guard::Fencing, now + SECOND);
+    let next = lease_client.on_reply(found, now + SECOND);
+    let sent = lease_client.send_permit(Guard::Fencing, now + SECOND);
     let last = now + Duration::from_secs(9);
     assert_eq!(sent, took_effect.then_some((FencingNumber(3), last)));
     assert_eq!(next.is_some(), !took_effect);
--- a/crates/orders/tests/test_loads.rs
+++ b/crates/orders/tests/test_loads.rs
@@ -29,7 +29,7 @@
         site.engine(&format!("e{at}"), Guard::Fencing);
     }
     site.weights = (5, 8 * SECOND);
-    site.want(0, true);
+    site.set_wanted(0, true);
     site.desire(0, &versions(&["v2"]));
     let all = |site: &Site| {
         site.engines
--- a/crates/orders/tests/test_scripts.rs
+++ b/crates/orders/tests/test_scripts.rs
@@ -45,8 +45,8 @@
                 };
                 site.engine(next()?, guard);
             }
-            "want" => site.want(next()?.parse()?, true),
-            "yield" => site.want(next()?.parse()?, false),
+            "want" => site.set_wanted(next()?.parse()?, true),
+            "yield" => site.set_wanted(next()?.parse()?, false),
             "desire" => {
                 let at = next()?.parse()?;
                 let desired = Desired {
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use celerypond_bundle::{Bundle, Fencing, TargetKind};
 use celerypond_orders::{
-    Desired, Effect, Guard, Holder, Input, Order, Reconciler, Report, Sent, Settings, Shard,
+    Desired, Effect, Guard, Input, LeaseClient, Order, Reconciler, Report, Sent, Settings, Shard,
     StoreCall, StoreReply,
 };
 use celerypond_platform::{PlatformError, Version};
@@ -68,12 +68,12 @@
     fn new(node: &Arc<Node>, shard: Shard) -> Self {
         let settings = Settings::default();
         let name = node.settings.instance.clone();
-        let holder = Holder::new(name, settings.clone(), node.rng());
+        let lease_client = LeaseClient::new(name, settings.clone(), node.rng());
         let (inputs, received) = mpsc::channel(INPUTS);
         Self {
             node: Arc::clone(node),
             shard,
-            reconciler: Reconciler::new(settings, holder),
+            reconciler: Reconciler::new(settings, lease_client),
             inputs,
             received,
             wanted: Wanted::default(),
@@ -106,7 +106,8 @@
         let Some(force) = self.node.force.load_full() else {
             return;
         };
-        self.reconciler.want(is_driver(&self.node, self.shard));
+        self.reconciler
+            .set_wanted(is_driver(&self.node, self.shard));
         self.wanted.follow(force);
         let wanted = self.wanted.of_shard(self.shard);
         for gone in self
