--- a/bench/src/orders.rs
+++ b/bench/src/orders.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use celerypond_orders::{Desired, Guard, Settings};
+use celerypond_orders::{Desired, Settings, StaleOrderGuard};
 use site::Site;
 
 use crate::table::Row;
@@ -51,7 +51,7 @@
         };
         let mut site = Site::new(1, settings, seed);
         for at in 0..ENGINES {
-            site.engine(&format!("e{at}"), Guard::Fencing);
+            site.engine(&format!("e{at}"), StaleOrderGuard::Fencing);
         }
         site.weights = SERVED;
         site.set_wanted(0, true);
@@ -79,7 +79,7 @@
 fn calls(drivers: usize, seeds: u64) -> Row {
     let samples = (0..seeds).map(|seed| {
         let mut site = Site::new(drivers, Settings::default(), seed);
-        site.engine("e", Guard::Fencing);
+        site.engine("e", StaleOrderGuard::Fencing);
         (0..drivers).for_each(|at| site.set_wanted(at, true));
         site.run(CALL_SECONDS * SECOND);
         site.calls as f64 / f64::from(CALL_SECONDS)
@@ -91,9 +91,9 @@
 /// Measures how long a shard is without orders after its holder dies, by what guards the engines.
 fn take_over(seeds: u64) -> Vec<Row> {
     let guards = [
-        ("engines check numbers", Guard::Fencing),
-        ("engines close idle connections", Guard::IdleClose),
-        ("engines do neither", Guard::Repair),
+        ("engines check numbers", StaleOrderGuard::Fencing),
+        ("engines close idle connections", StaleOrderGuard::IdleClose),
+        ("engines do neither", StaleOrderGuard::Repair),
     ];
     let rows = guards.into_iter().map(|(way, guard)| {
         let samples = (0..seeds).map(|seed| gap(guard, seed));
@@ -102,7 +102,7 @@
     rows.collect()
 }
 
-fn gap(guard: Guard, seed: u64) -> f64 {
+fn gap(guard: StaleOrderGuard, seed: u64) -> f64 {
     let mut site = Site::new(2, Settings::default(), seed);
     site.engine("e", guard);
     let desired = Desired {
--- a/crates/orders/src/lease_client.rs
+++ b/crates/orders/src/lease_client.rs
@@ -4,7 +4,7 @@
 use rand::{rngs::SmallRng, Rng as _};
 use tokio::time::Instant;
 
-use crate::{Guard, Lease, Settings};
+use crate::{Lease, Settings, StaleOrderGuard};
 
 /// A call to the store, on the lease object.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -123,15 +123,19 @@
     /// A holder that was paused past its lease finds `now` past that instant and sends nothing. The
     /// lease counts from before the write that renewed it, and a successor counts from after it
     /// read that write, so the successor's count ends later, whatever the two clocks show.
-    pub fn send_permit(&self, guard: Guard, now: Instant) -> Option<(FencingNumber, Instant)> {
+    pub fn send_permit(
+        &self,
+        guard: StaleOrderGuard,
+        now: Instant,
+    ) -> Option<(FencingNumber, Instant)> {
         let held = self.held?;
         let last = self.last(&held);
         (self.is_clear(guard, now) && now < last).then_some((held.fencing, last))
     }
 
-    fn is_clear(&self, guard: Guard, now: Instant) -> bool {
-        let wait = guard.wait(&self.settings);
-        guard == Guard::Fencing || self.clear.is_none_or(|clear| now >= clear + wait)
+    fn is_clear(&self, guard: StaleOrderGuard, now: Instant) -> bool {
+        let wait = guard.takeover_delay(&self.settings);
+        guard == StaleOrderGuard::Fencing || self.clear.is_none_or(|clear| now >= clear + wait)
     }
 
     /// Takes in that a target has seen a higher fencing number: the lease is another's.
@@ -174,7 +178,7 @@
     }
 
     fn keep(&mut self, held: Held, is_idle: bool, now: Instant) -> Option<StoreCall> {
-        if !self.wanted && is_idle && self.is_clear(Guard::IdleClose, now) {
+        if !self.wanted && is_idle && self.is_clear(StaleOrderGuard::IdleClose, now) {
             return Some(self.release(held, now));
         }
         let is_due = now >= held.renewed + self.settings.renew;
--- a/crates/orders/src/lib.rs
+++ b/crates/orders/src/lib.rs
@@ -4,7 +4,6 @@
 //! what the bundle wants with what the engines report, and says which orders to send and until when
 //! each may be sent.
 
-mod guard;
 mod lease;
 mod lease_client;
 mod order;
@@ -12,8 +11,8 @@
 mod reconciler;
 mod settings;
 mod shard;
+mod stale_order_guard;
 
-pub use guard::Guard;
 pub use lease::{Lease, LeaseError};
 pub use lease_client::{LeaseClient, StoreCall, StoreReply};
 pub use order::{Desired, Order, Report};
@@ -21,3 +20,4 @@
 pub use reconciler::{Effect, Input, Reconciler, Sent};
 pub use settings::Settings;
 pub use shard::Shard;
+pub use stale_order_guard::StaleOrderGuard;
--- a/crates/orders/src/reconciler.rs
+++ b/crates/orders/src/reconciler.rs
@@ -9,7 +9,9 @@
 use smol_str::SmolStr;
 use tokio::time::Instant;
 
-use crate::{Desired, Guard, LeaseClient, Order, Pace, Report, Settings, StoreCall, StoreReply};
+use crate::{
+    Desired, LeaseClient, Order, Pace, Report, Settings, StaleOrderGuard, StoreCall, StoreReply,
+};
 
 /// What came of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -67,7 +69,7 @@
 
 #[derive(Clone, Debug)]
 struct Engine {
-    guard: Guard,
+    guard: StaleOrderGuard,
     desired: Desired,
     report: Option<Report>,
     sending: Option<(u64, Order)>,
@@ -112,7 +114,7 @@
     }
 
     /// Sets what the bundle wants of a target.
-    pub fn set(&mut self, target: TargetName, guard: Guard, desired: Desired) {
+    pub fn set(&mut self, target: TargetName, guard: StaleOrderGuard, desired: Desired) {
         let engine = self.engines.entry(target).or_insert_with(|| Engine {
             guard,
             desired: Desired::default(),
--- a/crates/orders/src/guard.rs
+++ b/crates/orders/src/stale_order_guard.rs
@@ -13,7 +13,7 @@
 /// late that no pause fits between it and the write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Guard {
+pub enum StaleOrderGuard {
     /// The target refuses a fencing number lower than one it has seen. This alone is safe: the
     /// paused holder's order carries the lower number.
     Fencing,
@@ -29,9 +29,9 @@
     Repair,
 }
 
-impl Guard {
+impl StaleOrderGuard {
     /// Returns how long a new holder must wait after the last lease has run out.
-    pub(crate) fn wait(self, settings: &Settings) -> Duration {
+    pub(crate) fn takeover_delay(self, settings: &Settings) -> Duration {
         match self {
             Self::Fencing => Duration::ZERO,
             Self::IdleClose => settings.send + settings.idle,
--- a/crates/orders/tests/site.rs
+++ b/crates/orders/tests/site.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use celerypond_orders::{
-    Desired, Effect, Guard, Input, Lease, LeaseClient, Order, Reconciler, Report, Sent, Settings,
-    StoreCall, StoreReply,
+    Desired, Effect, Input, Lease, LeaseClient, Order, Reconciler, Report, Sent, Settings,
+    StaleOrderGuard, StoreCall, StoreReply,
 };
 use celerypond_types::{FencingNumber, InstanceName, TargetName, VersionName};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
@@ -54,7 +54,7 @@
 /// An engine.
 #[derive(Clone, Debug)]
 pub(crate) struct Engine {
-    pub(crate) guard: Guard,
+    pub(crate) guard: StaleOrderGuard,
     pub(crate) role: String,
     pub(crate) versions: Vec<VersionName>,
     /// When an order took effect, of which holder, and what it was.
@@ -142,7 +142,7 @@
         site
     }
 
-    pub(crate) fn engine(&mut self, name: &str, guard: Guard) {
+    pub(crate) fn engine(&mut self, name: &str, guard: StaleOrderGuard) {
         let engine = Engine {
             guard,
             role: String::new(),
@@ -316,7 +316,7 @@
     fn write(&mut self, parcel: Parcel) {
         let engine = &self.engines[&parcel.target];
         let age = self.now - parcel.opened;
-        let is_closed = engine.guard == Guard::IdleClose && age > self.settings.idle;
+        let is_closed = engine.guard == StaleOrderGuard::IdleClose && age > self.settings.idle;
         self.put(
             self.settings.send,
             What::Ended(parcel.id, parcel.from, parcel.target.clone(), Sent::Unknown),
@@ -337,7 +337,7 @@
         let Some(engine) = self.engines.get_mut(&parcel.target) else {
             return;
         };
-        let is_old = engine.guard == Guard::Fencing && parcel.fencing < engine.seen;
+        let is_old = engine.guard == StaleOrderGuard::Fencing && parcel.fencing < engine.seen;
         engine.seen = engine.seen.max(parcel.fencing);
         let sent = match &parcel.order {
             _ if is_old => Sent::Fenced,
--- a/crates/orders/tests/test_fencing.rs
+++ b/crates/orders/tests/test_fencing.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use celerypond_orders::{Desired, Guard, Lease, LeaseClient, Settings, StoreCall, StoreReply};
+use celerypond_orders::{
+    Desired, Lease, LeaseClient, Settings, StaleOrderGuard, StoreCall, StoreReply,
+};
 use celerypond_types::FencingNumber;
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use rstest::rstest;
@@ -21,7 +23,7 @@
 
 /// Runs three drivers that all want the lease while bundles follow each other and holders are
 /// paused, and the store loses replies and goes down now and then.
-fn race(guard: Guard, stage: Stage, seed: u64, change: impl Fn(&mut Site)) -> Site {
+fn race(guard: StaleOrderGuard, stage: Stage, seed: u64, change: impl Fn(&mut Site)) -> Site {
     let settings = Settings {
         repeat: Duration::from_millis(1500),
         // The clocks run alike here, so what is safe must be so without a margin.
@@ -64,7 +66,7 @@
 // not happen, wherever the pause falls.
 #[rstest]
 fn no_old_order_follows_a_newer_one(
-    #[values(Guard::Fencing, Guard::IdleClose)] guard: Guard,
+    #[values(StaleOrderGuard::Fencing, StaleOrderGuard::IdleClose)] guard: StaleOrderGuard,
     #[values(Stage::Before, Stage::During, Stage::After)] stage: Stage,
 ) {
     for seed in 0..40 {
@@ -85,7 +87,7 @@
             ..Settings::default()
         };
         let mut site = Site::new(2, settings, seed);
-        site.engine("a", Guard::Repair);
+        site.engine("a", StaleOrderGuard::Repair);
         for at in 0..2 {
             site.set_wanted(at, true);
             site.desire(at, &role(1));
@@ -106,7 +108,7 @@
     #[values(Stage::Before, Stage::After)] stage: Stage,
 ) {
     for seed in 0..40 {
-        let site = race(Guard::Repair, stage, seed, |_| {});
+        let site = race(StaleOrderGuard::Repair, stage, seed, |_| {});
         assert!(holders(&site) > 3, "seed {seed}: too few take-overs");
         assert_eq!(site.stale(), None, "seed {seed}");
     }
@@ -119,7 +121,7 @@
     let mut found = 0;
     for seed in 0..40 {
         let mut site = Site::new(2, Settings::default(), seed);
-        site.engine("a", Guard::Repair);
+        site.engine("a", StaleOrderGuard::Repair);
         for at in 0..2 {
             site.set_wanted(at, true);
             site.desire(at, &role(1));
@@ -153,7 +155,7 @@
 #[test]
 fn a_lease_is_released_only_when_all_targets_are_clear() {
     let mut site = Site::new(3, Settings::default(), 1);
-    site.engine("a", Guard::IdleClose);
+    site.engine("a", StaleOrderGuard::IdleClose);
     site.set_wanted(0, true);
     site.desire(0, &role(1));
     site.run(5 * SECOND);
@@ -188,14 +190,22 @@
     let taken = now + 10 * SECOND;
     assert!(lease_client.tick(true, taken).is_some());
     lease_client.on_reply(StoreReply::Written(6), taken);
-    assert_eq!(lease_client.send_permit(Guard::IdleClose, taken), None);
+    assert_eq!(
+        lease_client.send_permit(StaleOrderGuard::IdleClose, taken),
+        None
+    );
     let renewal = taken + 8 * SECOND;
     assert!(lease_client.tick(true, renewal).is_some());
     assert_eq!(lease_client.tick(true, taken + 10 * SECOND), None);
     let again = taken + 11 * SECOND;
     lease_client.on_reply(StoreReply::Written(7), again);
-    assert!(lease_client.send_permit(Guard::Fencing, again).is_some());
-    assert_eq!(lease_client.send_permit(Guard::IdleClose, again), None);
+    assert!(lease_client
+        .send_permit(StaleOrderGuard::Fencing, again)
+        .is_some());
+    assert_eq!(
+        lease_client.send_permit(StaleOrderGuard::IdleClose, again),
+        None
+    );
 }
 
 // The reply to a write of the lease is lost. The holder must not give orders by a lease that it may
@@ -216,14 +226,17 @@
         lease_client.on_reply(StoreReply::Lost, now),
         Some(StoreCall::Read)
     );
-    assert_eq!(lease_client.send_permit(Guard::Fencing, now), None);
+    assert_eq!(
+        lease_client.send_permit(StaleOrderGuard::Fencing, now),
+        None
+    );
     let found = if took_effect {
         StoreReply::Found(3, value)
     } else {
         StoreReply::Missing
     };
     let next = lease_client.on_reply(found, now + SECOND);
-    let sent = lease_client.send_permit(Guard::Fencing, now + SECOND);
+    let sent = lease_client.send_permit(StaleOrderGuard::Fencing, now + SECOND);
     let last = now + Duration::from_secs(9);
     assert_eq!(sent, took_effect.then_some((FencingNumber(3), last)));
     assert_eq!(next.is_some(), !took_effect);
--- a/crates/orders/tests/test_loads.rs
+++ b/crates/orders/tests/test_loads.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_orders::{Desired, Guard, Order, Pace, Report, Settings};
+use celerypond_orders::{Desired, Order, Pace, Report, Settings, StaleOrderGuard};
 use rstest::rstest;
 use tokio::time::Instant;
 
@@ -26,7 +26,7 @@
     };
     let mut site = Site::new(1, settings, seed);
     for at in 0..40 {
-        site.engine(&format!("e{at}"), Guard::Fencing);
+        site.engine(&format!("e{at}"), StaleOrderGuard::Fencing);
     }
     site.weights = (5, 8 * SECOND);
     site.set_wanted(0, true);
--- a/crates/orders/tests/test_scripts.rs
+++ b/crates/orders/tests/test_scripts.rs
@@ -2,7 +2,7 @@
 
 use std::{error::Error, time::Duration};
 
-use celerypond_orders::{Desired, Guard, Settings};
+use celerypond_orders::{Desired, Settings, StaleOrderGuard};
 use goldenscript::{Command, Context, Runner};
 
 use crate::site::{Site, Stage, ALWAYS};
@@ -39,9 +39,9 @@
         match command.name.as_str() {
             "engine" => {
                 let guard = match next()? {
-                    "fencing" => Guard::Fencing,
-                    "idle" => Guard::IdleClose,
-                    _ => Guard::Repair,
+                    "fencing" => StaleOrderGuard::Fencing,
+                    "idle" => StaleOrderGuard::IdleClose,
+                    _ => StaleOrderGuard::Repair,
                 };
                 site.engine(next()?, guard);
             }
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use celerypond_bundle::{Bundle, Fencing, TargetKind};
 use celerypond_orders::{
-    Desired, Effect, Guard, Input, LeaseClient, Order, Reconciler, Report, Sent, Settings, Shard,
-    StoreCall, StoreReply,
+    Desired, Effect, Input, LeaseClient, Order, Reconciler, Report, Sent, Settings, Shard,
+    StaleOrderGuard, StoreCall, StoreReply,
 };
 use celerypond_platform::{PlatformError, Version};
 use celerypond_telemetry::Counter;
@@ -172,7 +172,7 @@
         self.former.take_if(|(_, until)| *until <= now);
     }
 
-    fn of_shard(&self, shard: Shard) -> BTreeMap<TargetName, (Guard, Desired)> {
+    fn of_shard(&self, shard: Shard) -> BTreeMap<TargetName, (StaleOrderGuard, Desired)> {
         let mut wanted = BTreeMap::new();
         let Some(force) = &self.force else {
             return wanted;
@@ -180,9 +180,9 @@
         for target in &force.bundle.targets {
             if target.kind == TargetKind::Engine && Shard::of(&target.name, SHARDS) == shard {
                 let guard = match target.fencing {
-                    Fencing::Checked => Guard::Fencing,
-                    Fencing::ClosesIdle => Guard::IdleClose,
-                    Fencing::Ignored => Guard::Repair,
+                    Fencing::Checked => StaleOrderGuard::Fencing,
+                    Fencing::ClosesIdle => StaleOrderGuard::IdleClose,
+                    Fencing::Ignored => StaleOrderGuard::Repair,
                 };
                 wanted.insert(target.name.clone(), (guard, Desired::default()));
             }
@@ -195,7 +195,7 @@
     }
 }
 
-fn add_versions(bundle: &Bundle, wanted: &mut BTreeMap<TargetName, (Guard, Desired)>) {
+fn add_versions(bundle: &Bundle, wanted: &mut BTreeMap<TargetName, (StaleOrderGuard, Desired)>) {
     for version in bundle.models.iter().flat_map(|model| &model.versions) {
         for target in &version.targets {
             if let Some((_, desired)) = wanted.get_mut(target) {
