--- a/bench/src/orders.rs
+++ b/bench/src/orders.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use celerypond_orders::{Desired, Settings, StaleOrderGuard};
+use celerypond_orders::{Desired, OrderSettings, StaleOrderGuard};
 use site::Site;
 
 use crate::table::Row;
@@ -32,7 +32,12 @@
 pub(crate) fn run(seeds: u64) -> Vec<Row> {
     let mut rows = Vec::new();
     for versions in [1, 3] {
-        rows.extend(loads(versions, Settings::default().loads, "paced", seeds));
+        rows.extend(loads(
+            versions,
+            OrderSettings::default().initial_load_window,
+            "paced",
+            seeds,
+        ));
         rows.extend(loads(versions, NO_PACE, "baseline: all at once", seeds));
     }
     rows.push(calls(1, seeds));
@@ -45,9 +50,9 @@
 fn loads(versions: usize, loads: f64, way: &str, seeds: u64) -> Vec<Row> {
     let (mut times, mut refusals) = (Vec::new(), Vec::new());
     for seed in 0..seeds {
-        let settings = Settings {
-            loads,
-            ..Settings::default()
+        let settings = OrderSettings {
+            initial_load_window: loads,
+            ..OrderSettings::default()
         };
         let mut site = Site::new(1, settings, seed);
         for at in 0..ENGINES {
@@ -78,7 +83,7 @@
 /// Counts the calls to the store for one lease, with one or two instances that want it.
 fn calls(drivers: usize, seeds: u64) -> Row {
     let samples = (0..seeds).map(|seed| {
-        let mut site = Site::new(drivers, Settings::default(), seed);
+        let mut site = Site::new(drivers, OrderSettings::default(), seed);
         site.engine("e", StaleOrderGuard::Fencing);
         (0..drivers).for_each(|at| site.set_wanted(at, true));
         site.run(CALL_SECONDS * SECOND);
@@ -103,7 +108,7 @@
 }
 
 fn gap(guard: StaleOrderGuard, seed: u64) -> f64 {
-    let mut site = Site::new(2, Settings::default(), seed);
+    let mut site = Site::new(2, OrderSettings::default(), seed);
     site.engine("e", guard);
     let desired = Desired {
         versions: Default::default(),
--- a/crates/orders/src/lease_client.rs
+++ b/crates/orders/src/lease_client.rs
@@ -4,7 +4,7 @@
 use rand::{rngs::SmallRng, Rng as _};
 use tokio::time::Instant;
 
-use crate::{Lease, Settings, StaleOrderGuard};
+use crate::{Lease, OrderSettings, StaleOrderGuard};
 
 /// A call to the store, on the lease object.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -86,7 +86,7 @@
 #[derive(Debug)]
 pub struct LeaseClient {
     name: InstanceName,
-    settings: Settings,
+    settings: OrderSettings,
     wanted: bool,
     phase: Phase,
     held: Option<Held>,
@@ -99,7 +99,7 @@
 
 impl LeaseClient {
     /// Makes a holder that does not want the lease yet.
-    pub const fn new(name: InstanceName, settings: Settings, rng: SmallRng) -> Self {
+    pub const fn new(name: InstanceName, settings: OrderSettings, rng: SmallRng) -> Self {
         Self {
             name,
             settings,
@@ -163,7 +163,7 @@
             }
             (_, Some(held)) => self.keep(held, is_idle, now),
             (Phase::Watching { version, seen }, None) if self.wanted => {
-                let lapsed = now >= seen + self.settings.lease;
+                let lapsed = now >= seen + self.settings.lease_duration;
                 lapsed.then(|| self.write(Some(version), Before::Taken(seen), now))
             }
             (_, None) if self.wanted => {
@@ -181,7 +181,7 @@
         if !self.wanted && is_idle && self.is_clear(StaleOrderGuard::IdleClose, now) {
             return Some(self.release(held, now));
         }
-        let is_due = now >= held.renewed + self.settings.renew;
+        let is_due = now >= held.renewed + self.settings.renew_interval;
         is_due.then(|| self.write(Some(held.version), Before::Own, now))
     }
 
@@ -237,7 +237,7 @@
                 None
             }
             (Phase::Reading(write), StoreReply::Lost) => {
-                self.resume = Some(now + self.settings.retry);
+                self.resume = Some(now + self.settings.retry_delay);
                 self.phase = Phase::Asking(write);
                 None
             }
@@ -300,7 +300,7 @@
             return;
         }
         if let Before::Taken(seen) = write.before {
-            self.clear = self.clear.max(Some(seen + self.settings.lease));
+            self.clear = self.clear.max(Some(seen + self.settings.lease_duration));
         }
         let old = self.held.filter(|_| write.before == Before::Own);
         self.held = Some(Held {
@@ -312,6 +312,6 @@
     }
 
     fn last(&self, held: &Held) -> Instant {
-        held.renewed + self.settings.lease - self.settings.margin
+        held.renewed + self.settings.lease_duration - self.settings.clock_margin
     }
 }
--- a/crates/orders/src/lib.rs
+++ b/crates/orders/src/lib.rs
@@ -18,6 +18,6 @@
 pub use order::{Desired, Order, Report};
 pub use pace::Pace;
 pub use reconciler::{Effect, Input, Reconciler, Sent};
-pub use settings::Settings;
+pub use settings::OrderSettings;
 pub use shard::Shard;
 pub use stale_order_guard::StaleOrderGuard;
--- a/crates/orders/src/reconciler.rs
+++ b/crates/orders/src/reconciler.rs
@@ -10,7 +10,8 @@
 use tokio::time::Instant;
 
 use crate::{
-    Desired, LeaseClient, Order, Pace, Report, Settings, StaleOrderGuard, StoreCall, StoreReply,
+    Desired, LeaseClient, Order, OrderSettings, Pace, Report, StaleOrderGuard, StoreCall,
+    StoreReply,
 };
 
 /// What came of an order.
@@ -81,7 +82,7 @@
 /// Orders to the engines of one shard, as a state machine.
 #[derive(Debug)]
 pub struct Reconciler {
-    settings: Settings,
+    settings: OrderSettings,
     lease_client: LeaseClient,
     pace: Pace,
     engines: BTreeMap<TargetName, Engine>,
@@ -92,9 +93,9 @@
 
 impl Reconciler {
     /// Makes a driver that wants no lease yet.
-    pub fn new(settings: Settings, lease_client: LeaseClient) -> Self {
+    pub fn new(settings: OrderSettings, lease_client: LeaseClient) -> Self {
         Self {
-            pace: Pace::new(settings.loads),
+            pace: Pace::new(settings.initial_load_window),
             settings,
             lease_client,
             engines: BTreeMap::new(),
@@ -187,24 +188,24 @@
             (Order::Load { version, .. }, Sent::Refused(after)) => {
                 engine.loading.remove(version);
                 self.pace.refused(after, now);
-                let wait = after.unwrap_or(self.settings.retry);
+                let wait = after.unwrap_or(self.settings.retry_delay);
                 engine.resume = Some(now + wait);
             }
             // A load that is not answered may go on or not; to order it again does no harm.
             (Order::Load { version, .. }, Sent::Fenced | Sent::Withheld | Sent::Unknown) => {
                 engine.loading.remove(version);
                 self.pace.lost();
-                engine.resume = Some(now + self.settings.retry);
+                engine.resume = Some(now + self.settings.retry_delay);
             }
             (Order::Role { role }, Sent::Accepted) => engine.role = Some((role.clone(), now)),
             (_, Sent::Accepted) => engine.report = None,
-            _ => engine.resume = Some(now + self.settings.retry),
+            _ => engine.resume = Some(now + self.settings.retry_delay),
         }
     }
 
     /// Gives up loads that were accepted long ago and are not reported.
     fn expire(&mut self, now: Instant) {
-        let limit = self.settings.load;
+        let limit = self.settings.load_timeout;
         for engine in self.engines.values_mut() {
             let pace = &mut self.pace;
             engine.loading.retain(|_, begun| {
@@ -224,7 +225,7 @@
             return None;
         }
         let (fencing, last) = self.lease_client.send_permit(engine.guard, now)?;
-        let order = engine.next(self.settings.repeat, now)?;
+        let order = engine.next(self.settings.repeat_interval, now)?;
         if let Order::Load { version, .. } = &order {
             if !self.pace.begin(now) {
                 return None;
@@ -249,9 +250,10 @@
     ///
     /// Versions are read back, so an order for one is repeated only while the report differs. A
     /// role is not reported, so it is repeated from time to time.
-    fn next(&self, repeat: Duration, now: Instant) -> Option<Order> {
+    fn next(&self, repeat_interval: Duration, now: Instant) -> Option<Order> {
         if let Some(role) = &self.desired.role {
-            let is_told = |(told, at): &(SmolStr, Instant)| told == role && now < *at + repeat;
+            let is_told =
+                |(told, at): &(SmolStr, Instant)| told == role && now < *at + repeat_interval;
             if !self.role.as_ref().is_some_and(is_told) {
                 return Some(Order::Role { role: role.clone() });
             }
--- a/crates/orders/src/stale_order_guard.rs
+++ b/crates/orders/src/stale_order_guard.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Settings;
+use crate::OrderSettings;
 
 /// What keeps an order of an old holder from taking effect at a target after a newer holder's.
 ///
@@ -31,11 +31,11 @@
 
 impl StaleOrderGuard {
     /// Returns how long a new holder must wait after the last lease has run out.
-    pub(crate) fn takeover_delay(self, settings: &Settings) -> Duration {
+    pub(crate) fn takeover_delay(self, settings: &OrderSettings) -> Duration {
         match self {
             Self::Fencing => Duration::ZERO,
-            Self::IdleClose => settings.send + settings.idle,
-            Self::Repair => settings.send,
+            Self::IdleClose => settings.send_timeout + settings.idle_timeout,
+            Self::Repair => settings.send_timeout,
         }
     }
 }
--- a/crates/orders/tests/site.rs
+++ b/crates/orders/tests/site.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use celerypond_orders::{
-    Desired, Effect, Input, Lease, LeaseClient, Order, Reconciler, Report, Sent, Settings,
+    Desired, Effect, Input, Lease, LeaseClient, Order, OrderSettings, Reconciler, Report, Sent,
     StaleOrderGuard, StoreCall, StoreReply,
 };
 use celerypond_types::{FencingNumber, InstanceName, TargetName, VersionName};
@@ -68,7 +68,7 @@
 pub(crate) struct Site {
     pub(crate) drivers: Vec<Option<Reconciler>>,
     pub(crate) engines: BTreeMap<TargetName, Engine>,
-    pub(crate) settings: Settings,
+    pub(crate) settings: OrderSettings,
     pub(crate) now: Instant,
     pub(crate) start: Instant,
     /// Whether processes look at their lease after the connection is open.
@@ -101,12 +101,12 @@
 }
 
 impl Site {
-    pub(crate) fn new(drivers: usize, settings: Settings, seed: u64) -> Self {
+    pub(crate) fn new(drivers: usize, settings: OrderSettings, seed: u64) -> Self {
         let now = Instant::now();
         let mut site = Self {
             drivers: Vec::new(),
             engines: BTreeMap::new(),
-            wire: settings.send,
+            wire: settings.send_timeout,
             settings,
             now,
             start: now,
@@ -316,9 +316,10 @@
     fn write(&mut self, parcel: Parcel) {
         let engine = &self.engines[&parcel.target];
         let age = self.now - parcel.opened;
-        let is_closed = engine.guard == StaleOrderGuard::IdleClose && age > self.settings.idle;
+        let is_closed =
+            engine.guard == StaleOrderGuard::IdleClose && age > self.settings.idle_timeout;
         self.put(
-            self.settings.send,
+            self.settings.send_timeout,
             What::Ended(parcel.id, parcel.from, parcel.target.clone(), Sent::Unknown),
         );
         if is_closed {
--- a/crates/orders/tests/test_fencing.rs
+++ b/crates/orders/tests/test_fencing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use celerypond_orders::{
-    Desired, Lease, LeaseClient, Settings, StaleOrderGuard, StoreCall, StoreReply,
+    Desired, Lease, LeaseClient, OrderSettings, StaleOrderGuard, StoreCall, StoreReply,
 };
 use celerypond_types::FencingNumber;
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
@@ -24,11 +24,11 @@
 /// Runs three drivers that all want the lease while bundles follow each other and holders are
 /// paused, and the store loses replies and goes down now and then.
 fn race(guard: StaleOrderGuard, stage: Stage, seed: u64, change: impl Fn(&mut Site)) -> Site {
-    let settings = Settings {
-        repeat: Duration::from_millis(1500),
+    let settings = OrderSettings {
+        repeat_interval: Duration::from_millis(1500),
         // The clocks run alike here, so what is safe must be so without a margin.
-        margin: Duration::ZERO,
-        ..Settings::default()
+        clock_margin: Duration::ZERO,
+        ..OrderSettings::default()
     };
     let mut site = Site::new(3, settings, seed);
     let mut rng = SmallRng::seed_from_u64(seed);
@@ -81,10 +81,10 @@
 #[rstest]
 fn orders_sent_at_the_end_of_a_lease_come_before_those_of_the_next_holder() {
     for seed in 0..60 {
-        let settings = Settings {
-            repeat: Duration::from_millis(100),
-            margin: Duration::ZERO,
-            ..Settings::default()
+        let settings = OrderSettings {
+            repeat_interval: Duration::from_millis(100),
+            clock_margin: Duration::ZERO,
+            ..OrderSettings::default()
         };
         let mut site = Site::new(2, settings, seed);
         site.engine("a", StaleOrderGuard::Repair);
@@ -120,7 +120,7 @@
 fn an_old_order_let_through_is_undone_by_the_next_repeat() {
     let mut found = 0;
     for seed in 0..40 {
-        let mut site = Site::new(2, Settings::default(), seed);
+        let mut site = Site::new(2, OrderSettings::default(), seed);
         site.engine("a", StaleOrderGuard::Repair);
         for at in 0..2 {
             site.set_wanted(at, true);
@@ -134,8 +134,8 @@
         }
         let let_through = site.run_until(100 * SECOND, |site| site.stale().is_some());
         found += u32::from(let_through && site.engines[&"a".into()].role == "role-1");
-        let settings = Settings::default();
-        let bound = settings.repeat + 2 * settings.send + SECOND;
+        let settings = OrderSettings::default();
+        let bound = settings.repeat_interval + 2 * settings.send_timeout + SECOND;
         let is_undone = |site: &Site| site.engines[&"a".into()].role == "role-2";
         if let_through {
             println!(
@@ -154,7 +154,7 @@
 // wait, so a release must wait in its place.
 #[test]
 fn a_lease_is_released_only_when_all_targets_are_clear() {
-    let mut site = Site::new(3, Settings::default(), 1);
+    let mut site = Site::new(3, OrderSettings::default(), 1);
     site.engine("a", StaleOrderGuard::IdleClose);
     site.set_wanted(0, true);
     site.desire(0, &role(1));
@@ -178,7 +178,7 @@
 fn a_wait_outlives_the_lease_that_began_it() {
     let now = Instant::now();
     let rng = SmallRng::seed_from_u64(1);
-    let mut lease_client = LeaseClient::new("i1".into(), Settings::default(), rng);
+    let mut lease_client = LeaseClient::new("i1".into(), OrderSettings::default(), rng);
     lease_client.set_wanted(true);
     let lease = Lease {
         holder: "i0".into(),
@@ -216,7 +216,7 @@
 fn a_lost_reply_is_read_back(#[case] took_effect: bool) {
     let now = Instant::now();
     let rng = SmallRng::seed_from_u64(1);
-    let mut lease_client = LeaseClient::new("i1".into(), Settings::default(), rng);
+    let mut lease_client = LeaseClient::new("i1".into(), OrderSettings::default(), rng);
     lease_client.set_wanted(true);
     lease_client.tick(true, now);
     let Some(StoreCall::Create(value)) = lease_client.on_reply(StoreReply::Missing, now) else {
--- a/crates/orders/tests/test_loads.rs
+++ b/crates/orders/tests/test_loads.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_orders::{Desired, Order, Pace, Report, Settings, StaleOrderGuard};
+use celerypond_orders::{Desired, Order, OrderSettings, Pace, Report, StaleOrderGuard};
 use rstest::rstest;
 use tokio::time::Instant;
 
@@ -20,9 +20,9 @@
 
 /// Loads one version on 40 engines from a store that serves 5 at once.
 fn roll(loads: f64, seed: u64) -> (Site, bool) {
-    let settings = Settings {
-        loads,
-        ..Settings::default()
+    let settings = OrderSettings {
+        initial_load_window: loads,
+        ..OrderSettings::default()
     };
     let mut site = Site::new(1, settings, seed);
     for at in 0..40 {
@@ -44,7 +44,7 @@
 // refuses most again and again, and whoever else needs weights meanwhile is refused as well.
 #[rstest]
 fn paced_loads_all_complete_and_few_are_refused(#[values(1, 2, 3, 4)] seed: u64) {
-    let (site, done) = roll(Settings::default().loads, seed);
+    let (site, done) = roll(OrderSettings::default().initial_load_window, seed);
     assert!(done);
     assert_eq!(site.served, 40);
     assert!(site.refused <= 40, "{} refused", site.refused);
--- a/crates/orders/tests/test_scripts.rs
+++ b/crates/orders/tests/test_scripts.rs
@@ -2,7 +2,7 @@
 
 use std::{error::Error, time::Duration};
 
-use celerypond_orders::{Desired, Settings, StaleOrderGuard};
+use celerypond_orders::{Desired, OrderSettings, StaleOrderGuard};
 use goldenscript::{Command, Context, Runner};
 
 use crate::site::{Site, Stage, ALWAYS};
@@ -79,9 +79,9 @@
 #[case("repair")]
 #[case("outage")]
 fn a_scenario_ends_as_written(#[case] name: &str) {
-    let settings = Settings {
-        repeat: Duration::from_secs(20),
-        ..Settings::default()
+    let settings = OrderSettings {
+        repeat_interval: Duration::from_secs(20),
+        ..OrderSettings::default()
     };
     let site = Site::new(2, settings, 1);
     let mut script = Script { site, shown: 0 };
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use celerypond_bundle::{Bundle, Fencing, TargetKind};
 use celerypond_orders::{
-    Desired, Effect, Input, LeaseClient, Order, Reconciler, Report, Sent, Settings, Shard,
+    Desired, Effect, Input, LeaseClient, Order, OrderSettings, Reconciler, Report, Sent, Shard,
     StaleOrderGuard, StoreCall, StoreReply,
 };
 use celerypond_platform::{PlatformError, Version};
@@ -66,7 +66,7 @@
 
 impl Actor {
     fn new(node: &Arc<Node>, shard: Shard) -> Self {
-        let settings = Settings::default();
+        let settings = OrderSettings::default();
         let name = node.settings.instance.clone();
         let lease_client = LeaseClient::new(name, settings.clone(), node.rng());
         let (inputs, received) = mpsc::channel(INPUTS);
@@ -250,7 +250,7 @@
     };
     let body = Body { fencing, order };
     let value = serde_json::to_vec(&body).unwrap_or_default();
-    match engine::order(address, value, last, Settings::default().send).await {
+    match engine::order(address, value, last, OrderSettings::default().send_timeout).await {
         Ok(None) => Sent::Withheld,
         Ok(Some((StatusCode::OK, _))) => Sent::Accepted,
         Ok(Some((StatusCode::CONFLICT, _))) => Sent::Fenced,
