--- a/crates/orders/src/lib.rs
+++ b/crates/orders/src/lib.rs
@@ -17,7 +17,7 @@
 pub use lease_client::{LeaseClient, StoreCall, StoreReply};
 pub use order::{Desired, Order, Report};
 pub use pace::Pace;
-pub use reconciler::{Effect, Input, Reconciler, Sent};
+pub use reconciler::{Effect, Input, Reconciler, SendOutcome};
 pub use settings::OrderSettings;
 pub use shard::Shard;
 pub use stale_order_guard::StaleOrderGuard;
--- a/crates/orders/src/reconciler.rs
+++ b/crates/orders/src/reconciler.rs
@@ -16,7 +16,7 @@
 
 /// What came of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sent {
+pub enum SendOutcome {
     /// The target accepted it.
     Accepted,
     /// The target has seen a higher fencing number.
@@ -26,7 +26,7 @@
     /// No answer came; it may have taken effect.
     Unknown,
     /// It was not sent: the last instant for it had passed.
-    Withheld,
+    NotSent,
 }
 
 /// Something that happened.
@@ -43,7 +43,7 @@
     /// The answer to an order may come after the order was given up. If it were taken for the end
     /// of the next order, that one would count as done while it is under way, and a lease could be
     /// released too early.
-    Sent(TargetName, u64, Sent),
+    SendEnded(TargetName, u64, SendOutcome),
 }
 
 /// Something to be done.
@@ -52,11 +52,11 @@
     /// Call the store.
     Store(StoreCall),
     /// Send an order. In this order: open a new connection; look at the clock and give up if it
-    /// is `last` or later; write the order; give up after the longest send, and reset the
+    /// is `write_deadline` or later; write the order; give up after the longest send, and reset the
     /// connection so that the kernel does not go on sending.
     Send {
         /// The ordinal of the order.
-        id: u64,
+        order_id: u64,
         /// The target.
         target: TargetName,
         /// The fencing number.
@@ -64,7 +64,7 @@
         /// The order.
         order: Order,
         /// The last instant at which the order may be written.
-        last: Instant,
+        write_deadline: Instant,
     },
 }
 
@@ -146,7 +146,9 @@
                 effects.extend(next.map(Effect::Store));
             }
             Input::Reported(target, report) => self.report(&target, report),
-            Input::Sent(target, id, sent) => self.ended(&target, id, sent, now),
+            Input::SendEnded(target, order_id, outcome) => {
+                self.ended(&target, order_id, outcome, now)
+            }
         }
         self.expire(now);
         let is_idle = self.flying.is_empty();
@@ -173,32 +175,37 @@
         engine.report = Some(report);
     }
 
-    fn ended(&mut self, target: &TargetName, id: u64, sent: Sent, now: Instant) {
-        self.flying.remove(&id);
-        if sent == Sent::Fenced {
+    fn ended(&mut self, target: &TargetName, order_id: u64, outcome: SendOutcome, now: Instant) {
+        self.flying.remove(&order_id);
+        if outcome == SendOutcome::Fenced {
             self.lease_client.on_fenced();
         }
         let Some(engine) = self.engines.get_mut(target) else {
             return;
         };
-        let Some((_, order)) = engine.sending.take_if(|(sending, _)| *sending == id) else {
+        let Some((_, order)) = engine.sending.take_if(|(sending, _)| *sending == order_id) else {
             return;
         };
-        match (&order, sent) {
-            (Order::Load { version, .. }, Sent::Refused(after)) => {
+        match (&order, outcome) {
+            (Order::Load { version, .. }, SendOutcome::Refused(after)) => {
                 engine.loading.remove(version);
                 self.pace.refused(after, now);
                 let wait = after.unwrap_or(self.settings.retry_delay);
                 engine.resume = Some(now + wait);
             }
             // A load that is not answered may go on or not; to order it again does no harm.
-            (Order::Load { version, .. }, Sent::Fenced | Sent::Withheld | Sent::Unknown) => {
+            (
+                Order::Load { version, .. },
+                SendOutcome::Fenced | SendOutcome::NotSent | SendOutcome::Unknown,
+            ) => {
                 engine.loading.remove(version);
                 self.pace.lost();
                 engine.resume = Some(now + self.settings.retry_delay);
             }
-            (Order::Role { role }, Sent::Accepted) => engine.role = Some((role.clone(), now)),
-            (_, Sent::Accepted) => engine.report = None,
+            (Order::Role { role }, SendOutcome::Accepted) => {
+                engine.role = Some((role.clone(), now))
+            }
+            (_, SendOutcome::Accepted) => engine.report = None,
             _ => engine.resume = Some(now + self.settings.retry_delay),
         }
     }
@@ -224,7 +231,7 @@
         if engine.sending.is_some() || is_waiting {
             return None;
         }
-        let (fencing, last) = self.lease_client.send_permit(engine.guard, now)?;
+        let (fencing, write_deadline) = self.lease_client.send_permit(engine.guard, now)?;
         let order = engine.next(self.settings.repeat_interval, now)?;
         if let Order::Load { version, .. } = &order {
             if !self.pace.begin(now) {
@@ -236,11 +243,11 @@
         self.flying.insert(self.count);
         engine.sending = Some((self.count, order.clone()));
         Some(Effect::Send {
-            id: self.count,
+            order_id: self.count,
             target,
             fencing,
             order,
-            last,
+            write_deadline,
         })
     }
 }
--- a/crates/orders/tests/site.rs
+++ b/crates/orders/tests/site.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use celerypond_orders::{
-    Desired, Effect, Input, Lease, LeaseClient, Order, OrderSettings, Reconciler, Report, Sent,
-    StaleOrderGuard, StoreCall, StoreReply,
+    Desired, Effect, Input, Lease, LeaseClient, Order, OrderSettings, Reconciler, Report,
+    SendOutcome, StaleOrderGuard, StoreCall, StoreReply,
 };
 use celerypond_types::{FencingNumber, InstanceName, TargetName, VersionName};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
@@ -29,12 +29,12 @@
 /// An order on its way.
 #[derive(Clone, Debug)]
 struct Parcel {
-    id: u64,
+    order_id: u64,
     from: usize,
     target: TargetName,
     fencing: FencingNumber,
     order: Order,
-    last: Instant,
+    write_deadline: Instant,
     opened: Instant,
 }
 
@@ -46,7 +46,7 @@
     Look(Parcel),
     Write(Parcel),
     Arrive(Parcel),
-    Ended(u64, usize, TargetName, Sent),
+    Ended(u64, usize, TargetName, SendOutcome),
     Poll(usize),
     Loaded(TargetName, VersionName),
 }
@@ -223,7 +223,9 @@
                 self.put(TICK, What::Tick(at));
             }
             What::Replied(at, reply) => self.step(at, Input::Store(reply)),
-            What::Ended(id, at, target, sent) => self.step(at, Input::Sent(target, id, sent)),
+            What::Ended(order_id, at, target, outcome) => {
+                self.step(at, Input::SendEnded(target, order_id, outcome))
+            }
             What::Poll(at) => self.poll(at),
             What::Store(at, call) => self.store(at, call),
             What::Look(parcel) => self.look(parcel),
@@ -245,19 +247,19 @@
                     self.put(latency, What::Store(at, call));
                 }
                 Effect::Send {
-                    id,
+                    order_id,
                     target,
                     fencing,
                     order,
-                    last,
+                    write_deadline,
                 } => {
                     let parcel = Parcel {
-                        id,
+                        order_id,
                         from: at,
                         target,
                         fencing,
                         order,
-                        last,
+                        write_deadline,
                         opened: now,
                     };
                     self.hold_up(Stage::Before, at);
@@ -294,10 +296,10 @@
     }
 
     fn look(&mut self, parcel: Parcel) {
-        if self.looks && self.now >= parcel.last {
+        if self.looks && self.now >= parcel.write_deadline {
             self.step(
                 parcel.from,
-                Input::Sent(parcel.target, parcel.id, Sent::Withheld),
+                Input::SendEnded(parcel.target, parcel.order_id, SendOutcome::NotSent),
             );
             return;
         }
@@ -320,7 +322,12 @@
             engine.guard == StaleOrderGuard::IdleClose && age > self.settings.idle_timeout;
         self.put(
             self.settings.send_timeout,
-            What::Ended(parcel.id, parcel.from, parcel.target.clone(), Sent::Unknown),
+            What::Ended(
+                parcel.order_id,
+                parcel.from,
+                parcel.target.clone(),
+                SendOutcome::Unknown,
+            ),
         );
         if is_closed {
             return;
@@ -340,16 +347,16 @@
         };
         let is_old = engine.guard == StaleOrderGuard::Fencing && parcel.fencing < engine.seen;
         engine.seen = engine.seen.max(parcel.fencing);
-        let sent = match &parcel.order {
-            _ if is_old => Sent::Fenced,
+        let outcome = match &parcel.order {
+            _ if is_old => SendOutcome::Fenced,
             Order::Load { version, .. }
                 if engine.loading.contains(version) || engine.versions.contains(version) =>
             {
-                Sent::Accepted
+                SendOutcome::Accepted
             }
             Order::Load { .. } if busy >= slots => {
                 self.refused += 1;
-                Sent::Refused(Some(Duration::from_secs(1)))
+                SendOutcome::Refused(Some(Duration::from_secs(1)))
             }
             Order::Load { version, .. } => {
                 self.served += 1;
@@ -357,19 +364,19 @@
                 let loaded = What::Loaded(parcel.target.clone(), version.clone());
                 self.count += 1;
                 self.queue.insert((self.now + download, self.count), loaded);
-                Sent::Accepted
+                SendOutcome::Accepted
             }
             Order::Unload { version } => {
                 engine.versions.retain(|v| v != version);
-                Sent::Accepted
+                SendOutcome::Accepted
             }
             Order::Role { role } => {
                 engine.role = role.to_string();
-                Sent::Accepted
+                SendOutcome::Accepted
             }
         };
-        let verb = match sent {
-            Sent::Accepted => "takes",
+        let verb = match outcome {
+            SendOutcome::Accepted => "takes",
             _ => "refuses",
         };
         self.trace.push(format!(
@@ -380,11 +387,11 @@
             parcel.from,
             parcel.fencing
         ));
-        if sent == Sent::Accepted {
+        if outcome == SendOutcome::Accepted {
             let entry = (self.now, parcel.fencing, parcel.order);
             engine.log.push(entry);
         }
-        let ended = What::Ended(parcel.id, parcel.from, parcel.target, sent);
+        let ended = What::Ended(parcel.order_id, parcel.from, parcel.target, outcome);
         self.put(Duration::from_millis(1), ended);
     }
 
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use celerypond_bundle::{Bundle, Fencing, TargetKind};
 use celerypond_orders::{
-    Desired, Effect, Input, LeaseClient, Order, OrderSettings, Reconciler, Report, Sent, Shard,
-    StaleOrderGuard, StoreCall, StoreReply,
+    Desired, Effect, Input, LeaseClient, Order, OrderSettings, Reconciler, Report, SendOutcome,
+    Shard, StaleOrderGuard, StoreCall, StoreReply,
 };
 use celerypond_platform::{PlatformError, Version};
 use celerypond_telemetry::Counter;
@@ -141,16 +141,18 @@
                 });
             }
             Effect::Send {
-                id,
+                order_id,
                 target,
                 fencing,
                 order,
-                last,
+                write_deadline,
             } => {
                 work.spawn(async move {
-                    let sent = send(&node, &target, fencing, &order, last).await;
-                    note(&node, &target, &order, sent);
-                    let _ = inputs.send(Input::Sent(target, id, sent)).await;
+                    let outcome = send(&node, &target, fencing, &order, write_deadline).await;
+                    note(&node, &target, &order, outcome);
+                    let _ = inputs
+                        .send(Input::SendEnded(target, order_id, outcome))
+                        .await;
                 });
             }
         }
@@ -243,24 +245,31 @@
     target: &TargetName,
     fencing: FencingNumber,
     order: &Order,
-    last: Instant,
-) -> Sent {
+    write_deadline: Instant,
+) -> SendOutcome {
     let Some(address) = address(node, target) else {
-        return Sent::Withheld;
+        return SendOutcome::NotSent;
     };
     let body = Body { fencing, order };
     let value = serde_json::to_vec(&body).unwrap_or_default();
-    match engine::order(address, value, last, OrderSettings::default().send_timeout).await {
-        Ok(None) => Sent::Withheld,
-        Ok(Some((StatusCode::OK, _))) => Sent::Accepted,
-        Ok(Some((StatusCode::CONFLICT, _))) => Sent::Fenced,
+    match engine::order(
+        address,
+        value,
+        write_deadline,
+        OrderSettings::default().send_timeout,
+    )
+    .await
+    {
+        Ok(None) => SendOutcome::NotSent,
+        Ok(Some((StatusCode::OK, _))) => SendOutcome::Accepted,
+        Ok(Some((StatusCode::CONFLICT, _))) => SendOutcome::Fenced,
         Ok(Some((StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE, after))) => {
-            Sent::Refused(after)
+            SendOutcome::Refused(after)
         }
-        Ok(Some(_)) => Sent::Unknown,
+        Ok(Some(_)) => SendOutcome::Unknown,
         Err(report) => match report.current_context() {
-            CallError::Connect => Sent::Withheld,
-            CallError::Reset | CallError::Timeout => Sent::Unknown,
+            CallError::Connect => SendOutcome::NotSent,
+            CallError::Reset | CallError::Timeout => SendOutcome::Unknown,
         },
     }
 }
@@ -270,14 +279,14 @@
     Some(view.target(view.key(target)?)?.address)
 }
 
-fn note(node: &Node, target: &TargetName, order: &Order, sent: Sent) {
-    let counter = match sent {
-        Sent::Fenced => Counter::OrdersFenced,
-        Sent::Withheld => Counter::OrdersHeld,
-        Sent::Accepted | Sent::Refused(_) | Sent::Unknown => Counter::Orders,
+fn note(node: &Node, target: &TargetName, order: &Order, outcome: SendOutcome) {
+    let counter = match outcome {
+        SendOutcome::Fenced => Counter::OrdersFenced,
+        SendOutcome::NotSent => Counter::OrdersHeld,
+        SendOutcome::Accepted | SendOutcome::Refused(_) | SendOutcome::Unknown => Counter::Orders,
     };
     node.metrics.add(counter, 1);
-    if sent == Sent::Accepted {
+    if outcome == SendOutcome::Accepted {
         log::info!("target {target} accepted {order:?}");
     }
 }
