--- a/bench/src/orders.rs
+++ b/bench/src/orders.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use celerypond_orders::{Desired, OrderSettings, StaleOrderGuard};
+use celerypond_orders::{DesiredState, OrderSettings, StaleOrderGuard};
 use site::Site;
 
 use crate::table::Row;
@@ -63,7 +63,7 @@
         let names = (0..versions).map(|at| (format!("v{at}").as_str().into(), "w".into()));
         site.desire(
             0,
-            &Desired {
+            &DesiredState {
                 versions: names.collect(),
                 role: None,
             },
@@ -110,7 +110,7 @@
 fn gap(guard: StaleOrderGuard, seed: u64) -> f64 {
     let mut site = Site::new(2, OrderSettings::default(), seed);
     site.engine("e", guard);
-    let desired = Desired {
+    let desired = DesiredState {
         versions: Default::default(),
         role: Some("serve".into()),
     };
--- a/crates/orders/src/lib.rs
+++ b/crates/orders/src/lib.rs
@@ -15,7 +15,7 @@
 
 pub use lease::{Lease, LeaseError};
 pub use lease_client::{LeaseClient, StoreCall, StoreReply};
-pub use order::{Desired, Order, Report};
+pub use order::{DesiredState, EngineReport, Order};
 pub use pace::Pace;
 pub use reconciler::{Effect, Input, Reconciler, SendOutcome};
 pub use settings::OrderSettings;
--- a/crates/orders/src/order.rs
+++ b/crates/orders/src/order.rs
@@ -33,7 +33,7 @@
 
 /// What the bundle wants of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Desired {
+pub struct DesiredState {
     /// The versions and adapters to be loaded, with the names of their weights.
     pub versions: BTreeMap<VersionName, SmolStr>,
     /// The role, if the bundle names one.
@@ -42,30 +42,30 @@
 
 /// What an engine says of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct EngineReport {
     /// The versions and adapters that are loaded.
     pub versions: Vec<VersionName>,
 }
 
-impl Desired {
+impl DesiredState {
     /// Returns the orders that lead from what is reported to what is wanted, loads first.
     ///
     /// # Examples
     ///
     /// ```
-    /// use celerypond_orders::{Desired, Order, Report};
+    /// use celerypond_orders::{DesiredState, Order, EngineReport};
     ///
-    /// let desired = Desired {
+    /// let desired = DesiredState {
     ///     versions: [("v2".into(), "weights-2".into())].into(),
     ///     role: None,
     /// };
-    /// let report = Report { versions: vec!["v1".into()] };
-    /// let orders = desired.orders(&report);
+    /// let report = EngineReport { versions: vec!["v1".into()] };
+    /// let orders = desired.pending_orders(&report);
     /// assert!(matches!(orders[0], Order::Load { .. }));
     /// // What is not wanted stays until all that is wanted is there.
     /// assert_eq!(orders.len(), 1);
     /// ```
-    pub fn orders(&self, report: &Report) -> Vec<Order> {
+    pub fn pending_orders(&self, report: &EngineReport) -> Vec<Order> {
         let missing = |version: &&VersionName| !report.versions.contains(version);
         let loads: Vec<Order> = self
             .versions
--- a/crates/orders/src/reconciler.rs
+++ b/crates/orders/src/reconciler.rs
@@ -10,8 +10,8 @@
 use tokio::time::Instant;
 
 use crate::{
-    Desired, LeaseClient, Order, OrderSettings, Pace, Report, StaleOrderGuard, StoreCall,
-    StoreReply,
+    DesiredState, EngineReport, LeaseClient, Order, OrderSettings, Pace, StaleOrderGuard,
+    StoreCall, StoreReply,
 };
 
 /// What came of an order.
@@ -37,7 +37,7 @@
     /// The store replied.
     Store(StoreReply),
     /// A target reported what it has.
-    Reported(TargetName, Report),
+    Reported(TargetName, EngineReport),
     /// The order to a target with this ordinal came to an end.
     ///
     /// The answer to an order may come after the order was given up. If it were taken for the end
@@ -71,8 +71,8 @@
 #[derive(Clone, Debug)]
 struct Engine {
     guard: StaleOrderGuard,
-    desired: Desired,
-    report: Option<Report>,
+    desired: DesiredState,
+    report: Option<EngineReport>,
     sending: Option<(u64, Order)>,
     loading: BTreeMap<VersionName, Instant>,
     role: Option<(SmolStr, Instant)>,
@@ -115,10 +115,15 @@
     }
 
     /// Sets what the bundle wants of a target.
-    pub fn set(&mut self, target: TargetName, guard: StaleOrderGuard, desired: Desired) {
+    pub fn set_target(
+        &mut self,
+        target: TargetName,
+        guard: StaleOrderGuard,
+        desired: DesiredState,
+    ) {
         let engine = self.engines.entry(target).or_insert_with(|| Engine {
             guard,
-            desired: Desired::default(),
+            desired: DesiredState::default(),
             report: None,
             sending: None,
             loading: BTreeMap::new(),
@@ -130,7 +135,7 @@
     }
 
     /// Drops a target that the bundle no longer has.
-    pub fn remove(&mut self, target: &TargetName) {
+    pub fn remove_target(&mut self, target: &TargetName) {
         if let Some(engine) = self.engines.remove(target) {
             engine.loading.iter().for_each(|_| self.pace.lost());
         }
@@ -160,7 +165,7 @@
         effects
     }
 
-    fn report(&mut self, target: &TargetName, report: Report) {
+    fn report(&mut self, target: &TargetName, report: EngineReport) {
         let Some(engine) = self.engines.get_mut(target) else {
             return;
         };
@@ -269,7 +274,7 @@
             Order::Load { version, .. } => self.loading.contains_key(version),
             Order::Unload { .. } | Order::Role { .. } => false,
         };
-        let orders = self.desired.orders(self.report.as_ref()?);
+        let orders = self.desired.pending_orders(self.report.as_ref()?);
         orders.into_iter().find(|order| !is_loading(order))
     }
 }
--- a/crates/orders/tests/site.rs
+++ b/crates/orders/tests/site.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use celerypond_orders::{
-    Desired, Effect, Input, Lease, LeaseClient, Order, OrderSettings, Reconciler, Report,
-    SendOutcome, StaleOrderGuard, StoreCall, StoreReply,
+    DesiredState, Effect, EngineReport, Input, Lease, LeaseClient, Order, OrderSettings,
+    Reconciler, SendOutcome, StaleOrderGuard, StoreCall, StoreReply,
 };
 use celerypond_types::{FencingNumber, InstanceName, TargetName, VersionName};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
@@ -155,10 +155,10 @@
     }
 
     /// Gives a driver what the bundle wants, of all engines alike.
-    pub(crate) fn desire(&mut self, at: usize, desired: &Desired) {
+    pub(crate) fn desire(&mut self, at: usize, desired: &DesiredState) {
         if let Some(driver) = &mut self.drivers[at] {
             for (name, engine) in &self.engines {
-                driver.set(name.clone(), engine.guard, desired.clone());
+                driver.set_target(name.clone(), engine.guard, desired.clone());
             }
         }
     }
@@ -404,12 +404,12 @@
 
     fn poll(&mut self, at: usize) {
         self.put(POLL, What::Poll(at));
-        let reports: Vec<(TargetName, Report)> = self
+        let reports: Vec<(TargetName, EngineReport)> = self
             .engines
             .iter()
             .map(|(name, engine)| {
                 let versions = engine.versions.clone();
-                (name.clone(), Report { versions })
+                (name.clone(), EngineReport { versions })
             })
             .collect();
         for (name, report) in reports {
--- a/crates/orders/tests/test_fencing.rs
+++ b/crates/orders/tests/test_fencing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use celerypond_orders::{
-    Desired, Lease, LeaseClient, OrderSettings, StaleOrderGuard, StoreCall, StoreReply,
+    DesiredState, Lease, LeaseClient, OrderSettings, StaleOrderGuard, StoreCall, StoreReply,
 };
 use celerypond_types::FencingNumber;
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
@@ -14,8 +14,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn role(at: u32) -> Desired {
-    Desired {
+fn role(at: u32) -> DesiredState {
+    DesiredState {
         versions: [(format!("v{at}").as_str().into(), "w".into())].into(),
         role: Some(format!("role-{at}").as_str().into()),
     }
--- a/crates/orders/tests/test_loads.rs
+++ b/crates/orders/tests/test_loads.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_orders::{Desired, Order, OrderSettings, Pace, Report, StaleOrderGuard};
+use celerypond_orders::{DesiredState, EngineReport, Order, OrderSettings, Pace, StaleOrderGuard};
 use rstest::rstest;
 use tokio::time::Instant;
 
@@ -10,9 +10,9 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn versions(names: &[&str]) -> Desired {
+fn versions(names: &[&str]) -> DesiredState {
     let pairs = names.iter().map(|name| ((*name).into(), "w".into()));
-    Desired {
+    DesiredState {
         versions: pairs.collect(),
         role: None,
     }
@@ -52,15 +52,15 @@
 
 #[test]
 fn a_version_that_is_not_wanted_stays_until_all_others_are_there() {
-    let report = |names: &[&str]| Report {
+    let report = |names: &[&str]| EngineReport {
         versions: names.iter().map(|name| (*name).into()).collect(),
     };
     let desired = versions(&["v2", "v3"]);
-    let loads = desired.orders(&report(&["v1", "v2"]));
+    let loads = desired.pending_orders(&report(&["v1", "v2"]));
     assert!(matches!(&loads[..], [Order::Load { version, .. }] if version.as_str() == "v3"));
-    let unloads = desired.orders(&report(&["v1", "v2", "v3"]));
+    let unloads = desired.pending_orders(&report(&["v1", "v2", "v3"]));
     assert!(matches!(&unloads[..], [Order::Unload { version }] if version.as_str() == "v1"));
-    assert!(desired.orders(&report(&["v3", "v2"])).is_empty());
+    assert!(desired.pending_orders(&report(&["v3", "v2"])).is_empty());
 }
 
 #[test]
--- a/crates/orders/tests/test_scripts.rs
+++ b/crates/orders/tests/test_scripts.rs
@@ -2,7 +2,7 @@
 
 use std::{error::Error, time::Duration};
 
-use celerypond_orders::{Desired, OrderSettings, StaleOrderGuard};
+use celerypond_orders::{DesiredState, OrderSettings, StaleOrderGuard};
 use goldenscript::{Command, Context, Runner};
 
 use crate::site::{Site, Stage, ALWAYS};
@@ -49,7 +49,7 @@
             "yield" => site.set_wanted(next()?.parse()?, false),
             "desire" => {
                 let at = next()?.parse()?;
-                let desired = Desired {
+                let desired = DesiredState {
                     versions: [(next()?.into(), "w".into())].into(),
                     role: Some(next()?.into()),
                 };
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use celerypond_bundle::{Bundle, Fencing, TargetKind};
 use celerypond_orders::{
-    Desired, Effect, Input, LeaseClient, Order, OrderSettings, Reconciler, Report, SendOutcome,
-    Shard, StaleOrderGuard, StoreCall, StoreReply,
+    DesiredState, Effect, EngineReport, Input, LeaseClient, Order, OrderSettings, Reconciler,
+    SendOutcome, Shard, StaleOrderGuard, StoreCall, StoreReply,
 };
 use celerypond_platform::{PlatformError, Version};
 use celerypond_telemetry::Counter;
@@ -116,14 +116,14 @@
             .iter()
             .filter(|name| !wanted.contains_key(*name))
         {
-            self.reconciler.remove(gone);
+            self.reconciler.remove_target(gone);
         }
         self.wanted.known = wanted.keys().cloned().collect();
         for (target, (guard, desired)) in wanted {
             if let Some(versions) = self.node.reported(&target) {
-                self.step(Input::Reported(target.clone(), Report { versions }));
+                self.step(Input::Reported(target.clone(), EngineReport { versions }));
             }
-            self.reconciler.set(target, guard, desired);
+            self.reconciler.set_target(target, guard, desired);
         }
     }
 
@@ -174,7 +174,7 @@
         self.former.take_if(|(_, until)| *until <= now);
     }
 
-    fn of_shard(&self, shard: Shard) -> BTreeMap<TargetName, (StaleOrderGuard, Desired)> {
+    fn of_shard(&self, shard: Shard) -> BTreeMap<TargetName, (StaleOrderGuard, DesiredState)> {
         let mut wanted = BTreeMap::new();
         let Some(force) = &self.force else {
             return wanted;
@@ -186,7 +186,7 @@
                     Fencing::ClosesIdle => StaleOrderGuard::IdleClose,
                     Fencing::Ignored => StaleOrderGuard::Repair,
                 };
-                wanted.insert(target.name.clone(), (guard, Desired::default()));
+                wanted.insert(target.name.clone(), (guard, DesiredState::default()));
             }
         }
         let former = self.former.iter().map(|(former, _)| former);
@@ -197,7 +197,10 @@
     }
 }
 
-fn add_versions(bundle: &Bundle, wanted: &mut BTreeMap<TargetName, (StaleOrderGuard, Desired)>) {
+fn add_versions(
+    bundle: &Bundle,
+    wanted: &mut BTreeMap<TargetName, (StaleOrderGuard, DesiredState)>,
+) {
     for version in bundle.models.iter().flat_map(|model| &model.versions) {
         for target in &version.targets {
             if let Some((_, desired)) = wanted.get_mut(target) {
