--- a/bench/src/orders.rs
+++ b/bench/src/orders.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use celerypond_orders::{DesiredState, OrderSettings, StaleOrderGuard};
-use site::Site;
+use simulation::Simulation;
 
 use crate::table::Row;
 
 #[expect(dead_code, reason = "the tests of the crate use the rest")]
-#[path = "../../crates/orders/tests/site.rs"]
-mod site;
+#[path = "../../crates/orders/tests/simulation.rs"]
+mod simulation;
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -54,24 +54,24 @@
             initial_load_window: loads,
             ..OrderSettings::default()
         };
-        let mut site = Site::new(1, settings, seed);
+        let mut sim = Simulation::new(1, settings, seed);
         for at in 0..ENGINES {
-            site.engine(&format!("e{at}"), StaleOrderGuard::Fencing);
+            sim.add_engine(&format!("e{at}"), StaleOrderGuard::Fencing);
         }
-        site.weights = SERVED;
-        site.set_wanted(0, true);
+        sim.weight_store = SERVED;
+        sim.set_wanted(0, true);
         let names = (0..versions).map(|at| (format!("v{at}").as_str().into(), "w".into()));
-        site.desire(
+        sim.set_desired(
             0,
             &DesiredState {
                 versions: names.collect(),
                 role: None,
             },
         );
-        let all = |site: &Site| site.engines.values().all(|e| e.versions.len() == versions);
-        site.run_until(LIMIT, all);
-        times.push((site.now - site.start).as_secs_f64());
-        refusals.push(site.refused as f64);
+        let all = |sim: &Simulation| sim.engines.values().all(|e| e.versions.len() == versions);
+        sim.run_until(LIMIT, all);
+        times.push((sim.now - sim.start).as_secs_f64());
+        refusals.push(sim.refused_loads as f64);
     }
     let way = format!("{way}, {versions} versions, {ENGINES} engines");
     vec![
@@ -83,11 +83,11 @@
 /// Counts the calls to the store for one lease, with one or two instances that want it.
 fn calls(drivers: usize, seeds: u64) -> Row {
     let samples = (0..seeds).map(|seed| {
-        let mut site = Site::new(drivers, OrderSettings::default(), seed);
-        site.engine("e", StaleOrderGuard::Fencing);
-        (0..drivers).for_each(|at| site.set_wanted(at, true));
-        site.run(CALL_SECONDS * SECOND);
-        site.calls as f64 / f64::from(CALL_SECONDS)
+        let mut sim = Simulation::new(drivers, OrderSettings::default(), seed);
+        sim.add_engine("e", StaleOrderGuard::Fencing);
+        (0..drivers).for_each(|at| sim.set_wanted(at, true));
+        sim.run(CALL_SECONDS * SECOND);
+        sim.store_calls as f64 / f64::from(CALL_SECONDS)
     });
     let way = format!("{drivers} instances want the lease");
     Row::of("store calls a lease", way, "calls/s", samples.collect())
@@ -108,33 +108,33 @@
 }
 
 fn gap(guard: StaleOrderGuard, seed: u64) -> f64 {
-    let mut site = Site::new(2, OrderSettings::default(), seed);
-    site.engine("e", guard);
+    let mut sim = Simulation::new(2, OrderSettings::default(), seed);
+    sim.add_engine("e", guard);
     let desired = DesiredState {
         versions: Default::default(),
         role: Some("serve".into()),
     };
     for at in 0..2 {
-        site.set_wanted(at, true);
-        site.desire(at, &desired);
+        sim.set_wanted(at, true);
+        sim.set_desired(at, &desired);
     }
-    site.run(Duration::from_secs(20) + Duration::from_millis(seed * 137));
-    let log = |site: &Site| -> Vec<u64> {
-        let engine = site.engines.values().next();
-        let numbers = engine.map(|e| e.log.iter().map(|entry| entry.1 .0).collect());
+    sim.run(Duration::from_secs(20) + Duration::from_millis(seed * 137));
+    let log = |sim: &Simulation| -> Vec<u64> {
+        let engine = sim.engines.values().next();
+        let numbers = engine.map(|e| e.accepted.iter().map(|entry| entry.1 .0).collect());
         numbers.unwrap_or_default()
     };
-    let before = log(&site).last().copied().unwrap_or_default();
+    let before = log(&sim).last().copied().unwrap_or_default();
     let holder = (0..2).find(|at| {
-        let driver = site.drivers[*at].as_ref();
-        driver.is_some_and(|d| d.lease_client().send_permit(guard, site.now).is_some())
+        let driver = sim.reconcilers[*at].as_ref();
+        driver.is_some_and(|d| d.lease_client().send_permit(guard, sim.now).is_some())
     });
     if let Some(holder) = holder {
-        site.drivers[holder] = None;
+        sim.reconcilers[holder] = None;
     }
-    let died = site.now;
-    site.run_until(120 * SECOND, |site| {
-        log(site).last().is_some_and(|n| *n > before)
+    let died = sim.now;
+    sim.run_until(120 * SECOND, |sim| {
+        log(sim).last().is_some_and(|n| *n > before)
     });
-    (site.now - died).as_secs_f64()
+    (sim.now - died).as_secs_f64()
 }
--- a/crates/orders/tests/runner.rs
+++ b/crates/orders/tests/runner.rs
@@ -1,6 +1,6 @@
 //! Runs the tests of the crate.
 
-mod site;
+mod simulation;
 mod test_fencing;
 mod test_loads;
 mod test_scripts;
--- a/crates/orders/tests/site.rs
+++ b/crates/orders/tests/simulation.rs
@@ -58,15 +58,15 @@
     pub(crate) role: String,
     pub(crate) versions: Vec<VersionName>,
     /// When an order took effect, of which holder, and what it was.
-    pub(crate) log: Vec<(Instant, FencingNumber, Order)>,
+    pub(crate) accepted: Vec<(Instant, FencingNumber, Order)>,
     seen: FencingNumber,
     loading: Vec<VersionName>,
 }
 
 /// Drivers, engines and a store.
 #[derive(Debug)]
-pub(crate) struct Site {
-    pub(crate) drivers: Vec<Option<Reconciler>>,
+pub(crate) struct Simulation {
+    pub(crate) reconcilers: Vec<Option<Reconciler>>,
     pub(crate) engines: BTreeMap<TargetName, Engine>,
     pub(crate) settings: OrderSettings,
     pub(crate) now: Instant,
@@ -85,11 +85,11 @@
     pub(crate) cut: Option<usize>,
     /// How long a call to a slow store takes, one way.
     pub(crate) slow: Duration,
-    pub(crate) calls: u64,
+    pub(crate) store_calls: u64,
     /// Loads that the weight store serves at once, and how long each takes.
-    pub(crate) weights: (usize, Duration),
-    pub(crate) refused: u64,
-    pub(crate) served: u64,
+    pub(crate) weight_store: (usize, Duration),
+    pub(crate) refused_loads: u64,
+    pub(crate) accepted_loads: u64,
     pub(crate) trace: Vec<String>,
     last: InstanceName,
     object: Option<(u64, Vec<u8>)>,
@@ -100,11 +100,11 @@
     rng: SmallRng,
 }
 
-impl Site {
-    pub(crate) fn new(drivers: usize, settings: OrderSettings, seed: u64) -> Self {
+impl Simulation {
+    pub(crate) fn new(instances: usize, settings: OrderSettings, seed: u64) -> Self {
         let now = Instant::now();
-        let mut site = Self {
-            drivers: Vec::new(),
+        let mut sim = Self {
+            reconcilers: Vec::new(),
             engines: BTreeMap::new(),
             wire: settings.send_timeout,
             settings,
@@ -116,10 +116,10 @@
             down: false,
             cut: None,
             slow: Duration::ZERO,
-            calls: 0,
-            weights: (usize::MAX, Duration::from_secs(1)),
-            refused: 0,
-            served: 0,
+            store_calls: 0,
+            weight_store: (usize::MAX, Duration::from_secs(1)),
+            refused_loads: 0,
+            accepted_loads: 0,
             trace: Vec::new(),
             last: "".into(),
             object: None,
@@ -129,43 +129,43 @@
             count: 0,
             rng: SmallRng::seed_from_u64(seed),
         };
-        for at in 0..drivers {
-            let rng = SmallRng::seed_from_u64(site.rng.random());
+        for at in 0..instances {
+            let rng = SmallRng::seed_from_u64(sim.rng.random());
             let lease_client =
-                LeaseClient::new(format!("i{at}").as_str().into(), site.settings.clone(), rng);
-            let driver = Reconciler::new(site.settings.clone(), lease_client);
-            site.drivers.push(Some(driver));
-            let offset = Duration::from_millis(site.rng.random_range(0..1000));
-            site.put(offset, What::Tick(at));
-            site.put(offset, What::Poll(at));
+                LeaseClient::new(format!("i{at}").as_str().into(), sim.settings.clone(), rng);
+            let reconciler = Reconciler::new(sim.settings.clone(), lease_client);
+            sim.reconcilers.push(Some(reconciler));
+            let offset = Duration::from_millis(sim.rng.random_range(0..1000));
+            sim.put(offset, What::Tick(at));
+            sim.put(offset, What::Poll(at));
         }
-        site
+        sim
     }
 
-    pub(crate) fn engine(&mut self, name: &str, guard: StaleOrderGuard) {
+    pub(crate) fn add_engine(&mut self, name: &str, guard: StaleOrderGuard) {
         let engine = Engine {
             guard,
             role: String::new(),
             versions: Vec::new(),
-            log: Vec::new(),
+            accepted: Vec::new(),
             seen: FencingNumber(0),
             loading: Vec::new(),
         };
         self.engines.insert(name.into(), engine);
     }
 
-    /// Gives a driver what the bundle wants, of all engines alike.
-    pub(crate) fn desire(&mut self, at: usize, desired: &DesiredState) {
-        if let Some(driver) = &mut self.drivers[at] {
+    /// Gives a reconciler what the bundle wants, of all engines alike.
+    pub(crate) fn set_desired(&mut self, at: usize, desired: &DesiredState) {
+        if let Some(reconciler) = &mut self.reconcilers[at] {
             for (name, engine) in &self.engines {
-                driver.set_target(name.clone(), engine.guard, desired.clone());
+                reconciler.set_target(name.clone(), engine.guard, desired.clone());
             }
         }
     }
 
     pub(crate) fn set_wanted(&mut self, at: usize, wanted: bool) {
-        if let Some(driver) = &mut self.drivers[at] {
-            driver.set_wanted(wanted);
+        if let Some(reconciler) = &mut self.reconcilers[at] {
+            reconciler.set_wanted(wanted);
         }
     }
 
@@ -198,7 +198,7 @@
     /// Returns the first order of an old holder that took effect after a newer one's.
     pub(crate) fn stale(&self) -> Option<(&TargetName, Instant)> {
         self.engines.iter().find_map(|(name, engine)| {
-            let pairs = engine.log.iter().zip(engine.log.iter().skip(1));
+            let pairs = engine.accepted.iter().zip(engine.accepted.iter().skip(1));
             let late = pairs.filter(|(a, b)| b.1 < a.1).map(|(_, b)| b.0).next();
             late.map(|at| (name, at))
         })
@@ -237,10 +237,10 @@
 
     fn step(&mut self, at: usize, input: Input) {
         let now = self.now;
-        let Some(driver) = &mut self.drivers[at] else {
+        let Some(reconciler) = &mut self.reconcilers[at] else {
             return;
         };
-        for effect in driver.step(input, now) {
+        for effect in reconciler.step(input, now) {
             match effect {
                 Effect::Store(call) => {
                     let latency = self.latency();
@@ -340,7 +340,7 @@
     }
 
     fn arrive(&mut self, parcel: Parcel) {
-        let (slots, download) = self.weights;
+        let (slots, download) = self.weight_store;
         let busy: usize = self.engines.values().map(|e| e.loading.len()).sum();
         let Some(engine) = self.engines.get_mut(&parcel.target) else {
             return;
@@ -355,11 +355,11 @@
                 SendOutcome::Accepted
             }
             Order::Load { .. } if busy >= slots => {
-                self.refused += 1;
+                self.refused_loads += 1;
                 SendOutcome::Refused(Some(Duration::from_secs(1)))
             }
             Order::Load { version, .. } => {
-                self.served += 1;
+                self.accepted_loads += 1;
                 engine.loading.push(version.clone());
                 let loaded = What::Loaded(parcel.target.clone(), version.clone());
                 self.count += 1;
@@ -389,7 +389,7 @@
         ));
         if outcome == SendOutcome::Accepted {
             let entry = (self.now, parcel.fencing, parcel.order);
-            engine.log.push(entry);
+            engine.accepted.push(entry);
         }
         let ended = What::Ended(parcel.order_id, parcel.from, parcel.target, outcome);
         self.put(Duration::from_millis(1), ended);
@@ -418,7 +418,7 @@
     }
 
     fn store(&mut self, at: usize, call: StoreCall) {
-        self.calls += 1;
+        self.store_calls += 1;
         let reply = if self.down || self.cut == Some(at) {
             StoreReply::Lost
         } else {
--- a/crates/orders/tests/test_fencing.rs
+++ b/crates/orders/tests/test_fencing.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-use crate::site::{Site, Stage, ALWAYS};
+use crate::simulation::{Simulation, Stage, ALWAYS};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -23,37 +23,42 @@
 
 /// Runs three drivers that all want the lease while bundles follow each other and holders are
 /// paused, and the store loses replies and goes down now and then.
-fn race(guard: StaleOrderGuard, stage: Stage, seed: u64, change: impl Fn(&mut Site)) -> Site {
+fn race(
+    guard: StaleOrderGuard,
+    stage: Stage,
+    seed: u64,
+    change: impl Fn(&mut Simulation),
+) -> Simulation {
     let settings = OrderSettings {
         repeat_interval: Duration::from_millis(1500),
         // The clocks run alike here, so what is safe must be so without a margin.
         clock_margin: Duration::ZERO,
         ..OrderSettings::default()
     };
-    let mut site = Site::new(3, settings, seed);
+    let mut sim = Simulation::new(3, settings, seed);
     let mut rng = SmallRng::seed_from_u64(seed);
-    site.engine("a", guard);
-    site.engine("b", guard);
-    site.hold = Some((stage, 15 * SECOND, 60));
-    site.lost = 50;
-    site.slow = 6 * SECOND;
-    change(&mut site);
+    sim.add_engine("a", guard);
+    sim.add_engine("b", guard);
+    sim.hold = Some((stage, 15 * SECOND, 60));
+    sim.lost = 50;
+    sim.slow = 6 * SECOND;
+    change(&mut sim);
     for step in 0..120 {
         for at in 0..3 {
-            site.set_wanted(at, rng.random_bool(0.8));
-            site.desire(at, &role(step / 4));
+            sim.set_wanted(at, rng.random_bool(0.8));
+            sim.set_desired(at, &role(step / 4));
         }
-        site.down = rng.random_bool(0.05);
+        sim.down = rng.random_bool(0.05);
         if rng.random_bool(0.2) {
-            site.cut = Some(rng.random_range(0..6)).filter(|at| *at < 3);
+            sim.cut = Some(rng.random_range(0..6)).filter(|at| *at < 3);
         }
-        site.run(3 * SECOND);
+        sim.run(3 * SECOND);
     }
-    site
+    sim
 }
 
-fn holders(site: &Site) -> usize {
-    let log = &site.engines[&"a".into()].log;
+fn holders(sim: &Simulation) -> usize {
+    let log = &sim.engines[&"a".into()].accepted;
     let mut numbers: Vec<u64> = log.iter().map(|entry| entry.1 .0).collect();
     numbers.sort_unstable();
     numbers.dedup();
@@ -70,9 +75,9 @@
     #[values(Stage::Before, Stage::During, Stage::After)] stage: Stage,
 ) {
     for seed in 0..40 {
-        let site = race(guard, stage, seed, |_| {});
-        assert!(holders(&site) > 3, "seed {seed}: too few take-overs");
-        assert_eq!(site.stale(), None, "seed {seed}");
+        let sim = race(guard, stage, seed, |_| {});
+        assert!(holders(&sim) > 3, "seed {seed}: too few take-overs");
+        assert_eq!(sim.stale(), None, "seed {seed}");
     }
 }
 
@@ -86,19 +91,19 @@
             clock_margin: Duration::ZERO,
             ..OrderSettings::default()
         };
-        let mut site = Site::new(2, settings, seed);
-        site.engine("a", StaleOrderGuard::Repair);
+        let mut sim = Simulation::new(2, settings, seed);
+        sim.add_engine("a", StaleOrderGuard::Repair);
         for at in 0..2 {
-            site.set_wanted(at, true);
-            site.desire(at, &role(1));
+            sim.set_wanted(at, true);
+            sim.set_desired(at, &role(1));
         }
-        site.run(SECOND * (10 + seed as u32 % 10));
+        sim.run(SECOND * (10 + seed as u32 % 10));
         for cut in [0, 1, 0, 1, 0, 1] {
-            site.cut = Some(cut);
-            site.run(35 * SECOND);
+            sim.cut = Some(cut);
+            sim.run(35 * SECOND);
         }
-        assert!(holders(&site) > 3);
-        assert_eq!(site.stale(), None, "seed {seed}");
+        assert!(holders(&sim) > 3);
+        assert_eq!(sim.stale(), None, "seed {seed}");
     }
 }
 
@@ -108,9 +113,9 @@
     #[values(Stage::Before, Stage::After)] stage: Stage,
 ) {
     for seed in 0..40 {
-        let site = race(StaleOrderGuard::Repair, stage, seed, |_| {});
-        assert!(holders(&site) > 3, "seed {seed}: too few take-overs");
-        assert_eq!(site.stale(), None, "seed {seed}");
+        let sim = race(StaleOrderGuard::Repair, stage, seed, |_| {});
+        assert!(holders(&sim) > 3, "seed {seed}: too few take-overs");
+        assert_eq!(sim.stale(), None, "seed {seed}");
     }
 }
 // Where nothing is checked, a pause between the look and the write lets an old order through: no
@@ -120,31 +125,31 @@
 fn an_old_order_let_through_is_undone_by_the_next_repeat() {
     let mut found = 0;
     for seed in 0..40 {
-        let mut site = Site::new(2, OrderSettings::default(), seed);
-        site.engine("a", StaleOrderGuard::Repair);
+        let mut sim = Simulation::new(2, OrderSettings::default(), seed);
+        sim.add_engine("a", StaleOrderGuard::Repair);
         for at in 0..2 {
-            site.set_wanted(at, true);
-            site.desire(at, &role(1));
+            sim.set_wanted(at, true);
+            sim.set_desired(at, &role(1));
         }
-        site.run(15 * SECOND);
-        site.hold = Some((Stage::During, 60 * SECOND, ALWAYS));
-        site.run(10 * SECOND);
+        sim.run(15 * SECOND);
+        sim.hold = Some((Stage::During, 60 * SECOND, ALWAYS));
+        sim.run(10 * SECOND);
         for at in 0..2 {
-            site.desire(at, &role(2));
+            sim.set_desired(at, &role(2));
         }
-        let let_through = site.run_until(100 * SECOND, |site| site.stale().is_some());
-        found += u32::from(let_through && site.engines[&"a".into()].role == "role-1");
+        let let_through = sim.run_until(100 * SECOND, |sim| sim.stale().is_some());
+        found += u32::from(let_through && sim.engines[&"a".into()].role == "role-1");
         let settings = OrderSettings::default();
         let bound = settings.repeat_interval + 2 * settings.send_timeout + SECOND;
-        let is_undone = |site: &Site| site.engines[&"a".into()].role == "role-2";
+        let is_undone = |sim: &Simulation| sim.engines[&"a".into()].role == "role-2";
         if let_through {
             println!(
                 "{seed} {} {:?}",
-                site.engines[&"a".into()].role,
-                &site.trace[site.trace.len() - 4..]
+                sim.engines[&"a".into()].role,
+                &sim.trace[sim.trace.len() - 4..]
             );
         }
-        assert!(site.run_until(bound, is_undone), "seed {seed}");
+        assert!(sim.run_until(bound, is_undone), "seed {seed}");
     }
     assert!(found > 20, "{found} of 40 seeds");
 }
@@ -154,21 +159,21 @@
 // wait, so a release must wait in its place.
 #[test]
 fn a_lease_is_released_only_when_all_targets_are_clear() {
-    let mut site = Site::new(3, OrderSettings::default(), 1);
-    site.engine("a", StaleOrderGuard::IdleClose);
-    site.set_wanted(0, true);
-    site.desire(0, &role(1));
-    site.run(5 * SECOND);
-    site.pause(0, 1000 * SECOND);
-    site.set_wanted(1, true);
-    site.run_until(60 * SECOND, |site| {
-        site.trace.iter().any(|l| l.contains("taken by i1"))
+    let mut sim = Simulation::new(3, OrderSettings::default(), 1);
+    sim.add_engine("a", StaleOrderGuard::IdleClose);
+    sim.set_wanted(0, true);
+    sim.set_desired(0, &role(1));
+    sim.run(5 * SECOND);
+    sim.pause(0, 1000 * SECOND);
+    sim.set_wanted(1, true);
+    sim.run_until(60 * SECOND, |sim| {
+        sim.trace.iter().any(|l| l.contains("taken by i1"))
     });
-    site.set_wanted(1, false);
-    site.run(12 * SECOND);
-    assert!(!site.trace.iter().any(|l| l.contains("released by i1")));
-    site.run(10 * SECOND);
-    assert!(site.trace.iter().any(|l| l.contains("released by i1")));
+    sim.set_wanted(1, false);
+    sim.run(12 * SECOND);
+    assert!(!sim.trace.iter().any(|l| l.contains("released by i1")));
+    sim.run(10 * SECOND);
+    assert!(sim.trace.iter().any(|l| l.contains("released by i1")));
 }
 
 // A holder takes over and must wait for orders of the one before. Its own renewal then takes so long
--- a/crates/orders/tests/test_loads.rs
+++ b/crates/orders/tests/test_loads.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-use crate::site::Site;
+use crate::simulation::Simulation;
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -19,35 +19,35 @@
 }
 
 /// Loads one version on 40 engines from a store that serves 5 at once.
-fn roll(loads: f64, seed: u64) -> (Site, bool) {
+fn roll(loads: f64, seed: u64) -> (Simulation, bool) {
     let settings = OrderSettings {
         initial_load_window: loads,
         ..OrderSettings::default()
     };
-    let mut site = Site::new(1, settings, seed);
+    let mut sim = Simulation::new(1, settings, seed);
     for at in 0..40 {
-        site.engine(&format!("e{at}"), StaleOrderGuard::Fencing);
+        sim.add_engine(&format!("e{at}"), StaleOrderGuard::Fencing);
     }
-    site.weights = (5, 8 * SECOND);
-    site.set_wanted(0, true);
-    site.desire(0, &versions(&["v2"]));
-    let all = |site: &Site| {
-        site.engines
+    sim.weight_store = (5, 8 * SECOND);
+    sim.set_wanted(0, true);
+    sim.set_desired(0, &versions(&["v2"]));
+    let all = |sim: &Simulation| {
+        sim.engines
             .values()
             .all(|engine| engine.versions == ["v2".into()])
     };
-    let done = site.run_until(600 * SECOND, all);
-    (site, done)
+    let done = sim.run_until(600 * SECOND, all);
+    (sim, done)
 }
 
 // A bundle asks for a new version on all engines at once. Asked for all of them, the weight store
 // refuses most again and again, and whoever else needs weights meanwhile is refused as well.
 #[rstest]
 fn paced_loads_all_complete_and_few_are_refused(#[values(1, 2, 3, 4)] seed: u64) {
-    let (site, done) = roll(OrderSettings::default().initial_load_window, seed);
+    let (sim, done) = roll(OrderSettings::default().initial_load_window, seed);
     assert!(done);
-    assert_eq!(site.served, 40);
-    assert!(site.refused <= 40, "{} refused", site.refused);
+    assert_eq!(sim.accepted_loads, 40);
+    assert!(sim.refused_loads <= 40, "{} refused", sim.refused_loads);
 }
 
 #[test]
--- a/crates/orders/tests/test_scripts.rs
+++ b/crates/orders/tests/test_scripts.rs
@@ -5,10 +5,10 @@
 use celerypond_orders::{DesiredState, OrderSettings, StaleOrderGuard};
 use goldenscript::{Command, Context, Runner};
 
-use crate::site::{Site, Stage, ALWAYS};
+use crate::simulation::{Simulation, Stage, ALWAYS};
 
 struct Script {
-    site: Site,
+    sim: Simulation,
     shown: usize,
 }
 
@@ -16,9 +16,9 @@
 
 impl Script {
     fn show(&mut self) -> String {
-        let lines = self.site.trace[self.shown..].join("\n");
-        self.shown = self.site.trace.len();
-        let engines = self.site.engines.iter();
+        let lines = self.sim.trace[self.shown..].join("\n");
+        self.shown = self.sim.trace.len();
+        let engines = self.sim.engines.iter();
         let states = engines.map(|(name, e)| format!("{name}: {} {:?}", e.role, e.versions));
         let states: Vec<String> = states.collect();
         format!("{lines}\n{}\n", states.join("\n"))
@@ -35,7 +35,7 @@
     fn run(&mut self, command: &Command, _: &Context) -> Output {
         let mut args = command.consume_args();
         let mut next = || args.next_pos().ok_or("an argument is missing");
-        let site = &mut self.site;
+        let sim = &mut self.sim;
         match command.name.as_str() {
             "engine" => {
                 let guard = match next()? {
@@ -43,17 +43,17 @@
                     "idle" => StaleOrderGuard::IdleClose,
                     _ => StaleOrderGuard::Repair,
                 };
-                site.engine(next()?, guard);
+                sim.add_engine(next()?, guard);
             }
-            "want" => site.set_wanted(next()?.parse()?, true),
-            "yield" => site.set_wanted(next()?.parse()?, false),
+            "want" => sim.set_wanted(next()?.parse()?, true),
+            "yield" => sim.set_wanted(next()?.parse()?, false),
             "desire" => {
                 let at = next()?.parse()?;
                 let desired = DesiredState {
                     versions: [(next()?.into(), "w".into())].into(),
                     role: Some(next()?.into()),
                 };
-                site.desire(at, &desired);
+                sim.set_desired(at, &desired);
             }
             "hold" => {
                 let stage = match next()? {
@@ -61,11 +61,11 @@
                     "during" => Stage::During,
                     _ => Stage::After,
                 };
-                site.hold = Some((stage, seconds(next()?)?, ALWAYS));
+                sim.hold = Some((stage, seconds(next()?)?, ALWAYS));
             }
-            "down" => site.down = true,
-            "up" => site.down = false,
-            "run" => site.run(seconds(next()?)?),
+            "down" => sim.down = true,
+            "up" => sim.down = false,
+            "run" => sim.run(seconds(next()?)?),
             "show" => return Ok(self.show()),
             name => return Err(format!("no command {name}").into()),
         }
@@ -83,7 +83,7 @@
         repeat_interval: Duration::from_secs(20),
         ..OrderSettings::default()
     };
-    let site = Site::new(2, settings, 1);
-    let mut script = Script { site, shown: 0 };
+    let sim = Simulation::new(2, settings, 1);
+    let mut script = Script { sim, shown: 0 };
     goldenscript::run(&mut script, format!("tests/scripts/{name}.txt")).unwrap();
 }
