--- a/crates/orders/src/lease_client.rs
+++ b/crates/orders/src/lease_client.rs
@@ -34,7 +34,7 @@
     /// The condition of the write did not hold.
     Conflict,
     /// No reply came, or one that says that the store is down. A write may have taken effect.
-    Lost,
+    Unknown,
 }
 
 /// What stood in the store before a write.
@@ -228,7 +228,7 @@
                 self.written(write, version);
                 None
             }
-            (Phase::Writing(write), StoreReply::Lost) => {
+            (Phase::Writing(write), StoreReply::Unknown) => {
                 self.phase = Phase::Reading(Some(write));
                 Some(StoreCall::Read)
             }
@@ -236,7 +236,7 @@
                 self.lose(write);
                 None
             }
-            (Phase::Reading(write), StoreReply::Lost) => {
+            (Phase::Reading(write), StoreReply::Unknown) => {
                 self.resume = Some(now + self.settings.retry_delay);
                 self.phase = Phase::Asking(write);
                 None
--- a/crates/orders/tests/simulation.rs
+++ b/crates/orders/tests/simulation.rs
@@ -420,12 +420,12 @@
     fn store(&mut self, at: usize, call: StoreCall) {
         self.store_calls += 1;
         let reply = if self.down || self.cut == Some(at) {
-            StoreReply::Lost
+            StoreReply::Unknown
         } else {
             self.serve(call)
         };
         let is_lost = self.rng.random_range(0..1000) < self.lost;
-        let reply = if is_lost { StoreReply::Lost } else { reply };
+        let reply = if is_lost { StoreReply::Unknown } else { reply };
         let latency = self.latency();
         self.put(latency, What::Replied(at, reply));
     }
--- a/crates/orders/tests/test_fencing.rs
+++ b/crates/orders/tests/test_fencing.rs
@@ -228,7 +228,7 @@
         panic!("no create");
     };
     assert_eq!(
-        lease_client.on_reply(StoreReply::Lost, now),
+        lease_client.on_reply(StoreReply::Unknown, now),
         Some(StoreCall::Read)
     );
     assert_eq!(
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -227,7 +227,7 @@
                 Err(report) if *report.current_context() == PlatformError::Missing => {
                     StoreReply::Missing
                 }
-                Err(_) => StoreReply::Lost,
+                Err(_) => StoreReply::Unknown,
             };
         }
         StoreCall::Create(value) => node.platform.create(key, Bytes::from(value)).await,
@@ -239,7 +239,7 @@
     match written {
         Ok(version) => StoreReply::Written(version.0),
         Err(report) if *report.current_context() == PlatformError::Conflict => StoreReply::Conflict,
-        Err(_) => StoreReply::Lost,
+        Err(_) => StoreReply::Unknown,
     }
 }
 
