--- a/crates/orders/src/lib.rs
+++ b/crates/orders/src/lib.rs
@@ -6,8 +6,8 @@
 
 mod lease;
 mod lease_client;
+mod load_limiter;
 mod order;
-mod pace;
 mod reconciler;
 mod settings;
 mod shard;
@@ -15,8 +15,8 @@
 
 pub use lease::{Lease, LeaseError};
 pub use lease_client::{LeaseClient, StoreCall, StoreReply};
+pub use load_limiter::LoadLimiter;
 pub use order::{DesiredState, EngineReport, Order};
-pub use pace::Pace;
 pub use reconciler::{Effect, Input, Reconciler, SendOutcome};
 pub use settings::OrderSettings;
 pub use shard::Shard;
--- a/crates/orders/src/pace.rs
+++ b/crates/orders/src/load_limiter.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 /// The pause after a refusal that names none.
-const PAUSE: Duration = Duration::from_secs(1);
+const DEFAULT_PAUSE: Duration = Duration::from_secs(1);
 
 /// How many loads go on at once, found out from what the weight store refuses.
 ///
@@ -16,37 +16,37 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_orders::Pace;
+/// use celerypond_orders::LoadLimiter;
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let mut pace = Pace::new(2.0);
-/// assert!(pace.begin(now) && pace.begin(now) && !pace.begin(now));
-/// pace.done();
-/// assert!(pace.begin(now));
+/// let mut limiter = LoadLimiter::new(2.0);
+/// assert!(limiter.try_start(now) && limiter.try_start(now) && !limiter.try_start(now));
+/// limiter.on_completed();
+/// assert!(limiter.try_start(now));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct LoadLimiter {
     window: f64,
     running: usize,
-    paused: Option<Instant>,
-    halved: Option<Instant>,
+    paused_until: Option<Instant>,
+    next_halving: Option<Instant>,
 }
 
-impl Pace {
-    /// Makes a pace that begins with a window of `loads`.
-    pub const fn new(loads: f64) -> Self {
+impl LoadLimiter {
+    /// Makes a pace that begins with a window of `initial_window`.
+    pub const fn new(initial_window: f64) -> Self {
         Self {
-            window: loads,
+            window: initial_window,
             running: 0,
-            paused: None,
-            halved: None,
+            paused_until: None,
+            next_halving: None,
         }
     }
 
     /// Returns whether one more load may begin, and counts it if so.
-    pub fn begin(&mut self, now: Instant) -> bool {
-        let is_paused = self.paused.is_some_and(|until| now < until);
+    pub fn try_start(&mut self, now: Instant) -> bool {
+        let is_paused = self.paused_until.is_some_and(|until| now < until);
         if is_paused || self.running as f64 + 1.0 > self.window {
             return false;
         }
@@ -55,27 +55,27 @@
     }
 
     /// Takes in that a load completed.
-    pub fn done(&mut self) {
+    pub fn on_completed(&mut self) {
         self.running = self.running.saturating_sub(1);
         self.window += 1.0 / self.window;
     }
 
     /// Takes in that a load came to nothing for another reason than a refusal.
-    pub fn lost(&mut self) {
+    pub fn on_failed(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
     /// Takes in that the weight store refused a load.
     ///
-    /// Refusals that come in while the window is paused belong to the same overload and do not
+    /// Refusals that come in while the window is paused_until belong to the same overload and do not
     /// halve it again.
-    pub fn refused(&mut self, retry_after: Option<Duration>, now: Instant) {
+    pub fn on_refused(&mut self, retry_after: Option<Duration>, now: Instant) {
         self.running = self.running.saturating_sub(1);
-        let until = now + retry_after.unwrap_or(PAUSE);
-        if self.halved.is_none_or(|until| now >= until) {
+        let until = now + retry_after.unwrap_or(DEFAULT_PAUSE);
+        if self.next_halving.is_none_or(|until| now >= until) {
             self.window = (self.window / 2.0).max(1.0);
-            self.halved = Some(until);
+            self.next_halving = Some(until);
         }
-        self.paused = self.paused.max(Some(until));
+        self.paused_until = self.paused_until.max(Some(until));
     }
 }
--- a/crates/orders/src/reconciler.rs
+++ b/crates/orders/src/reconciler.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    DesiredState, EngineReport, LeaseClient, Order, OrderSettings, Pace, StaleOrderGuard,
+    DesiredState, EngineReport, LeaseClient, LoadLimiter, Order, OrderSettings, StaleOrderGuard,
     StoreCall, StoreReply,
 };
 
@@ -84,7 +84,7 @@
 pub struct Reconciler {
     settings: OrderSettings,
     lease_client: LeaseClient,
-    pace: Pace,
+    load_limiter: LoadLimiter,
     engines: BTreeMap<TargetName, Engine>,
     /// The orders under way, also those to targets that were dropped since.
     flying: BTreeSet<u64>,
@@ -95,7 +95,7 @@
     /// Makes a driver that wants no lease yet.
     pub fn new(settings: OrderSettings, lease_client: LeaseClient) -> Self {
         Self {
-            pace: Pace::new(settings.initial_load_window),
+            load_limiter: LoadLimiter::new(settings.initial_load_window),
             settings,
             lease_client,
             engines: BTreeMap::new(),
@@ -137,7 +137,10 @@
     /// Drops a target that the bundle no longer has.
     pub fn remove_target(&mut self, target: &TargetName) {
         if let Some(engine) = self.engines.remove(target) {
-            engine.loading.iter().for_each(|_| self.pace.lost());
+            engine
+                .loading
+                .iter()
+                .for_each(|_| self.load_limiter.on_failed());
         }
     }
 
@@ -169,11 +172,11 @@
         let Some(engine) = self.engines.get_mut(target) else {
             return;
         };
-        let pace = &mut self.pace;
+        let limiter = &mut self.load_limiter;
         engine.loading.retain(|version, _| {
             let is_there = report.versions.contains(version);
             if is_there {
-                pace.done();
+                limiter.on_completed();
             }
             !is_there
         });
@@ -194,7 +197,7 @@
         match (&order, outcome) {
             (Order::Load { version, .. }, SendOutcome::Refused(after)) => {
                 engine.loading.remove(version);
-                self.pace.refused(after, now);
+                self.load_limiter.on_refused(after, now);
                 let wait = after.unwrap_or(self.settings.retry_delay);
                 engine.resume = Some(now + wait);
             }
@@ -204,7 +207,7 @@
                 SendOutcome::Fenced | SendOutcome::NotSent | SendOutcome::Unknown,
             ) => {
                 engine.loading.remove(version);
-                self.pace.lost();
+                self.load_limiter.on_failed();
                 engine.resume = Some(now + self.settings.retry_delay);
             }
             (Order::Role { role }, SendOutcome::Accepted) => {
@@ -219,11 +222,11 @@
     fn expire(&mut self, now: Instant) {
         let limit = self.settings.load_timeout;
         for engine in self.engines.values_mut() {
-            let pace = &mut self.pace;
+            let limiter = &mut self.load_limiter;
             engine.loading.retain(|_, begun| {
                 let is_old = now >= *begun + limit;
                 if is_old {
-                    pace.lost();
+                    limiter.on_failed();
                 }
                 !is_old
             });
@@ -239,7 +242,7 @@
         let (fencing, write_deadline) = self.lease_client.send_permit(engine.guard, now)?;
         let order = engine.next(self.settings.repeat_interval, now)?;
         if let Order::Load { version, .. } = &order {
-            if !self.pace.begin(now) {
+            if !self.load_limiter.try_start(now) {
                 return None;
             }
             engine.loading.insert(version.clone(), now);
--- a/crates/orders/tests/test_loads.rs
+++ b/crates/orders/tests/test_loads.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use celerypond_orders::{DesiredState, EngineReport, Order, OrderSettings, Pace, StaleOrderGuard};
+use celerypond_orders::{
+    DesiredState, EngineReport, LoadLimiter, Order, OrderSettings, StaleOrderGuard,
+};
 use rstest::rstest;
 use tokio::time::Instant;
 
@@ -66,15 +68,15 @@
 #[test]
 fn refusals_of_one_overload_halve_the_window_once() {
     let now = Instant::now();
-    let mut pace = Pace::new(8.0);
+    let mut limiter = LoadLimiter::new(8.0);
     for _ in 0..8 {
-        assert!(pace.begin(now));
+        assert!(limiter.try_start(now));
     }
     for _ in 0..8 {
-        pace.refused(Some(SECOND), now);
+        limiter.on_refused(Some(SECOND), now);
     }
-    assert!(!pace.begin(now));
+    assert!(!limiter.try_start(now));
     let later = now + SECOND;
-    let begun = (0..8).filter(|_| pace.begin(later)).count();
+    let begun = (0..8).filter(|_| limiter.try_start(later)).count();
     assert_eq!(begun, 4);
 }
