--- a/crates/orders/src/lease_client.rs
+++ b/crates/orders/src/lease_client.rs
@@ -39,43 +39,43 @@
 
 /// What stood in the store before a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Before {
+enum PriorLease {
     /// Nothing, or a lease that was released.
-    Free,
+    Vacant,
     /// A lease of another run, first seen at this time.
-    Taken(Instant),
+    Foreign(Instant),
     /// The own lease.
     Own,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Write {
+struct PendingWrite {
     nonce: u64,
-    begun: Instant,
-    before: Before,
+    started: Instant,
+    prior: PriorLease,
     releases: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// Nothing is under way.
-    Rest,
+    Idle,
     /// A read is under way; after a write whose reply was lost, the write.
-    Reading(Option<Write>),
+    Reading(Option<PendingWrite>),
     /// A write is under way.
-    Writing(Write),
+    Writing(PendingWrite),
     /// The reply of a read was lost; it is made again.
-    Asking(Option<Write>),
+    ReadFailed(Option<PendingWrite>),
     /// Another run had the lease at this version when it was seen.
-    Watching { version: u64, seen: Instant },
+    AwaitingExpiry { version: u64, first_seen: Instant },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Held {
+struct HeldLease {
     fencing: FencingNumber,
     version: u64,
     nonce: u64,
-    renewed: Instant,
+    renewed_at: Instant,
 }
 
 /// Who may give orders, by a lease in the store.
@@ -85,29 +85,29 @@
 /// while the holder renews.
 #[derive(Debug)]
 pub struct LeaseClient {
-    name: InstanceName,
+    instance: InstanceName,
     settings: OrderSettings,
     wanted: bool,
     phase: Phase,
-    held: Option<Held>,
+    held: Option<HeldLease>,
     /// When the last lease of another run had run out, by this instance's clock. It outlives the
     /// own lease: one that lapses and is taken again does not shorten the wait.
-    clear: Option<Instant>,
-    resume: Option<Instant>,
+    predecessor_expiry: Option<Instant>,
+    retry_at: Option<Instant>,
     rng: SmallRng,
 }
 
 impl LeaseClient {
     /// Makes a holder that does not want the lease yet.
-    pub const fn new(name: InstanceName, settings: OrderSettings, rng: SmallRng) -> Self {
+    pub const fn new(instance: InstanceName, settings: OrderSettings, rng: SmallRng) -> Self {
         Self {
-            name,
+            instance,
             settings,
             wanted: false,
-            phase: Phase::Rest,
+            phase: Phase::Idle,
             held: None,
-            clear: None,
-            resume: None,
+            predecessor_expiry: None,
+            retry_at: None,
             rng,
         }
     }
@@ -129,13 +129,17 @@
         now: Instant,
     ) -> Option<(FencingNumber, Instant)> {
         let held = self.held?;
-        let last = self.last(&held);
-        (self.is_clear(guard, now) && now < last).then_some((held.fencing, last))
+        let write_deadline = self.write_deadline(&held);
+        (self.is_past_takeover_delay(guard, now) && now < write_deadline)
+            .then_some((held.fencing, write_deadline))
     }
 
-    fn is_clear(&self, guard: StaleOrderGuard, now: Instant) -> bool {
-        let wait = guard.takeover_delay(&self.settings);
-        guard == StaleOrderGuard::Fencing || self.clear.is_none_or(|clear| now >= clear + wait)
+    fn is_past_takeover_delay(&self, guard: StaleOrderGuard, now: Instant) -> bool {
+        let delay = guard.takeover_delay(&self.settings);
+        guard == StaleOrderGuard::Fencing
+            || self
+                .predecessor_expiry
+                .is_none_or(|expiry| now >= expiry + delay)
     }
 
     /// Takes in that a target has seen a higher fencing number: the lease is another's.
@@ -145,72 +149,96 @@
 
     /// Returns the next call to the store, if one is due. Give its reply to [`LeaseClient::on_reply`].
     ///
-    /// A lease that is no longer wanted is released once `is_idle` says that no order is under way
+    /// A lease that is no longer wanted is released once `no_orders_in_flight` says that no order is under way
     /// and the longest wait for the holder before is over. A holder that released it earlier would
     /// pass on a lease that needs no wait while an order of the holder before may still arrive.
-    pub fn tick(&mut self, is_idle: bool, now: Instant) -> Option<StoreCall> {
-        if self.held.is_some_and(|held| now >= self.last(&held)) {
+    pub fn tick(&mut self, no_orders_in_flight: bool, now: Instant) -> Option<StoreCall> {
+        if self
+            .held
+            .is_some_and(|held| now >= self.write_deadline(&held))
+        {
             self.held = None;
         }
-        if self.resume.is_some_and(|at| now < at) {
+        if self.retry_at.is_some_and(|at| now < at) {
             return None;
         }
         match (self.phase, self.held) {
             (Phase::Reading(_) | Phase::Writing(_), _) => None,
-            (Phase::Asking(write), _) => {
+            (Phase::ReadFailed(write), _) => {
                 self.phase = Phase::Reading(write);
                 Some(StoreCall::Read)
             }
-            (_, Some(held)) => self.keep(held, is_idle, now),
-            (Phase::Watching { version, seen }, None) if self.wanted => {
-                let lapsed = now >= seen + self.settings.lease_duration;
-                lapsed.then(|| self.write(Some(version), Before::Taken(seen), now))
+            (_, Some(held)) => self.renew_or_release(held, no_orders_in_flight, now),
+            (
+                Phase::AwaitingExpiry {
+                    version,
+                    first_seen,
+                },
+                None,
+            ) if self.wanted => {
+                let is_expired = now >= first_seen + self.settings.lease_duration;
+                is_expired.then(|| {
+                    self.take_or_renew(Some(version), PriorLease::Foreign(first_seen), now)
+                })
             }
             (_, None) if self.wanted => {
                 self.phase = Phase::Reading(None);
                 Some(StoreCall::Read)
             }
             (_, None) => {
-                self.phase = Phase::Rest;
+                self.phase = Phase::Idle;
                 None
             }
         }
     }
 
-    fn keep(&mut self, held: Held, is_idle: bool, now: Instant) -> Option<StoreCall> {
-        if !self.wanted && is_idle && self.is_clear(StaleOrderGuard::IdleClose, now) {
+    fn renew_or_release(
+        &mut self,
+        held: HeldLease,
+        no_orders_in_flight: bool,
+        now: Instant,
+    ) -> Option<StoreCall> {
+        if !self.wanted
+            && no_orders_in_flight
+            && self.is_past_takeover_delay(StaleOrderGuard::IdleClose, now)
+        {
             return Some(self.release(held, now));
         }
-        let is_due = now >= held.renewed + self.settings.renew_interval;
-        is_due.then(|| self.write(Some(held.version), Before::Own, now))
+        let is_due = now >= held.renewed_at + self.settings.renew_interval;
+        is_due.then(|| self.take_or_renew(Some(held.version), PriorLease::Own, now))
     }
 
-    fn release(&mut self, held: Held, now: Instant) -> StoreCall {
-        let call = self.write_lease(Some(held.version), Before::Own, true, now);
+    fn release(&mut self, held: HeldLease, now: Instant) -> StoreCall {
+        let call = self.start_write(Some(held.version), PriorLease::Own, true, now);
         self.held = None;
         call
     }
 
-    fn write(&mut self, version: Option<u64>, before: Before, now: Instant) -> StoreCall {
-        self.write_lease(version, before, false, now)
+    fn take_or_renew(
+        &mut self,
+        version: Option<u64>,
+        prior: PriorLease,
+        now: Instant,
+    ) -> StoreCall {
+        self.start_write(version, prior, false, now)
     }
 
-    fn write_lease(
+    fn start_write(
         &mut self,
         version: Option<u64>,
-        before: Before,
+        prior: PriorLease,
         releases: bool,
         now: Instant,
     ) -> StoreCall {
         let nonce = self.rng.random();
-        self.phase = Phase::Writing(Write {
+        self.phase = Phase::Writing(PendingWrite {
             nonce,
-            begun: now,
-            before,
+            started: now,
+            prior,
             releases,
         });
         let lease = Lease {
-            holder: self.name.clone(),
+            holder: self.instance.clone(),
             nonce,
             released: releases,
         };
@@ -225,7 +253,7 @@
     pub fn on_reply(&mut self, reply: StoreReply, now: Instant) -> Option<StoreCall> {
         match (self.phase, reply) {
             (Phase::Writing(write), StoreReply::Written(version)) => {
-                self.written(write, version);
+                self.on_written(write, version);
                 None
             }
             (Phase::Writing(write), StoreReply::Unknown) => {
@@ -233,42 +261,42 @@
                 Some(StoreCall::Read)
             }
             (Phase::Writing(write), _) => {
-                self.lose(write);
+                self.on_write_failed(write);
                 None
             }
             (Phase::Reading(write), StoreReply::Unknown) => {
-                self.resume = Some(now + self.settings.retry_delay);
-                self.phase = Phase::Asking(write);
+                self.retry_at = Some(now + self.settings.retry_delay);
+                self.phase = Phase::ReadFailed(write);
                 None
             }
             (Phase::Reading(write), StoreReply::Found(version, bytes)) => {
-                self.found(write, version, &bytes, now)
+                self.on_found(write, version, &bytes, now)
             }
             (Phase::Reading(write), _) => {
-                write.inspect(|write| self.lose(*write));
+                write.inspect(|write| self.on_write_failed(*write));
                 self.wanted
-                    .then(|| self.write(None, Before::Free, now))
-                    .or_else(|| self.rest())
+                    .then(|| self.take_or_renew(None, PriorLease::Vacant, now))
+                    .or_else(|| self.go_idle())
             }
-            (Phase::Rest | Phase::Asking(_) | Phase::Watching { .. }, _) => None,
+            (Phase::Idle | Phase::ReadFailed(_) | Phase::AwaitingExpiry { .. }, _) => None,
         }
     }
 
-    fn rest(&mut self) -> Option<StoreCall> {
-        self.phase = Phase::Rest;
+    fn go_idle(&mut self) -> Option<StoreCall> {
+        self.phase = Phase::Idle;
         None
     }
 
-    fn lose(&mut self, write: Write) {
-        self.phase = Phase::Rest;
-        if write.before == Before::Own {
+    fn on_write_failed(&mut self, write: PendingWrite) {
+        self.phase = Phase::Idle;
+        if write.prior == PriorLease::Own {
             self.held = None;
         }
     }
 
-    fn found(
+    fn on_found(
         &mut self,
-        write: Option<Write>,
+        write: Option<PendingWrite>,
         version: u64,
         bytes: &[u8],
         now: Instant,
@@ -277,41 +305,46 @@
         let lease = Lease::from_bytes(bytes).ok();
         let own = write.filter(|write| lease.as_ref().is_some_and(|l| l.nonce == write.nonce));
         if let Some(write) = own {
-            self.written(write, version);
+            self.on_written(write, version);
             return None;
         }
         if self.held.is_some()
             && lease.as_ref().map(|l| l.nonce) == self.held.map(|held| held.nonce)
         {
             // The renewal did not take effect; the lease of the last one runs on.
-            return self.rest();
+            return self.go_idle();
         }
-        write.inspect(|write| self.lose(*write));
+        write.inspect(|write| self.on_write_failed(*write));
         if lease.is_some_and(|lease| lease.released) && self.wanted {
-            return Some(self.write(Some(version), Before::Free, now));
+            return Some(self.take_or_renew(Some(version), PriorLease::Vacant, now));
         }
-        self.phase = Phase::Watching { version, seen: now };
+        self.phase = Phase::AwaitingExpiry {
+            version,
+            first_seen: now,
+        };
         None
     }
 
-    fn written(&mut self, write: Write, version: u64) {
-        self.phase = Phase::Rest;
+    fn on_written(&mut self, write: PendingWrite, version: u64) {
+        self.phase = Phase::Idle;
         if write.releases {
             return;
         }
-        if let Before::Taken(seen) = write.before {
-            self.clear = self.clear.max(Some(seen + self.settings.lease_duration));
+        if let PriorLease::Foreign(first_seen) = write.prior {
+            self.predecessor_expiry = self
+                .predecessor_expiry
+                .max(Some(first_seen + self.settings.lease_duration));
         }
-        let old = self.held.filter(|_| write.before == Before::Own);
-        self.held = Some(Held {
+        let old = self.held.filter(|_| write.prior == PriorLease::Own);
+        self.held = Some(HeldLease {
             fencing: old.map_or(FencingNumber(version), |held| held.fencing),
             version,
             nonce: write.nonce,
-            renewed: write.begun,
+            renewed_at: write.started,
         });
     }
 
-    fn last(&self, held: &Held) -> Instant {
-        held.renewed + self.settings.lease_duration - self.settings.clock_margin
+    fn write_deadline(&self, held: &HeldLease) -> Instant {
+        held.renewed_at + self.settings.lease_duration - self.settings.clock_margin
     }
 }
--- a/crates/orders/src/reconciler.rs
+++ b/crates/orders/src/reconciler.rs
@@ -159,8 +159,12 @@
             }
         }
         self.expire(now);
-        let is_idle = self.flying.is_empty();
-        effects.extend(self.lease_client.tick(is_idle, now).map(Effect::Store));
+        let no_orders_in_flight = self.flying.is_empty();
+        effects.extend(
+            self.lease_client
+                .tick(no_orders_in_flight, now)
+                .map(Effect::Store),
+        );
         let targets: Vec<TargetName> = self.engines.keys().cloned().collect();
         for target in targets {
             effects.extend(self.send(target, now));
