--- a/crates/orders/src/lease_client.rs
+++ b/crates/orders/src/lease_client.rs
@@ -43,7 +43,7 @@
     /// Nothing, or a lease that was released.
     Vacant,
     /// A lease of another run, first seen at this time.
-    Foreign(Instant),
+    Expired(Instant),
     /// The own lease.
     Own,
 }
@@ -178,7 +178,7 @@
             ) if self.wanted => {
                 let is_expired = now >= first_seen + self.settings.lease_duration;
                 is_expired.then(|| {
-                    self.take_or_renew(Some(version), PriorLease::Foreign(first_seen), now)
+                    self.take_or_renew(Some(version), PriorLease::Expired(first_seen), now)
                 })
             }
             (_, None) if self.wanted => {
@@ -330,7 +330,7 @@
         if write.releases {
             return;
         }
-        if let PriorLease::Foreign(first_seen) = write.prior {
+        if let PriorLease::Expired(first_seen) = write.prior {
             self.predecessor_expiry = self
                 .predecessor_expiry
                 .max(Some(first_seen + self.settings.lease_duration));
--- a/crates/orders/src/reconciler.rs
+++ b/crates/orders/src/reconciler.rs
@@ -69,14 +69,14 @@
 }
 
 #[derive(Clone, Debug)]
-struct Engine {
+struct EngineState {
     guard: StaleOrderGuard,
     desired: DesiredState,
     report: Option<EngineReport>,
-    sending: Option<(u64, Order)>,
+    in_flight: Option<(u64, Order)>,
     loading: BTreeMap<VersionName, Instant>,
-    role: Option<(SmolStr, Instant)>,
-    resume: Option<Instant>,
+    accepted_role: Option<(SmolStr, Instant)>,
+    retry_at: Option<Instant>,
 }
 
 /// Orders to the engines of one shard, as a state machine.
@@ -85,10 +85,10 @@
     settings: OrderSettings,
     lease_client: LeaseClient,
     load_limiter: LoadLimiter,
-    engines: BTreeMap<TargetName, Engine>,
+    engines: BTreeMap<TargetName, EngineState>,
     /// The orders under way, also those to targets that were dropped since.
-    flying: BTreeSet<u64>,
-    count: u64,
+    in_flight: BTreeSet<u64>,
+    last_order_id: u64,
 }
 
 impl Reconciler {
@@ -99,8 +99,8 @@
             settings,
             lease_client,
             engines: BTreeMap::new(),
-            flying: BTreeSet::new(),
-            count: 0,
+            in_flight: BTreeSet::new(),
+            last_order_id: 0,
         }
     }
 
@@ -121,14 +121,14 @@
         guard: StaleOrderGuard,
         desired: DesiredState,
     ) {
-        let engine = self.engines.entry(target).or_insert_with(|| Engine {
+        let engine = self.engines.entry(target).or_insert_with(|| EngineState {
             guard,
             desired: DesiredState::default(),
             report: None,
-            sending: None,
+            in_flight: None,
             loading: BTreeMap::new(),
-            role: None,
-            resume: None,
+            accepted_role: None,
+            retry_at: None,
         });
         engine.guard = guard;
         engine.desired = desired;
@@ -153,13 +153,13 @@
                 let next = self.lease_client.on_reply(reply, now);
                 effects.extend(next.map(Effect::Store));
             }
-            Input::Reported(target, report) => self.report(&target, report),
+            Input::Reported(target, report) => self.on_report(&target, report),
             Input::SendEnded(target, order_id, outcome) => {
-                self.ended(&target, order_id, outcome, now)
+                self.on_send_ended(&target, order_id, outcome, now)
             }
         }
-        self.expire(now);
-        let no_orders_in_flight = self.flying.is_empty();
+        self.expire_loads(now);
+        let no_orders_in_flight = self.in_flight.is_empty();
         effects.extend(
             self.lease_client
                 .tick(no_orders_in_flight, now)
@@ -167,43 +167,52 @@
         );
         let targets: Vec<TargetName> = self.engines.keys().cloned().collect();
         for target in targets {
-            effects.extend(self.send(target, now));
+            effects.extend(self.next_send(target, now));
         }
         effects
     }
 
-    fn report(&mut self, target: &TargetName, report: EngineReport) {
+    fn on_report(&mut self, target: &TargetName, report: EngineReport) {
         let Some(engine) = self.engines.get_mut(target) else {
             return;
         };
         let limiter = &mut self.load_limiter;
         engine.loading.retain(|version, _| {
-            let is_there = report.versions.contains(version);
-            if is_there {
+            let is_loaded = report.versions.contains(version);
+            if is_loaded {
                 limiter.on_completed();
             }
-            !is_there
+            !is_loaded
         });
         engine.report = Some(report);
     }
 
-    fn ended(&mut self, target: &TargetName, order_id: u64, outcome: SendOutcome, now: Instant) {
-        self.flying.remove(&order_id);
+    fn on_send_ended(
+        &mut self,
+        target: &TargetName,
+        order_id: u64,
+        outcome: SendOutcome,
+        now: Instant,
+    ) {
+        self.in_flight.remove(&order_id);
         if outcome == SendOutcome::Fenced {
             self.lease_client.on_fenced();
         }
         let Some(engine) = self.engines.get_mut(target) else {
             return;
         };
-        let Some((_, order)) = engine.sending.take_if(|(sending, _)| *sending == order_id) else {
+        let Some((_, order)) = engine
+            .in_flight
+            .take_if(|(in_flight, _)| *in_flight == order_id)
+        else {
             return;
         };
         match (&order, outcome) {
-            (Order::Load { version, .. }, SendOutcome::Refused(after)) => {
+            (Order::Load { version, .. }, SendOutcome::Refused(retry_after)) => {
                 engine.loading.remove(version);
-                self.load_limiter.on_refused(after, now);
-                let wait = after.unwrap_or(self.settings.retry_delay);
-                engine.resume = Some(now + wait);
+                self.load_limiter.on_refused(retry_after, now);
+                let wait = retry_after.unwrap_or(self.settings.retry_delay);
+                engine.retry_at = Some(now + wait);
             }
             // A load that is not answered may go on or not; to order it again does no harm.
             (
@@ -212,50 +221,50 @@
             ) => {
                 engine.loading.remove(version);
                 self.load_limiter.on_failed();
-                engine.resume = Some(now + self.settings.retry_delay);
+                engine.retry_at = Some(now + self.settings.retry_delay);
             }
             (Order::Role { role }, SendOutcome::Accepted) => {
-                engine.role = Some((role.clone(), now))
+                engine.accepted_role = Some((role.clone(), now))
             }
             (_, SendOutcome::Accepted) => engine.report = None,
-            _ => engine.resume = Some(now + self.settings.retry_delay),
+            _ => engine.retry_at = Some(now + self.settings.retry_delay),
         }
     }
 
     /// Gives up loads that were accepted long ago and are not reported.
-    fn expire(&mut self, now: Instant) {
-        let limit = self.settings.load_timeout;
+    fn expire_loads(&mut self, now: Instant) {
+        let timeout = self.settings.load_timeout;
         for engine in self.engines.values_mut() {
             let limiter = &mut self.load_limiter;
-            engine.loading.retain(|_, begun| {
-                let is_old = now >= *begun + limit;
-                if is_old {
+            engine.loading.retain(|_, started| {
+                let is_expired = now >= *started + timeout;
+                if is_expired {
                     limiter.on_failed();
                 }
-                !is_old
+                !is_expired
             });
         }
     }
 
-    fn send(&mut self, target: TargetName, now: Instant) -> Option<Effect> {
+    fn next_send(&mut self, target: TargetName, now: Instant) -> Option<Effect> {
         let engine = self.engines.get_mut(&target)?;
-        let is_waiting = engine.resume.is_some_and(|at| now < at);
-        if engine.sending.is_some() || is_waiting {
+        let is_waiting = engine.retry_at.is_some_and(|at| now < at);
+        if engine.in_flight.is_some() || is_waiting {
             return None;
         }
         let (fencing, write_deadline) = self.lease_client.send_permit(engine.guard, now)?;
-        let order = engine.next(self.settings.repeat_interval, now)?;
+        let order = engine.next_order(self.settings.repeat_interval, now)?;
         if let Order::Load { version, .. } = &order {
             if !self.load_limiter.try_start(now) {
                 return None;
             }
             engine.loading.insert(version.clone(), now);
         }
-        self.count += 1;
-        self.flying.insert(self.count);
-        engine.sending = Some((self.count, order.clone()));
+        self.last_order_id += 1;
+        self.in_flight.insert(self.last_order_id);
+        engine.in_flight = Some((self.last_order_id, order.clone()));
         Some(Effect::Send {
-            order_id: self.count,
+            order_id: self.last_order_id,
             target,
             fencing,
             order,
@@ -264,16 +273,17 @@
     }
 }
 
-impl Engine {
+impl EngineState {
     /// Returns the next order, if one is due.
     ///
     /// Versions are read back, so an order for one is repeated only while the report differs. A
     /// role is not reported, so it is repeated from time to time.
-    fn next(&self, repeat_interval: Duration, now: Instant) -> Option<Order> {
+    fn next_order(&self, repeat_interval: Duration, now: Instant) -> Option<Order> {
         if let Some(role) = &self.desired.role {
-            let is_told =
-                |(told, at): &(SmolStr, Instant)| told == role && now < *at + repeat_interval;
-            if !self.role.as_ref().is_some_and(is_told) {
+            let is_accepted = |(accepted, at): &(SmolStr, Instant)| {
+                accepted == role && now < *at + repeat_interval
+            };
+            if !self.accepted_role.as_ref().is_some_and(is_accepted) {
                 return Some(Order::Role { role: role.clone() });
             }
         }
