--- a/crates/orders/tests/simulation.rs
+++ b/crates/orders/tests/simulation.rs
@@ -17,37 +17,37 @@
 
 /// Where in the sending of an order a process is held up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stage {
+pub(crate) enum PausePoint {
     /// After it decided to send, before it looks at its lease.
-    Before,
+    BeforeLeaseCheck,
     /// After it looked at its lease, before the order is written.
-    During,
+    BeforeWrite,
     /// After the order was written, before the answer is read.
-    After,
+    AfterWrite,
 }
 
 /// An order on its way.
 #[derive(Clone, Debug)]
-struct Parcel {
+struct OrderInTransit {
     order_id: u64,
-    from: usize,
+    sender: usize,
     target: TargetName,
     fencing: FencingNumber,
     order: Order,
     write_deadline: Instant,
-    opened: Instant,
+    connection_opened: Instant,
 }
 
 #[derive(Debug)]
-enum What {
+enum Event {
     Tick(usize),
-    Store(usize, StoreCall),
-    Replied(usize, StoreReply),
-    Look(Parcel),
-    Write(Parcel),
-    Arrive(Parcel),
-    Ended(u64, usize, TargetName, SendOutcome),
-    Poll(usize),
+    StoreCall(usize, StoreCall),
+    StoreReply(usize, StoreReply),
+    CheckLease(OrderInTransit),
+    WriteOrder(OrderInTransit),
+    OrderArrives(OrderInTransit),
+    SendEnded(u64, usize, TargetName, SendOutcome),
+    PollEngines(usize),
     Loaded(TargetName, VersionName),
 }
 
@@ -59,7 +59,7 @@
     pub(crate) versions: Vec<VersionName>,
     /// When an order took effect, of which holder, and what it was.
     pub(crate) accepted: Vec<(Instant, FencingNumber, Order)>,
-    seen: FencingNumber,
+    highest_fencing: FencingNumber,
     loading: Vec<VersionName>,
 }
 
@@ -72,31 +72,31 @@
     pub(crate) now: Instant,
     pub(crate) start: Instant,
     /// Whether processes look at their lease after the connection is open.
-    pub(crate) looks: bool,
+    pub(crate) checks_lease: bool,
     /// The longest time that an order is in the kernel and on the wire.
-    pub(crate) wire: Duration,
+    pub(crate) max_network_delay: Duration,
     /// Where and for how long processes are held up, and how often of a thousand; if always, only
     /// the next one is, and for just this time.
-    pub(crate) hold: Option<(Stage, Duration, u32)>,
+    pub(crate) pause_rule: Option<(PausePoint, Duration, u32)>,
     /// Store replies that are lost, of a thousand.
-    pub(crate) lost: u32,
-    pub(crate) down: bool,
+    pub(crate) lost_replies_per_mille: u32,
+    pub(crate) store_down: bool,
     /// The process that does not reach the store.
-    pub(crate) cut: Option<usize>,
+    pub(crate) cut_off: Option<usize>,
     /// How long a call to a slow store takes, one way.
-    pub(crate) slow: Duration,
+    pub(crate) slow_call_delay: Duration,
     pub(crate) store_calls: u64,
     /// Loads that the weight store serves at once, and how long each takes.
     pub(crate) weight_store: (usize, Duration),
     pub(crate) refused_loads: u64,
     pub(crate) accepted_loads: u64,
     pub(crate) trace: Vec<String>,
-    last: InstanceName,
-    object: Option<(u64, Vec<u8>)>,
-    version: u64,
-    held: BTreeMap<usize, Instant>,
-    queue: BTreeMap<(Instant, u64), What>,
-    count: u64,
+    last_holder: InstanceName,
+    lease_object: Option<(u64, Vec<u8>)>,
+    store_version: u64,
+    paused_until: BTreeMap<usize, Instant>,
+    events: BTreeMap<(Instant, u64), Event>,
+    event_count: u64,
     rng: SmallRng,
 }
 
@@ -106,38 +106,41 @@
         let mut sim = Self {
             reconcilers: Vec::new(),
             engines: BTreeMap::new(),
-            wire: settings.send_timeout,
+            max_network_delay: settings.send_timeout,
             settings,
             now,
             start: now,
-            looks: true,
-            hold: None,
-            lost: 0,
-            down: false,
-            cut: None,
-            slow: Duration::ZERO,
+            checks_lease: true,
+            pause_rule: None,
+            lost_replies_per_mille: 0,
+            store_down: false,
+            cut_off: None,
+            slow_call_delay: Duration::ZERO,
             store_calls: 0,
             weight_store: (usize::MAX, Duration::from_secs(1)),
             refused_loads: 0,
             accepted_loads: 0,
             trace: Vec::new(),
-            last: "".into(),
-            object: None,
-            version: 0,
-            held: BTreeMap::new(),
-            queue: BTreeMap::new(),
-            count: 0,
+            last_holder: "".into(),
+            lease_object: None,
+            store_version: 0,
+            paused_until: BTreeMap::new(),
+            events: BTreeMap::new(),
+            event_count: 0,
             rng: SmallRng::seed_from_u64(seed),
         };
-        for at in 0..instances {
+        for instance in 0..instances {
             let rng = SmallRng::seed_from_u64(sim.rng.random());
-            let lease_client =
-                LeaseClient::new(format!("i{at}").as_str().into(), sim.settings.clone(), rng);
+            let lease_client = LeaseClient::new(
+                format!("i{instance}").as_str().into(),
+                sim.settings.clone(),
+                rng,
+            );
             let reconciler = Reconciler::new(sim.settings.clone(), lease_client);
             sim.reconcilers.push(Some(reconciler));
             let offset = Duration::from_millis(sim.rng.random_range(0..1000));
-            sim.put(offset, What::Tick(at));
-            sim.put(offset, What::Poll(at));
+            sim.schedule(offset, Event::Tick(instance));
+            sim.schedule(offset, Event::PollEngines(instance));
         }
         sim
     }
@@ -148,30 +151,30 @@
             role: String::new(),
             versions: Vec::new(),
             accepted: Vec::new(),
-            seen: FencingNumber(0),
+            highest_fencing: FencingNumber(0),
             loading: Vec::new(),
         };
         self.engines.insert(name.into(), engine);
     }
 
     /// Gives a reconciler what the bundle wants, of all engines alike.
-    pub(crate) fn set_desired(&mut self, at: usize, desired: &DesiredState) {
-        if let Some(reconciler) = &mut self.reconcilers[at] {
+    pub(crate) fn set_desired(&mut self, instance: usize, desired: &DesiredState) {
+        if let Some(reconciler) = &mut self.reconcilers[instance] {
             for (name, engine) in &self.engines {
                 reconciler.set_target(name.clone(), engine.guard, desired.clone());
             }
         }
     }
 
-    pub(crate) fn set_wanted(&mut self, at: usize, wanted: bool) {
-        if let Some(reconciler) = &mut self.reconcilers[at] {
+    pub(crate) fn set_wanted(&mut self, instance: usize, wanted: bool) {
+        if let Some(reconciler) = &mut self.reconcilers[instance] {
             reconciler.set_wanted(wanted);
         }
     }
 
     /// Holds a process up for a time.
-    pub(crate) fn pause(&mut self, at: usize, time: Duration) {
-        self.held.insert(at, self.now + time);
+    pub(crate) fn pause(&mut self, instance: usize, time: Duration) {
+        self.paused_until.insert(instance, self.now + time);
     }
 
     pub(crate) fn run(&mut self, time: Duration) {
@@ -180,13 +183,13 @@
 
     pub(crate) fn run_until(&mut self, time: Duration, done: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + time;
-        while let Some(entry) = self.queue.first_entry() {
+        while let Some(entry) = self.events.first_entry() {
             if entry.key().0 > end {
                 break;
             }
-            let ((at, _), what) = entry.remove_entry();
+            let ((at, _), event) = entry.remove_entry();
             self.now = at;
-            self.act(what);
+            self.dispatch(event);
             if done(self) {
                 return true;
             }
@@ -196,7 +199,7 @@
     }
 
     /// Returns the first order of an old holder that took effect after a newer one's.
-    pub(crate) fn stale(&self) -> Option<(&TargetName, Instant)> {
+    pub(crate) fn first_stale_order(&self) -> Option<(&TargetName, Instant)> {
         self.engines.iter().find_map(|(name, engine)| {
             let pairs = engine.accepted.iter().zip(engine.accepted.iter().skip(1));
             let late = pairs.filter(|(a, b)| b.1 < a.1).map(|(_, b)| b.0).next();
@@ -204,47 +207,48 @@
         })
     }
 
-    fn act(&mut self, what: What) {
-        let process = match &what {
-            What::Tick(at) | What::Replied(at, _) | What::Ended(_, at, ..) | What::Poll(at) => {
-                Some(*at)
-            }
-            What::Look(parcel) | What::Write(parcel) => Some(parcel.from),
-            What::Store(..) | What::Arrive(_) | What::Loaded(..) => None,
+    fn dispatch(&mut self, event: Event) {
+        let instance = match &event {
+            Event::Tick(instance)
+            | Event::StoreReply(instance, _)
+            | Event::SendEnded(_, instance, ..)
+            | Event::PollEngines(instance) => Some(*instance),
+            Event::CheckLease(transit) | Event::WriteOrder(transit) => Some(transit.sender),
+            Event::StoreCall(..) | Event::OrderArrives(_) | Event::Loaded(..) => None,
         };
-        let until = process.and_then(|at| self.held.get(&at).copied());
+        let until = instance.and_then(|instance| self.paused_until.get(&instance).copied());
         if let Some(until) = until.filter(|until| *until > self.now) {
-            self.put(until - self.now, what);
+            self.schedule(until - self.now, event);
             return;
         }
-        match what {
-            What::Tick(at) => {
-                self.step(at, Input::Tick);
-                self.put(TICK, What::Tick(at));
+        match event {
+            Event::Tick(instance) => {
+                self.step(instance, Input::Tick);
+                self.schedule(TICK, Event::Tick(instance));
             }
-            What::Replied(at, reply) => self.step(at, Input::Store(reply)),
-            What::Ended(order_id, at, target, outcome) => {
-                self.step(at, Input::SendEnded(target, order_id, outcome))
+            Event::StoreReply(instance, reply) => self.step(instance, Input::Store(reply)),
+            Event::SendEnded(order_id, instance, target, outcome) => {
+                self.step(instance, Input::SendEnded(target, order_id, outcome))
             }
-            What::Poll(at) => self.poll(at),
-            What::Store(at, call) => self.store(at, call),
-            What::Look(parcel) => self.look(parcel),
-            What::Write(parcel) => self.write(parcel),
-            What::Arrive(parcel) => self.arrive(parcel),
-            What::Loaded(target, version) => self.loaded(&target, version),
+            Event::PollEngines(instance) => self.poll_engines(instance),
+            Event::StoreCall(instance, call) => self.call_store(instance, call),
+            Event::CheckLease(transit) => self.check_lease(transit),
+            Event::WriteOrder(transit) => self.write_order(transit),
+            Event::OrderArrives(transit) => self.on_arrival(transit),
+            Event::Loaded(target, version) => self.on_loaded(&target, version),
         }
     }
 
-    fn step(&mut self, at: usize, input: Input) {
+    fn step(&mut self, instance: usize, input: Input) {
         let now = self.now;
-        let Some(reconciler) = &mut self.reconcilers[at] else {
+        let Some(reconciler) = &mut self.reconcilers[instance] else {
             return;
         };
         for effect in reconciler.step(input, now) {
             match effect {
                 Effect::Store(call) => {
                     let latency = self.latency();
-                    self.put(latency, What::Store(at, call));
+                    self.schedule(latency, Event::StoreCall(instance, call));
                 }
                 Effect::Send {
                     order_id,
@@ -253,102 +257,107 @@
                     order,
                     write_deadline,
                 } => {
-                    let parcel = Parcel {
+                    let transit = OrderInTransit {
                         order_id,
-                        from: at,
+                        sender: instance,
                         target,
                         fencing,
                         order,
                         write_deadline,
-                        opened: now,
+                        connection_opened: now,
                     };
-                    self.hold_up(Stage::Before, at);
-                    self.put(Duration::from_millis(1), What::Look(parcel));
+                    self.maybe_pause(PausePoint::BeforeLeaseCheck, instance);
+                    self.schedule(Duration::from_millis(1), Event::CheckLease(transit));
                 }
             }
         }
     }
 
     fn latency(&mut self) -> Duration {
-        let slow = self.rng.random_range(0..10) == 0 && !self.slow.is_zero();
-        let most = if slow {
-            self.slow
+        let slow = self.rng.random_range(0..10) == 0 && !self.slow_call_delay.is_zero();
+        let longest = if slow {
+            self.slow_call_delay
         } else {
             Duration::from_millis(12)
         };
-        most.mul_f64(self.rng.random_range(0.5..1.0))
+        longest.mul_f64(self.rng.random_range(0.5..1.0))
     }
 
-    fn hold_up(&mut self, stage: Stage, at: usize) {
-        let Some((_, time, of)) = self.hold.filter(|hold| hold.0 == stage) else {
+    fn maybe_pause(&mut self, pause_point: PausePoint, instance: usize) {
+        let Some((_, time, per_mille)) = self.pause_rule.filter(|rule| rule.0 == pause_point)
+        else {
             return;
         };
-        if self.rng.random_range(0..ALWAYS) < of {
-            let time = if of == ALWAYS {
-                self.hold = None;
+        if self.rng.random_range(0..ALWAYS) < per_mille {
+            let time = if per_mille == ALWAYS {
+                self.pause_rule = None;
                 time
             } else {
                 time.mul_f64(self.rng.random_range(0.2..3.0))
             };
-            self.note(format!("i{at} is paused for {:.1} s", time.as_secs_f64()));
-            self.pause(at, time);
+            self.add_trace(format!(
+                "i{instance} is paused for {:.1} s",
+                time.as_secs_f64()
+            ));
+            self.pause(instance, time);
         }
     }
 
-    fn look(&mut self, parcel: Parcel) {
-        if self.looks && self.now >= parcel.write_deadline {
+    fn check_lease(&mut self, transit: OrderInTransit) {
+        if self.checks_lease && self.now >= transit.write_deadline {
             self.step(
-                parcel.from,
-                Input::SendEnded(parcel.target, parcel.order_id, SendOutcome::NotSent),
+                transit.sender,
+                Input::SendEnded(transit.target, transit.order_id, SendOutcome::NotSent),
             );
             return;
         }
-        self.hold_up(Stage::During, parcel.from);
+        self.maybe_pause(PausePoint::BeforeWrite, transit.sender);
         if self
-            .held
-            .get(&parcel.from)
+            .paused_until
+            .get(&transit.sender)
             .is_some_and(|until| *until > self.now)
         {
-            self.put(Duration::ZERO, What::Write(parcel));
+            self.schedule(Duration::ZERO, Event::WriteOrder(transit));
         } else {
-            self.write(parcel);
+            self.write_order(transit);
         }
     }
 
-    fn write(&mut self, parcel: Parcel) {
-        let engine = &self.engines[&parcel.target];
-        let age = self.now - parcel.opened;
+    fn write_order(&mut self, transit: OrderInTransit) {
+        let engine = &self.engines[&transit.target];
+        let age = self.now - transit.connection_opened;
         let is_closed =
             engine.guard == StaleOrderGuard::IdleClose && age > self.settings.idle_timeout;
-        self.put(
+        self.schedule(
             self.settings.send_timeout,
-            What::Ended(
-                parcel.order_id,
-                parcel.from,
-                parcel.target.clone(),
+            Event::SendEnded(
+                transit.order_id,
+                transit.sender,
+                transit.target.clone(),
                 SendOutcome::Unknown,
             ),
         );
         if is_closed {
             return;
         }
-        self.hold_up(Stage::After, parcel.from);
-        let most = self.wire.as_millis() as u64;
+        self.maybe_pause(PausePoint::AfterWrite, transit.sender);
+        let longest = self.max_network_delay.as_millis() as u64;
         let slow = self.rng.random_bool(0.2);
-        let wire = if slow { most } else { 2 };
-        self.put(Duration::from_millis(wire), What::Arrive(parcel));
+        let delay = if slow { longest } else { 2 };
+        self.schedule(Duration::from_millis(delay), Event::OrderArrives(transit));
     }
 
-    fn arrive(&mut self, parcel: Parcel) {
+    fn on_arrival(&mut self, transit: OrderInTransit) {
         let (slots, download) = self.weight_store;
         let busy: usize = self.engines.values().map(|e| e.loading.len()).sum();
-        let Some(engine) = self.engines.get_mut(&parcel.target) else {
+        let Some(engine) = self.engines.get_mut(&transit.target) else {
             return;
         };
-        let is_old = engine.guard == StaleOrderGuard::Fencing && parcel.fencing < engine.seen;
-        engine.seen = engine.seen.max(parcel.fencing);
-        let outcome = match &parcel.order {
-            _ if is_old => SendOutcome::Fenced,
+        let is_stale =
+            engine.guard == StaleOrderGuard::Fencing && transit.fencing < engine.highest_fencing;
+        engine.highest_fencing = engine.highest_fencing.max(transit.fencing);
+        let outcome = match &transit.order {
+            _ if is_stale => SendOutcome::Fenced,
             Order::Load { version, .. }
                 if engine.loading.contains(version) || engine.versions.contains(version) =>
             {
@@ -361,9 +370,10 @@
             Order::Load { version, .. } => {
                 self.accepted_loads += 1;
                 engine.loading.push(version.clone());
-                let loaded = What::Loaded(parcel.target.clone(), version.clone());
-                self.count += 1;
-                self.queue.insert((self.now + download, self.count), loaded);
+                let loaded = Event::Loaded(transit.target.clone(), version.clone());
+                self.event_count += 1;
+                self.events
+                    .insert((self.now + download, self.event_count), loaded);
                 SendOutcome::Accepted
             }
             Order::Unload { version } => {
@@ -382,28 +392,28 @@
         self.trace.push(format!(
             "{:8.3} {} {verb} {} of i{} with number {}",
             (self.now - self.start).as_secs_f64(),
-            parcel.target,
-            serde_json::to_string(&parcel.order).unwrap(),
-            parcel.from,
-            parcel.fencing
+            transit.target,
+            serde_json::to_string(&transit.order).unwrap(),
+            transit.sender,
+            transit.fencing
         ));
         if outcome == SendOutcome::Accepted {
-            let entry = (self.now, parcel.fencing, parcel.order);
+            let entry = (self.now, transit.fencing, transit.order);
             engine.accepted.push(entry);
         }
-        let ended = What::Ended(parcel.order_id, parcel.from, parcel.target, outcome);
-        self.put(Duration::from_millis(1), ended);
+        let ended = Event::SendEnded(transit.order_id, transit.sender, transit.target, outcome);
+        self.schedule(Duration::from_millis(1), ended);
     }
 
-    fn loaded(&mut self, target: &TargetName, version: VersionName) {
+    fn on_loaded(&mut self, target: &TargetName, version: VersionName) {
         if let Some(engine) = self.engines.get_mut(target) {
             engine.loading.retain(|v| *v != version);
             engine.versions.push(version);
         }
     }
 
-    fn poll(&mut self, at: usize) {
-        self.put(POLL, What::Poll(at));
+    fn poll_engines(&mut self, instance: usize) {
+        self.schedule(POLL, Event::PollEngines(instance));
         let reports: Vec<(TargetName, EngineReport)> = self
             .engines
             .iter()
@@ -413,56 +423,57 @@
             })
             .collect();
         for (name, report) in reports {
-            self.step(at, Input::Reported(name, report));
+            self.step(instance, Input::Reported(name, report));
         }
     }
 
-    fn store(&mut self, at: usize, call: StoreCall) {
+    fn call_store(&mut self, instance: usize, call: StoreCall) {
         self.store_calls += 1;
-        let reply = if self.down || self.cut == Some(at) {
+        let reply = if self.store_down || self.cut_off == Some(instance) {
             StoreReply::Unknown
         } else {
-            self.serve(call)
+            self.serve_store_call(call)
         };
-        let is_lost = self.rng.random_range(0..1000) < self.lost;
+        let is_lost = self.rng.random_range(0..1000) < self.lost_replies_per_mille;
         let reply = if is_lost { StoreReply::Unknown } else { reply };
         let latency = self.latency();
-        self.put(latency, What::Replied(at, reply));
+        self.schedule(latency, Event::StoreReply(instance, reply));
     }
 
-    fn serve(&mut self, call: StoreCall) -> StoreReply {
-        let expected = self.object.as_ref().map(|(version, _)| *version);
+    fn serve_store_call(&mut self, call: StoreCall) -> StoreReply {
+        let expected = self.lease_object.as_ref().map(|(version, _)| *version);
         let value = match call {
             StoreCall::Read => {
-                let object = self.object.clone();
+                let object = self.lease_object.clone();
                 return object.map_or(StoreReply::Missing, |(v, b)| StoreReply::Found(v, b));
             }
             StoreCall::Create(value) if expected.is_none() => value,
             StoreCall::Update { version, value } if expected == Some(version) => value,
             StoreCall::Create(_) | StoreCall::Update { .. } => return StoreReply::Conflict,
         };
-        self.version += 10;
+        self.store_version += 10;
         let lease = Lease::from_bytes(&value).unwrap();
-        let is_new = expected.is_none() || lease.released || lease.holder != self.last;
+        let is_new = expected.is_none() || lease.released || lease.holder != self.last_holder;
         if is_new {
             let what = if lease.released { "released" } else { "taken" };
-            self.note(format!(
+            self.add_trace(format!(
                 "lease {what} by {} at {}",
-                lease.holder, self.version
+                lease.holder, self.store_version
             ));
         }
-        self.last = lease.holder;
-        self.object = Some((self.version, value));
-        StoreReply::Written(self.version)
+        self.last_holder = lease.holder;
+        self.lease_object = Some((self.store_version, value));
+        StoreReply::Written(self.store_version)
     }
 
-    fn note(&mut self, text: String) {
+    fn add_trace(&mut self, text: String) {
         let at = (self.now - self.start).as_secs_f64();
         self.trace.push(format!("{at:8.3} {text}"));
     }
 
-    fn put(&mut self, after: Duration, what: What) {
-        self.count += 1;
-        self.queue.insert((self.now + after, self.count), what);
+    fn schedule(&mut self, after: Duration, event: Event) {
+        self.event_count += 1;
+        self.events
+            .insert((self.now + after, self.event_count), event);
     }
 }
--- a/crates/orders/tests/test_fencing.rs
+++ b/crates/orders/tests/test_fencing.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-use crate::simulation::{Simulation, Stage, ALWAYS};
+use crate::simulation::{PausePoint, Simulation, ALWAYS};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -25,7 +25,7 @@
 /// paused, and the store loses replies and goes down now and then.
 fn race(
     guard: StaleOrderGuard,
-    stage: Stage,
+    pause_point: PausePoint,
     seed: u64,
     change: impl Fn(&mut Simulation),
 ) -> Simulation {
@@ -39,18 +39,18 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     sim.add_engine("a", guard);
     sim.add_engine("b", guard);
-    sim.hold = Some((stage, 15 * SECOND, 60));
-    sim.lost = 50;
-    sim.slow = 6 * SECOND;
+    sim.pause_rule = Some((pause_point, 15 * SECOND, 60));
+    sim.lost_replies_per_mille = 50;
+    sim.slow_call_delay = 6 * SECOND;
     change(&mut sim);
     for step in 0..120 {
         for at in 0..3 {
             sim.set_wanted(at, rng.random_bool(0.8));
             sim.set_desired(at, &role(step / 4));
         }
-        sim.down = rng.random_bool(0.05);
+        sim.store_down = rng.random_bool(0.05);
         if rng.random_bool(0.2) {
-            sim.cut = Some(rng.random_range(0..6)).filter(|at| *at < 3);
+            sim.cut_off = Some(rng.random_range(0..6)).filter(|at| *at < 3);
         }
         sim.run(3 * SECOND);
     }
@@ -72,12 +72,17 @@
 #[rstest]
 fn no_old_order_follows_a_newer_one(
     #[values(StaleOrderGuard::Fencing, StaleOrderGuard::IdleClose)] guard: StaleOrderGuard,
-    #[values(Stage::Before, Stage::During, Stage::After)] stage: Stage,
+    #[values(
+        PausePoint::BeforeLeaseCheck,
+        PausePoint::BeforeWrite,
+        PausePoint::AfterWrite
+    )]
+    pause_point: PausePoint,
 ) {
     for seed in 0..40 {
-        let sim = race(guard, stage, seed, |_| {});
+        let sim = race(guard, pause_point, seed, |_| {});
         assert!(holders(&sim) > 3, "seed {seed}: too few take-overs");
-        assert_eq!(sim.stale(), None, "seed {seed}");
+        assert_eq!(sim.first_stale_order(), None, "seed {seed}");
     }
 }
 
@@ -99,23 +104,23 @@
         }
         sim.run(SECOND * (10 + seed as u32 % 10));
         for cut in [0, 1, 0, 1, 0, 1] {
-            sim.cut = Some(cut);
+            sim.cut_off = Some(cut);
             sim.run(35 * SECOND);
         }
         assert!(holders(&sim) > 3);
-        assert_eq!(sim.stale(), None, "seed {seed}");
+        assert_eq!(sim.first_stale_order(), None, "seed {seed}");
     }
 }
 
 // Targets that do neither are safe from pauses before the look at the lease and after the write.
 #[rstest]
 fn no_old_order_follows_where_nothing_is_checked(
-    #[values(Stage::Before, Stage::After)] stage: Stage,
+    #[values(PausePoint::BeforeLeaseCheck, PausePoint::AfterWrite)] pause_point: PausePoint,
 ) {
     for seed in 0..40 {
-        let sim = race(StaleOrderGuard::Repair, stage, seed, |_| {});
+        let sim = race(StaleOrderGuard::Repair, pause_point, seed, |_| {});
         assert!(holders(&sim) > 3, "seed {seed}: too few take-overs");
-        assert_eq!(sim.stale(), None, "seed {seed}");
+        assert_eq!(sim.first_stale_order(), None, "seed {seed}");
     }
 }
 // Where nothing is checked, a pause between the look and the write lets an old order through: no
@@ -132,12 +137,12 @@
             sim.set_desired(at, &role(1));
         }
         sim.run(15 * SECOND);
-        sim.hold = Some((Stage::During, 60 * SECOND, ALWAYS));
+        sim.pause_rule = Some((PausePoint::BeforeWrite, 60 * SECOND, ALWAYS));
         sim.run(10 * SECOND);
         for at in 0..2 {
             sim.set_desired(at, &role(2));
         }
-        let let_through = sim.run_until(100 * SECOND, |sim| sim.stale().is_some());
+        let let_through = sim.run_until(100 * SECOND, |sim| sim.first_stale_order().is_some());
         found += u32::from(let_through && sim.engines[&"a".into()].role == "role-1");
         let settings = OrderSettings::default();
         let bound = settings.repeat_interval + 2 * settings.send_timeout + SECOND;
--- a/crates/orders/tests/test_scripts.rs
+++ b/crates/orders/tests/test_scripts.rs
@@ -5,7 +5,7 @@
 use celerypond_orders::{DesiredState, OrderSettings, StaleOrderGuard};
 use goldenscript::{Command, Context, Runner};
 
-use crate::simulation::{Simulation, Stage, ALWAYS};
+use crate::simulation::{PausePoint, Simulation, ALWAYS};
 
 struct Script {
     sim: Simulation,
@@ -56,15 +56,15 @@
                 sim.set_desired(at, &desired);
             }
             "hold" => {
-                let stage = match next()? {
-                    "before" => Stage::Before,
-                    "during" => Stage::During,
-                    _ => Stage::After,
+                let pause_point = match next()? {
+                    "before" => PausePoint::BeforeLeaseCheck,
+                    "during" => PausePoint::BeforeWrite,
+                    _ => PausePoint::AfterWrite,
                 };
-                sim.hold = Some((stage, seconds(next()?)?, ALWAYS));
+                sim.pause_rule = Some((pause_point, seconds(next()?)?, ALWAYS));
             }
-            "down" => sim.down = true,
-            "up" => sim.down = false,
+            "down" => sim.store_down = true,
+            "up" => sim.store_down = false,
             "run" => sim.run(seconds(next()?)?),
             "show" => return Ok(self.show()),
             name => return Err(format!("no command {name}").into()),
