--- a/crates/orders/tests/test_loads.rs
+++ b/crates/orders/tests/test_loads.rs
@@ -12,7 +12,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn versions(names: &[&str]) -> DesiredState {
+fn desired_versions(names: &[&str]) -> DesiredState {
     let pairs = names.iter().map(|name| ((*name).into(), "w".into()));
     DesiredState {
         versions: pairs.collect(),
@@ -21,43 +21,47 @@
 }
 
 /// Loads one version on 40 engines from a store that serves 5 at once.
-fn roll(loads: f64, seed: u64) -> (Simulation, bool) {
+fn load_on_all_engines(initial_load_window: f64, seed: u64) -> (Simulation, bool) {
     let settings = OrderSettings {
-        initial_load_window: loads,
+        initial_load_window,
         ..OrderSettings::default()
     };
     let mut sim = Simulation::new(1, settings, seed);
-    for at in 0..40 {
-        sim.add_engine(&format!("e{at}"), StaleOrderGuard::Fencing);
+    for index in 0..40 {
+        sim.add_engine(&format!("e{index}"), StaleOrderGuard::Fencing);
     }
     sim.weight_store = (5, 8 * SECOND);
     sim.set_wanted(0, true);
-    sim.set_desired(0, &versions(&["v2"]));
-    let all = |sim: &Simulation| {
+    sim.set_desired(0, &desired_versions(&["v2"]));
+    let all_loaded = |sim: &Simulation| {
         sim.engines
             .values()
             .all(|engine| engine.versions == ["v2".into()])
     };
-    let done = sim.run_until(600 * SECOND, all);
-    (sim, done)
+    let is_done = sim.run_until(600 * SECOND, all_loaded);
+    (sim, is_done)
 }
 
 // A bundle asks for a new version on all engines at once. Asked for all of them, the weight store
 // refuses most again and again, and whoever else needs weights meanwhile is refused as well.
 #[rstest]
-fn paced_loads_all_complete_and_few_are_refused(#[values(1, 2, 3, 4)] seed: u64) {
-    let (sim, done) = roll(OrderSettings::default().initial_load_window, seed);
-    assert!(done);
+fn limited_loads_all_complete_and_few_are_refused(#[values(1, 2, 3, 4)] seed: u64) {
+    let (sim, is_done) = load_on_all_engines(OrderSettings::default().initial_load_window, seed);
+    assert!(is_done);
     assert_eq!(sim.accepted_loads, 40);
-    assert!(sim.refused_loads <= 40, "{} refused", sim.refused_loads);
+    assert!(
+        sim.refused_loads <= 40,
+        "{} loads refused",
+        sim.refused_loads
+    );
 }
 
 #[test]
-fn a_version_that_is_not_wanted_stays_until_all_others_are_there() {
+fn undesired_versions_are_unloaded_only_after_all_loads() {
     let report = |names: &[&str]| EngineReport {
         versions: names.iter().map(|name| (*name).into()).collect(),
     };
-    let desired = versions(&["v2", "v3"]);
+    let desired = desired_versions(&["v2", "v3"]);
     let loads = desired.pending_orders(&report(&["v1", "v2"]));
     assert!(matches!(&loads[..], [Order::Load { version, .. }] if version.as_str() == "v3"));
     let unloads = desired.pending_orders(&report(&["v1", "v2", "v3"]));
@@ -76,7 +80,7 @@
         limiter.on_refused(Some(SECOND), now);
     }
     assert!(!limiter.try_start(now));
-    let later = now + SECOND;
-    let begun = (0..8).filter(|_| limiter.try_start(later)).count();
-    assert_eq!(begun, 4);
+    let resumed = now + SECOND;
+    let started = (0..8).filter(|_| limiter.try_start(resumed)).count();
+    assert_eq!(started, 4);
 }
--- a/crates/orders/tests/test_scripts.rs
+++ b/crates/orders/tests/test_scripts.rs
@@ -9,15 +9,15 @@
 
 struct Script {
     sim: Simulation,
-    shown: usize,
+    shown_lines: usize,
 }
 
 type Output = Result<String, Box<dyn Error>>;
 
 impl Script {
     fn show(&mut self) -> String {
-        let lines = self.sim.trace[self.shown..].join("\n");
-        self.shown = self.sim.trace.len();
+        let lines = self.sim.trace[self.shown_lines..].join("\n");
+        self.shown_lines = self.sim.trace.len();
         let engines = self.sim.engines.iter();
         let states = engines.map(|(name, e)| format!("{name}: {} {:?}", e.role, e.versions));
         let states: Vec<String> = states.collect();
@@ -48,12 +48,12 @@
             "want" => sim.set_wanted(next()?.parse()?, true),
             "yield" => sim.set_wanted(next()?.parse()?, false),
             "desire" => {
-                let at = next()?.parse()?;
+                let instance = next()?.parse()?;
                 let desired = DesiredState {
                     versions: [(next()?.into(), "w".into())].into(),
                     role: Some(next()?.into()),
                 };
-                sim.set_desired(at, &desired);
+                sim.set_desired(instance, &desired);
             }
             "hold" => {
                 let pause_point = match next()? {
@@ -78,12 +78,15 @@
 #[case("idle")]
 #[case("repair")]
 #[case("outage")]
-fn a_scenario_ends_as_written(#[case] name: &str) {
+fn a_script_gives_the_expected_trace(#[case] name: &str) {
     let settings = OrderSettings {
         repeat_interval: Duration::from_secs(20),
         ..OrderSettings::default()
     };
     let sim = Simulation::new(2, settings, 1);
-    let mut script = Script { sim, shown: 0 };
+    let mut script = Script {
+        sim,
+        shown_lines: 0,
+    };
     goldenscript::run(&mut script, format!("tests/scripts/{name}.txt")).unwrap();
 }
