--- a/crates/orders/tests/simulation.rs
+++ b/crates/orders/tests/simulation.rs
@@ -386,11 +386,11 @@
             }
         };
         let verb = match outcome {
-            SendOutcome::Accepted => "takes",
+            SendOutcome::Accepted => "accepts",
             _ => "refuses",
         };
         self.trace.push(format!(
-            "{:8.3} {} {verb} {} of i{} with number {}",
+            "{:8.3} {} {verb} {} from i{} with fencing number {}",
             (self.now - self.start).as_secs_f64(),
             transit.target,
             serde_json::to_string(&transit.order).unwrap(),
@@ -455,9 +455,9 @@
         let lease = Lease::from_bytes(&value).unwrap();
         let is_new = expected.is_none() || lease.released || lease.holder != self.last_holder;
         if is_new {
-            let what = if lease.released { "released" } else { "taken" };
+            let change = if lease.released { "released" } else { "taken" };
             self.add_trace(format!(
-                "lease {what} by {} at {}",
+                "lease {change} by {} with store version {}",
                 lease.holder, self.store_version
             ));
         }
--- a/crates/orders/tests/test_scripts.rs
+++ b/crates/orders/tests/test_scripts.rs
@@ -34,20 +34,20 @@
 
     fn run(&mut self, command: &Command, _: &Context) -> Output {
         let mut args = command.consume_args();
-        let mut next = || args.next_pos().ok_or("an argument is missing");
+        let mut next = || args.next_pos().ok_or("missing argument");
         let sim = &mut self.sim;
         match command.name.as_str() {
             "engine" => {
                 let guard = match next()? {
                     "fencing" => StaleOrderGuard::Fencing,
-                    "idle" => StaleOrderGuard::IdleClose,
+                    "idle-close" => StaleOrderGuard::IdleClose,
                     _ => StaleOrderGuard::Repair,
                 };
                 sim.add_engine(next()?, guard);
             }
-            "want" => sim.set_wanted(next()?.parse()?, true),
-            "yield" => sim.set_wanted(next()?.parse()?, false),
-            "desire" => {
+            "want-lease" => sim.set_wanted(next()?.parse()?, true),
+            "give-up-lease" => sim.set_wanted(next()?.parse()?, false),
+            "set-desired" => {
                 let instance = next()?.parse()?;
                 let desired = DesiredState {
                     versions: [(next()?.into(), "w".into())].into(),
@@ -55,19 +55,19 @@
                 };
                 sim.set_desired(instance, &desired);
             }
-            "hold" => {
+            "pause" => {
                 let pause_point = match next()? {
-                    "before" => PausePoint::BeforeLeaseCheck,
-                    "during" => PausePoint::BeforeWrite,
+                    "before-lease-check" => PausePoint::BeforeLeaseCheck,
+                    "before-write" => PausePoint::BeforeWrite,
                     _ => PausePoint::AfterWrite,
                 };
                 sim.pause_rule = Some((pause_point, seconds(next()?)?, ALWAYS));
             }
-            "down" => sim.store_down = true,
-            "up" => sim.store_down = false,
+            "store-down" => sim.store_down = true,
+            "store-up" => sim.store_down = false,
             "run" => sim.run(seconds(next()?)?),
             "show" => return Ok(self.show()),
-            name => return Err(format!("no command {name}").into()),
+            name => return Err(format!("unknown command: {name}").into()),
         }
         Ok(String::new())
     }
@@ -75,7 +75,7 @@
 
 #[rstest::rstest]
 #[case("fencing")]
-#[case("idle")]
+#[case("idle_close")]
 #[case("repair")]
 #[case("outage")]
 fn a_script_gives_the_expected_trace(#[case] name: &str) {
