--- a/crates/orders/src/lib.rs
+++ b/crates/orders/src/lib.rs
@@ -1,8 +1,12 @@
 //! Fenced orders to engines.
 //!
-//! [`Reconciler`] is a pure state machine for one shard of engines: it holds the shard's lease, compares
-//! what the bundle wants with what the engines report, and says which orders to send and until when
-//! each may be sent.
+//! An [`Order`] tells an engine to load or unload a version or to take a role. Engines are divided
+//! into shards ([`Shard`]). Each shard has a lease in the store, and only the instance that holds the
+//! lease sends orders to the engines of the shard.
+//!
+//! [`Reconciler`] is the state machine of one instance for one shard, without I/O of its own: it
+//! acquires and renews the lease, compares the desired state of the bundle with the reports of the
+//! engines, and returns the orders to send, each with the deadline by which it must be written.
 
 mod lease;
 mod lease_client;
--- a/crates/orders/src/load_limiter.rs
+++ b/crates/orders/src/load_limiter.rs
@@ -1,17 +1,18 @@
-//! How many loads go on at once.
+//! Limit on concurrent loads.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// The pause after a refusal that names none.
+/// The pause after a refusal without a `retry_after`.
 const DEFAULT_PAUSE: Duration = Duration::from_secs(1);
 
-/// How many loads go on at once, found out from what the weight store refuses.
+/// A limit on concurrent loads that adapts to the refusals of the weight store.
 ///
-/// Each load that completes widens the window a little, and each refusal halves it and waits as long
-/// as the store says. Without it all engines of a group ask at once after a roll; most are refused,
-/// and the store is busy with refusing.
+/// The window follows additive increase and multiplicative decrease: each completed load widens it by
+/// one divided by its size; a refusal halves it and pauses new loads for as long as the store asks.
+/// Without a limit, all engines of a group load at once after a rollout: most loads are refused, and
+/// the store spends its time on refusals.
 ///
 /// # Examples
 ///
@@ -29,12 +30,14 @@
 pub struct LoadLimiter {
     window: f64,
     running: usize,
+    /// When loads may start again after a refusal.
     paused_until: Option<Instant>,
+    /// When a refusal may halve the window again.
     next_halving: Option<Instant>,
 }
 
 impl LoadLimiter {
-    /// Makes a pace that begins with a window of `initial_window`.
+    /// Creates a limiter that allows `initial_window` concurrent loads at first.
     pub const fn new(initial_window: f64) -> Self {
         Self {
             window: initial_window,
@@ -44,7 +47,7 @@
         }
     }
 
-    /// Returns whether one more load may begin, and counts it if so.
+    /// Returns whether another load may start, and counts it as running if so.
     pub fn try_start(&mut self, now: Instant) -> bool {
         let is_paused = self.paused_until.is_some_and(|until| now < until);
         if is_paused || self.running as f64 + 1.0 > self.window {
@@ -54,21 +57,21 @@
         true
     }
 
-    /// Takes in that a load completed.
+    /// Records that a load completed.
     pub fn on_completed(&mut self) {
         self.running = self.running.saturating_sub(1);
         self.window += 1.0 / self.window;
     }
 
-    /// Takes in that a load came to nothing for another reason than a refusal.
+    /// Records that a load ended without completing, for another reason than a refusal.
     pub fn on_failed(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Takes in that the weight store refused a load.
+    /// Records that the weight store refused a load.
     ///
-    /// Refusals that come in while the window is paused_until belong to the same overload and do not
-    /// halve it again.
+    /// Further refusals during the pause that follows a halving are due to the same overload and do
+    /// not halve the window again.
     pub fn on_refused(&mut self, retry_after: Option<Duration>, now: Instant) {
         self.running = self.running.saturating_sub(1);
         let until = now + retry_after.unwrap_or(DEFAULT_PAUSE);
--- a/crates/orders/src/order.rs
+++ b/crates/orders/src/order.rs
@@ -1,4 +1,4 @@
-//! What an engine is told to do.
+//! Orders to engines, and the desired and reported state that they result from.
 
 use std::collections::BTreeMap;
 
@@ -6,41 +6,41 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// An order, as it is sent.
+/// An order to an engine, in the form in which it is sent.
 ///
-/// Each says what shall be, so that one that arrives twice does no more than one that arrives once.
+/// Orders are idempotent: each states the desired result, so a repeated one has no further effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Order {
-    /// The version, or an adapter under its own version name, shall be loaded.
+    /// Load a version, or an adapter, which has a version name of its own.
     Load {
-        /// The version.
+        /// The version to load.
         version: VersionName,
         /// The name of its weights in the weight store.
         weights: SmolStr,
     },
-    /// The version shall not be loaded.
+    /// Unload a version or an adapter.
     Unload {
-        /// The version.
+        /// The version to unload.
         version: VersionName,
     },
-    /// The engine shall have this role.
+    /// Set the role of the engine.
     Role {
-        /// The role.
+        /// The new role.
         role: SmolStr,
     },
 }
 
-/// What the bundle wants of an engine.
+/// The state that the bundle specifies for an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DesiredState {
-    /// The versions and adapters to be loaded, with the names of their weights.
+    /// The versions and adapters to have loaded, with the names of their weights.
     pub versions: BTreeMap<VersionName, SmolStr>,
-    /// The role, if the bundle names one.
+    /// The role, if the bundle specifies one.
     pub role: Option<SmolStr>,
 }
 
-/// What an engine says of itself.
+/// The state that an engine reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineReport {
     /// The versions and adapters that are loaded.
@@ -48,7 +48,10 @@
 }
 
 impl DesiredState {
-    /// Returns the orders that lead from what is reported to what is wanted, loads first.
+    /// Returns the load and unload orders that are needed to get from the reported state to this one.
+    ///
+    /// Unloads are returned only once nothing is left to load. Roles are not reported, so there are
+    /// no orders for them here.
     ///
     /// # Examples
     ///
@@ -62,7 +65,7 @@
     /// let report = EngineReport { versions: vec!["v1".into()] };
     /// let orders = desired.pending_orders(&report);
     /// assert!(matches!(orders[0], Order::Load { .. }));
-    /// // What is not wanted stays until all that is wanted is there.
+    /// // `v1` is unloaded only after all desired versions are loaded.
     /// assert_eq!(orders.len(), 1);
     /// ```
     pub fn pending_orders(&self, report: &EngineReport) -> Vec<Order> {
--- a/crates/orders/src/settings.rs
+++ b/crates/orders/src/settings.rs
@@ -1,29 +1,33 @@
-//! Times of leases and sends.
+//! Settings for leases, sends and loads.
 
 use std::time::Duration;
 
-/// Times of leases and sends.
+/// Settings for leases, sends and loads.
 ///
-/// All instances must use the same values: a holder and its successor compute from them.
+/// All instances must use the same values, since a holder and its successor both derive their
+/// deadlines from them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OrderSettings {
-    /// How long a lease holds after it was written.
+    /// The time for which a lease is valid after it was written.
     pub lease_duration: Duration,
-    /// How much earlier a holder stops, for clocks that do not run at the same rate.
+    /// How long before the end of its lease a holder stops sending orders. This allows for clocks that
+    /// run at different rates.
     pub clock_margin: Duration,
-    /// The longest that an order may be on its way once its first byte was written.
+    /// The time after which an order is given up, and its connection reset, once its first byte was
+    /// written.
     pub send_timeout: Duration,
-    /// The longest time for which a target that closes idle connections keeps one open.
+    /// The longest time for which a target that closes idle connections keeps one open
+    /// ([`StaleOrderGuard::IdleClose`](crate::StaleOrderGuard::IdleClose)).
     pub idle_timeout: Duration,
-    /// The time between two renewals.
+    /// The time between two renewals of a lease.
     pub renew_interval: Duration,
-    /// The time after which a store call that failed is tried again.
+    /// The delay before a failed store call or order is retried, unless the target names a delay.
     pub retry_delay: Duration,
-    /// The time after which a load that was accepted but is not reported is ordered again.
+    /// The time after which a load that is still not reported as complete is ordered again.
     pub load_timeout: Duration,
-    /// The time after which what cannot be read back is ordered again.
+    /// The time after which a role is ordered again, since engines do not report their role.
     pub repeat_interval: Duration,
-    /// Loads that may go on at once at the start.
+    /// The number of concurrent loads that are allowed at first.
     pub initial_load_window: f64,
 }
 
--- a/crates/orders/src/shard.rs
+++ b/crates/orders/src/shard.rs
@@ -1,17 +1,18 @@
-//! Which lease covers a target.
+//! Assignment of targets to leases.
 
 use celerypond_types::{Digest, TargetName};
 
-/// The ordinal of a lease.
+/// The number of a shard, which is a set of targets that share a lease.
 ///
-/// The shard of a target depends on its name and on the number of shards only. It must not depend on
-/// which instances are live: two instances that see different ones would each hold a lease for the
-/// same target, and both leases would be good.
+/// The shard of a target depends only on the target's name and the number of shards. It must not
+/// depend on which instances are live: two instances with different views of that could each hold a
+/// valid lease for the same target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Shard(pub u32);
 
 impl Shard {
-    /// Returns the shard of a target among `shards`, which is the same at all instances.
+    /// Returns the shard of a target. `shards` is the number of shards, which is the same on all
+    /// instances.
     ///
     /// # Examples
     ///
@@ -28,7 +29,7 @@
         Self(u32::from_le_bytes([a, b, c, d]) % shards.max(1))
     }
 
-    /// Returns the key of the lease object.
+    /// Returns the key of the shard's lease object in the store.
     pub fn object_key(self) -> String {
         format!("lease/orders/{}", self.0)
     }
--- a/crates/orders/src/stale_order_guard.rs
+++ b/crates/orders/src/stale_order_guard.rs
@@ -1,4 +1,4 @@
-//! What keeps an old holder's order from a target.
+//! Protection of targets against orders of former lease holders.
 
 use std::time::Duration;
 
@@ -6,31 +6,35 @@
 
 use crate::OrderSettings;
 
-/// What keeps an order of an old holder from taking effect at a target after a newer holder's.
+/// How a target is protected against stale orders: orders of a former lease holder that take effect
+/// after those of a newer one.
 ///
-/// The danger is a holder that is paused after it looked at its lease and before it wrote the order,
-/// for longer than the lease. It goes on as if nothing had happened: no look at a clock can be so
-/// late that no pause fits between it and the write.
+/// A holder may be paused between checking its lease and writing an order, for longer than the lease
+/// lasts, and write the order once it resumes. No check of the clock can rule this out, since a pause
+/// can always fall between the check and the write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StaleOrderGuard {
-    /// The target refuses a fencing number lower than one it has seen. This alone is safe: the
-    /// paused holder's order carries the lower number.
+    /// The target refuses orders with a fencing number lower than the highest it has seen. This is
+    /// sufficient by itself, as a former holder's orders have a lower number.
     Fencing,
-    /// The target closes a connection that stays without a complete request for as long as the
-    /// settings say.
+    /// The target closes a connection on which no complete request arrives within
+    /// [`OrderSettings::idle_timeout`].
     ///
-    /// Orders go over a connection that is opened before the lease is looked at, so the paused
-    /// holder writes to a connection that is older than its pause. A new holder waits this long on
-    /// top of the lease and the longest send; by then the target has closed it.
+    /// An order is sent over a new connection that is opened before the lease is checked, so a
+    /// paused holder writes to a connection that is older than its pause. After the old lease has
+    /// expired, a new holder waits for the send timeout and the idle timeout. By then the target has
+    /// closed the connection.
     IdleClose,
-    /// Neither. A pause between the look and the write can let an old order through. It is undone
-    /// by the new holder, which reads the target's report and orders again.
+    /// The target does neither. A stale order takes effect if its sender was paused between the check
+    /// and the write. The new holder undoes it: it repeats the role from time to time, and loads or
+    /// unloads what differs in the target's report.
     Repair,
 }
 
 impl StaleOrderGuard {
-    /// Returns how long a new holder must wait after the last lease has run out.
+    /// Returns how long a new holder waits after the previous lease has expired before it sends
+    /// orders to the target.
     pub(crate) fn takeover_delay(self, settings: &OrderSettings) -> Duration {
         match self {
             Self::Fencing => Duration::ZERO,
