--- a/crates/orders/src/lease_client.rs
+++ b/crates/orders/src/lease_client.rs
@@ -1,4 +1,4 @@
-//! Who may give orders, by a lease in the store.
+//! Acquisition, renewal and release of a lease in the store.
 
 use celerypond_types::{FencingNumber, InstanceName};
 use rand::{rngs::SmallRng, Rng as _};
@@ -6,45 +6,46 @@
 
 use crate::{Lease, OrderSettings, StaleOrderGuard};
 
-/// A call to the store, on the lease object.
+/// A call to the store on the lease object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// Read the object.
+    /// Read the object and its version.
     Read,
-    /// Create the object if there is none.
+    /// Create the object if it does not exist.
     Create(Vec<u8>),
-    /// Replace the object if it still has the version.
+    /// Replace the object if its version is still the given one.
     Update {
-        /// The version.
+        /// The expected version.
         version: u64,
         /// The new content.
         value: Vec<u8>,
     },
 }
 
-/// What came of a call to the store.
+/// The result of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreReply {
-    /// The object that was read, with its version.
+    /// The version and the content of the object that was read.
     Found(u64, Vec<u8>),
-    /// There is no object.
+    /// The object does not exist.
     Missing,
-    /// The write took effect and gave this version.
+    /// The write took effect, and the object now has this version.
     Written(u64),
-    /// The condition of the write did not hold.
+    /// The write had no effect, since the object exists or has another version.
     Conflict,
-    /// No reply came, or one that says that the store is down. A write may have taken effect.
+    /// The store did not reply or is unavailable. A write may have taken effect.
     Unknown,
 }
 
-/// What stood in the store before a write.
+/// The state of the lease before a write by this client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PriorLease {
-    /// Nothing, or a lease that was released.
+    /// The object does not exist, or the lease was released.
     Vacant,
-    /// A lease of another run, first seen at this time.
+    /// A lease that expired without a release, first seen at this time. It belonged to another
+    /// instance or to an earlier tenure of this one.
     Expired(Instant),
-    /// The own lease.
+    /// The lease is held by this client.
     Own,
 }
 
@@ -53,20 +54,22 @@
     nonce: u64,
     started: Instant,
     prior: PriorLease,
+    /// Whether the write releases the lease.
     releases: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Nothing is under way.
+    /// No call is in flight.
     Idle,
-    /// A read is under way; after a write whose reply was lost, the write.
+    /// A read is in flight. It follows the given write if that got no reply.
     Reading(Option<PendingWrite>),
-    /// A write is under way.
+    /// A write is in flight.
     Writing(PendingWrite),
-    /// The reply of a read was lost; it is made again.
+    /// A read got no reply and is to be repeated.
     ReadFailed(Option<PendingWrite>),
-    /// Another run had the lease at this version when it was seen.
+    /// The lease had this version when it was first seen, and may be taken if it still has it after
+    /// the lease duration.
     AwaitingExpiry { version: u64, first_seen: Instant },
 }
 
@@ -75,30 +78,33 @@
     fencing: FencingNumber,
     version: u64,
     nonce: u64,
+    /// When the last successful write of the lease was started.
     renewed_at: Instant,
 }
 
-/// Who may give orders, by a lease in the store.
+/// A state machine that acquires, renews and releases the lease of a shard.
 ///
-/// The fencing number is the version that the store gave to the write that took the lease. Versions
-/// of the store only rise, so each holder has a higher one than those before; it stays the same
-/// while the holder renews.
+/// The fencing number is the store version of the write that acquired the lease, and renewals keep
+/// it. Store versions only increase, so each holder has a higher number than all holders before it.
 #[derive(Debug)]
 pub struct LeaseClient {
     instance: InstanceName,
     settings: OrderSettings,
+    /// Whether this instance should hold the lease.
     wanted: bool,
     phase: Phase,
     held: Option<HeldLease>,
-    /// When the last lease of another run had run out, by this instance's clock. It outlives the
-    /// own lease: one that lapses and is taken again does not shorten the wait.
+    /// When the last lease that expired without a release did so, by the clock of this instance.
+    /// This is kept if the client's own lease expires and is taken again, so that doing so does not
+    /// shorten the takeover delay.
     predecessor_expiry: Option<Instant>,
+    /// When a read that got no reply may be repeated.
     retry_at: Option<Instant>,
     rng: SmallRng,
 }
 
 impl LeaseClient {
-    /// Makes a holder that does not want the lease yet.
+    /// Creates a client that does not try to acquire the lease yet.
     pub const fn new(instance: InstanceName, settings: OrderSettings, rng: SmallRng) -> Self {
         Self {
             instance,
@@ -112,17 +118,19 @@
         }
     }
 
-    /// Says whether this instance shall hold the lease. Several may be told so; one will get it.
+    /// Sets whether this instance should hold the lease. If several instances should, one of them gets
+    /// it.
     pub fn set_wanted(&mut self, wanted: bool) {
         self.wanted = wanted;
     }
 
-    /// Returns the fencing number and the last instant at which an order may be written to a target
-    /// with this guard, if there is one now.
+    /// Returns the fencing number for an order to a target with this guard, and the deadline by which
+    /// the order must be written. Returns `None` if no order may be sent now.
     ///
-    /// A holder that was paused past its lease finds `now` past that instant and sends nothing. The
-    /// lease counts from before the write that renewed it, and a successor counts from after it
-    /// read that write, so the successor's count ends later, whatever the two clocks show.
+    /// A holder that was paused until after its lease ended finds `now` past the deadline and sends
+    /// nothing. The holder measures the lease from before the write that renewed it, and a successor
+    /// from after it read that write. So the lease ends later for the successor, and the difference
+    /// between the two clocks does not matter.
     pub fn send_permit(
         &self,
         guard: StaleOrderGuard,
@@ -142,16 +150,19 @@
                 .is_none_or(|expiry| now >= expiry + delay)
     }
 
-    /// Takes in that a target has seen a higher fencing number: the lease is another's.
+    /// Gives up the lease because a target has seen a higher fencing number, so another instance has
+    /// the lease.
     pub fn on_fenced(&mut self) {
         self.held = None;
     }
 
-    /// Returns the next call to the store, if one is due. Give its reply to [`LeaseClient::on_reply`].
+    /// Returns the next call to the store, if one is due. The caller passes its reply to
+    /// [`LeaseClient::on_reply`].
     ///
-    /// A lease that is no longer wanted is released once `no_orders_in_flight` says that no order is under way
-    /// and the longest wait for the holder before is over. A holder that released it earlier would
-    /// pass on a lease that needs no wait while an order of the holder before may still arrive.
+    /// A lease that is no longer wanted is released once no orders are in flight and the longest
+    /// takeover delay has passed since the predecessor's lease expired. The next holder of a released
+    /// lease does not wait, so with an earlier release an order of the predecessor could still arrive
+    /// after one of the next holder.
     pub fn tick(&mut self, no_orders_in_flight: bool, now: Instant) -> Option<StoreCall> {
         if self
             .held
@@ -249,7 +260,7 @@
         }
     }
 
-    /// Takes in the reply to a call; returns the next call if it follows at once.
+    /// Handles the reply to a call. Returns the next call if it is to be made immediately.
     pub fn on_reply(&mut self, reply: StoreReply, now: Instant) -> Option<StoreCall> {
         match (self.phase, reply) {
             (Phase::Writing(write), StoreReply::Written(version)) => {
@@ -301,7 +312,7 @@
         bytes: &[u8],
         now: Instant,
     ) -> Option<StoreCall> {
-        // What cannot be read is treated as the lease of somebody else.
+        // Invalid content is treated as the lease of another instance.
         let lease = Lease::from_bytes(bytes).ok();
         let own = write.filter(|write| lease.as_ref().is_some_and(|l| l.nonce == write.nonce));
         if let Some(write) = own {
@@ -311,7 +322,7 @@
         if self.held.is_some()
             && lease.as_ref().map(|l| l.nonce) == self.held.map(|held| held.nonce)
         {
-            // The renewal did not take effect; the lease of the last one runs on.
+            // The renewal had no effect, but the lease from the last successful write is still valid.
             return self.go_idle();
         }
         write.inspect(|write| self.on_write_failed(*write));
--- a/crates/orders/src/reconciler.rs
+++ b/crates/orders/src/reconciler.rs
@@ -1,4 +1,4 @@
-//! Orders to the engines of one shard.
+//! The state machine that sends orders to the engines of one shard.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,56 +14,61 @@
     StoreCall, StoreReply,
 };
 
-/// What came of an order.
+/// The outcome of sending an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// The target accepted it.
+    /// The target accepted the order.
     Accepted,
-    /// The target has seen a higher fencing number.
+    /// The target rejected the order, since it has seen a higher fencing number.
     Fenced,
-    /// The target refused it, as it was refused weights.
+    /// The target refused the order because the weight store refused it the weights. The duration
+    /// is how long to wait before a retry, if the target named one.
     Refused(Option<Duration>),
-    /// No answer came; it may have taken effect.
+    /// No conclusive response was received. The order may have taken effect.
     Unknown,
-    /// It was not sent: the last instant for it had passed.
+    /// The order was not sent: its write deadline had passed, or there was no connection.
     NotSent,
 }
 
-/// Something that happened.
+/// An event that the reconciler handles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
     /// Time passed.
     Tick,
-    /// The store replied.
+    /// The store replied to a call.
     Store(StoreReply),
-    /// A target reported what it has.
+    /// A target reported its state.
     Reported(TargetName, EngineReport),
-    /// The order to a target with this ordinal came to an end.
+    /// The send of the order with this id to a target ended.
     ///
-    /// The answer to an order may come after the order was given up. If it were taken for the end
-    /// of the next order, that one would count as done while it is under way, and a lease could be
-    /// released too early.
+    /// The response to an order may arrive after the order was given up. Without the id it could be
+    /// attributed to the next order, which would then count as ended while it is still in flight,
+    /// and the lease could be released too early.
     SendEnded(TargetName, u64, SendOutcome),
 }
 
-/// Something to be done.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Call the store.
     Store(StoreCall),
-    /// Send an order. In this order: open a new connection; look at the clock and give up if it
-    /// is `write_deadline` or later; write the order; give up after the longest send, and reset the
-    /// connection so that the kernel does not go on sending.
+    /// Send an order, in these steps:
+    ///
+    /// 1. Open a new connection.
+    /// 2. Check the clock, and give up if it is `write_deadline` or later.
+    /// 3. Write the order.
+    /// 4. After [`OrderSettings::send_timeout`], give up and reset the connection, so that the
+    ///    kernel does not continue to send.
     Send {
-        /// The ordinal of the order.
+        /// The id of the order, to be returned in [`Input::SendEnded`].
         order_id: u64,
-        /// The target.
+        /// The target to send the order to.
         target: TargetName,
-        /// The fencing number.
+        /// The fencing number to send with the order.
         fencing: FencingNumber,
-        /// The order.
+        /// The order to send.
         order: Order,
-        /// The last instant at which the order may be written.
+        /// The time before which the order must be written.
         write_deadline: Instant,
     },
 }
@@ -72,27 +77,32 @@
 struct EngineState {
     guard: StaleOrderGuard,
     desired: DesiredState,
+    /// The last report, unless a load or unload was accepted since.
     report: Option<EngineReport>,
+    /// The order in flight, with its id.
     in_flight: Option<(u64, Order)>,
+    /// The loads that were ordered and are not reported yet, with the time of the order.
     loading: BTreeMap<VersionName, Instant>,
+    /// The role that the engine accepted last, with the time of the response.
     accepted_role: Option<(SmolStr, Instant)>,
+    /// When the next order may be sent after a failed one.
     retry_at: Option<Instant>,
 }
 
-/// Orders to the engines of one shard, as a state machine.
+/// Brings the engines of one shard to their desired state while this instance holds the lease.
 #[derive(Debug)]
 pub struct Reconciler {
     settings: OrderSettings,
     lease_client: LeaseClient,
     load_limiter: LoadLimiter,
     engines: BTreeMap<TargetName, EngineState>,
-    /// The orders under way, also those to targets that were dropped since.
+    /// The ids of the orders in flight, including those to targets that were removed since.
     in_flight: BTreeSet<u64>,
     last_order_id: u64,
 }
 
 impl Reconciler {
-    /// Makes a driver that wants no lease yet.
+    /// Creates a reconciler that does not try to acquire the lease yet.
     pub fn new(settings: OrderSettings, lease_client: LeaseClient) -> Self {
         Self {
             load_limiter: LoadLimiter::new(settings.initial_load_window),
@@ -104,17 +114,17 @@
         }
     }
 
-    /// Returns who holds the lease, by the view of this instance.
+    /// Returns the lease client of this instance.
     pub const fn lease_client(&self) -> &LeaseClient {
         &self.lease_client
     }
 
-    /// Says whether this instance shall drive the shard.
+    /// Sets whether this instance should hold the lease and send the orders of the shard.
     pub fn set_wanted(&mut self, wanted: bool) {
         self.lease_client.set_wanted(wanted);
     }
 
-    /// Sets what the bundle wants of a target.
+    /// Sets the guard and the desired state of a target.
     pub fn set_target(
         &mut self,
         target: TargetName,
@@ -134,7 +144,7 @@
         engine.desired = desired;
     }
 
-    /// Drops a target that the bundle no longer has.
+    /// Removes a target that is no longer in the bundle.
     pub fn remove_target(&mut self, target: &TargetName) {
         if let Some(engine) = self.engines.remove(target) {
             engine
@@ -144,7 +154,7 @@
         }
     }
 
-    /// Takes in what happened and returns what to do.
+    /// Handles an input and returns the actions to carry out.
     pub fn step(&mut self, input: Input, now: Instant) -> Vec<Effect> {
         let mut effects = Vec::new();
         match input {
@@ -214,7 +224,7 @@
                 let wait = retry_after.unwrap_or(self.settings.retry_delay);
                 engine.retry_at = Some(now + wait);
             }
-            // A load that is not answered may go on or not; to order it again does no harm.
+            // The load may have started nevertheless. Orders are idempotent, so it is ordered again.
             (
                 Order::Load { version, .. },
                 SendOutcome::Fenced | SendOutcome::NotSent | SendOutcome::Unknown,
@@ -231,7 +241,7 @@
         }
     }
 
-    /// Gives up loads that were accepted long ago and are not reported.
+    /// Forgets loads that were not reported as complete within the load timeout.
     fn expire_loads(&mut self, now: Instant) {
         let timeout = self.settings.load_timeout;
         for engine in self.engines.values_mut() {
@@ -276,8 +286,8 @@
 impl EngineState {
     /// Returns the next order, if one is due.
     ///
-    /// Versions are read back, so an order for one is repeated only while the report differs. A
-    /// role is not reported, so it is repeated from time to time.
+    /// Engines report their versions, so a load or unload is repeated only while the report differs
+    /// from the desired state. Engines do not report their role, so it is repeated at an interval.
     fn next_order(&self, repeat_interval: Duration, now: Instant) -> Option<Order> {
         if let Some(role) = &self.desired.role {
             let is_accepted = |(accepted, at): &(SmolStr, Instant)| {
