--- a/crates/orders/tests/runner.rs
+++ b/crates/orders/tests/runner.rs
@@ -1,4 +1,4 @@
-//! Runs the tests of the crate.
+//! Integration tests of the crate.
 
 mod simulation;
 mod test_fencing;
--- a/crates/orders/tests/simulation.rs
+++ b/crates/orders/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Drivers, engines and a store, in virtual time.
+//! A simulation of instances, engines and a store in virtual time.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,23 +10,25 @@
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use tokio::time::Instant;
 
+/// The time between two ticks of a reconciler.
 const TICK: Duration = Duration::from_millis(200);
-/// A thousand of a thousand.
+/// The probability, in per mille, of an event that always happens.
 pub(crate) const ALWAYS: u32 = 1000;
+/// The time between two reports of an engine to an instance.
 const POLL: Duration = Duration::from_secs(1);
 
-/// Where in the sending of an order a process is held up.
+/// The point during the sending of an order at which an instance is paused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PausePoint {
-    /// After it decided to send, before it looks at its lease.
+    /// After the decision to send, before the lease check.
     BeforeLeaseCheck,
-    /// After it looked at its lease, before the order is written.
+    /// After the lease check, before the order is written.
     BeforeWrite,
-    /// After the order was written, before the answer is read.
+    /// After the order is written, before the response is read.
     AfterWrite,
 }
 
-/// An order on its way.
+/// An order from the decision to send it until its arrival.
 #[derive(Clone, Debug)]
 struct OrderInTransit {
     order_id: u64,
@@ -38,60 +40,74 @@
     connection_opened: Instant,
 }
 
+/// An event of the simulation. Numbers of the type `usize` are those of instances.
 #[derive(Debug)]
 enum Event {
     Tick(usize),
+    /// A call arrives at the store.
     StoreCall(usize, StoreCall),
+    /// A reply of the store arrives at the instance.
     StoreReply(usize, StoreReply),
+    /// The connection is open and the instance checks its lease.
     CheckLease(OrderInTransit),
     WriteOrder(OrderInTransit),
     OrderArrives(OrderInTransit),
+    /// The response to the order with this id arrives, or the send times out.
     SendEnded(u64, usize, TargetName, SendOutcome),
     PollEngines(usize),
+    /// An engine completes a load.
     Loaded(TargetName, VersionName),
 }
 
-/// An engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub(crate) struct Engine {
     pub(crate) guard: StaleOrderGuard,
     pub(crate) role: String,
     pub(crate) versions: Vec<VersionName>,
-    /// When an order took effect, of which holder, and what it was.
+    /// The orders that took effect, each with its time and its sender's fencing number.
     pub(crate) accepted: Vec<(Instant, FencingNumber, Order)>,
+    /// The highest fencing number of an order so far.
     highest_fencing: FencingNumber,
     loading: Vec<VersionName>,
 }
 
-/// Drivers, engines and a store.
+/// The instances, the engines and the store, with the faults to inject.
 #[derive(Debug)]
 pub(crate) struct Simulation {
+    /// The reconciler of each instance, or `None` if the instance has died.
     pub(crate) reconcilers: Vec<Option<Reconciler>>,
     pub(crate) engines: BTreeMap<TargetName, Engine>,
     pub(crate) settings: OrderSettings,
     pub(crate) now: Instant,
     pub(crate) start: Instant,
-    /// Whether processes look at their lease after the connection is open.
+    /// Whether instances check their lease after the connection is open.
     pub(crate) checks_lease: bool,
-    /// The longest time that an order is in the kernel and on the wire.
+    /// The longest time between the write of an order and its arrival, in the kernel and on the
+    /// network.
     pub(crate) max_network_delay: Duration,
-    /// Where and for how long processes are held up, and how often of a thousand; if always, only
-    /// the next one is, and for just this time.
+    /// The point at which instances are paused, for how long, and the probability in per mille. With
+    /// [`ALWAYS`], only the next instance to reach the point is paused, for exactly this time;
+    /// otherwise the time varies.
     pub(crate) pause_rule: Option<(PausePoint, Duration, u32)>,
-    /// Store replies that are lost, of a thousand.
+    /// The probability, in per mille, that a reply of the store is lost.
     pub(crate) lost_replies_per_mille: u32,
     pub(crate) store_down: bool,
-    /// The process that does not reach the store.
+    /// The instance that does not reach the store.
     pub(crate) cut_off: Option<usize>,
-    /// How long a call to a slow store takes, one way.
+    /// The longest one-way delay of a slow store call. One call in ten is slow, or none if this is
+    /// zero.
     pub(crate) slow_call_delay: Duration,
     pub(crate) store_calls: u64,
-    /// Loads that the weight store serves at once, and how long each takes.
+    /// The number of concurrent loads that the weight store serves, and how long each takes.
     pub(crate) weight_store: (usize, Duration),
     pub(crate) refused_loads: u64,
     pub(crate) accepted_loads: u64,
+    /// The lines to be compared with the scripts.
     pub(crate) trace: Vec<String>,
+    /// The instance that wrote the lease last.
     last_holder: InstanceName,
+    /// The version and the content of the lease object.
     lease_object: Option<(u64, Vec<u8>)>,
     store_version: u64,
     paused_until: BTreeMap<usize, Instant>,
@@ -157,7 +173,7 @@
         self.engines.insert(name.into(), engine);
     }
 
-    /// Gives a reconciler what the bundle wants, of all engines alike.
+    /// Sets the desired state of all engines in the reconciler of an instance.
     pub(crate) fn set_desired(&mut self, instance: usize, desired: &DesiredState) {
         if let Some(reconciler) = &mut self.reconcilers[instance] {
             for (name, engine) in &self.engines {
@@ -172,7 +188,7 @@
         }
     }
 
-    /// Holds a process up for a time.
+    /// Pauses an instance.
     pub(crate) fn pause(&mut self, instance: usize, time: Duration) {
         self.paused_until.insert(instance, self.now + time);
     }
@@ -181,6 +197,7 @@
         self.run_until(time, |_| false);
     }
 
+    /// Runs until `done` returns true, at most for the given time. Returns whether it did.
     pub(crate) fn run_until(&mut self, time: Duration, done: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + time;
         while let Some(entry) = self.events.first_entry() {
@@ -198,7 +215,8 @@
         false
     }
 
-    /// Returns the first order of an old holder that took effect after a newer one's.
+    /// Returns the engine and the time of the first stale order: one that took effect after an order
+    /// with a higher fencing number.
     pub(crate) fn first_stale_order(&self) -> Option<(&TargetName, Instant)> {
         self.engines.iter().find_map(|(name, engine)| {
             let pairs = engine.accepted.iter().zip(engine.accepted.iter().skip(1));
--- a/crates/orders/tests/test_fencing.rs
+++ b/crates/orders/tests/test_fencing.rs
@@ -1,4 +1,4 @@
-//! Orders of old holders.
+//! Tests of leases, and of the protection of targets against stale orders.
 
 use std::time::Duration;
 
@@ -21,8 +21,8 @@
     }
 }
 
-/// Runs three drivers that all want the lease while bundles follow each other and holders are
-/// paused, and the store loses replies and goes down now and then.
+/// Simulates three instances that compete for the lease while the desired state changes, holders are
+/// paused, and the store loses replies and is unavailable at times.
 fn run_with_pauses(
     guard: StaleOrderGuard,
     pause_point: PausePoint,
@@ -31,7 +31,7 @@
 ) -> Simulation {
     let settings = OrderSettings {
         repeat_interval: Duration::from_millis(1500),
-        // The clocks run alike here, so what is safe must be so without a margin.
+        // The simulated clocks run at the same rate, so no margin is needed.
         clock_margin: Duration::ZERO,
         ..OrderSettings::default()
     };
@@ -57,6 +57,7 @@
     sim
 }
 
+/// Returns how many tenures of the lease the orders accepted by engine `a` come from.
 fn holder_count(sim: &Simulation) -> usize {
     let accepted = &sim.engines[&"a".into()].accepted;
     let mut numbers: Vec<u64> = accepted.iter().map(|entry| entry.1 .0).collect();
@@ -65,10 +66,10 @@
     numbers.len()
 }
 
-// A holder is paused past its lease, another takes over and gives orders, and the first goes on
-// where it stopped. An order of the first that took effect now would load a version that the fleet
-// has left behind. At targets that check numbers and at those that close idle connections that may
-// not happen, wherever the pause falls.
+// A holder is paused until after its lease expired, another instance takes over and sends orders, and
+// the first one resumes. If its order took effect, it would load a version that has been replaced.
+// Targets that check fencing numbers or close idle connections must prevent this, wherever the pause
+// falls.
 #[rstest]
 fn no_stale_order_takes_effect_after_a_newer_one(
     #[values(StaleOrderGuard::Fencing, StaleOrderGuard::IdleClose)] guard: StaleOrderGuard,
@@ -86,8 +87,8 @@
     }
 }
 
-// A holder is cut off from the store but not from the engines, so it gives orders up to the end of
-// its lease. The last one is still on the wire when the next holder takes over.
+// A holder that cannot reach the store, but can reach the engines, sends orders until its lease ends.
+// The last one is still on the network when the next holder takes over.
 #[rstest]
 fn orders_sent_at_the_end_of_a_lease_come_before_those_of_the_next_holder() {
     for seed in 0..60 {
@@ -112,7 +113,8 @@
     }
 }
 
-// Targets that do neither are safe from pauses before the look at the lease and after the write.
+// Targets that neither check fencing numbers nor close idle connections can accept a stale order only
+// if the sender is paused between the lease check and the write.
 #[rstest]
 fn unguarded_targets_are_safe_from_pauses_before_the_check_and_after_the_write(
     #[values(PausePoint::BeforeLeaseCheck, PausePoint::AfterWrite)] pause_point: PausePoint,
@@ -123,9 +125,10 @@
         assert_eq!(sim.first_stale_order(), None, "seed {seed}");
     }
 }
-// Where nothing is checked, a pause between the look and the write lets an old order through: no
-// look can be so late that no pause fits behind it. The engine then has the old role, until the new
-// holder, which repeats what it cannot read back, orders again.
+
+// At such targets, a pause between the lease check and the write lets a stale order take effect, since
+// a pause can follow any check. The engine then has the old role until the new holder repeats its
+// order, as it does because roles are not reported.
 #[test]
 fn a_stale_order_is_undone_by_the_next_repeat() {
     let mut stale_runs = 0;
@@ -149,7 +152,7 @@
         let is_undone = |sim: &Simulation| sim.engines[&"a".into()].role == "role-2";
         if is_stale {
             println!(
-                "{seed} {} {:?}",
+                "seed {seed}: stale order, role {}, trace {:?}",
                 sim.engines[&"a".into()].role,
                 &sim.trace[sim.trace.len() - 4..]
             );
@@ -159,9 +162,9 @@
     assert!(stale_runs > 20, "{stale_runs} of 40 seeds");
 }
 
-// A holder whose bundle is behind hands its lease on as soon as it is not wanted, while the order
-// of a holder before it may still be on its way. The next one takes a released lease and needs not
-// wait, so a release must wait in its place.
+// An instance takes over, is told to give up the lease and releases it while an order of its
+// predecessor may still be in flight. The next holder of a released lease does not wait, so the
+// release itself must wait for the takeover delay.
 #[test]
 fn a_lease_is_released_only_after_the_longest_takeover_delay() {
     let mut sim = Simulation::new(3, OrderSettings::default(), 1);
@@ -181,9 +184,9 @@
     assert!(sim.trace.iter().any(|l| l.contains("released by i1")));
 }
 
-// A holder takes over and must wait for orders of the one before. Its own renewal then takes so long
-// that its lease runs out and is taken again by the very same write. The wait must not end with the
-// first tenure.
+// An instance takes over and has to wait for orders of its predecessor. The reply to its renewal then
+// takes so long that its own lease expires, and the renewal takes the lease again. This must not end
+// the takeover delay.
 #[test]
 fn a_takeover_delay_outlives_the_lease_that_started_it() {
     let now = Instant::now();
@@ -218,8 +221,8 @@
     );
 }
 
-// The reply to a write of the lease is lost. The holder must not give orders by a lease that it may
-// not have, and must find out that it has it.
+// A write of the lease gets no reply. The client must send no orders while it does not know whether it
+// has the lease, and must read the lease to find out.
 #[rstest]
 #[case::took_effect(true)]
 #[case::had_no_effect(false)]
--- a/crates/orders/tests/test_loads.rs
+++ b/crates/orders/tests/test_loads.rs
@@ -1,4 +1,4 @@
-//! Loads paced to the weight store.
+//! Tests of the limit on concurrent loads, and of the order of loads and unloads.
 
 use std::time::Duration;
 
@@ -20,7 +20,8 @@
     }
 }
 
-/// Loads one version on 40 engines from a store that serves 5 at once.
+/// Loads one version on 40 engines from a weight store that serves 5 loads at once. Returns whether all
+/// engines have it within 600 seconds.
 fn load_on_all_engines(initial_load_window: f64, seed: u64) -> (Simulation, bool) {
     let settings = OrderSettings {
         initial_load_window,
@@ -42,8 +43,8 @@
     (sim, is_done)
 }
 
-// A bundle asks for a new version on all engines at once. Asked for all of them, the weight store
-// refuses most again and again, and whoever else needs weights meanwhile is refused as well.
+// A bundle with a new version for all engines starts all loads at once. Without a limit, the weight
+// store refuses most of them repeatedly, as well as the loads of others at that time.
 #[rstest]
 fn limited_loads_all_complete_and_few_are_refused(#[values(1, 2, 3, 4)] seed: u64) {
     let (sim, is_done) = load_on_all_engines(OrderSettings::default().initial_load_window, seed);
--- a/crates/orders/tests/test_scripts.rs
+++ b/crates/orders/tests/test_scripts.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios.
+//! Simulations that are described by scripts, with the expected trace.
 
 use std::{error::Error, time::Duration};
 
