--- a/crates/orders/src/lease_client.rs
+++ b/crates/orders/src/lease_client.rs
@@ -118,19 +118,19 @@
         }
     }
 
-    /// Sets whether this instance should hold the lease. If several instances should, one of them gets
-    /// it.
+    /// Sets whether this instance should hold the lease. If several instances should, one of them
+    /// gets it.
     pub fn set_wanted(&mut self, wanted: bool) {
         self.wanted = wanted;
     }
 
-    /// Returns the fencing number for an order to a target with this guard, and the deadline by which
-    /// the order must be written. Returns `None` if no order may be sent now.
+    /// Returns the fencing number for an order to a target with this guard, and the deadline by
+    /// which the order must be written. Returns `None` if no order may be sent now.
     ///
     /// A holder that was paused until after its lease ended finds `now` past the deadline and sends
-    /// nothing. The holder measures the lease from before the write that renewed it, and a successor
-    /// from after it read that write. So the lease ends later for the successor, and the difference
-    /// between the two clocks does not matter.
+    /// nothing. The holder measures the lease from before the write that renewed it, and a
+    /// successor from after it read that write. So the lease ends later for the successor, and the
+    /// difference between the two clocks does not matter.
     pub fn send_permit(
         &self,
         guard: StaleOrderGuard,
@@ -150,8 +150,8 @@
                 .is_none_or(|expiry| now >= expiry + delay)
     }
 
-    /// Gives up the lease because a target has seen a higher fencing number, so another instance has
-    /// the lease.
+    /// Gives up the lease because a target has seen a higher fencing number, so another instance
+    /// has the lease.
     pub fn on_fenced(&mut self) {
         self.held = None;
     }
@@ -160,9 +160,9 @@
     /// [`LeaseClient::on_reply`].
     ///
     /// A lease that is no longer wanted is released once no orders are in flight and the longest
-    /// takeover delay has passed since the predecessor's lease expired. The next holder of a released
-    /// lease does not wait, so with an earlier release an order of the predecessor could still arrive
-    /// after one of the next holder.
+    /// takeover delay has passed since the predecessor's lease expired. The next holder of a
+    /// released lease does not wait, so with an earlier release an order of the predecessor could
+    /// still arrive after one of the next holder.
     pub fn tick(&mut self, no_orders_in_flight: bool, now: Instant) -> Option<StoreCall> {
         if self
             .held
@@ -322,7 +322,8 @@
         if self.held.is_some()
             && lease.as_ref().map(|l| l.nonce) == self.held.map(|held| held.nonce)
         {
-            // The renewal had no effect, but the lease from the last successful write is still valid.
+            // The renewal had no effect, but the lease from the last successful write is still
+            // valid.
             return self.go_idle();
         }
         write.inspect(|write| self.on_write_failed(*write));
--- a/crates/orders/src/lib.rs
+++ b/crates/orders/src/lib.rs
@@ -1,8 +1,8 @@
 //! Fenced orders to engines.
 //!
 //! An [`Order`] tells an engine to load or unload a version or to take a role. Engines are divided
-//! into shards ([`Shard`]). Each shard has a lease in the store, and only the instance that holds the
-//! lease sends orders to the engines of the shard.
+//! into shards ([`Shard`]). Each shard has a lease in the store, and only the instance that holds
+//! the lease sends orders to the engines of the shard.
 //!
 //! [`Reconciler`] is the state machine of one instance for one shard, without I/O of its own: it
 //! acquires and renews the lease, compares the desired state of the bundle with the reports of the
--- a/crates/orders/src/load_limiter.rs
+++ b/crates/orders/src/load_limiter.rs
@@ -9,10 +9,10 @@
 
 /// A limit on concurrent loads that adapts to the refusals of the weight store.
 ///
-/// The window follows additive increase and multiplicative decrease: each completed load widens it by
-/// one divided by its size; a refusal halves it and pauses new loads for as long as the store asks.
-/// Without a limit, all engines of a group load at once after a rollout: most loads are refused, and
-/// the store spends its time on refusals.
+/// The window follows additive increase and multiplicative decrease: each completed load widens it
+/// by one divided by its size; a refusal halves it and pauses new loads for as long as the store
+/// asks. Without a limit, all engines of a group load at once after a rollout: most loads are
+/// refused, and the store spends its time on refusals.
 ///
 /// # Examples
 ///
--- a/crates/orders/src/order.rs
+++ b/crates/orders/src/order.rs
@@ -48,7 +48,8 @@
 }
 
 impl DesiredState {
-    /// Returns the load and unload orders that are needed to get from the reported state to this one.
+    /// Returns the load and unload orders that are needed to get from the reported state to this
+    /// one.
     ///
     /// Unloads are returned only once nothing is left to load. Roles are not reported, so there are
     /// no orders for them here.
--- a/crates/orders/src/reconciler.rs
+++ b/crates/orders/src/reconciler.rs
@@ -224,7 +224,8 @@
                 let wait = retry_after.unwrap_or(self.settings.retry_delay);
                 engine.retry_at = Some(now + wait);
             }
-            // The load may have started nevertheless. Orders are idempotent, so it is ordered again.
+            // The load may have started nevertheless. Orders are idempotent, so it is ordered
+            // again.
             (
                 Order::Load { version, .. },
                 SendOutcome::Fenced | SendOutcome::NotSent | SendOutcome::Unknown,
--- a/crates/orders/src/settings.rs
+++ b/crates/orders/src/settings.rs
@@ -10,8 +10,8 @@
 pub struct OrderSettings {
     /// The time for which a lease is valid after it was written.
     pub lease_duration: Duration,
-    /// How long before the end of its lease a holder stops sending orders. This allows for clocks that
-    /// run at different rates.
+    /// How long before the end of its lease a holder stops sending orders. This allows for clocks
+    /// that run at different rates.
     pub clock_margin: Duration,
     /// The time after which an order is given up, and its connection reset, once its first byte was
     /// written.
--- a/crates/orders/tests/simulation.rs
+++ b/crates/orders/tests/simulation.rs
@@ -86,8 +86,8 @@
     /// The longest time between the write of an order and its arrival, in the kernel and on the
     /// network.
     pub(crate) max_network_delay: Duration,
-    /// The point at which instances are paused, for how long, and the probability in per mille. With
-    /// [`ALWAYS`], only the next instance to reach the point is paused, for exactly this time;
+    /// The point at which instances are paused, for how long, and the probability in per mille.
+    /// With [`ALWAYS`], only the next instance to reach the point is paused, for exactly this time;
     /// otherwise the time varies.
     pub(crate) pause_rule: Option<(PausePoint, Duration, u32)>,
     /// The probability, in per mille, that a reply of the store is lost.
@@ -111,6 +111,7 @@
     lease_object: Option<(u64, Vec<u8>)>,
     store_version: u64,
     paused_until: BTreeMap<usize, Instant>,
+    /// The scheduled events, by time and then in the order in which they were scheduled.
     events: BTreeMap<(Instant, u64), Event>,
     event_count: u64,
     rng: SmallRng,
@@ -215,8 +216,8 @@
         false
     }
 
-    /// Returns the engine and the time of the first stale order: one that took effect after an order
-    /// with a higher fencing number.
+    /// Returns the engine and the time of the first stale order: one that took effect after an
+    /// order with a higher fencing number.
     pub(crate) fn first_stale_order(&self) -> Option<(&TargetName, Instant)> {
         self.engines.iter().find_map(|(name, engine)| {
             let pairs = engine.accepted.iter().zip(engine.accepted.iter().skip(1));
--- a/crates/orders/tests/test_fencing.rs
+++ b/crates/orders/tests/test_fencing.rs
@@ -21,8 +21,8 @@
     }
 }
 
-/// Simulates three instances that compete for the lease while the desired state changes, holders are
-/// paused, and the store loses replies and is unavailable at times.
+/// Simulates three instances that compete for the lease while the desired state changes, holders
+/// are paused, and the store loses replies and is unavailable at times.
 fn run_with_pauses(
     guard: StaleOrderGuard,
     pause_point: PausePoint,
@@ -66,10 +66,10 @@
     numbers.len()
 }
 
-// A holder is paused until after its lease expired, another instance takes over and sends orders, and
-// the first one resumes. If its order took effect, it would load a version that has been replaced.
-// Targets that check fencing numbers or close idle connections must prevent this, wherever the pause
-// falls.
+// A holder is paused until after its lease expired, another instance takes over and sends orders,
+// and the first one resumes. If its order took effect, it would load a version that has been
+// replaced. Targets that check fencing numbers or close idle connections must prevent this,
+// wherever the pause falls.
 #[rstest]
 fn no_stale_order_takes_effect_after_a_newer_one(
     #[values(StaleOrderGuard::Fencing, StaleOrderGuard::IdleClose)] guard: StaleOrderGuard,
@@ -87,8 +87,9 @@
     }
 }
 
-// A holder that cannot reach the store, but can reach the engines, sends orders until its lease ends.
-// The last one is still on the network when the next holder takes over.
+// A holder that cannot reach the store, but can reach the engines, sends orders until its lease
+// ends. The last one is still on the network when the next holder takes over, and must not arrive
+// after orders of that one.
 #[rstest]
 fn orders_sent_at_the_end_of_a_lease_come_before_those_of_the_next_holder() {
     for seed in 0..60 {
@@ -113,8 +114,8 @@
     }
 }
 
-// Targets that neither check fencing numbers nor close idle connections can accept a stale order only
-// if the sender is paused between the lease check and the write.
+// Targets that neither check fencing numbers nor close idle connections can accept a stale order
+// only if the sender is paused between the lease check and the write.
 #[rstest]
 fn unguarded_targets_are_safe_from_pauses_before_the_check_and_after_the_write(
     #[values(PausePoint::BeforeLeaseCheck, PausePoint::AfterWrite)] pause_point: PausePoint,
@@ -126,9 +127,9 @@
     }
 }
 
-// At such targets, a pause between the lease check and the write lets a stale order take effect, since
-// a pause can follow any check. The engine then has the old role until the new holder repeats its
-// order, as it does because roles are not reported.
+// At such targets, a pause between the lease check and the write lets a stale order take effect,
+// since a pause can follow any check. The engine then has the old role until the new holder repeats
+// its order, as it does because roles are not reported.
 #[test]
 fn a_stale_order_is_undone_by_the_next_repeat() {
     let mut stale_runs = 0;
@@ -162,9 +163,9 @@
     assert!(stale_runs > 20, "{stale_runs} of 40 seeds");
 }
 
-// An instance takes over, is told to give up the lease and releases it while an order of its
-// predecessor may still be in flight. The next holder of a released lease does not wait, so the
-// release itself must wait for the takeover delay.
+// An instance takes over and is told to give up the lease again, as its bundle is outdated, while an
+// order of its predecessor may still be in flight. The next holder of a released lease does not
+// wait, so the release itself must wait for the takeover delay.
 #[test]
 fn a_lease_is_released_only_after_the_longest_takeover_delay() {
     let mut sim = Simulation::new(3, OrderSettings::default(), 1);
@@ -184,9 +185,9 @@
     assert!(sim.trace.iter().any(|l| l.contains("released by i1")));
 }
 
-// An instance takes over and has to wait for orders of its predecessor. The reply to its renewal then
-// takes so long that its own lease expires, and the renewal takes the lease again. This must not end
-// the takeover delay.
+// An instance takes over and has to wait for orders of its predecessor. The reply to its renewal
+// then takes so long that its own lease expires, and the renewal takes the lease again. This must
+// not end the takeover delay.
 #[test]
 fn a_takeover_delay_outlives_the_lease_that_started_it() {
     let now = Instant::now();
@@ -221,8 +222,8 @@
     );
 }
 
-// A write of the lease gets no reply. The client must send no orders while it does not know whether it
-// has the lease, and must read the lease to find out.
+// A write of the lease gets no reply. The client must send no orders while it does not know whether
+// it has the lease, and must read the lease to find out.
 #[rstest]
 #[case::took_effect(true)]
 #[case::had_no_effect(false)]
--- a/crates/orders/tests/test_loads.rs
+++ b/crates/orders/tests/test_loads.rs
@@ -20,8 +20,8 @@
     }
 }
 
-/// Loads one version on 40 engines from a weight store that serves 5 loads at once. Returns whether all
-/// engines have it within 600 seconds.
+/// Loads one version on 40 engines from a weight store that serves 5 loads at once. Returns whether
+/// all engines have it within 600 seconds.
 fn load_on_all_engines(initial_load_window: f64, seed: u64) -> (Simulation, bool) {
     let settings = OrderSettings {
         initial_load_window,
