--- a/crates/orders/src/lease_client.rs
+++ b/crates/orders/src/lease_client.rs
@@ -142,6 +142,8 @@
             .then_some((held.fencing, write_deadline))
     }
 
+    /// Returns whether orders of the predecessor can no longer reach a target with this guard, or do
+    /// no harm there.
     fn is_past_takeover_delay(&self, guard: StaleOrderGuard, now: Instant) -> bool {
         let delay = guard.takeover_delay(&self.settings);
         guard == StaleOrderGuard::Fencing
@@ -203,6 +205,7 @@
         }
     }
 
+    /// Releases the lease if it is no longer wanted and may be released, or renews it if that is due.
     fn renew_or_release(
         &mut self,
         held: HeldLease,
@@ -356,6 +359,7 @@
         });
     }
 
+    /// Returns when this instance stops sending orders under the lease unless it renews it.
     fn write_deadline(&self, held: &HeldLease) -> Instant {
         held.renewed_at + self.settings.lease_duration - self.settings.clock_margin
     }
--- a/crates/orders/src/order.rs
+++ b/crates/orders/src/order.rs
@@ -57,7 +57,7 @@
     /// # Examples
     ///
     /// ```
-    /// use celerypond_orders::{DesiredState, Order, EngineReport};
+    /// use celerypond_orders::{DesiredState, EngineReport, Order};
     ///
     /// let desired = DesiredState {
     ///     versions: [("v2".into(), "weights-2".into())].into(),
--- a/crates/orders/src/reconciler.rs
+++ b/crates/orders/src/reconciler.rs
@@ -98,6 +98,7 @@
     engines: BTreeMap<TargetName, EngineState>,
     /// The ids of the orders in flight, including those to targets that were removed since.
     in_flight: BTreeSet<u64>,
+    /// The id of the last order sent. Ids count up from 1.
     last_order_id: u64,
 }
 
@@ -237,6 +238,7 @@
             (Order::Role { role }, SendOutcome::Accepted) => {
                 engine.accepted_role = Some((role.clone(), now))
             }
+            // The last report does not include the effect of this order.
             (_, SendOutcome::Accepted) => engine.report = None,
             _ => engine.retry_at = Some(now + self.settings.retry_delay),
         }
@@ -257,6 +259,7 @@
         }
     }
 
+    /// Returns the send of the next order to a target, if one is due and permitted now.
     fn next_send(&mut self, target: TargetName, now: Instant) -> Option<Effect> {
         let engine = self.engines.get_mut(&target)?;
         let is_waiting = engine.retry_at.is_some_and(|at| now < at);
--- a/crates/orders/tests/test_fencing.rs
+++ b/crates/orders/tests/test_fencing.rs
@@ -127,9 +127,10 @@
     }
 }
 
-// At such targets, a pause between the lease check and the write lets a stale order take effect,
-// since a pause can follow any check. The engine then has the old role until the new holder repeats
-// its order, as it does because roles are not reported.
+// At targets that neither check fencing numbers nor close idle connections, a pause between the lease
+// check and the write lets a stale order take effect, since a pause can follow any check. The engine
+// then has the old role until the new holder repeats its order, as it does because roles are not
+// reported.
 #[test]
 fn a_stale_order_is_undone_by_the_next_repeat() {
     let mut stale_runs = 0;
