--- a/crates/orders/tests/test_loads.rs
+++ b/crates/orders/tests/test_loads.rs
@@ -1,80 +1,87 @@
-//! Loads paced to the weight store.
+//! Tests of the limit on concurrent loads, and of the order of loads and unloads.
 
 use std::time::Duration;
 
-use celerypond_orders::{Desired, Guard, Order, Pace, Report, Settings};
+use celerypond_orders::{
+    DesiredState, EngineReport, LoadLimiter, Order, OrderSettings, StaleOrderGuard,
+};
 use rstest::rstest;
 use tokio::time::Instant;
 
-use crate::site::Site;
+use crate::simulation::Simulation;
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn versions(names: &[&str]) -> Desired {
+fn desired_versions(names: &[&str]) -> DesiredState {
     let pairs = names.iter().map(|name| ((*name).into(), "w".into()));
-    Desired {
+    DesiredState {
         versions: pairs.collect(),
         role: None,
     }
 }
 
-/// Loads one version on 40 engines from a store that serves 5 at once.
-fn roll(loads: f64, seed: u64) -> (Site, bool) {
-    let settings = Settings {
-        loads,
-        ..Settings::default()
+/// Loads one version on 40 engines from a weight store that serves 5 loads at once. Returns whether
+/// all engines have it within 600 seconds.
+fn load_on_all_engines(initial_load_window: f64, seed: u64) -> (Simulation, bool) {
+    let settings = OrderSettings {
+        initial_load_window,
+        ..OrderSettings::default()
     };
-    let mut site = Site::new(1, settings, seed);
-    for at in 0..40 {
-        site.engine(&format!("e{at}"), Guard::Fencing);
+    let mut sim = Simulation::new(1, settings, seed);
+    for index in 0..40 {
+        sim.add_engine(&format!("e{index}"), StaleOrderGuard::Fencing);
     }
-    site.weights = (5, 8 * SECOND);
-    site.want(0, true);
-    site.desire(0, &versions(&["v2"]));
-    let all = |site: &Site| {
-        site.engines
+    sim.weight_store = (5, 8 * SECOND);
+    sim.set_wanted(0, true);
+    sim.set_desired(0, &desired_versions(&["v2"]));
+    let all_loaded = |sim: &Simulation| {
+        sim.engines
             .values()
             .all(|engine| engine.versions == ["v2".into()])
     };
-    let done = site.run_until(600 * SECOND, all);
-    (site, done)
+    let is_done = sim.run_until(600 * SECOND, all_loaded);
+    (sim, is_done)
 }
 
-// A bundle asks for a new version on all engines at once. Asked for all of them, the weight store
-// refuses most again and again, and whoever else needs weights meanwhile is refused as well.
+// A bundle with a new version for all engines starts all loads at once. Without a limit, the weight
+// store refuses most of them repeatedly, as well as the loads of others at that time.
 #[rstest]
-fn paced_loads_all_complete_and_few_are_refused(#[values(1, 2, 3, 4)] seed: u64) {
-    let (site, done) = roll(Settings::default().loads, seed);
-    assert!(done);
-    assert_eq!(site.served, 40);
-    assert!(site.refused <= 40, "{} refused", site.refused);
+fn limited_loads_all_complete_and_few_are_refused(#[values(1, 2, 3, 4)] seed: u64) {
+    let (sim, is_done) = load_on_all_engines(OrderSettings::default().initial_load_window, seed);
+    assert!(is_done);
+    assert_eq!(sim.accepted_loads, 40);
+    assert!(
+        sim.refused_loads <= 40,
+        "{} loads refused",
+        sim.refused_loads
+    );
 }
 
 #[test]
-fn a_version_that_is_not_wanted_stays_until_all_others_are_there() {
-    let report = |names: &[&str]| Report {
+fn undesired_versions_are_unloaded_only_after_all_loads() {
+    let report = |names: &[&str]| EngineReport {
         versions: names.iter().map(|name| (*name).into()).collect(),
     };
-    let desired = versions(&["v2", "v3"]);
-    let loads = desired.orders(&report(&["v1", "v2"]));
+    let desired = desired_versions(&["v2", "v3"]);
+    let loads = desired.pending_orders(&report(&["v1", "v2"]));
     assert!(matches!(&loads[..], [Order::Load { version, .. }] if version.as_str() == "v3"));
-    let unloads = desired.orders(&report(&["v1", "v2", "v3"]));
+    let unloads = desired.pending_orders(&report(&["v1", "v2", "v3"]));
     assert!(matches!(&unloads[..], [Order::Unload { version }] if version.as_str() == "v1"));
-    assert!(desired.orders(&report(&["v3", "v2"])).is_empty());
+    assert!(desired.pending_orders(&report(&["v3", "v2"])).is_empty());
 }
 
 #[test]
 fn refusals_of_one_overload_halve_the_window_once() {
     let now = Instant::now();
-    let mut pace = Pace::new(8.0);
+    let mut limiter = LoadLimiter::new(8.0);
     for _ in 0..8 {
-        assert!(pace.begin(now));
+        assert!(limiter.try_start(now));
     }
     for _ in 0..8 {
-        pace.refused(Some(SECOND), now);
+        limiter.on_refused(Some(SECOND), now);
     }
-    assert!(!pace.begin(now));
-    let later = now + SECOND;
-    let begun = (0..8).filter(|_| pace.begin(later)).count();
-    assert_eq!(begun, 4);
+    assert!(!limiter.try_start(now));
+    let resumed = now + SECOND;
+    let started = (0..8).filter(|_| limiter.try_start(resumed)).count();
+    assert_eq!(started, 4);
 }
--- a/crates/orders/tests/test_scripts.rs
+++ b/crates/orders/tests/test_scripts.rs
@@ -1,24 +1,24 @@
-//! Scripted scenarios.
+//! Simulations that are described by scripts, with the expected trace.
 
 use std::{error::Error, time::Duration};
 
-use celerypond_orders::{Desired, Guard, Settings};
+use celerypond_orders::{DesiredState, OrderSettings, StaleOrderGuard};
 use goldenscript::{Command, Context, Runner};
 
-use crate::site::{Site, Stage, ALWAYS};
+use crate::simulation::{PausePoint, Simulation, ALWAYS};
 
 struct Script {
-    site: Site,
-    shown: usize,
+    sim: Simulation,
+    shown_lines: usize,
 }
 
 type Output = Result<String, Box<dyn Error>>;
 
 impl Script {
     fn show(&mut self) -> String {
-        let lines = self.site.trace[self.shown..].join("\n");
-        self.shown = self.site.trace.len();
-        let engines = self.site.engines.iter();
+        let lines = self.sim.trace[self.shown_lines..].join("\n");
+        self.shown_lines = self.sim.trace.len();
+        let engines = self.sim.engines.iter();
         let states = engines.map(|(name, e)| format!("{name}: {} {:?}", e.role, e.versions));
         let states: Vec<String> = states.collect();
         format!("{lines}\n{}\n", states.join("\n"))
@@ -34,40 +34,40 @@
 
     fn run(&mut self, command: &Command, _: &Context) -> Output {
         let mut args = command.consume_args();
-        let mut next = || args.next_pos().ok_or("an argument is missing");
-        let site = &mut self.site;
+        let mut next = || args.next_pos().ok_or("missing argument");
+        let sim = &mut self.sim;
         match command.name.as_str() {
             "engine" => {
                 let guard = match next()? {
-                    "fencing" => Guard::Fencing,
-                    "idle" => Guard::IdleClose,
-                    _ => Guard::Repair,
+                    "fencing" => StaleOrderGuard::Fencing,
+                    "idle-close" => StaleOrderGuard::IdleClose,
+                    _ => StaleOrderGuard::Repair,
                 };
-                site.engine(next()?, guard);
+                sim.add_engine(next()?, guard);
             }
-            "want" => site.want(next()?.parse()?, true),
-            "yield" => site.want(next()?.parse()?, false),
-            "desire" => {
-                let at = next()?.parse()?;
-                let desired = Desired {
+            "want-lease" => sim.set_wanted(next()?.parse()?, true),
+            "give-up-lease" => sim.set_wanted(next()?.parse()?, false),
+            "set-desired" => {
+                let instance = next()?.parse()?;
+                let desired = DesiredState {
                     versions: [(next()?.into(), "w".into())].into(),
                     role: Some(next()?.into()),
                 };
-                site.desire(at, &desired);
+                sim.set_desired(instance, &desired);
             }
-            "hold" => {
-                let stage = match next()? {
-                    "before" => Stage::Before,
-                    "during" => Stage::During,
-                    _ => Stage::After,
+            "pause" => {
+                let pause_point = match next()? {
+                    "before-lease-check" => PausePoint::BeforeLeaseCheck,
+                    "before-write" => PausePoint::BeforeWrite,
+                    _ => PausePoint::AfterWrite,
                 };
-                site.hold = Some((stage, seconds(next()?)?, ALWAYS));
+                sim.pause_rule = Some((pause_point, seconds(next()?)?, ALWAYS));
             }
-            "down" => site.down = true,
-            "up" => site.down = false,
-            "run" => site.run(seconds(next()?)?),
+            "store-down" => sim.store_down = true,
+            "store-up" => sim.store_down = false,
+            "run" => sim.run(seconds(next()?)?),
             "show" => return Ok(self.show()),
-            name => return Err(format!("no command {name}").into()),
+            name => return Err(format!("unknown command: {name}").into()),
         }
         Ok(String::new())
     }
@@ -75,15 +75,18 @@
 
 #[rstest::rstest]
 #[case("fencing")]
-#[case("idle")]
+#[case("idle_close")]
 #[case("repair")]
 #[case("outage")]
-fn a_scenario_ends_as_written(#[case] name: &str) {
-    let settings = Settings {
-        repeat: Duration::from_secs(20),
-        ..Settings::default()
+fn a_script_gives_the_expected_trace(#[case] name: &str) {
+    let settings = OrderSettings {
+        repeat_interval: Duration::from_secs(20),
+        ..OrderSettings::default()
+    };
+    let sim = Simulation::new(2, settings, 1);
+    let mut script = Script {
+        sim,
+        shown_lines: 0,
     };
-    let site = Site::new(2, settings, 1);
-    let mut script = Script { site, shown: 0 };
     goldenscript::run(&mut script, format!("tests/scripts/{name}.txt")).unwrap();
 }
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use celerypond_bundle::{Bundle, Fencing, TargetKind};
 use celerypond_orders::{
-    Desired, Driver, Effect, Guard, Holder, Input, Order, Report, Sent, Settings, Shard, StoreCall,
-    StoreReply,
+    DesiredState, Effect, EngineReport, Input, LeaseClient, Order, OrderSettings, Reconciler,
+    SendOutcome, Shard, StaleOrderGuard, StoreCall, StoreReply,
 };
 use celerypond_platform::{PlatformError, Version};
 use celerypond_telemetry::Counter;
@@ -43,7 +43,7 @@
 struct Actor {
     node: Arc<Node>,
     shard: Shard,
-    driver: Driver,
+    reconciler: Reconciler,
     inputs: mpsc::Sender<Input>,
     received: mpsc::Receiver<Input>,
     wanted: Wanted,
@@ -66,14 +66,14 @@
 
 impl Actor {
     fn new(node: &Arc<Node>, shard: Shard) -> Self {
-        let settings = Settings::default();
+        let settings = OrderSettings::default();
         let name = node.settings.instance.clone();
-        let holder = Holder::new(name, settings.clone(), node.rng());
+        let lease_client = LeaseClient::new(name, settings.clone(), node.rng());
         let (inputs, received) = mpsc::channel(INPUTS);
         Self {
             node: Arc::clone(node),
             shard,
-            driver: Driver::new(settings, holder),
+            reconciler: Reconciler::new(settings, lease_client),
             inputs,
             received,
             wanted: Wanted::default(),
@@ -96,7 +96,7 @@
     }
 
     fn step(&mut self, input: Input) {
-        for effect in self.driver.step(input, Instant::now()) {
+        for effect in self.reconciler.step(input, Instant::now()) {
             self.carry_out(effect);
         }
     }
@@ -106,7 +106,8 @@
         let Some(force) = self.node.force.load_full() else {
             return;
         };
-        self.driver.want(is_driver(&self.node, self.shard));
+        self.reconciler
+            .set_wanted(is_driver(&self.node, self.shard));
         self.wanted.follow(force);
         let wanted = self.wanted.of_shard(self.shard);
         for gone in self
@@ -115,14 +116,14 @@
             .iter()
             .filter(|name| !wanted.contains_key(*name))
         {
-            self.driver.remove(gone);
+            self.reconciler.remove_target(gone);
         }
         self.wanted.known = wanted.keys().cloned().collect();
         for (target, (guard, desired)) in wanted {
             if let Some(versions) = self.node.reported(&target) {
-                self.step(Input::Reported(target.clone(), Report { versions }));
+                self.step(Input::Reported(target.clone(), EngineReport { versions }));
             }
-            self.driver.set(target, guard, desired);
+            self.reconciler.set_target(target, guard, desired);
         }
     }
 
@@ -140,16 +141,18 @@
                 });
             }
             Effect::Send {
-                id,
+                order_id,
                 target,
                 fencing,
                 order,
-                last,
+                write_deadline,
             } => {
                 work.spawn(async move {
-                    let sent = send(&node, &target, fencing, &order, last).await;
-                    note(&node, &target, &order, sent);
-                    let _ = inputs.send(Input::Sent(target, id, sent)).await;
+                    let outcome = send(&node, &target, fencing, &order, write_deadline).await;
+                    note(&node, &target, &order, outcome);
+                    let _ = inputs
+                        .send(Input::SendEnded(target, order_id, outcome))
+                        .await;
                 });
             }
         }
@@ -171,7 +174,7 @@
         self.former.take_if(|(_, until)| *until <= now);
     }
 
-    fn of_shard(&self, shard: Shard) -> BTreeMap<TargetName, (Guard, Desired)> {
+    fn of_shard(&self, shard: Shard) -> BTreeMap<TargetName, (StaleOrderGuard, DesiredState)> {
         let mut wanted = BTreeMap::new();
         let Some(force) = &self.force else {
             return wanted;
@@ -179,11 +182,11 @@
         for target in &force.bundle.targets {
             if target.kind == TargetKind::Engine && Shard::of(&target.name, SHARDS) == shard {
                 let guard = match target.fencing {
-                    Fencing::Checked => Guard::Fencing,
-                    Fencing::ClosesIdle => Guard::IdleClose,
-                    Fencing::Ignored => Guard::Repair,
+                    Fencing::Checked => StaleOrderGuard::Fencing,
+                    Fencing::ClosesIdle => StaleOrderGuard::IdleClose,
+                    Fencing::Ignored => StaleOrderGuard::Repair,
                 };
-                wanted.insert(target.name.clone(), (guard, Desired::default()));
+                wanted.insert(target.name.clone(), (guard, DesiredState::default()));
             }
         }
         let former = self.former.iter().map(|(former, _)| former);
@@ -194,7 +197,10 @@
     }
 }
 
-fn add_versions(bundle: &Bundle, wanted: &mut BTreeMap<TargetName, (Guard, Desired)>) {
+fn add_versions(
+    bundle: &Bundle,
+    wanted: &mut BTreeMap<TargetName, (StaleOrderGuard, DesiredState)>,
+) {
     for version in bundle.models.iter().flat_map(|model| &model.versions) {
         for target in &version.targets {
             if let Some((_, desired)) = wanted.get_mut(target) {
@@ -221,7 +227,7 @@
                 Err(report) if *report.current_context() == PlatformError::Missing => {
                     StoreReply::Missing
                 }
-                Err(_) => StoreReply::Lost,
+                Err(_) => StoreReply::Unknown,
             };
         }
         StoreCall::Create(value) => node.platform.create(key, Bytes::from(value)).await,
@@ -233,7 +239,7 @@
     match written {
         Ok(version) => StoreReply::Written(version.0),
         Err(report) if *report.current_context() == PlatformError::Conflict => StoreReply::Conflict,
-        Err(_) => StoreReply::Lost,
+        Err(_) => StoreReply::Unknown,
     }
 }
 
@@ -242,24 +248,31 @@
     target: &TargetName,
     fencing: FencingNumber,
     order: &Order,
-    last: Instant,
-) -> Sent {
+    write_deadline: Instant,
+) -> SendOutcome {
     let Some(address) = address(node, target) else {
-        return Sent::Withheld;
+        return SendOutcome::NotSent;
     };
     let body = Body { fencing, order };
     let value = serde_json::to_vec(&body).unwrap_or_default();
-    match engine::order(address, value, last, Settings::default().send).await {
-        Ok(None) => Sent::Withheld,
-        Ok(Some((StatusCode::OK, _))) => Sent::Accepted,
-        Ok(Some((StatusCode::CONFLICT, _))) => Sent::Fenced,
+    match engine::order(
+        address,
+        value,
+        write_deadline,
+        OrderSettings::default().send_timeout,
+    )
+    .await
+    {
+        Ok(None) => SendOutcome::NotSent,
+        Ok(Some((StatusCode::OK, _))) => SendOutcome::Accepted,
+        Ok(Some((StatusCode::CONFLICT, _))) => SendOutcome::Fenced,
         Ok(Some((StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE, after))) => {
-            Sent::Refused(after)
+            SendOutcome::Refused(after)
         }
-        Ok(Some(_)) => Sent::Unknown,
+        Ok(Some(_)) => SendOutcome::Unknown,
         Err(report) => match report.current_context() {
-            CallError::Connect => Sent::Withheld,
-            CallError::Reset | CallError::Timeout => Sent::Unknown,
+            CallError::Connect => SendOutcome::NotSent,
+            CallError::Reset | CallError::Timeout => SendOutcome::Unknown,
         },
     }
 }
@@ -269,14 +282,14 @@
     Some(view.target(view.key(target)?)?.address)
 }
 
-fn note(node: &Node, target: &TargetName, order: &Order, sent: Sent) {
-    let counter = match sent {
-        Sent::Fenced => Counter::OrdersFenced,
-        Sent::Withheld => Counter::OrdersHeld,
-        Sent::Accepted | Sent::Refused(_) | Sent::Unknown => Counter::Orders,
+fn note(node: &Node, target: &TargetName, order: &Order, outcome: SendOutcome) {
+    let counter = match outcome {
+        SendOutcome::Fenced => Counter::OrdersFenced,
+        SendOutcome::NotSent => Counter::OrdersHeld,
+        SendOutcome::Accepted | SendOutcome::Refused(_) | SendOutcome::Unknown => Counter::Orders,
     };
     node.metrics.add(counter, 1);
-    if sent == Sent::Accepted {
+    if outcome == SendOutcome::Accepted {
         log::info!("target {target} accepted {order:?}");
     }
 }
