--- a/bench/src/route/classes.rs
+++ b/bench/src/route/classes.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use celerypond_route::{
-    Backoff, Failure, OutlierDetector, OutlierEffect, OutlierLimits, Pool, RetryBudget, Verdict,
+    Backoff, Failure, OutlierDetector, OutlierEffect, OutlierLimits, Pool, RetryBudget,
+    RetryDecision,
 };
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use tokio::time::Instant;
@@ -59,12 +60,12 @@
 ];
 
 fn ours(failure: Failure, tries: u32) -> Option<Duration> {
-    let wait = match failure.verdict() {
-        Verdict::Elsewhere => Some(Duration::ZERO),
-        Verdict::Later(wait) => Some(wait),
-        Verdict::Final => None,
+    let wait = match failure.retry_decision() {
+        RetryDecision::OtherTarget => Some(Duration::ZERO),
+        RetryDecision::AfterBackoff(wait) => Some(wait),
+        RetryDecision::Never => None,
     };
-    wait.filter(|_| tries < failure.most_tries())
+    wait.filter(|_| tries < failure.max_attempts())
 }
 
 /// The classes as the paper has them: refused later, 500 never, hints kept.
--- a/bench/src/route/overload/model.rs
+++ b/bench/src/route/overload/model.rs
@@ -7,7 +7,7 @@
 
 use celerypond_route::{
     Ask, Backoff, Choice, Failure, OutlierDetector, OutlierEffect, OutlierLimits, Queue,
-    QueueLimits, RetryBudget, Route, Verdict, View, Waiting,
+    QueueLimits, RetryBudget, RetryDecision, Route, View, Waiting,
 };
 use celerypond_types::{AccountKey, Priority, TargetKey};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -350,13 +350,14 @@
     }
 
     fn fail(&mut self, job: usize, at: usize, failure: Failure) {
-        let verdict = failure.verdict();
+        let verdict = failure.retry_decision();
         let of = &mut self.instances[self.jobs[job].instance];
         if self.way.decides && failure != Failure::Timeout {
             of.detector.record_failure(of.keys[at]);
         }
         self.jobs[job].avoid.push(at);
-        let elsewhere = verdict == Verdict::Elsewhere && self.jobs[job].avoid.len() <= ELSEWHERE;
+        let elsewhere =
+            verdict == RetryDecision::OtherTarget && self.jobs[job].avoid.len() <= ELSEWHERE;
         let target = of.view.target(of.keys[at]);
         let allowed = !self.way.budget
             || elsewhere
--- a/crates/route/src/ejector.rs
+++ b/crates/route/src/ejector.rs
@@ -92,7 +92,7 @@
         self.change(target, |health| health.succeeded(latency_ms));
     }
 
-    /// Takes a failure that speaks against the target; see [`crate::Blame`].
+    /// Takes a failure that speaks against the target; see [`crate::Attribution`].
     pub fn record_failure(&mut self, target: TargetKey) {
         self.change(target, Health::failed);
     }
--- a/crates/route/src/failure.rs
+++ b/crates/route/src/failure.rs
@@ -26,24 +26,24 @@
 
 /// What to do after a failure of a call that may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RetryDecision {
     /// Try another target at once: this try did no work, so it costs nothing but a connection.
-    Elsewhere,
+    OtherTarget,
     /// Try again after a backoff, within the retry budget, not before the given time has passed.
-    Later(Duration),
+    AfterBackoff(Duration),
     /// Give the failure to the caller: it would come again.
-    Final,
+    Never,
 }
 
 /// Whom a failure speaks against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Blame {
+pub enum Attribution {
     /// The target: it counts towards ejection.
     Target,
     /// Only the connection: close it and do not pool it.
     Connection,
     /// The request, or nobody.
-    Nobody,
+    Neither,
 }
 
 impl Failure {
@@ -57,21 +57,23 @@
     /// # Examples
     ///
     /// ```
-    /// use celerypond_route::{Failure, Verdict};
+    /// use celerypond_route::{Failure, RetryDecision};
     ///
-    /// assert_eq!(Failure::Refused.verdict(), Verdict::Elsewhere);
+    /// assert_eq!(Failure::Refused.retry_decision(), RetryDecision::OtherTarget);
     /// let missing = Failure::Status { code: 404, retry_after: None };
-    /// assert_eq!(missing.verdict(), Verdict::Final);
+    /// assert_eq!(missing.retry_decision(), RetryDecision::Never);
     /// ```
-    pub fn verdict(self) -> Verdict {
+    pub fn retry_decision(self) -> RetryDecision {
         match self {
-            Self::Refused | Self::Unreachable => Verdict::Elsewhere,
-            Self::Reset | Self::Timeout => Verdict::Later(Duration::ZERO),
-            Self::Protocol => Verdict::Final,
+            Self::Refused | Self::Unreachable => RetryDecision::OtherTarget,
+            Self::Reset | Self::Timeout => RetryDecision::AfterBackoff(Duration::ZERO),
+            Self::Protocol => RetryDecision::Never,
             Self::Status { code, retry_after } => match code {
-                408 | 429 | 502 | 503 | 504 => Verdict::Later(retry_after.unwrap_or_default()),
-                500 => Verdict::Later(Duration::ZERO),
-                _ => Verdict::Final,
+                408 | 429 | 502 | 503 | 504 => {
+                    RetryDecision::AfterBackoff(retry_after.unwrap_or_default())
+                }
+                500 => RetryDecision::AfterBackoff(Duration::ZERO),
+                _ => RetryDecision::Never,
             },
         }
     }
@@ -80,7 +82,7 @@
     ///
     /// A 500 or a reset is of the target or of the call, and one more try tells. More would carry a
     /// call that ends targets from one to the next.
-    pub const fn most_tries(self) -> u32 {
+    pub const fn max_attempts(self) -> u32 {
         match self {
             Self::Reset | Self::Status { code: 500, .. } => 2,
             Self::Refused | Self::Unreachable => 4,
@@ -93,13 +95,15 @@
     /// `probe` is the outcome of a probe on a new connection, where one was made: when something
     /// between the ends loses track of a connection, it stays silent while the target is well.
     /// Counted against the target, such losses would eject targets that work.
-    pub fn blame(self, probe: Option<bool>) -> Blame {
+    pub fn attribution(self, probe: Option<bool>) -> Attribution {
         match (self, probe) {
-            (Self::Timeout | Self::Reset, Some(true)) => Blame::Connection,
-            (Self::Refused | Self::Unreachable | Self::Reset | Self::Timeout, _) => Blame::Target,
-            (Self::Protocol, _) => Blame::Target,
-            (Self::Status { code, .. }, _) if code >= 500 && code != 503 => Blame::Target,
-            (Self::Status { .. }, _) => Blame::Nobody,
+            (Self::Timeout | Self::Reset, Some(true)) => Attribution::Connection,
+            (Self::Refused | Self::Unreachable | Self::Reset | Self::Timeout, _) => {
+                Attribution::Target
+            }
+            (Self::Protocol, _) => Attribution::Target,
+            (Self::Status { code, .. }, _) if code >= 500 && code != 503 => Attribution::Target,
+            (Self::Status { .. }, _) => Attribution::Neither,
         }
     }
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -41,7 +41,7 @@
 };
 pub use ejector::{OutlierDetector, OutlierEffect, OutlierLimits};
 pub use entries::{entries, Entry, ENTRIES_TTL};
-pub use failure::{Blame, Failure, Verdict};
+pub use failure::{Attribution, Failure, RetryDecision};
 pub use gauge::{InFlight, PoolAverages, TargetState, LIVENESS_TTL_MS};
 pub use hash::hash;
 pub use meter::Meter;
--- a/crates/route/tests/test_retries.rs
+++ b/crates/route/tests/test_retries.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_route::{Backoff, Blame, Failure, RetryBudget, TargetState, Verdict};
+use celerypond_route::{Attribution, Backoff, Failure, RetryBudget, RetryDecision, TargetState};
 use rand::Rng;
 use rstest::rstest;
 
@@ -87,27 +87,31 @@
     }
 }
 
-const NOW: Verdict = Verdict::Later(Duration::ZERO);
+const NOW: RetryDecision = RetryDecision::AfterBackoff(Duration::ZERO);
 
 #[rstest]
-#[case::refused(Failure::Refused, Verdict::Elsewhere, Blame::Target)]
-#[case::unreachable(Failure::Unreachable, Verdict::Elsewhere, Blame::Target)]
-#[case::reset(Failure::Reset, NOW, Blame::Target)]
-#[case::timeout(Failure::Timeout, NOW, Blame::Target)]
-#[case::protocol(Failure::Protocol, Verdict::Final, Blame::Target)]
-#[case::request_timeout(status(408), NOW, Blame::Nobody)]
-#[case::too_many(status(429), NOW, Blame::Nobody)]
-#[case::bad_gateway(status(502), NOW, Blame::Target)]
-#[case::unavailable(status(503), NOW, Blame::Nobody)]
-#[case::gateway_timeout(status(504), NOW, Blame::Target)]
-#[case::internal(status(500), NOW, Blame::Target)]
-#[case::not_found(status(404), Verdict::Final, Blame::Nobody)]
-#[case::conflict(status(409), Verdict::Final, Blame::Nobody)]
-fn failures_have_classes(#[case] failure: Failure, #[case] verdict: Verdict, #[case] blame: Blame) {
-    assert_eq!(failure.verdict(), verdict);
-    assert!(verdict == Verdict::Final || failure.most_tries() > 1);
-    assert_eq!(failure.blame(None), blame);
-    assert_eq!(failure.blame(Some(false)), blame);
+#[case::refused(Failure::Refused, RetryDecision::OtherTarget, Attribution::Target)]
+#[case::unreachable(Failure::Unreachable, RetryDecision::OtherTarget, Attribution::Target)]
+#[case::reset(Failure::Reset, NOW, Attribution::Target)]
+#[case::timeout(Failure::Timeout, NOW, Attribution::Target)]
+#[case::protocol(Failure::Protocol, RetryDecision::Never, Attribution::Target)]
+#[case::request_timeout(status(408), NOW, Attribution::Neither)]
+#[case::too_many(status(429), NOW, Attribution::Neither)]
+#[case::bad_gateway(status(502), NOW, Attribution::Target)]
+#[case::unavailable(status(503), NOW, Attribution::Neither)]
+#[case::gateway_timeout(status(504), NOW, Attribution::Target)]
+#[case::internal(status(500), NOW, Attribution::Target)]
+#[case::not_found(status(404), RetryDecision::Never, Attribution::Neither)]
+#[case::conflict(status(409), RetryDecision::Never, Attribution::Neither)]
+fn failures_have_classes(
+    #[case] failure: Failure,
+    #[case] verdict: RetryDecision,
+    #[case] blame: Attribution,
+) {
+    assert_eq!(failure.retry_decision(), verdict);
+    assert!(verdict == RetryDecision::Never || failure.max_attempts() > 1);
+    assert_eq!(failure.attribution(None), blame);
+    assert_eq!(failure.attribution(Some(false)), blame);
 }
 
 // Something between the ends loses track of a connection. The caller's answer stalls, and a probe
@@ -115,9 +119,18 @@
 // connections would eject an engine that works.
 #[test]
 fn a_silent_connection_does_not_speak_against_its_target() {
-    assert_eq!(Failure::Timeout.blame(Some(true)), Blame::Connection);
-    assert_eq!(Failure::Reset.blame(Some(true)), Blame::Connection);
-    assert_eq!(Failure::Refused.blame(Some(true)), Blame::Target);
+    assert_eq!(
+        Failure::Timeout.attribution(Some(true)),
+        Attribution::Connection
+    );
+    assert_eq!(
+        Failure::Reset.attribution(Some(true)),
+        Attribution::Connection
+    );
+    assert_eq!(
+        Failure::Refused.attribution(Some(true)),
+        Attribution::Target
+    );
 }
 
 #[test]
@@ -127,5 +140,8 @@
         code: 503,
         retry_after,
     };
-    assert_eq!(failure.verdict(), Verdict::Later(Duration::from_secs(3)));
+    assert_eq!(
+        failure.retry_decision(),
+        RetryDecision::AfterBackoff(Duration::from_secs(3))
+    );
 }
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use celerypond_bundle::Service;
 use celerypond_ledger::{BodyTag, Finished, Proof, Reply, Unsent};
-use celerypond_route::{Ask, Blame, Failure, InFlight, Route, Target, Verdict, View};
+use celerypond_route::{Ask, Attribution, Failure, InFlight, RetryDecision, Route, Target, View};
 use celerypond_telemetry::{hop, Counter, TraceContext};
 use celerypond_types::{NotRunReason, Outcome, TargetKey};
 use gotham::hyper::{HeaderMap, Method};
@@ -169,13 +169,13 @@
                 Err(Some(failure)) => failure,
                 Err(None) => return tries.give_up(NotRunReason::NoTarget),
             };
-            let floor = match failure.verdict() {
-                Verdict::Elsewhere => Duration::ZERO,
-                Verdict::Later(floor) => floor,
-                Verdict::Final => return tries.give_up(NotRunReason::Refused),
+            let floor = match failure.retry_decision() {
+                RetryDecision::OtherTarget => Duration::ZERO,
+                RetryDecision::AfterBackoff(floor) => floor,
+                RetryDecision::Never => return tries.give_up(NotRunReason::Refused),
             };
             // The failure: a call that ends targets is carried from one to the next.
-            if tries.sent >= failure.most_tries() {
+            if tries.sent >= failure.max_attempts() {
                 return tries.give_up(NotRunReason::Refused);
             }
             if !tries.may_retry(node) {
@@ -206,7 +206,7 @@
             Tried::Failed(failure) => Err(Some(failure)),
             Tried::Answer(reply, after) => {
                 let failure = status(&reply, after);
-                if reply.status < 400 || failure.verdict() == Verdict::Final {
+                if reply.status < 400 || failure.retry_decision() == RetryDecision::Never {
                     node.retries.succeeded();
                     target.state.retry_budget.succeeded();
                     return Ok(reply);
@@ -224,7 +224,7 @@
     ) -> Result<Connected, NotRunReason> {
         let mut reason = NotRunReason::NoTarget;
         let mut refused = 0;
-        while refused < Failure::Refused.most_tries() && Instant::now() < self.deadline {
+        while refused < Failure::Refused.max_attempts() && Instant::now() < self.deadline {
             let view = node.view.load_full();
             let service = view.service(&self.service.name).ok_or(reason)?;
             let route = Route::Service(service);
@@ -357,12 +357,12 @@
             node.work.spawn(async move {
                 let health = engine::health(target.address, health_path(target.kind)).await;
                 let is_well = matches!(health, Ok(Some(_)));
-                if failure.blame(Some(is_well)) == Blame::Target {
+                if failure.attribution(Some(is_well)) == Attribution::Target {
                     tell();
                 }
             });
         }
-        _ if failure.blame(None) == Blame::Target => tell(),
+        _ if failure.attribution(None) == Attribution::Target => tell(),
         _ => {}
     }
 }
