--- a/bench/src/route/affinity.rs
+++ b/bench/src/route/affinity.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::VecDeque, sync::Arc};
 
-use celerypond_route::{hash, Ask, CacheEvent, Caches, InFlight};
+use celerypond_route::{hash, Ask, CacheEvent, InFlight, PrefixTracker};
 use celerypond_types::TargetKey;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use tokio::time::{Duration, Instant};
@@ -19,7 +19,7 @@
 const PREFIXES: usize = 600;
 const STEP_MS: u64 = 20;
 const REQUESTS: u64 = 4_000;
-/// The requests that are not counted, while caches fill.
+/// The requests that are not counted, while tracker fill.
 const WARM: u64 = 1_000;
 const SERVICE_MS: f64 = 1_600.0;
 /// How late cache events come, and what share of them is lost.
@@ -69,7 +69,7 @@
     held: Vec<VecDeque<u64>>,
     sequences: Vec<u64>,
     events: VecDeque<Event>,
-    caches: Caches,
+    tracker: PrefixTracker,
     weights: Vec<f64>,
 }
 
@@ -86,7 +86,7 @@
             held: vec![VecDeque::new(); ENGINES],
             sequences: vec![0; ENGINES],
             events: VecDeque::new(),
-            caches: Caches::default(),
+            tracker: PrefixTracker::default(),
         }
     }
 
@@ -110,9 +110,9 @@
             }
             if ms.is_multiple_of(500) {
                 self.hear(ms, &views[0].2);
-                let index = Arc::new(self.caches.index());
+                let index = Arc::new(self.tracker.build_index());
                 for (view, _, keys) in &mut views {
-                    *view = view.with_cache(Arc::clone(&index));
+                    *view = view.with_prefix_index(Arc::clone(&index));
                     view.survey(now);
                     for (key, load) in keys.iter().zip(&loads) {
                         let target = view.target(*key);
@@ -195,8 +195,8 @@
     fn hear(&mut self, ms: u64, keys: &[TargetKey]) {
         while self.events.front().is_some_and(|event| event.due <= ms) {
             if let Some(event) = self.events.pop_front() {
-                self.caches
-                    .take(keys[event.at], event.sequence, event.event);
+                self.tracker
+                    .apply(keys[event.at], event.sequence, event.event);
             }
         }
     }
--- a/crates/route/src/cache.rs
+++ b/crates/route/src/cache.rs
@@ -22,7 +22,7 @@
 
 /// An engine that holds a prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Holder {
+pub struct PrefixHolder {
     /// The hash of the prefix.
     pub prefix: u64,
     /// The engine.
@@ -33,14 +33,14 @@
 
 /// An immutable index from prefix hashes to the engines that hold them.
 #[derive(Clone, Debug, Default)]
-pub struct CacheIndex {
+pub struct PrefixIndex {
     /// Sorted by prefix.
-    entries: Box<[Holder]>,
+    entries: Box<[PrefixHolder]>,
 }
 
-impl CacheIndex {
+impl PrefixIndex {
     /// Returns the engines that hold a prefix.
-    pub fn holders(&self, prefix: u64) -> &[Holder] {
+    pub fn holders(&self, prefix: u64) -> &[PrefixHolder] {
         let start = self.entries.partition_point(|e| e.prefix < prefix);
         let rest = &self.entries[start..];
         &rest[..rest.partition_point(|e| e.prefix == prefix)]
@@ -70,28 +70,28 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_route::{CacheEvent, Caches};
+/// use celerypond_route::{CacheEvent, PrefixTracker};
 /// use celerypond_types::TargetKey;
 /// use slotmap::SlotMap;
 ///
 /// let mut arena = SlotMap::<TargetKey, ()>::with_key();
 /// let engine = arena.insert(());
-/// let mut caches = Caches::default();
-/// caches.take(engine, 1, CacheEvent::Stored(7));
-/// assert!(caches.index().holders(7)[0].certain);
-/// caches.take(engine, 3, CacheEvent::Stored(8)); // Event 2 is missing.
-/// assert!(!caches.index().holders(7)[0].certain);
-/// assert!(caches.index().holders(8)[0].certain);
+/// let mut tracker = PrefixTracker::default();
+/// tracker.apply(engine, 1, CacheEvent::Stored(7));
+/// assert!(tracker.build_index().holders(7)[0].certain);
+/// tracker.apply(engine, 3, CacheEvent::Stored(8)); // Event 2 is missing.
+/// assert!(!tracker.build_index().holders(7)[0].certain);
+/// assert!(tracker.build_index().holders(8)[0].certain);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Caches {
+pub struct PrefixTracker {
     engines: SecondaryMap<TargetKey, Engine>,
     len: usize,
 }
 
-impl Caches {
+impl PrefixTracker {
     /// Takes an event; one that is not newer than the last of its engine is dropped.
-    pub fn take(&mut self, target: TargetKey, sequence: u64, event: CacheEvent) {
+    pub fn apply(&mut self, target: TargetKey, sequence: u64, event: CacheEvent) {
         let mut engine = self.engines.remove(target).unwrap_or_default();
         self.len -= engine.prefixes.len();
         engine.take(sequence, event, self.len < IN_ALL);
@@ -100,19 +100,19 @@
     }
 
     /// Returns the sequence number after which to ask an engine for its events: the last event is
-    /// asked for once more, so that [`Self::hear`] knows whether the engine still counts on from it.
-    pub fn since(&self, target: TargetKey) -> u64 {
+    /// asked for once more, so that [`Self::apply_poll`] knows whether the engine still counts on from it.
+    pub fn poll_after(&self, target: TargetKey) -> u64 {
         let engine = self.engines.get(target);
         engine.map_or(0, |engine| engine.last.saturating_sub(1))
     }
 
-    /// Takes an engine's events after [`Self::since`]; returns whether anything changed.
+    /// Takes an engine's events after [`Self::poll_after`]; returns whether anything changed.
     ///
     /// The failure: an engine starts anew with an empty cache and counts from 1. It has no events
     /// after the last that was heard, so its old prefixes stay in the index, and requests go there
     /// for what it no longer holds. When the last event is not there again, the engine is forgotten
     /// and read from its first event on with the next answer.
-    pub fn hear(&mut self, target: TargetKey, events: &[(u64, CacheEvent)]) -> bool {
+    pub fn apply_poll(&mut self, target: TargetKey, events: &[(u64, CacheEvent)]) -> bool {
         let known = self
             .engines
             .get(target)
@@ -120,7 +120,7 @@
         if let Some((last, Some(event))) = known
             && events.first() != Some(&(last, event))
         {
-            self.forget(target);
+            self.remove(target);
             return true;
         }
         let news = events
@@ -128,14 +128,14 @@
             .filter(|(sequence, _)| known.is_none_or(|(last, _)| *sequence > last));
         let mut is_new = false;
         for (sequence, event) in news {
-            self.take(target, *sequence, *event);
+            self.apply(target, *sequence, *event);
             is_new = true;
         }
         is_new
     }
 
     /// Forgets an engine, when it has left or started anew.
-    pub fn forget(&mut self, target: TargetKey) {
+    pub fn remove(&mut self, target: TargetKey) {
         let engine = self.engines.remove(target);
         self.len -= engine.map_or(0, |engine| engine.prefixes.len());
     }
@@ -151,17 +151,20 @@
     }
 
     /// Makes the index for the request path; call it at most every 500 ms.
-    pub fn index(&self) -> CacheIndex {
+    pub fn build_index(&self) -> PrefixIndex {
         let holders = self.engines.iter().flat_map(|(target, engine)| {
-            engine.prefixes.iter().map(move |(prefix, stored)| Holder {
-                prefix: *prefix,
-                target,
-                certain: *stored >= engine.gap,
-            })
+            engine
+                .prefixes
+                .iter()
+                .map(move |(prefix, stored)| PrefixHolder {
+                    prefix: *prefix,
+                    target,
+                    certain: *stored >= engine.gap,
+                })
         });
-        let mut entries: Vec<Holder> = holders.collect();
+        let mut entries: Vec<PrefixHolder> = holders.collect();
         entries.sort_by_key(|holder| holder.prefix);
-        CacheIndex {
+        PrefixIndex {
             entries: entries.into_boxed_slice(),
         }
     }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -32,7 +32,7 @@
 pub use accounts::{AccountEntry, Accounts};
 pub use bucket::{Bucket, BURST_MS};
 pub use budget::{Backoff, RetryBudget};
-pub use cache::{CacheEvent, CacheIndex, Caches, Holder};
+pub use cache::{CacheEvent, PrefixHolder, PrefixIndex, PrefixTracker};
 pub use clock::Clock;
 pub use demand::{published, Demand, Demands};
 pub use departure::{Availability, DepartureNotice, DepartureState, Origin, LIST_SETTLE_MS};
--- a/crates/route/src/view.rs
+++ b/crates/route/src/view.rs
@@ -9,7 +9,7 @@
 use slotmap::{Key, SecondaryMap, SlotMap};
 use tokio::time::Instant;
 
-use crate::{gauge::Tallies, Accounts, CacheIndex, Clock, Pool, Target};
+use crate::{gauge::Tallies, Accounts, Clock, Pool, PrefixIndex, Target};
 
 slotmap::new_key_type! {
     /// A plain service in the services arena.
@@ -52,7 +52,7 @@
     accounts: Arc<Accounts>,
     /// How many instances send to the same targets.
     instances: usize,
-    pub(crate) cache: Arc<CacheIndex>,
+    pub(crate) cache: Arc<PrefixIndex>,
 }
 
 impl View {
@@ -98,7 +98,7 @@
 
     /// Returns the view with another index of cached prefixes.
     #[must_use]
-    pub fn with_cache(&self, cache: Arc<CacheIndex>) -> Self {
+    pub fn with_prefix_index(&self, cache: Arc<PrefixIndex>) -> Self {
         Self {
             cache,
             ..self.clone()
--- a/crates/route/tests/test_cache.rs
+++ b/crates/route/tests/test_cache.rs
@@ -1,6 +1,6 @@
-//! What engines tell of their caches.
+//! What engines tell of their tracker.
 
-use celerypond_route::{CacheEvent, Caches};
+use celerypond_route::{CacheEvent, PrefixTracker};
 use celerypond_types::TargetKey;
 use rstest::rstest;
 use slotmap::SlotMap;
@@ -22,18 +22,18 @@
 ) {
     let mut arena = SlotMap::<TargetKey, ()>::with_key();
     let engine = arena.insert(());
-    let mut caches = Caches::default();
+    let mut tracker = PrefixTracker::default();
     let stored = |events: &[(u64, u64)]| -> Vec<(u64, CacheEvent)> {
         let events = events.iter();
         events
             .map(|(sequence, prefix)| (*sequence, CacheEvent::Stored(*prefix)))
             .collect()
     };
-    caches.hear(engine, &stored(&[(1, 1), (2, 2), (3, 3)]));
-    assert_eq!(caches.since(engine), 2);
-    caches.hear(engine, &stored(events));
-    assert_eq!(caches.since(engine), since);
-    let index = caches.index();
+    tracker.apply_poll(engine, &stored(&[(1, 1), (2, 2), (3, 3)]));
+    assert_eq!(tracker.poll_after(engine), 2);
+    tracker.apply_poll(engine, &stored(events));
+    assert_eq!(tracker.poll_after(engine), since);
+    let index = tracker.build_index();
     let holds = |prefix: &u64| !index.holders(*prefix).is_empty();
     assert_eq!((1..12).filter(holds).collect::<Vec<u64>>(), held);
 }
--- a/crates/route/tests/test_pick.rs
+++ b/crates/route/tests/test_pick.rs
@@ -6,7 +6,8 @@
 };
 
 use celerypond_route::{
-    Ask, CacheEvent, Caches, InFlight, PickError, PoolAverages, Reason, Route, View, FULL_WEIGHT,
+    Ask, CacheEvent, InFlight, PickError, PoolAverages, PrefixTracker, Reason, Route, View,
+    FULL_WEIGHT,
 };
 use celerypond_types::{Priority, TargetKey};
 use rand::Rng;
@@ -181,12 +182,12 @@
 fn a_holder_that_may_have_evicted_weighs_less() {
     let now = Instant::now();
     let (view, route, keys) = view(ENGINES, now);
-    let mut caches = Caches::default();
-    caches.take(keys[5], 1, CacheEvent::Stored(70));
-    let pick = |caches: &Caches, load| {
+    let mut caches = PrefixTracker::default();
+    caches.apply(keys[5], 1, CacheEvent::Stored(70));
+    let pick = |caches: &PrefixTracker, load| {
         let state = &view.target(keys[5]).unwrap().state;
         state.record_load(1, load);
-        let view = view.with_cache(Arc::new(caches.index()));
+        let view = view.with_prefix_index(Arc::new(caches.build_index()));
         let ask = Ask {
             prefixes: &[71, 70],
             ..Ask::default()
@@ -194,23 +195,23 @@
         view.pick(route, &ask, now, &mut rng(1)).unwrap().target
     };
     assert_eq!(pick(&caches, 0), keys[5]);
-    caches.take(keys[5], 3, CacheEvent::Stored(72));
+    caches.apply(keys[5], 3, CacheEvent::Stored(72));
     assert_ne!(pick(&caches, 0), keys[5]);
-    caches.take(keys[5], 4, CacheEvent::Evicted(70));
+    caches.apply(keys[5], 4, CacheEvent::Evicted(70));
     assert_ne!(pick(&caches, 0), keys[5]);
 }
 
 #[test]
 fn the_cache_view_is_bounded() {
     let (_, _, keys) = view(ENGINES, Instant::now());
-    let mut caches = Caches::default();
+    let mut caches = PrefixTracker::default();
     for sequence in 1..10_000 {
-        caches.take(keys[0], sequence, CacheEvent::Stored(sequence));
+        caches.apply(keys[0], sequence, CacheEvent::Stored(sequence));
     }
     assert_eq!(caches.len(), 256);
     // What is kept is the newest.
-    assert_eq!(caches.index().holders(9_999).len(), 1);
-    assert!(caches.index().holders(1).is_empty());
+    assert_eq!(caches.build_index().holders(9_999).len(), 1);
+    assert!(caches.build_index().holders(1).is_empty());
 }
 
 /// Drives 7 instances before 20 engines with reports that lag by 1 s, and returns the mean over
--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -6,8 +6,8 @@
 use celerypond_fleet::EntryKind;
 use celerypond_platform::Presence;
 use celerypond_route::{
-    Availability, CacheEvent, Caches, DepartureNotice, DepartureState, OutlierDetector,
-    OutlierEffect, OutlierLimits, Route, Target, View,
+    Availability, CacheEvent, DepartureNotice, DepartureState, OutlierDetector, OutlierEffect,
+    OutlierLimits, PrefixTracker, Route, Target, View,
 };
 use celerypond_telemetry::{Counter, Gauge};
 use celerypond_types::{TargetKey, TargetName, VersionName};
@@ -73,7 +73,7 @@
     /// Pools in which a target was asked for its health on behalf of their detectors.
     probed: SecondaryMap<TargetKey, Vec<Route>>,
     polls: JoinSet<Polled>,
-    caches: Caches,
+    prefixes: PrefixTracker,
     is_cache_new: bool,
 }
 
@@ -86,7 +86,7 @@
         detectors: HashMap::new(),
         probed: SecondaryMap::new(),
         polls: JoinSet::new(),
-        caches: Caches::default(),
+        prefixes: PrefixTracker::default(),
         is_cache_new: false,
         node: Arc::clone(&node),
     };
@@ -158,7 +158,7 @@
         }
         if let Some(changes) = &polled.cache {
             let events: Vec<(u64, CacheEvent)> = changes.iter().map(cache_event).collect();
-            self.is_cache_new |= self.caches.hear(polled.target, &events);
+            self.is_cache_new |= self.prefixes.apply_poll(polled.target, &events);
         }
         for route in self.probed.remove(polled.target).unwrap_or_default() {
             let alive = polled.word.is_some();
@@ -169,8 +169,8 @@
 
     fn index_caches(&mut self) {
         if std::mem::take(&mut self.is_cache_new) {
-            let index = Arc::new(self.caches.index());
-            let cached = |view: &Arc<View>| view.with_cache(Arc::clone(&index));
+            let index = Arc::new(self.prefixes.build_index());
+            let cached = |view: &Arc<View>| view.with_prefix_index(Arc::clone(&index));
             self.node.view.rcu(cached);
         }
     }
@@ -256,12 +256,14 @@
 
     fn retain(&mut self, view: &View) {
         let Self {
-            departures, caches, ..
+            departures,
+            prefixes,
+            ..
         } = self;
         departures.retain(|key, _| {
             let is_kept = view.target(key).is_some();
             if !is_kept {
-                caches.forget(key);
+                prefixes.remove(key);
             }
             is_kept
         });
@@ -304,7 +306,7 @@
             // Jitter keeps instances from asking a target in step.
             let next = now_ms + self.rng.random_range(POLL_MS / 2..POLL_MS * 3 / 2);
             self.due.insert(key, next);
-            let since = self.caches.since(key);
+            let since = self.prefixes.poll_after(key);
             self.polls
                 .spawn(poll(key, Arc::clone(target), now_ms, since));
         }
