--- a/bench/src/route/affinity.rs
+++ b/bench/src/route/affinity.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::VecDeque, sync::Arc};
 
-use celerypond_route::{hash, Ask, CacheEvent, InFlight, PrefixTracker};
+use celerypond_route::{hash, CacheEvent, InFlight, PickCriteria, PrefixTracker};
 use celerypond_types::TargetKey;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use tokio::time::{Duration, Instant};
@@ -125,9 +125,9 @@
             let prefix = self.prefix();
             let (view, route, keys) = &views[self.rng.random_range(0..INSTANCES)];
             let prefixes = [prefix];
-            let ask = Ask {
+            let ask = PickCriteria {
                 prefixes: if way == Way::None { &[] } else { &prefixes },
-                ..Ask::default()
+                ..PickCriteria::default()
             };
             let Ok(choice) = view.pick(*route, &ask, now, &mut self.rng) else {
                 continue;
--- a/bench/src/route/cost.rs
+++ b/bench/src/route/cost.rs
@@ -3,7 +3,7 @@
 use std::{fs, hint::black_box};
 
 use celerypond_route::{
-    hash, Ask, OutlierDetector, OutlierLimits, Queue, QueueLimits, Route, View, Waiting,
+    hash, OutlierDetector, OutlierLimits, PickCriteria, Queue, QueueLimits, Route, View, Waiting,
 };
 use celerypond_types::{Priority, TargetKey};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -70,9 +70,9 @@
     now: Instant,
     rng: &mut SmallRng,
 ) -> Option<TargetKey> {
-    let ask = Ask {
+    let ask = PickCriteria {
         prefixes,
-        ..Ask::default()
+        ..PickCriteria::default()
     };
     view.pick(route, &ask, now, rng)
         .ok()
--- a/bench/src/route/herding.rs
+++ b/bench/src/route/herding.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use celerypond_route::{Ask, InFlight, PoolAverages, Route, View};
+use celerypond_route::{InFlight, PickCriteria, PoolAverages, Route, View};
 use celerypond_types::TargetKey;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use tokio::time::{Duration, Instant};
@@ -139,7 +139,7 @@
             (0..keys.len()).min_by_key(load).unwrap_or(0)
         }
         Way::Ours => {
-            let choice = view.pick(route, &Ask::default(), now, rng).ok();
+            let choice = view.pick(route, &PickCriteria::default(), now, rng).ok();
             let chosen = choice.map(|choice| choice.target);
             keys.iter()
                 .position(|key| Some(*key) == chosen)
--- a/bench/src/route/overload/model.rs
+++ b/bench/src/route/overload/model.rs
@@ -6,7 +6,7 @@
 };
 
 use celerypond_route::{
-    Ask, Backoff, Choice, Failure, OutlierDetector, OutlierEffect, OutlierLimits, Queue,
+    Backoff, Choice, Failure, OutlierDetector, OutlierEffect, OutlierLimits, PickCriteria, Queue,
     QueueLimits, RetryBudget, RetryDecision, Route, View, Waiting,
 };
 use celerypond_types::{AccountKey, Priority, TargetKey};
@@ -156,7 +156,9 @@
         }
         let priority = self.jobs[job].priority;
         let empty = self.instances[self.jobs[job].instance].queue.is_empty();
-        let choice = self.choose(job).filter(|choice| choice.has_room(priority));
+        let choice = self
+            .choose(job)
+            .filter(|choice| choice.fits_quota(priority));
         match choice {
             Some(choice) if empty => self.dispatch(job, choice),
             _ => self.wait(job),
@@ -198,9 +200,9 @@
         let one = &self.jobs[job];
         let instance = &self.instances[one.instance];
         let excluded: Vec<TargetKey> = one.avoid.iter().map(|at| instance.keys[*at]).collect();
-        let ask = Ask {
+        let ask = PickCriteria {
             excluded: &excluded,
-            ..Ask::default()
+            ..PickCriteria::default()
         };
         let now = self.start + Duration::from_millis(self.now);
         instance
@@ -225,8 +227,8 @@
             };
             let queue = &mut self.instances[instance].queue;
             let next = match probe {
-                choice if choice.has_room(Priority::Draft) => queue.pop(self.now),
-                choice if choice.has_room(Priority::Interactive) => queue.pop_urgent(self.now),
+                choice if choice.fits_quota(Priority::Draft) => queue.pop(self.now),
+                choice if choice.fits_quota(Priority::Interactive) => queue.pop_urgent(self.now),
                 _ => None,
             };
             let Some(waiting) = next else { return };
@@ -247,7 +249,7 @@
         }
         let now = self.start + Duration::from_millis(self.now);
         one.view
-            .pick(one.route, &Ask::default(), now, &mut self.rng)
+            .pick(one.route, &PickCriteria::default(), now, &mut self.rng)
             .ok()
     }
 
--- a/crates/route/src/ejector.rs
+++ b/crates/route/src/ejector.rs
@@ -59,7 +59,7 @@
 pub enum OutlierEffect {
     /// Set the part of the work that a target gets.
     Weight(TargetKey, u32),
-    /// Ask a target for its health on a new connection, then call [`OutlierDetector::record_probe`].
+    /// PickCriteria a target for its health on a new connection, then call [`OutlierDetector::record_probe`].
     Probe(TargetKey),
     /// Use targets that seem bad, or stop to.
     Panic(bool),
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -45,7 +45,7 @@
 pub use gauge::{InFlight, PoolAverages, TargetState, LIVENESS_TTL_MS};
 pub use hash::hash;
 pub use meter::Meter;
-pub use pick::{Ask, Choice, PickError, Reason};
+pub use pick::{Choice, PickCriteria, PickError, PickReason};
 pub use pool::{Pool, FULL_WEIGHT};
 pub use queue::{Queue, QueueLimits, Refusal, Waiting};
 pub use share::{Knowledge, Part, Split, FLOOR_PART, HOLD_MS, SPREAD_MS, TOUCH_MS};
--- a/crates/route/src/pick.rs
+++ b/crates/route/src/pick.rs
@@ -23,7 +23,7 @@
 
 /// What a request asks of its target.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ask<'a> {
+pub struct PickCriteria<'a> {
     /// Hashes of the prompt's prefixes, the longest first; empty when affinity is no use.
     pub prefixes: &'a [u64],
     /// The hash of the adapter's name, or 0: requests for one adapter stay together.
@@ -31,7 +31,7 @@
     /// Targets that must not be chosen, such as those that failed this request.
     pub excluded: &'a [TargetKey],
     /// The data centre to prefer.
-    pub near: Option<&'a DataCentre>,
+    pub preferred_data_centre: Option<&'a DataCentre>,
 }
 
 /// A chosen target.
@@ -41,11 +41,11 @@
     pub target: TargetKey,
     /// Whether the target's last word is so old that it must be asked for its health before work
     /// is sent: it may be leaving, and the list of instances may be late to say so.
-    pub ask_first: bool,
+    pub needs_health_check: bool,
     /// Why it was chosen.
-    pub reason: Reason,
+    pub reason: PickReason,
     /// The part of the allowance of this instance that it uses with the request.
-    pub fill: f64,
+    pub quota_used: f64,
 }
 
 /// How far interactive requests may go past the allowance: callers who wait do not queue behind
@@ -55,25 +55,25 @@
 impl Choice {
     /// Returns whether the pool has room; without it the request waits in the local queue, where
     /// accounts are treated fairly, rather than in the target's.
-    pub fn has_room(&self, priority: Priority) -> bool {
+    pub fn fits_quota(&self, priority: Priority) -> bool {
         match priority {
-            Priority::Interactive => self.fill <= URGENT_FILL,
-            Priority::Draft => self.fill <= 1.0,
+            Priority::Interactive => self.quota_used <= URGENT_FILL,
+            Priority::Draft => self.quota_used <= 1.0,
         }
     }
 }
 
 /// Why a target was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Reason {
+pub enum PickReason {
     /// It likely holds a prefix of the prompt.
-    Affine,
+    Affinity,
     /// It is the less loaded of two in the preferred data centre.
-    Near,
+    PreferredDataCentre,
     /// It is the less loaded of two anywhere.
-    Any,
+    AnyDataCentre,
     /// It was the only kind left after a look at all.
-    Last,
+    FullScan,
 }
 
 /// Why no target was chosen.
@@ -81,7 +81,7 @@
 pub enum PickError {
     /// The view does not contain the route.
     #[error("the route is not known")]
-    Unknown,
+    UnknownRoute,
     /// Every target is leaving, ejected or excluded.
     #[error("no target is available")]
     NoTarget,
@@ -94,14 +94,14 @@
     ///
     /// # Errors
     ///
-    /// [`PickError::Unknown`] for a route of another bundle, [`PickError::NoTarget`] when every
+    /// [`PickError::UnknownRoute`] for a route of another bundle, [`PickError::NoTarget`] when every
     /// target is leaving, ejected or excluded.
     ///
     /// # Examples
     ///
     /// ```
     /// use celerypond_bundle::Bundle;
-    /// use celerypond_route::{Ask, Route, View};
+    /// use celerypond_route::{PickCriteria, Route, View};
     /// use rand::{rngs::SmallRng, SeedableRng};
     /// use tokio::time::Instant;
     ///
@@ -116,17 +116,17 @@
     /// let view = View::new(now).with_bundle(&bundle, now);
     /// let desk = view.service(&"desk".into()).unwrap();
     /// let mut rng = SmallRng::seed_from_u64(1);
-    /// let choice = view.pick(Route::Service(desk), &Ask::default(), now, &mut rng).unwrap();
+    /// let choice = view.pick(Route::Service(desk), &PickCriteria::default(), now, &mut rng).unwrap();
     /// assert_eq!(Some(choice.target), view.key(&"desk-1".into()));
     /// ```
     pub fn pick(
         &self,
         route: Route,
-        ask: &Ask<'_>,
+        ask: &PickCriteria<'_>,
         now: Instant,
         rng: &mut impl Rng,
     ) -> Result<Choice, PickError> {
-        let pool = self.pool(route).ok_or(PickError::Unknown)?;
+        let pool = self.pool(route).ok_or(PickError::UnknownRoute)?;
         let now_ms = self.clock.millis(now);
         let picker = Picker {
             view: self,
@@ -140,9 +140,9 @@
         let (member, reason) = picker.pick(rng).ok_or(PickError::NoTarget)?;
         Ok(Choice {
             target: member.key,
-            ask_first: member.gauge.needs_health_check(now_ms),
+            needs_health_check: member.gauge.needs_health_check(now_ms),
             reason,
-            fill: pool.fill(),
+            quota_used: pool.fill(),
         })
     }
 }
@@ -158,7 +158,7 @@
 struct Picker<'a> {
     view: &'a View,
     pool: &'a Pool,
-    ask: &'a Ask<'a>,
+    ask: &'a PickCriteria<'a>,
     now_ms: u64,
     typical: PoolAverages,
     bound: u64,
@@ -166,17 +166,25 @@
 }
 
 impl<'a> Picker<'a> {
-    fn pick(&self, rng: &mut impl Rng) -> Option<(&'a Member, Reason)> {
-        let site = self.ask.near.and_then(|name| self.pool.site(name));
+    fn pick(&self, rng: &mut impl Rng) -> Option<(&'a Member, PickReason)> {
+        let site = self
+            .ask
+            .preferred_data_centre
+            .and_then(|name| self.pool.site(name));
         let near = site.map(|site| &self.pool.members[site.range.clone()]);
         self.affine(site)
-            .map(|member| (member, Reason::Affine))
+            .map(|member| (member, PickReason::Affinity))
             .or_else(|| {
                 let member = self.draw(near?, rng).filter(|m| self.fits(m))?;
-                Some((member, Reason::Near))
+                Some((member, PickReason::PreferredDataCentre))
             })
-            .or_else(|| Some((self.draw(&self.pool.members, rng)?, Reason::Any)))
-            .or_else(|| Some((self.scan(rng)?, Reason::Last)))
+            .or_else(|| {
+                Some((
+                    self.draw(&self.pool.members, rng)?,
+                    PickReason::AnyDataCentre,
+                ))
+            })
+            .or_else(|| Some((self.scan(rng)?, PickReason::FullScan)))
     }
 
     /// Finds a target that likely holds a prefix and is not above the bound.
--- a/crates/route/tests/test_leaving.rs
+++ b/crates/route/tests/test_leaving.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use celerypond_route::{Ask, Availability, DepartureNotice, DepartureState, Route, View};
+use celerypond_route::{Availability, DepartureNotice, DepartureState, PickCriteria, Route, View};
 use celerypond_types::TargetKey;
 use proptest::{
     prelude::*,
@@ -26,7 +26,7 @@
 /// What an instance does to learn of a departure; a safeguard can be switched off.
 #[derive(Clone, Copy)]
 struct Guards {
-    /// Ask a target whose last word is old before work is sent.
+    /// PickCriteria a target whose last word is old before work is sent.
     ask: bool,
     /// Look again when the work is sent, not only when the target is chosen.
     recheck: bool,
@@ -125,14 +125,14 @@
         let now = self.start + Duration::from_millis(ms);
         let mut excluded = Vec::new();
         loop {
-            let ask = Ask {
+            let ask = PickCriteria {
                 excluded: &excluded,
                 prefixes: &[3],
-                ..Ask::default()
+                ..PickCriteria::default()
             };
             let one = &self.instances[at];
             let choice = one.view.pick(one.route, &ask, now, &mut self.rng).unwrap();
-            if self.guards.ask && choice.ask_first {
+            if self.guards.ask && choice.needs_health_check {
                 self.ask(at, choice.target, ms);
                 excluded.push(choice.target);
                 if self.word(choice.target, ms) == Availability::Leaving {
--- a/crates/route/tests/test_pick.rs
+++ b/crates/route/tests/test_pick.rs
@@ -6,8 +6,8 @@
 };
 
 use celerypond_route::{
-    Ask, CacheEvent, InFlight, PickError, PoolAverages, PrefixTracker, Reason, Route, View,
-    FULL_WEIGHT,
+    CacheEvent, InFlight, PickCriteria, PickError, PickReason, PoolAverages, PrefixTracker, Route,
+    View, FULL_WEIGHT,
 };
 use celerypond_types::{Priority, TargetKey};
 use rand::Rng;
@@ -25,10 +25,10 @@
     let pool = view.pool(route).unwrap();
     view.target(keys[0]).unwrap().state.set_closed(true);
     pool.set_weight(keys[1], 0);
-    let ask = Ask {
+    let ask = PickCriteria {
         excluded: &keys[2..ENGINES - 1],
         prefixes: &[7],
-        ..Ask::default()
+        ..PickCriteria::default()
     };
     for seed in 0..200 {
         let choice = view.pick(route, &ask, now, &mut rng(seed)).unwrap();
@@ -55,7 +55,7 @@
     pool.set_weight(keys[0], 0);
     pool.set_panic(true);
     let pick = |seed| {
-        view.pick(route, &Ask::default(), now, &mut rng(seed))
+        view.pick(route, &PickCriteria::default(), now, &mut rng(seed))
             .unwrap()
     };
     let bad = (0..400)
@@ -70,19 +70,19 @@
     let (view, _, _) = view(ENGINES, now);
     let desk = Route::Service(view.service(&"desk".into()).unwrap());
     let near = "dc-1".into();
-    let ask = Ask {
-        near: Some(&near),
-        ..Ask::default()
+    let ask = PickCriteria {
+        preferred_data_centre: Some(&near),
+        ..PickCriteria::default()
     };
     let choice = view.pick(desk, &ask, now, &mut rng(1)).unwrap();
     assert_eq!(Some(choice.target), view.key(&"desk-001".into()));
-    assert_eq!(choice.reason, Reason::Near);
+    assert_eq!(choice.reason, PickReason::PreferredDataCentre);
     // Far above the mean, the work goes elsewhere.
     let state = &view.target(choice.target).unwrap().state;
     state.record_load(1, 4 * SLOTS);
     view.survey(now);
     let choice = view.pick(desk, &ask, now, &mut rng(1)).unwrap();
-    assert_eq!(choice.reason, Reason::Any);
+    assert_eq!(choice.reason, PickReason::AnyDataCentre);
 }
 
 #[test]
@@ -108,9 +108,9 @@
     drop(open);
     assert_eq!(after.target(keys[3]).unwrap().state.in_flight(), 0);
     let left: Vec<TargetKey> = keys.iter().copied().filter(|key| *key != keys[4]).collect();
-    let ask = Ask {
+    let ask = PickCriteria {
         excluded: &left,
-        ..Ask::default()
+        ..PickCriteria::default()
     };
     // Only the ejected target and the one with a new address are not excluded.
     let choice = after.pick(route, &ask, now, &mut rng(0)).unwrap();
@@ -123,10 +123,10 @@
     let (view, route, _) = view(ENGINES, now);
     let targets = |adapter| {
         let chosen = (0..32).map(|seed| {
-            let ask = Ask {
+            let ask = PickCriteria {
                 prefixes: &[7],
                 adapter,
-                ..Ask::default()
+                ..PickCriteria::default()
             };
             view.pick(route, &ask, now, &mut rng(seed)).unwrap().target
         });
@@ -150,9 +150,9 @@
         }
         let target = match bounded {
             true => {
-                let ask = Ask {
+                let ask = PickCriteria {
                     prefixes: &[7],
-                    ..Ask::default()
+                    ..PickCriteria::default()
                 };
                 view.pick(route, &ask, now, &mut rng(at)).unwrap().target
             }
@@ -188,9 +188,9 @@
         let state = &view.target(keys[5]).unwrap().state;
         state.record_load(1, load);
         let view = view.with_prefix_index(Arc::new(caches.build_index()));
-        let ask = Ask {
+        let ask = PickCriteria {
             prefixes: &[71, 70],
-            ..Ask::default()
+            ..PickCriteria::default()
         };
         view.pick(route, &ask, now, &mut rng(1)).unwrap().target
     };
@@ -270,7 +270,9 @@
 #[rstest]
 fn reports_that_lag_cause_no_herding(#[values(1, 2, 3)] seed: u64) {
     let ours = herding(seed, |view, route, now, rng| {
-        view.pick(route, &Ask::default(), now, rng).unwrap().target
+        view.pick(route, &PickCriteria::default(), now, rng)
+            .unwrap()
+            .target
     });
     let least_reported = herding(seed, |view, route, now, _| {
         let pool = view.pool(route).unwrap();
@@ -319,7 +321,9 @@
             }
             view.survey(now);
             for _ in 0..40 {
-                let choice = view.pick(*route, &Ask::default(), now, &mut rng).unwrap();
+                let choice = view
+                    .pick(*route, &PickCriteria::default(), now, &mut rng)
+                    .unwrap();
                 if !room(view, &choice, ms) {
                     break;
                 }
@@ -369,7 +373,7 @@
 // empty: callers wait while a quarter of the slots idles, and in between engines have long queues.
 #[test]
 fn instances_that_see_old_reports_do_not_stop_and_go() {
-    let (used, queued) = saturated(|_, choice, _| choice.has_room(Priority::Draft));
+    let (used, queued) = saturated(|_, choice, _| choice.fits_quota(Priority::Draft));
     assert!(used > 0.93 && queued < 3.0, "{used} {queued}");
     let (used, queued) = saturated(|view, choice, ms| {
         let state = &view.target(choice.target).unwrap().state;
@@ -384,7 +388,10 @@
     let run = || {
         let (view, route, _) = view(ENGINES, now);
         let mut rng = rng(9);
-        let one = |_| view.pick(route, &Ask::default(), now, &mut rng).unwrap();
+        let one = |_| {
+            view.pick(route, &PickCriteria::default(), now, &mut rng)
+                .unwrap()
+        };
         (0..100).map(one).collect::<Vec<_>>()
     };
     assert_eq!(run(), run());
--- a/daemon/src/admission.rs
+++ b/daemon/src/admission.rs
@@ -7,7 +7,7 @@
 };
 
 use celerypond_answer::{ResumeLimits, ResumeScheduler, WaiterKey};
-use celerypond_route::{Ask, InFlight, Queue, QueueLimits, Refusal, Route, View, Waiting};
+use celerypond_route::{InFlight, PickCriteria, Queue, QueueLimits, Refusal, Route, View, Waiting};
 use celerypond_telemetry::Gauge;
 use celerypond_types::{NotRunReason, Priority, TargetKey, VersionKey};
 use rand::rngs::SmallRng;
@@ -73,7 +73,7 @@
         &self,
         node: &Node,
         route: Route,
-        ask: &Ask<'_>,
+        ask: &PickCriteria<'_>,
         waiting: Waiting<()>,
     ) -> Result<Permit, Refusal> {
         let receiver = {
@@ -202,9 +202,9 @@
             let without = unloaded.get(&version).into_iter().flatten();
             let others = suspects.iter().chain(without).copied();
             let excluded: Vec<TargetKey> = busy.chain(others).collect();
-            let ask = Ask {
+            let ask = PickCriteria {
                 excluded: &excluded,
-                ..Ask::default()
+                ..PickCriteria::default()
             };
             Some(view.pick(route, &ask, now, rng).ok()?.target)
         }) {
@@ -218,9 +218,9 @@
     }
 
     fn grant_new(&mut self, view: &View, suspects: &[TargetKey], now_ms: u64, rng: &mut SmallRng) {
-        let ask = Ask {
+        let ask = PickCriteria {
             excluded: suspects,
-            ..Ask::default()
+            ..PickCriteria::default()
         };
         let routes: Vec<Route> = self.queues.keys().copied().collect();
         for route in routes {
@@ -250,7 +250,7 @@
     queue: &mut Queue<Grant>,
     view: &View,
     route: Route,
-    ask: &Ask<'_>,
+    ask: &PickCriteria<'_>,
     now_ms: u64,
     rng: &mut SmallRng,
 ) -> bool {
@@ -275,13 +275,13 @@
 fn begin(
     view: &View,
     route: Route,
-    ask: &Ask<'_>,
+    ask: &PickCriteria<'_>,
     priority: Priority,
     rng: &mut SmallRng,
 ) -> Option<Permit> {
     let now = Instant::now();
     let choice = view.pick(route, ask, now, rng).ok()?;
-    if !choice.has_room(priority) {
+    if !choice.fits_quota(priority) {
         return None;
     }
     let state = &view.target(choice.target)?.state;
--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -202,11 +202,11 @@
         let prefixes = prefixes(&self.completion.prompt);
         let held_back = node.rollouts.excluded(node, self.model, &version);
         let excluded = node.suspects.with(held_back, Instant::now());
-        let ask = celerypond_route::Ask {
+        let ask = celerypond_route::PickCriteria {
             prefixes: &prefixes,
             adapter: self.adapter_hash(),
             excluded: &excluded,
-            near: Some(&node.settings.data_centre),
+            preferred_data_centre: Some(&node.settings.data_centre),
         };
         let patience = deadline.saturating_duration_since(Instant::now());
         let patience = patience.min(start_within(priority));
--- a/daemon/src/generation/choice.rs
+++ b/daemon/src/generation/choice.rs
@@ -53,11 +53,11 @@
         let adapter = self.ask.adapter.as_ref();
         let adapter = adapter.map_or(0, |name| celerypond_route::hash(name.as_str().as_bytes()));
         loop {
-            let ask = celerypond_route::Ask {
+            let ask = celerypond_route::PickCriteria {
                 prefixes: &prefixes,
                 adapter,
                 excluded: &excluded,
-                near: Some(&self.node.settings.data_centre),
+                preferred_data_centre: Some(&self.node.settings.data_centre),
             };
             let picked = view.pick(route, &ask, now, &mut self.rng).ok()?;
             let target = view.target(picked.target)?;
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -5,7 +5,9 @@
 use bytes::Bytes;
 use celerypond_bundle::Service;
 use celerypond_ledger::{BodyTag, Finished, Proof, Reply, Unsent};
-use celerypond_route::{Ask, Attribution, Failure, InFlight, RetryDecision, Route, Target, View};
+use celerypond_route::{
+    Attribution, Failure, InFlight, PickCriteria, RetryDecision, Route, Target, View,
+};
 use celerypond_telemetry::{hop, Counter, TraceContext};
 use celerypond_types::{NotRunReason, Outcome, TargetKey};
 use gotham::hyper::{HeaderMap, Method};
@@ -372,10 +374,10 @@
     let now = Instant::now();
     let suspects = node.suspects.with(excluded.to_vec(), now);
     let choose = |excluded| {
-        let ask = Ask {
+        let ask = PickCriteria {
             excluded,
-            near: Some(&node.settings.data_centre),
-            ..Ask::default()
+            preferred_data_centre: Some(&node.settings.data_centre),
+            ..PickCriteria::default()
         };
         view.pick(route, &ask, now, &mut node.rng())
     };
