--- a/bench/src/route/limits.rs
+++ b/bench/src/route/limits.rs
@@ -3,7 +3,9 @@
 //! The model: 7 instances, a limit of 100 requests a second, callers who ask for 150 a second at
 //! one instance and move to another every 60 s. Instances hear of each other's demand within 5 s.
 
-use celerypond_route::{published, Demand, Demands, Knowledge, Part, Split, HOLD_MS, SPREAD_MS};
+use celerypond_route::{
+    quantize_rate, Demand, DemandMap, Knowledge, Part, Split, HOLD_MS, SPREAD_MS,
+};
 use celerypond_types::InstanceName;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 
@@ -40,7 +42,7 @@
 
 struct Instance {
     name: InstanceName,
-    demands: Demands,
+    demands: DemandMap,
     split: Split,
     own: Demand,
 }
@@ -50,24 +52,24 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let instance = |at: usize| Instance {
         name: format!("instance-{at}").as_str().into(),
-        demands: Demands::default(),
+        demands: DemandMap::default(),
         split: Split::with_hold(hold_ms.unwrap_or(0)),
         own: Demand::default(),
     };
     let mut all: Vec<Instance> = (0..INSTANCES).map(instance).collect();
-    let mut sent: Vec<(u64, usize, Demands)> = Vec::new();
+    let mut sent: Vec<(u64, usize, DemandMap)> = Vec::new();
     let (mut used, mut most) = (0.0, 0.0_f64);
     for ms in (0..END_MS).step_by(TICK_MS as usize) {
         let busy = (ms / MOVE_MS) as usize % INSTANCES;
         for (at, one) in all.iter_mut().enumerate() {
-            let requests = published(if at == busy { ASKED } else { 0.0 });
+            let requests = quantize_rate(if at == busy { ASKED } else { 0.0 });
             if requests != one.own.requests {
                 one.own = Demand {
                     sequence: one.own.sequence + 1,
                     requests,
                     tokens: 0,
                 };
-                let word = Demands::of(one.name.clone(), one.own);
+                let word = DemandMap::single(one.name.clone(), one.own);
                 let others = (0..INSTANCES).filter(|to| *to != at);
                 sent.extend(
                     others.map(|to| (ms + rng.random_range(0..SPREAD_MS), to, word.clone())),
--- a/crates/route/src/demand.rs
+++ b/crates/route/src/demand.rs
@@ -5,7 +5,7 @@
 use celerypond_types::InstanceName;
 use serde::{Deserialize, Serialize};
 
-/// The factor between two steps of a published demand: a steady demand is not published again.
+/// The factor between two steps of a quantize_rate demand: a steady demand is not quantize_rate again.
 const STEP: f64 = 1.25;
 
 /// What an account asks of one instance, as the instance publishes it.
@@ -26,22 +26,22 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_route::{Demand, Demands};
+/// use celerypond_route::{Demand, DemandMap};
 ///
 /// let row = Demand { sequence: 1, requests: 5_000, tokens: 0 };
 /// let newer = Demand { sequence: 2, requests: 1_000, tokens: 0 };
-/// let one = Demands::of("a".into(), row);
-/// let both = one.merge(&Demands::of("a".into(), newer));
+/// let one = DemandMap::single("a".into(), row);
+/// let both = one.merge(&DemandMap::single("a".into(), newer));
 /// assert_eq!(both.merge(&one), both);
-/// assert_eq!(both.rows().count(), 1);
+/// assert_eq!(both.iter().count(), 1);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Demands(BTreeMap<InstanceName, Demand>);
+pub struct DemandMap(BTreeMap<InstanceName, Demand>);
 
-impl Demands {
+impl DemandMap {
     /// Makes the demand of one instance.
-    pub fn of(instance: InstanceName, row: Demand) -> Self {
+    pub fn single(instance: InstanceName, row: Demand) -> Self {
         Self(BTreeMap::from([(instance, row)]))
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// Returns the row of each instance, by name.
-    pub fn rows(&self) -> impl Iterator<Item = (&InstanceName, &Demand)> + '_ {
+    pub fn iter(&self) -> impl Iterator<Item = (&InstanceName, &Demand)> + '_ {
         self.0.iter()
     }
 }
@@ -77,13 +77,13 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_route::published;
+/// use celerypond_route::quantize_rate;
 ///
-/// assert_eq!(published(10.0), published(10.1));
-/// assert!(published(10.0) >= 10_000);
-/// assert_eq!(published(0.0), 0);
+/// assert_eq!(quantize_rate(10.0), quantize_rate(10.1));
+/// assert!(quantize_rate(10.0) >= 10_000);
+/// assert_eq!(quantize_rate(0.0), 0);
 /// ```
-pub fn published(rate: f64) -> u64 {
+pub fn quantize_rate(rate: f64) -> u64 {
     if rate * 1_000.0 < 1.0 {
         return 0;
     }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -34,7 +34,7 @@
 pub use budget::{Backoff, RetryBudget};
 pub use cache::{CacheEvent, PrefixHolder, PrefixIndex, PrefixTracker};
 pub use clock::Clock;
-pub use demand::{published, Demand, Demands};
+pub use demand::{quantize_rate, Demand, DemandMap};
 pub use departure::{Availability, DepartureNotice, DepartureState, Origin, LIST_SETTLE_MS};
 pub use drain::{
     Drain, DrainEffect, DrainStage, IDLE_CLOSE_MS, KEEP_ALIVE_MS, LEAVING_PROPAGATION_MS,
--- a/crates/route/src/share.rs
+++ b/crates/route/src/share.rs
@@ -2,7 +2,7 @@
 
 use celerypond_types::InstanceName;
 
-use crate::{Demand, Demands};
+use crate::{Demand, DemandMap};
 
 /// The part of a limit that is given to idle instances, so that each can serve at once.
 pub const FLOOR_PART: f64 = 0.1;
@@ -12,7 +12,7 @@
 pub const TOUCH_MS: u64 = SPREAD_MS + 1_000;
 /// How long a rise of the own demand waits before the share follows it.
 ///
-/// A rise that nobody hears of is published just after a partition began. The last word from the
+/// A rise that nobody hears of is quantize_rate just after a partition began. The last word from the
 /// other side came up to [`SPREAD_MS`] after that, and counts as touch for [`TOUCH_MS`] more. Only
 /// then does the instance know that it must not use the rise.
 pub const HOLD_MS: u64 = SPREAD_MS + TOUCH_MS;
@@ -32,7 +32,7 @@
     /// The own name.
     pub instance: &'a InstanceName,
     /// The demands of all instances that it has heard of and that are not gone.
-    pub demands: &'a Demands,
+    pub demands: &'a DemandMap,
     /// How many instances are listed or heard of.
     pub instances: usize,
     /// How many instances the settings say there are; a new instance knows no other yet.
@@ -60,12 +60,12 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_route::{Demand, Demands, Knowledge, Split};
+/// use celerypond_route::{Demand, DemandMap, Knowledge, Split};
 ///
 /// let other = Demand { sequence: 1, requests: 30_000, tokens: 0 };
 /// let known = Knowledge {
 ///     instance: &"a".into(),
-///     demands: &Demands::of("b".into(), other),
+///     demands: &DemandMap::single("b".into(), other),
 ///     instances: 2,
 ///     expected: 2,
 ///     in_touch: true,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Takes the own demand as it was just published and returns the split and the own part.
+    /// Takes the own demand as it was just quantize_rate and returns the split and the own part.
     #[must_use]
     pub fn step(self, own: Demand, known: &Knowledge<'_>, now_ms: u64) -> (Self, Part) {
         let next = self.follow(own, known.in_touch, now_ms);
@@ -146,7 +146,7 @@
     }
 
     fn part(&self, known: &Knowledge<'_>) -> Part {
-        let rows = known.demands.rows();
+        let rows = known.demands.iter();
         let others = rows.filter(|(name, _)| *name != known.instance);
         let (requests, tokens) = others.fold((0, 0), |(requests, tokens), (_, row)| {
             (requests + row.requests, tokens + row.tokens)
--- a/crates/route/tests/test_share.rs
+++ b/crates/route/tests/test_share.rs
@@ -4,7 +4,7 @@
 
 use celerypond_bundle::Account;
 use celerypond_route::{
-    published, Bucket, Demand, Demands, Knowledge, Meter, Part, Split, FLOOR_PART, HOLD_MS,
+    quantize_rate, Bucket, Demand, DemandMap, Knowledge, Meter, Part, Split, FLOOR_PART, HOLD_MS,
     SPREAD_MS, TOUCH_MS,
 };
 use celerypond_types::{Digest, InstanceName};
@@ -21,7 +21,7 @@
 struct Instance {
     name: InstanceName,
     demand: Demand,
-    demands: Demands,
+    demands: DemandMap,
     heard: BTreeMap<InstanceName, u64>,
     split: Split,
     /// The side of the partition it is on.
@@ -69,7 +69,7 @@
         self.instances.push(Instance {
             name: format!("instance-{}", self.names).as_str().into(),
             demand: Demand::default(),
-            demands: Demands::default(),
+            demands: DemandMap::default(),
             heard: BTreeMap::new(),
             split: Split::with_hold(self.hold_ms),
             side: self.rng.random_bool(0.5),
@@ -95,7 +95,7 @@
                 let rate = [0.0, 1.0, 50.0, 500.0][self.rng.random_range(0..4)];
                 instance.demand = Demand {
                     sequence: instance.demand.sequence + 1,
-                    requests: published(rate),
+                    requests: quantize_rate(rate),
                     tokens: 0,
                 };
             }
@@ -128,7 +128,9 @@
             let to = self.instances.iter_mut().find(|one| one.name == message.to);
             let Some(to) = to else { continue };
             to.heard.insert(message.from.clone(), now);
-            to.demands = to.demands.merge(&Demands::of(message.from, message.demand));
+            to.demands = to
+                .demands
+                .merge(&DemandMap::single(message.from, message.demand));
         }
     }
 
@@ -208,8 +210,8 @@
     let demands = names
         .iter()
         .enumerate()
-        .fold(Demands::default(), |all, (at, name)| {
-            all.merge(&Demands::of(name.clone(), demand(at)))
+        .fold(DemandMap::default(), |all, (at, name)| {
+            all.merge(&DemandMap::single(name.clone(), demand(at)))
         });
     let parts: Vec<f64> = (0..5)
         .map(|at| {
@@ -237,7 +239,7 @@
     let name: InstanceName = "new".into();
     let known = Knowledge {
         instance: &name,
-        demands: &Demands::default(),
+        demands: &DemandMap::default(),
         instances: 10,
         expected: 5,
         in_touch: false,
@@ -246,7 +248,7 @@
     };
     let own = Demand {
         sequence: 1,
-        requests: published(500.0),
+        requests: quantize_rate(500.0),
         tokens: 0,
     };
     let (split, _) = Split::default().step(own, &known, 0);
--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use celerypond_fleet::{EntryKind, MemberState};
-use celerypond_route::{published, Demand, Demands, Knowledge, Part, Split, FLOOR_PART};
+use celerypond_route::{quantize_rate, Demand, DemandMap, Knowledge, Part, Split, FLOOR_PART};
 use celerypond_types::{AccountName, InstanceName};
 use tokio::time;
 
@@ -65,7 +65,7 @@
             let value = serde_json::to_vec(&held.demand).unwrap_or_default();
             gossip::set(node, EntryKind::Demand, name.as_str(), value);
         }
-        let none = Demands::default();
+        let none = DemandMap::default();
         let known = Knowledge {
             instance: &node.settings.instance,
             demands: demands.get(name).unwrap_or(&none),
@@ -90,8 +90,8 @@
         let seconds = STEP.as_secs_f64();
         self.rate += (asked.0 as f64 / seconds - self.rate) * PART;
         self.tokens += (asked.1 as f64 / seconds - self.tokens) * PART;
-        let requests = published(self.rate);
-        let tokens = published(self.tokens);
+        let requests = quantize_rate(self.rate);
+        let tokens = quantize_rate(self.tokens);
         let changed = (requests, tokens) != (self.demand.requests, self.demand.tokens);
         if changed {
             self.demand = Demand {
@@ -105,10 +105,10 @@
     }
 }
 
-fn demands(node: &Node) -> HashMap<AccountName, Demands> {
+fn demands(node: &Node) -> HashMap<AccountName, DemandMap> {
     let list = node.list.load();
     let gossip = node.gossip();
-    let mut all: HashMap<AccountName, Demands> = HashMap::new();
+    let mut all: HashMap<AccountName, DemandMap> = HashMap::new();
     for (origin, item) in gossip.entries().items(EntryKind::Demand) {
         let Some(member) = gossip.membership().by_origin(origin) else {
             continue;
@@ -125,7 +125,7 @@
             continue;
         };
         let rows = all.entry(AccountName::new(&item.key)).or_default();
-        *rows = rows.merge(&Demands::of(member.name.clone(), demand));
+        *rows = rows.merge(&DemandMap::single(member.name.clone(), demand));
     }
     all
 }
