--- a/bench/src/route/limits.rs
+++ b/bench/src/route/limits.rs
@@ -4,7 +4,8 @@
 //! one instance and move to another every 60 s. Instances hear of each other's demand within 5 s.
 
 use celerypond_route::{
-    quantize_rate, Demand, DemandMap, Knowledge, Part, Split, HOLD_MS, SPREAD_MS,
+    quantize_rate, Demand, DemandMap, LimitShare, ShareAllocator, ShareInputs,
+    DEMAND_PROPAGATION_MS, INCREASE_DELAY_MS,
 };
 use celerypond_types::InstanceName;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -24,7 +25,7 @@
 const WAYS: [Way; 3] = [
     ("baseline: evenly", None),
     ("baseline: by demand, at once", Some(0)),
-    ("by demand, rises held", Some(HOLD_MS)),
+    ("by demand, rises held", Some(INCREASE_DELAY_MS)),
 ];
 
 /// Takes the measures.
@@ -43,7 +44,7 @@
 struct Instance {
     name: InstanceName,
     demands: DemandMap,
-    split: Split,
+    split: ShareAllocator,
     own: Demand,
 }
 
@@ -53,7 +54,7 @@
     let instance = |at: usize| Instance {
         name: format!("instance-{at}").as_str().into(),
         demands: DemandMap::default(),
-        split: Split::with_hold(hold_ms.unwrap_or(0)),
+        split: ShareAllocator::with_increase_delay(hold_ms.unwrap_or(0)),
         own: Demand::default(),
     };
     let mut all: Vec<Instance> = (0..INSTANCES).map(instance).collect();
@@ -71,9 +72,13 @@
                 };
                 let word = DemandMap::single(one.name.clone(), one.own);
                 let others = (0..INSTANCES).filter(|to| *to != at);
-                sent.extend(
-                    others.map(|to| (ms + rng.random_range(0..SPREAD_MS), to, word.clone())),
-                );
+                sent.extend(others.map(|to| {
+                    (
+                        ms + rng.random_range(0..DEMAND_PROPAGATION_MS),
+                        to,
+                        word.clone(),
+                    )
+                }));
             }
         }
         for (_, to, word) in sent.extract_if(.., |(due, ..)| *due <= ms) {
@@ -91,16 +96,16 @@
         if hold_ms.is_none() {
             return 1.0 / INSTANCES as f64;
         }
-        let known = Knowledge {
+        let known = ShareInputs {
             instance: &self.name,
             demands: &self.demands,
             instances: INSTANCES,
-            expected: INSTANCES,
-            in_touch: true,
+            expected_instances: INSTANCES,
+            in_contact: true,
             requests_per_s: LIMIT as u32,
             tokens_per_s: 1,
         };
-        let (split, Part { requests, .. }) = self.split.step(self.own, &known, ms);
+        let (split, LimitShare { requests, .. }) = self.split.update(self.own, &known, ms);
         self.split = split;
         requests
     }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -48,6 +48,9 @@
 pub use pick::{Choice, PickCriteria, PickError, PickReason};
 pub use pool::{Pool, FULL_WEIGHT};
 pub use queue::{Queue, QueueLimits, Refusal, Waiting};
-pub use share::{Knowledge, Part, Split, FLOOR_PART, HOLD_MS, SPREAD_MS, TOUCH_MS};
+pub use share::{
+    LimitShare, ShareAllocator, ShareInputs, CONTACT_TIMEOUT_MS, DEMAND_PROPAGATION_MS, IDLE_SHARE,
+    INCREASE_DELAY_MS,
+};
 pub use target::Target;
 pub use view::{Route, ServiceKey, View};
--- a/crates/route/src/meter.rs
+++ b/crates/route/src/meter.rs
@@ -7,17 +7,17 @@
 
 use celerypond_bundle::Account;
 
-use crate::{Bucket, Part};
+use crate::{Bucket, LimitShare};
 
 /// An account's use of one instance. Share it between tasks; all of it is atomic.
 ///
 /// # Examples
 ///
 /// ```
-/// use celerypond_route::{Meter, Part};
+/// use celerypond_route::{Meter, LimitShare};
 ///
 /// let meter = Meter::new(0);
-/// meter.set_limit(10, 1_000, Part { requests: 0.5, tokens: 0.5 }, 0);
+/// meter.set_limit(10, 1_000, LimitShare { requests: 0.5, tokens: 0.5 }, 0);
 /// // Five requests a second, of which a second's worth was saved.
 /// assert_eq!((0..9).filter(|_| meter.admit(10, 1_000).is_ok()).count(), 5);
 /// // Demand counts what was refused as well.
@@ -47,7 +47,7 @@
     }
 
     /// Sets what this instance may admit: a part of the account's limits over the fleet.
-    pub fn set_limit(&self, requests_per_s: u32, tokens_per_s: u32, part: Part, now_ms: u64) {
+    pub fn set_limit(&self, requests_per_s: u32, tokens_per_s: u32, part: LimitShare, now_ms: u64) {
         let requests = f64::from(requests_per_s) * part.requests;
         let tokens = f64::from(tokens_per_s) * part.tokens;
         self.requests.set_rate(requests, now_ms);
@@ -55,7 +55,7 @@
     }
 
     /// Sets the limit to a part of what the bundle declares.
-    pub fn set_account(&self, account: &Account, part: Part, now_ms: u64) {
+    pub fn set_account(&self, account: &Account, part: LimitShare, now_ms: u64) {
         self.set_limit(account.requests_per_s, account.tokens_per_s, part, now_ms);
     }
 
--- a/crates/route/src/share.rs
+++ b/crates/route/src/share.rs
@@ -5,21 +5,21 @@
 use crate::{Demand, DemandMap};
 
 /// The part of a limit that is given to idle instances, so that each can serve at once.
-pub const FLOOR_PART: f64 = 0.1;
+pub const IDLE_SHARE: f64 = 0.1;
 /// The longest time that a change of demand takes to reach all instances in touch.
-pub const SPREAD_MS: u64 = 5_000;
+pub const DEMAND_PROPAGATION_MS: u64 = 5_000;
 /// An instance is in touch with another if it heard from it within this time.
-pub const TOUCH_MS: u64 = SPREAD_MS + 1_000;
+pub const CONTACT_TIMEOUT_MS: u64 = DEMAND_PROPAGATION_MS + 1_000;
 /// How long a rise of the own demand waits before the share follows it.
 ///
 /// A rise that nobody hears of is quantize_rate just after a partition began. The last word from the
-/// other side came up to [`SPREAD_MS`] after that, and counts as touch for [`TOUCH_MS`] more. Only
+/// other side came up to [`DEMAND_PROPAGATION_MS`] after that, and counts as touch for [`CONTACT_TIMEOUT_MS`] more. Only
 /// then does the instance know that it must not use the rise.
-pub const HOLD_MS: u64 = SPREAD_MS + TOUCH_MS;
+pub const INCREASE_DELAY_MS: u64 = DEMAND_PROPAGATION_MS + CONTACT_TIMEOUT_MS;
 
 /// A part of a limit, from 0 to 1, for requests and for tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Part {
+pub struct LimitShare {
     /// The part of requests a second.
     pub requests: f64,
     /// The part of tokens a second.
@@ -28,7 +28,7 @@
 
 /// What an instance knows when it reckons its part.
 #[derive(Clone, Copy, Debug)]
-pub struct Knowledge<'a> {
+pub struct ShareInputs<'a> {
     /// The own name.
     pub instance: &'a InstanceName,
     /// The demands of all instances that it has heard of and that are not gone.
@@ -36,9 +36,9 @@
     /// How many instances are listed or heard of.
     pub instances: usize,
     /// How many instances the settings say there are; a new instance knows no other yet.
-    pub expected: usize,
-    /// Whether every listed instance was heard of within [`TOUCH_MS`].
-    pub in_touch: bool,
+    pub expected_instances: usize,
+    /// Whether every listed instance was heard of within [`CONTACT_TIMEOUT_MS`].
+    pub in_contact: bool,
     /// The account's limit of requests a second.
     pub requests_per_s: u32,
     /// The account's limit of tokens a second.
@@ -49,37 +49,37 @@
 ///
 /// The failure: two instances both believe that a demand has moved to them, and together admit more
 /// than the account may use. So a fall of the own demand counts at once and a rise only after
-/// [`HOLD_MS`], when all others have heard of it; and while an instance is out of touch with a
+/// [`INCREASE_DELAY_MS`], when all others have heard of it; and while an instance is out of touch with a
 /// listed one, its demand cannot rise at all. Then every instance counts each other one with at
 /// least what that one uses, and the parts add up to at most 1.
 ///
 /// The bound: with `n` instances of which the one that knows fewest counts `m`, all parts add up to
-/// at most `max(1, n / m) + FLOOR_PART`, as long as changes spread in [`SPREAD_MS`] among instances
+/// at most `max(1, n / m) + IDLE_SHARE`, as long as changes spread in [`DEMAND_PROPAGATION_MS`] among instances
 /// in touch, and touch is lost in both directions.
 ///
 /// # Examples
 ///
 /// ```
-/// use celerypond_route::{Demand, DemandMap, Knowledge, Split};
+/// use celerypond_route::{Demand, DemandMap, ShareInputs, ShareAllocator};
 ///
 /// let other = Demand { sequence: 1, requests: 30_000, tokens: 0 };
-/// let known = Knowledge {
+/// let known = ShareInputs {
 ///     instance: &"a".into(),
 ///     demands: &DemandMap::single("b".into(), other),
 ///     instances: 2,
-///     expected: 2,
-///     in_touch: true,
+///     expected_instances: 2,
+///     in_contact: true,
 ///     requests_per_s: 100,
 ///     tokens_per_s: 0,
 /// };
 /// let own = Demand { sequence: 1, requests: 90_000, tokens: 0 };
-/// let (split, part) = Split::default().step(own, &known, 0);
-/// assert!(part.requests < 0.2); // Nobody may know of the demand yet.
-/// let (_, part) = split.step(own, &known, 11_000);
-/// assert!(part.requests > 0.7);
+/// let (allocator, share) = ShareAllocator::default().update(own, &known, 0);
+/// assert!(share.requests < 0.2); // Nobody may know of the demand yet.
+/// let (_, share) = allocator.update(own, &known, 11_000);
+/// assert!(share.requests > 0.7);
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Split {
+pub struct ShareAllocator {
     /// The demand by which the own part is reckoned.
     used: Demand,
     /// The least demand since `since`, which becomes `used` when it has held long enough.
@@ -88,15 +88,15 @@
     hold_ms: u64,
 }
 
-impl Default for Split {
+impl Default for ShareAllocator {
     fn default() -> Self {
-        Self::with_hold(HOLD_MS)
+        Self::with_increase_delay(INCREASE_DELAY_MS)
     }
 }
 
-impl Split {
-    /// Makes a split whose rises wait for `hold_ms`; less than [`HOLD_MS`] breaks the bound.
-    pub const fn with_hold(hold_ms: u64) -> Self {
+impl ShareAllocator {
+    /// Makes a split whose rises wait for `hold_ms`; less than [`INCREASE_DELAY_MS`] breaks the bound.
+    pub const fn with_increase_delay(hold_ms: u64) -> Self {
         let none = Demand {
             sequence: 0,
             requests: 0,
@@ -112,8 +112,8 @@
 
     /// Takes the own demand as it was just quantize_rate and returns the split and the own part.
     #[must_use]
-    pub fn step(self, own: Demand, known: &Knowledge<'_>, now_ms: u64) -> (Self, Part) {
-        let next = self.follow(own, known.in_touch, now_ms);
+    pub fn update(self, own: Demand, known: &ShareInputs<'_>, now_ms: u64) -> (Self, LimitShare) {
+        let next = self.follow(own, known.in_contact, now_ms);
         let part = next.part(known);
         (next, part)
     }
@@ -145,28 +145,28 @@
         }
     }
 
-    fn part(&self, known: &Knowledge<'_>) -> Part {
+    fn part(&self, known: &ShareInputs<'_>) -> LimitShare {
         let rows = known.demands.iter();
         let others = rows.filter(|(name, _)| *name != known.instance);
         let (requests, tokens) = others.fold((0, 0), |(requests, tokens), (_, row)| {
             (requests + row.requests, tokens + row.tokens)
         });
         let of = |own: u64, others: u64, per_s: u32| known.part(own, others, per_s);
-        Part {
+        LimitShare {
             requests: of(self.used.requests, requests, known.requests_per_s),
             tokens: of(self.used.tokens, tokens, known.tokens_per_s),
         }
     }
 }
 
-impl Knowledge<'_> {
+impl ShareInputs<'_> {
     fn part(&self, own: u64, others: u64, per_s: u32) -> f64 {
         let limit = f64::from(per_s.max(1)) * 1_000.0;
-        let count = self.instances.max(self.expected).max(1);
-        let idle = FLOOR_PART * limit;
+        let count = self.instances.max(self.expected_instances).max(1);
+        let idle = IDLE_SHARE * limit;
         let heard = (own + others) as f64;
         // Out of touch, others may use the whole limit unheard.
-        let asked = if self.in_touch {
+        let asked = if self.in_contact {
             heard
         } else {
             heard.max(limit)
--- a/crates/route/tests/test_share.rs
+++ b/crates/route/tests/test_share.rs
@@ -4,8 +4,8 @@
 
 use celerypond_bundle::Account;
 use celerypond_route::{
-    quantize_rate, Bucket, Demand, DemandMap, Knowledge, Meter, Part, Split, FLOOR_PART, HOLD_MS,
-    SPREAD_MS, TOUCH_MS,
+    quantize_rate, Bucket, Demand, DemandMap, LimitShare, Meter, ShareAllocator, ShareInputs,
+    CONTACT_TIMEOUT_MS, DEMAND_PROPAGATION_MS, IDLE_SHARE, INCREASE_DELAY_MS,
 };
 use celerypond_types::{Digest, InstanceName};
 use rand::{rngs::SmallRng, Rng};
@@ -23,7 +23,7 @@
     demand: Demand,
     demands: DemandMap,
     heard: BTreeMap<InstanceName, u64>,
-    split: Split,
+    split: ShareAllocator,
     /// The side of the partition it is on.
     side: bool,
     joined: u64,
@@ -71,7 +71,7 @@
             demand: Demand::default(),
             demands: DemandMap::default(),
             heard: BTreeMap::new(),
-            split: Split::with_hold(self.hold_ms),
+            split: ShareAllocator::with_increase_delay(self.hold_ms),
             side: self.rng.random_bool(0.5),
             joined: self.now,
         });
@@ -109,7 +109,7 @@
                     continue;
                 }
                 self.messages.push(Message {
-                    due: now + self.rng.random_range(0..SPREAD_MS),
+                    due: now + self.rng.random_range(0..DEMAND_PROPAGATION_MS),
                     to: to.name.clone(),
                     from: from.name.clone(),
                     demand: from.demand,
@@ -157,24 +157,28 @@
             let is_gone = |name: &InstanceName| gone.contains_key(name) && !listed.contains(name);
             instance.demands = instance.demands.without(is_gone);
             let heard = &instance.heard;
-            let recent = |name| heard.get(name).is_some_and(|at| now - at <= TOUCH_MS);
+            let recent = |name| {
+                heard
+                    .get(name)
+                    .is_some_and(|at| now - at <= CONTACT_TIMEOUT_MS)
+            };
             let mut others = listed.iter().filter(|name| **name != instance.name);
-            let known = Knowledge {
+            let known = ShareInputs {
                 instance: &instance.name,
                 demands: &instance.demands,
                 instances: listed.len(),
-                expected: EXPECTED,
-                in_touch: others.all(recent),
+                expected_instances: EXPECTED,
+                in_contact: others.all(recent),
                 requests_per_s: LIMIT_PER_S,
                 tokens_per_s: 1,
             };
-            let (split, part) = instance.split.step(instance.demand, &known, now);
+            let (split, part) = instance.split.update(instance.demand, &known, now);
             instance.split = split;
             sum += part.requests;
             least = least.min(listed.len().max(EXPECTED));
         }
         let more = lists.len() as f64 / least as f64;
-        (sum, more.max(1.0) + FLOOR_PART)
+        (sum, more.max(1.0) + IDLE_SHARE)
     }
 }
 
@@ -190,7 +194,7 @@
 // once and the others seconds later, so for that time both may take the account's whole limit,
 // and its targets get twice what was agreed. Instances come, go and are cut off meanwhile.
 #[rstest]
-#[case::held(HOLD_MS, true)]
+#[case::held(INCREASE_DELAY_MS, true)]
 #[case::not_held(0, false)]
 fn parts_stay_within_the_bound(#[case] hold_ms: u64, #[case] holds: bool) {
     let over = (0..60)
@@ -215,17 +219,20 @@
         });
     let parts: Vec<f64> = (0..5)
         .map(|at| {
-            let known = Knowledge {
+            let known = ShareInputs {
                 instance: &names[at],
                 demands: &demands,
                 instances: 5,
-                expected: 5,
-                in_touch: true,
+                expected_instances: 5,
+                in_contact: true,
                 requests_per_s: LIMIT_PER_S,
                 tokens_per_s: 1,
             };
-            let (split, _) = Split::default().step(demand(at), &known, 0);
-            split.step(demand(at), &known, HOLD_MS).1.requests
+            let (split, _) = ShareAllocator::default().update(demand(at), &known, 0);
+            split
+                .update(demand(at), &known, INCREASE_DELAY_MS)
+                .1
+                .requests
         })
         .collect();
     assert!((parts.iter().sum::<f64>() - 1.0).abs() < 1e-9, "{parts:?}");
@@ -237,12 +244,12 @@
 #[test]
 fn newcomers_take_no_more_than_their_floor() {
     let name: InstanceName = "new".into();
-    let known = Knowledge {
+    let known = ShareInputs {
         instance: &name,
         demands: &DemandMap::default(),
         instances: 10,
-        expected: 5,
-        in_touch: false,
+        expected_instances: 5,
+        in_contact: false,
         requests_per_s: LIMIT_PER_S,
         tokens_per_s: 1,
     };
@@ -251,9 +258,9 @@
         requests: quantize_rate(500.0),
         tokens: 0,
     };
-    let (split, _) = Split::default().step(own, &known, 0);
-    let (_, part) = split.step(own, &known, 10 * HOLD_MS);
-    assert!(part.requests < FLOOR_PART / 10.0, "{part:?}");
+    let (split, _) = ShareAllocator::default().update(own, &known, 0);
+    let (_, part) = split.update(own, &known, 10 * INCREASE_DELAY_MS);
+    assert!(part.requests < IDLE_SHARE / 10.0, "{part:?}");
 }
 
 // Whatever the rate is set to from moment to moment, no more is taken in any stretch of time than
@@ -293,7 +300,7 @@
     let meter = Meter::new(0);
     meter.set_account(
         &account,
-        Part {
+        LimitShare {
             requests: 1.0,
             tokens: 1.0,
         },
--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -3,7 +3,9 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use celerypond_fleet::{EntryKind, MemberState};
-use celerypond_route::{quantize_rate, Demand, DemandMap, Knowledge, Part, Split, FLOOR_PART};
+use celerypond_route::{
+    quantize_rate, Demand, DemandMap, LimitShare, ShareAllocator, ShareInputs, IDLE_SHARE,
+};
 use celerypond_types::{AccountName, InstanceName};
 use tokio::time;
 
@@ -18,7 +20,7 @@
 /// What this instance knows of one account's demand.
 #[derive(Default)]
 struct Own {
-    split: Split,
+    split: ShareAllocator,
     demand: Demand,
     rate: f64,
     tokens: f64,
@@ -66,16 +68,16 @@
             gossip::set(node, EntryKind::Demand, name.as_str(), value);
         }
         let none = DemandMap::default();
-        let known = Knowledge {
+        let known = ShareInputs {
             instance: &node.settings.instance,
             demands: demands.get(name).unwrap_or(&none),
             instances: touch.instances,
-            expected: node.expected(),
-            in_touch: touch.is_whole,
+            expected_instances: node.expected(),
+            in_contact: touch.is_whole,
             requests_per_s: entry.account.requests_per_s,
             tokens_per_s: entry.account.tokens_per_s,
         };
-        let (split, part) = held.split.step(held.demand, &known, now_ms);
+        let (split, part) = held.split.update(held.demand, &known, now_ms);
         held.split = split;
         entry.meter.set_account(&entry.account, part, now_ms);
     }
@@ -162,12 +164,12 @@
 /// Returns the part of a limit for an account that nobody has asked for yet.
 ///
 /// Out of touch it is a part of what idle instances have: others may use all the rest unheard.
-pub fn first_part(node: &Node) -> Part {
+pub fn first_part(node: &Node) -> LimitShare {
     let touch = touch(node);
-    let idle = FLOOR_PART / (1.0 + FLOOR_PART);
+    let idle = IDLE_SHARE / (1.0 + IDLE_SHARE);
     let whole = if touch.is_whole { 1.0 } else { idle };
     let part = whole / touch.instances as f64;
-    Part {
+    LimitShare {
         requests: part,
         tokens: part,
     }
--- a/daemon/tests/test_limits.rs
+++ b/daemon/tests/test_limits.rs
@@ -5,7 +5,7 @@
 use celerypond_bundle::Account;
 use celerypond_daemon::{gossip, limits, node::Node};
 use celerypond_platform::InstanceList;
-use celerypond_route::{Meter, FLOOR_PART};
+use celerypond_route::{Meter, IDLE_SHARE};
 use celerypond_telemetry::Metrics;
 use celerypond_types::Digest;
 use rstest::rstest;
@@ -16,7 +16,7 @@
 
 const LIMIT: u32 = 10_000;
 /// The part of a limit that idle instances share when the others may use all the rest.
-const IDLE: f64 = FLOOR_PART / (1.0 + FLOOR_PART);
+const IDLE: f64 = IDLE_SHARE / (1.0 + IDLE_SHARE);
 
 fn node() -> Arc<Node> {
     let platform = "127.0.0.1:1".parse().unwrap();
