--- a/bench/src/route/affinity.rs
+++ b/bench/src/route/affinity.rs
@@ -19,7 +19,7 @@
 const PREFIXES: usize = 600;
 const STEP_MS: u64 = 20;
 const REQUESTS: u64 = 4_000;
-/// The requests that are not counted, while tracker fill.
+/// The requests that are not counted, while caches fill.
 const WARM: u64 = 1_000;
 const SERVICE_MS: f64 = 1_600.0;
 /// How late cache events come, and what share of them is lost.
