--- a/crates/route/src/accounts.rs
+++ b/crates/route/src/accounts.rs
@@ -6,7 +6,7 @@
 use celerypond_types::{AccountKey, AccountName, Digest};
 use slotmap::SlotMap;
 
-use crate::Meter;
+use crate::AccountLimiter;
 
 /// A client account in the accounts arena.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
     /// What the bundle declares.
     pub account: Account,
     /// What it uses of this instance, over all snapshots.
-    pub meter: Arc<Meter>,
+    pub limiter: Arc<AccountLimiter>,
 }
 
 /// The client accounts of a bundle; keys and meters outlive a change of the bundle.
@@ -47,7 +47,7 @@
         let Some(key) = key else {
             return self.entries.insert(AccountEntry {
                 account: account.clone(),
-                meter: Arc::new(Meter::new(now_ms)),
+                limiter: Arc::new(AccountLimiter::new(now_ms)),
             });
         };
         self.entries[key].account = account.clone();
--- a/crates/route/src/bucket.rs
+++ b/crates/route/src/bucket.rs
@@ -18,23 +18,23 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_route::Bucket;
+/// use celerypond_route::TokenBucket;
 ///
-/// let bucket = Bucket::new(0);
+/// let bucket = TokenBucket::new(0);
 /// bucket.set_rate(10.0, 0);
-/// assert!(bucket.take(10, 1_000).is_ok());
-/// let wait = bucket.take(1, 1_000).unwrap_err();
+/// assert!(bucket.try_take(10, 1_000).is_ok());
+/// let wait = bucket.try_take(1, 1_000).unwrap_err();
 /// assert_eq!(wait.as_millis(), 100);
 /// ```
 #[derive(Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     /// When all that was taken is paid for, in nanoseconds.
     paid: AtomicU64,
     /// The nanoseconds that one token takes; 0 gives none.
     cost: AtomicU64,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Makes an empty bucket that does not fill yet.
     pub const fn new(now_ms: u64) -> Self {
         Self {
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// The time until the same call succeeds if nobody else takes any.
-    pub fn take(&self, tokens: u64, now_ms: u64) -> Result<(), Duration> {
+    pub fn try_take(&self, tokens: u64, now_ms: u64) -> Result<(), Duration> {
         let cost = self.cost.load(Relaxed);
         if tokens == 0 {
             // A call that generates nothing need not wait for a debt of those that do.
@@ -105,7 +105,7 @@
     }
 
     /// Corrects an estimate: `used` tokens were used where `taken` were taken.
-    pub fn settle(&self, taken: u64, used: u64) {
+    pub fn reconcile(&self, taken: u64, used: u64) {
         let cost = self.cost.load(Relaxed);
         let more = used.saturating_sub(taken).saturating_mul(cost);
         let less = taken.saturating_sub(used).saturating_mul(cost);
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -30,7 +30,7 @@
 mod view;
 
 pub use accounts::{AccountEntry, Accounts};
-pub use bucket::{Bucket, BURST_MS};
+pub use bucket::{TokenBucket, BURST_MS};
 pub use budget::{Backoff, RetryBudget};
 pub use cache::{CacheEvent, PrefixHolder, PrefixIndex, PrefixTracker};
 pub use clock::Clock;
@@ -44,7 +44,7 @@
 pub use failure::{Attribution, Failure, RetryDecision};
 pub use gauge::{InFlight, PoolAverages, TargetState, LIVENESS_TTL_MS};
 pub use hash::hash;
-pub use meter::Meter;
+pub use meter::AccountLimiter;
 pub use pick::{Choice, PickCriteria, PickError, PickReason};
 pub use pool::{Pool, FULL_WEIGHT};
 pub use queue::{Queue, QueueLimits, Refusal, Waiting};
--- a/crates/route/tests/test_share.rs
+++ b/crates/route/tests/test_share.rs
@@ -4,8 +4,8 @@
 
 use celerypond_bundle::Account;
 use celerypond_route::{
-    quantize_rate, Bucket, Demand, DemandMap, LimitShare, Meter, ShareAllocator, ShareInputs,
-    CONTACT_TIMEOUT_MS, DEMAND_PROPAGATION_MS, IDLE_SHARE, INCREASE_DELAY_MS,
+    quantize_rate, AccountLimiter, Demand, DemandMap, LimitShare, ShareAllocator, ShareInputs,
+    TokenBucket, CONTACT_TIMEOUT_MS, DEMAND_PROPAGATION_MS, IDLE_SHARE, INCREASE_DELAY_MS,
 };
 use celerypond_types::{Digest, InstanceName};
 use rand::{rngs::SmallRng, Rng};
@@ -268,7 +268,7 @@
 #[rstest]
 fn a_bucket_never_gives_more_than_its_rates(#[values(1, 2, 3, 4)] seed: u64) {
     let mut rng = rng(seed);
-    let bucket = Bucket::new(0);
+    let bucket = TokenBucket::new(0);
     let (mut rate, mut level) = (0.0_f64, 0.0_f64);
     for ms in (0..60_000).step_by(10) {
         if rng.random_bool(0.02) {
@@ -278,7 +278,7 @@
         }
         level = (level + rate * 0.01).min(rate);
         for _ in 0..rng.random_range(0..12) {
-            if bucket.take(1, ms).is_ok() {
+            if bucket.try_take(1, ms).is_ok() {
                 level -= 1.0;
             }
         }
@@ -297,8 +297,8 @@
         weight: 1,
         priority: Default::default(),
     };
-    let meter = Meter::new(0);
-    meter.set_account(
+    let limiter = AccountLimiter::new(0);
+    limiter.set_account_limit(
         &account,
         LimitShare {
             requests: 1.0,
@@ -306,16 +306,16 @@
         },
         0,
     );
-    assert!(meter.admit(1_000, 1_000).is_ok());
-    let wait = meter.admit(500, 1_000).unwrap_err();
+    assert!(limiter.admit(1_000, 1_000).is_ok());
+    let wait = limiter.admit(500, 1_000).unwrap_err();
     assert_eq!(wait.as_millis(), 500);
-    meter.settle(1_000, 400);
-    assert!(meter.admit(500, 1_000).is_ok());
+    limiter.reconcile(1_000, 400);
+    assert!(limiter.admit(500, 1_000).is_ok());
     // An answer longer than estimated is a debt that later ones wait for.
-    meter.settle(500, 2_500);
-    assert!(meter.admit(1, 2_500).is_err());
+    limiter.reconcile(500, 2_500);
+    assert!(limiter.admit(1, 2_500).is_err());
     // A refusal takes no request, and calls that generate nothing do not wait for the debt.
-    assert!((0..100).all(|_| meter.admit(0, 2_500).is_ok()));
-    assert!(meter.admit(0, 2_500).is_err());
-    assert_eq!(meter.drain().0, 105);
+    assert!((0..100).all(|_| limiter.admit(0, 2_500).is_ok()));
+    assert!(limiter.admit(0, 2_500).is_err());
+    assert_eq!(limiter.take_demand().0, 105);
 }
--- a/daemon/src/charge.rs
+++ b/daemon/src/charge.rs
@@ -3,14 +3,14 @@
 use std::sync::Arc;
 
 use celerypond_bundle::Account;
-use celerypond_route::Meter;
+use celerypond_route::AccountLimiter;
 use celerypond_types::{AccountKey, NotRunReason};
 
 use crate::{front::problem::Problem, node::Node};
 
 /// The tokens that were charged to an account; what was not used goes back when this is dropped.
 pub struct Charge {
-    meter: Arc<Meter>,
+    limiter: Arc<AccountLimiter>,
     tokens: u64,
     /// How many of them were generated.
     pub used: u64,
@@ -31,12 +31,12 @@
             // The bundle has just changed; the caller's next try finds the new one.
             return Err(Problem::not_run(NotRunReason::Overload, Default::default()));
         };
-        let meter = Arc::clone(&entry.meter);
-        meter
+        let limiter = Arc::clone(&entry.limiter);
+        limiter
             .admit(tokens, node.now_ms())
             .map_err(|after| Problem::not_run(NotRunReason::AccountLimit, after))?;
         let charge = Self {
-            meter,
+            limiter,
             tokens,
             used: 0,
         };
@@ -46,6 +46,6 @@
 
 impl Drop for Charge {
     fn drop(&mut self) {
-        self.meter.settle(self.tokens, self.used);
+        self.limiter.reconcile(self.tokens, self.used);
     }
 }
--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -62,7 +62,7 @@
     for (_, entry) in view.accounts().iter() {
         let name = &entry.account.name;
         let held = own.entry(name.clone()).or_default();
-        let changed = held.measure(entry.meter.drain());
+        let changed = held.measure(entry.limiter.take_demand());
         if changed {
             let value = serde_json::to_vec(&held.demand).unwrap_or_default();
             gossip::set(node, EntryKind::Demand, name.as_str(), value);
@@ -79,7 +79,9 @@
         };
         let (split, part) = held.split.update(held.demand, &known, now_ms);
         held.split = split;
-        entry.meter.set_account(&entry.account, part, now_ms);
+        entry
+            .limiter
+            .set_account_limit(&entry.account, part, now_ms);
     }
 }
 
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -218,7 +218,9 @@
         let is_new = |name| before.accounts().key(name).is_none();
         for (_, entry) in view.accounts().iter() {
             if is_new(&entry.account.name) {
-                entry.meter.set_account(&entry.account, part, now_ms);
+                entry
+                    .limiter
+                    .set_account_limit(&entry.account, part, now_ms);
             }
         }
     }
--- a/daemon/tests/test_limits.rs
+++ b/daemon/tests/test_limits.rs
@@ -5,7 +5,7 @@
 use celerypond_bundle::Account;
 use celerypond_daemon::{gossip, limits, node::Node};
 use celerypond_platform::InstanceList;
-use celerypond_route::{Meter, IDLE_SHARE};
+use celerypond_route::{AccountLimiter, IDLE_SHARE};
 use celerypond_telemetry::Metrics;
 use celerypond_types::Digest;
 use rstest::rstest;
@@ -45,7 +45,7 @@
 }
 
 /// Returns the part of the limit that a full meter lets through at once.
-fn part(meter: &Meter, now_ms: u64) -> f64 {
+fn part(meter: &AccountLimiter, now_ms: u64) -> f64 {
     let taken = (0..LIMIT).take_while(|_| meter.admit(0, now_ms).is_ok());
     taken.count() as f64 / f64::from(LIMIT)
 }
@@ -69,9 +69,9 @@
     let meter = {
         let view = node.view.load();
         let key = view.accounts().key(&account.name).unwrap();
-        Arc::clone(&view.accounts().get(key).unwrap().meter)
+        Arc::clone(&view.accounts().get(key).unwrap().limiter)
     };
-    meter.set_account(&account, limits::first_part(&node), 0);
+    meter.set_account_limit(&account, limits::first_part(&node), 0);
     assert_near(part(&meter, 60_000), most);
     let task = tokio::spawn(limits::run(Arc::clone(&node)));
     time::sleep(Duration::from_millis(200)).await;
