--- a/bench/src/route/cost.rs
+++ b/bench/src/route/cost.rs
@@ -3,7 +3,8 @@
 use std::{fs, hint::black_box};
 
 use celerypond_route::{
-    hash, OutlierDetector, OutlierLimits, PickCriteria, Queue, QueueLimits, Route, View, Waiting,
+    hash, AdmissionQueue, OutlierDetector, OutlierLimits, PickCriteria, QueueLimits, QueuedRequest,
+    Route, View,
 };
 use celerypond_types::{Priority, TargetKey};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -181,8 +182,8 @@
 /// Times refusals by a full queue of many accounts.
 fn refusals() -> Row {
     let accounts = fleet::accounts(ACCOUNTS);
-    let mut queue = Queue::new(QueueLimits::default(), 1_000.0);
-    let offer = |item: usize, deadline| Waiting {
+    let mut queue = AdmissionQueue::new(QueueLimits::default(), 1_000.0);
+    let offer = |item: usize, deadline| QueuedRequest {
         account: accounts[item % ACCOUNTS],
         weight: 1,
         priority: if item.is_multiple_of(3) {
@@ -196,11 +197,11 @@
     };
     for item in 0..4_000 {
         // Those that do not fit are refused, which fills the queue as well.
-        let _ = queue.offer(offer(item, u64::MAX / 2), 0);
+        let _ = queue.try_push(offer(item, u64::MAX / 2), 0);
     }
     let sample = |item| {
         let start = std::time::Instant::now();
-        let refused = black_box(queue.offer(offer(item, 1), 0));
+        let refused = black_box(queue.try_push(offer(item, 1), 0));
         debug_assert!(refused.is_err());
         start.elapsed().as_secs_f64() * 1e6
     };
--- a/bench/src/route/overload/model.rs
+++ b/bench/src/route/overload/model.rs
@@ -6,8 +6,8 @@
 };
 
 use celerypond_route::{
-    Backoff, Choice, Failure, OutlierDetector, OutlierEffect, OutlierLimits, PickCriteria, Queue,
-    QueueLimits, RetryBudget, RetryDecision, Route, View, Waiting,
+    AdmissionQueue, Backoff, Choice, Failure, OutlierDetector, OutlierEffect, OutlierLimits,
+    PickCriteria, QueueLimits, QueuedRequest, RetryBudget, RetryDecision, Route, View,
 };
 use celerypond_types::{AccountKey, Priority, TargetKey};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -50,7 +50,7 @@
     view: View,
     route: Route,
     keys: Vec<TargetKey>,
-    queue: Queue<usize>,
+    queue: AdmissionQueue<usize>,
     detector: OutlierDetector,
     budget: RetryBudget,
 }
@@ -83,7 +83,7 @@
                 view: view.with_instances(INSTANCES),
                 route,
                 keys,
-                queue: Queue::new(QueueLimits::default(), per_s),
+                queue: AdmissionQueue::new(QueueLimits::default(), per_s),
                 detector: OutlierDetector::new(OutlierLimits::default()),
                 budget: budget(),
             }
@@ -167,7 +167,7 @@
 
     fn wait(&mut self, job: usize) {
         let one = &self.jobs[job];
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             account: self.accounts[one.account],
             weight: 1,
             priority: one.priority,
@@ -182,7 +182,7 @@
         };
         if self.instances[one.instance]
             .queue
-            .offer(waiting, self.now)
+            .try_push(waiting, self.now)
             .is_err()
         {
             self.refuse(job);
@@ -228,7 +228,9 @@
             let queue = &mut self.instances[instance].queue;
             let next = match probe {
                 choice if choice.fits_quota(Priority::Draft) => queue.pop(self.now),
-                choice if choice.fits_quota(Priority::Interactive) => queue.pop_urgent(self.now),
+                choice if choice.fits_quota(Priority::Interactive) => {
+                    queue.pop_interactive(self.now)
+                }
                 _ => None,
             };
             let Some(waiting) = next else { return };
--- a/crates/route/src/lane.rs
+++ b/crates/route/src/lane.rs
@@ -5,7 +5,7 @@
 use celerypond_types::AccountKey;
 use slotmap::SecondaryMap;
 
-use crate::{pace::Pace, Waiting};
+use crate::{pace::Pace, QueuedRequest};
 
 /// The virtual time that a request of cost 1 takes an account of weight 1.
 const TAG_UNIT: u64 = 1_024;
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 struct Held<T> {
     since: u64,
-    waiting: Waiting<T>,
+    waiting: QueuedRequest<T>,
 }
 
 #[derive(Debug)]
@@ -66,7 +66,7 @@
         (self.len > 0).then_some(self.expiry)
     }
 
-    pub(crate) fn push(&mut self, waiting: Waiting<T>, now_ms: u64) {
+    pub(crate) fn push(&mut self, waiting: QueuedRequest<T>, now_ms: u64) {
         let key = waiting.account;
         if !self.lines.contains_key(key) {
             self.lines.insert(key, Line::new(self.time));
@@ -87,7 +87,7 @@
         });
     }
 
-    pub(crate) fn pop(&mut self, now_ms: u64) -> Option<Waiting<T>> {
+    pub(crate) fn pop(&mut self, now_ms: u64) -> Option<QueuedRequest<T>> {
         let (start, key) = self.heads.pop_first()?;
         self.time = start;
         let line = &mut self.lines[key];
@@ -107,7 +107,7 @@
     }
 
     /// Takes out the requests whose deadline has passed.
-    pub(crate) fn expire(&mut self, now_ms: u64) -> Vec<Waiting<T>> {
+    pub(crate) fn expire(&mut self, now_ms: u64) -> Vec<QueuedRequest<T>> {
         if self.len == 0 || now_ms < self.expiry {
             return Vec::new();
         }
@@ -194,7 +194,7 @@
     }
 }
 
-fn span<T>(waiting: &Waiting<T>) -> u64 {
+fn span<T>(waiting: &QueuedRequest<T>) -> u64 {
     let cost = u64::from(waiting.cost.max(1));
     (cost * TAG_UNIT / u64::from(waiting.weight.max(1))).max(1)
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -47,7 +47,7 @@
 pub use meter::AccountLimiter;
 pub use pick::{Choice, PickCriteria, PickError, PickReason};
 pub use pool::{Pool, FULL_WEIGHT};
-pub use queue::{Queue, QueueLimits, Refusal, Waiting};
+pub use queue::{AdmissionQueue, QueueLimits, QueuedRequest, Refusal};
 pub use share::{
     LimitShare, ShareAllocator, ShareInputs, CONTACT_TIMEOUT_MS, DEMAND_PROPAGATION_MS, IDLE_SHARE,
     INCREASE_DELAY_MS,
--- a/crates/route/src/queue.rs
+++ b/crates/route/src/queue.rs
@@ -34,7 +34,7 @@
 
 /// A request that waits.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Waiting<T> {
+pub struct QueuedRequest<T> {
     /// Whose request it is; a key of the accounts arena.
     pub account: AccountKey,
     /// The account's part in fair queueing, at least 1.
@@ -68,14 +68,14 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_route::{Queue, QueueLimits, Waiting};
+/// use celerypond_route::{AdmissionQueue, QueueLimits, QueuedRequest};
 /// use celerypond_types::{AccountKey, Priority};
 /// use slotmap::SlotMap;
 ///
 /// let mut accounts = SlotMap::<AccountKey, ()>::with_key();
 /// let account = accounts.insert(());
-/// let mut queue = Queue::new(QueueLimits::default(), 10.0); // 10 a second at first.
-/// let wait = |item, deadline| Waiting {
+/// let mut queue = AdmissionQueue::new(QueueLimits::default(), 10.0); // 10 a second at first.
+/// let wait = |item, deadline| QueuedRequest {
 ///     account,
 ///     weight: 1,
 ///     priority: Priority::Interactive,
@@ -83,14 +83,14 @@
 ///     deadline,
 ///     item,
 /// };
-/// assert!(queue.offer(wait('a', 500), 0).is_ok());
-/// assert!(queue.offer(wait('b', 500), 0).is_ok());
+/// assert!(queue.try_push(wait('a', 500), 0).is_ok());
+/// assert!(queue.try_push(wait('b', 500), 0).is_ok());
 /// // The third would start after 300 ms.
-/// assert!(queue.offer(wait('c', 250), 0).is_err());
+/// assert!(queue.try_push(wait('c', 250), 0).is_err());
 /// assert_eq!(queue.pop(10).map(|waiting| waiting.item), Some('a'));
 /// ```
 #[derive(Debug)]
-pub struct Queue<T> {
+pub struct AdmissionQueue<T> {
     limits: QueueLimits,
     lanes: [Lane<T>; 2],
     /// Requests taken from the interactive lane since a draft was.
@@ -98,7 +98,7 @@
     counts: SecondaryMap<AccountKey, usize>,
 }
 
-impl<T> Queue<T> {
+impl<T> AdmissionQueue<T> {
     /// Makes an empty queue that expects `per_s` requests to start each second until it has
     /// measured them.
     pub fn new(limits: QueueLimits, per_s: f64) -> Self {
@@ -115,8 +115,8 @@
     /// # Errors
     ///
     /// A [`Refusal`] when the queue is full or the expected wait is past the deadline.
-    pub fn offer(&mut self, waiting: Waiting<T>, now_ms: u64) -> Result<(), Refusal> {
-        let wait_ms = self.expected_ms(&waiting, now_ms);
+    pub fn try_push(&mut self, waiting: QueuedRequest<T>, now_ms: u64) -> Result<(), Refusal> {
+        let wait_ms = self.expected_wait_ms(&waiting, now_ms);
         let own = self.counts.get(waiting.account).copied().unwrap_or(0);
         let is_full = self.len() >= self.limits.total || own >= self.limits.per_account;
         let is_late = now_ms as f64 + wait_ms * MARGIN > waiting.deadline as f64;
@@ -130,20 +130,20 @@
     }
 
     /// Takes the next request when there is room for one.
-    pub fn pop(&mut self, now_ms: u64) -> Option<Waiting<T>> {
+    pub fn pop(&mut self, now_ms: u64) -> Option<QueuedRequest<T>> {
         let at = self.next_lane()?;
         self.take(at, now_ms)
     }
 
     /// Takes the next interactive request when there is only room for one of those, unless it is a
     /// draft's turn: the room that is only for interactive requests must not starve drafts.
-    pub fn pop_urgent(&mut self, now_ms: u64) -> Option<Waiting<T>> {
+    pub fn pop_interactive(&mut self, now_ms: u64) -> Option<QueuedRequest<T>> {
         let at = self.next_lane()?;
         (at == 0).then(|| self.take(at, now_ms))?
     }
 
     /// Takes out the requests whose deadline has passed; they are to be refused at once.
-    pub fn expire(&mut self, now_ms: u64) -> Vec<(Waiting<T>, Refusal)> {
+    pub fn expire(&mut self, now_ms: u64) -> Vec<(QueuedRequest<T>, Refusal)> {
         let [urgent, drafts] = &mut self.lanes;
         let mut late = urgent.expire(now_ms);
         late.extend(drafts.expire(now_ms));
@@ -151,7 +151,7 @@
             self.counts[waiting.account] -= 1;
         }
         let refused = late.into_iter().map(|waiting| {
-            let wait_ms = self.expected_ms(&waiting, now_ms);
+            let wait_ms = self.expected_wait_ms(&waiting, now_ms);
             (waiting, self.refusal(wait_ms))
         });
         refused.collect()
@@ -173,7 +173,7 @@
     }
 
     /// Estimates how long a request would wait until it starts, in milliseconds.
-    pub fn expected_ms(&self, waiting: &Waiting<T>, now_ms: u64) -> f64 {
+    pub fn expected_wait_ms(&self, waiting: &QueuedRequest<T>, now_ms: u64) -> f64 {
         self.lanes[lane(waiting.priority)].wait_ms(waiting.account, now_ms)
     }
 
@@ -187,7 +187,7 @@
         }
     }
 
-    fn take(&mut self, at: usize, now_ms: u64) -> Option<Waiting<T>> {
+    fn take(&mut self, at: usize, now_ms: u64) -> Option<QueuedRequest<T>> {
         let waiting = self.lanes[at].pop(now_ms)?;
         self.urgent = if at == 0 { self.urgent + 1 } else { 0 };
         self.counts[waiting.account] -= 1;
--- a/crates/route/tests/test_queue.rs
+++ b/crates/route/tests/test_queue.rs
@@ -1,6 +1,6 @@
 //! Fair queueing and admission.
 
-use celerypond_route::{Queue, QueueLimits, Waiting};
+use celerypond_route::{AdmissionQueue, QueueLimits, QueuedRequest};
 use celerypond_types::{AccountKey, NotRunReason, Priority};
 use proptest::{
     prelude::*,
@@ -15,8 +15,8 @@
     (0..count).map(|_| arena.insert(())).collect()
 }
 
-fn waiting(account: AccountKey, weight: u32, item: u32) -> Waiting<u32> {
-    Waiting {
+fn waiting(account: AccountKey, weight: u32, item: u32) -> QueuedRequest<u32> {
+    QueuedRequest {
         account,
         weight,
         priority: Priority::Interactive,
@@ -33,10 +33,10 @@
 #[case::weighted([1, 1, 4], [20, 20, 80])]
 fn accounts_get_their_weight(#[case] weights: [u32; 3], #[case] served: [u32; 3]) {
     let accounts = keys(3);
-    let mut queue = Queue::new(QueueLimits::default(), 1_000.0);
+    let mut queue = AdmissionQueue::new(QueueLimits::default(), 1_000.0);
     for (account, weight) in accounts.iter().zip(weights) {
         for _ in 0..200 {
-            queue.offer(waiting(*account, weight, 0), 0).unwrap();
+            queue.try_push(waiting(*account, weight, 0), 0).unwrap();
         }
     }
     let taken: Vec<_> = (0..120).map_while(|at| queue.pop(at)).collect();
@@ -49,18 +49,18 @@
 #[test]
 fn costs_count_and_not_requests() {
     let accounts = keys(2);
-    let mut queue = Queue::new(QueueLimits::default(), 1_000.0);
+    let mut queue = AdmissionQueue::new(QueueLimits::default(), 1_000.0);
     for at in 0..200 {
         queue
-            .offer(
-                Waiting {
+            .try_push(
+                QueuedRequest {
                     cost: 10,
                     ..waiting(accounts[0], 1, at)
                 },
                 0,
             )
             .unwrap();
-        queue.offer(waiting(accounts[1], 1, at), 0).unwrap();
+        queue.try_push(waiting(accounts[1], 1, at), 0).unwrap();
     }
     let taken = (0..110).map_while(|at| queue.pop(at));
     let dear = taken.filter(|one| one.account == accounts[0]).count();
@@ -70,19 +70,19 @@
 #[test]
 fn interactive_requests_go_first_and_drafts_do_not_starve() {
     let account = keys(1)[0];
-    let mut queue = Queue::new(QueueLimits::default(), 1_000.0);
+    let mut queue = AdmissionQueue::new(QueueLimits::default(), 1_000.0);
     for at in 0..100 {
         let draft = Priority::Draft;
         queue
-            .offer(
-                Waiting {
+            .try_push(
+                QueuedRequest {
                     priority: draft,
                     ..waiting(account, 1, at)
                 },
                 0,
             )
             .unwrap();
-        queue.offer(waiting(account, 1, at), 0).unwrap();
+        queue.try_push(waiting(account, 1, at), 0).unwrap();
     }
     let taken: Vec<_> = (0..80).map_while(|at| queue.pop(at)).collect();
     assert!(taken[..7]
@@ -90,7 +90,7 @@
         .all(|one| one.priority == Priority::Interactive));
     let drafts = taken.iter().filter(|one| one.priority == Priority::Draft);
     assert_eq!(drafts.count(), 10);
-    let urgent = queue.pop_urgent(80).unwrap();
+    let urgent = queue.pop_interactive(80).unwrap();
     assert_eq!(urgent.priority, Priority::Interactive);
 }
 
@@ -101,8 +101,8 @@
         total: 5,
         per_account: 3,
     };
-    let mut queue = Queue::new(limits, 1_000.0);
-    let mut offer = |account| queue.offer(waiting(account, 1, 0), 0).is_ok();
+    let mut queue = AdmissionQueue::new(limits, 1_000.0);
+    let mut offer = |account| queue.try_push(waiting(account, 1, 0), 0).is_ok();
     assert_eq!(
         [0; 4].map(|_| offer(accounts[0])),
         [true, true, true, false]
@@ -115,18 +115,18 @@
 #[test]
 fn a_standstill_refuses_new_requests_at_once() {
     let account = keys(1)[0];
-    let mut queue = Queue::new(QueueLimits::default(), 100.0);
+    let mut queue = AdmissionQueue::new(QueueLimits::default(), 100.0);
     queue
-        .offer(
-            Waiting {
+        .try_push(
+            QueuedRequest {
                 deadline: 3_000,
                 ..waiting(account, 1, 1)
             },
             0,
         )
         .unwrap();
-    let refused = queue.offer(
-        Waiting {
+    let refused = queue.try_push(
+        QueuedRequest {
             deadline: 4_000,
             ..waiting(account, 1, 2)
         },
@@ -148,7 +148,7 @@
 fn under_overload_refusals_come_at_once(#[values(1, 2, 3)] seed: u64) {
     let mut rng = crate::test_fixture::rng(seed);
     let accounts = keys(5);
-    let mut queue = Queue::new(QueueLimits::default(), 200.0);
+    let mut queue = AdmissionQueue::new(QueueLimits::default(), 200.0);
     let (mut refused, mut late) = (0, 0);
     let (mut starts, mut drafts, mut small) = (0, 0, 0);
     for ms in 0..30_000 {
@@ -165,18 +165,18 @@
                 false => (Priority::Interactive, 2_000),
             };
             let one = waiting(accounts[account], 1, item);
-            let one = Waiting {
+            let one = QueuedRequest {
                 priority,
                 deadline: ms + patience,
                 ..one
             };
-            refused += usize::from(queue.offer(one, ms).is_err());
+            refused += usize::from(queue.try_push(one, ms).is_err());
         }
         late += queue.expire(ms).len();
         if ms % 5 == 0 {
             // Now and then there is only room for interactive requests.
             let one = if rng.random_bool(0.8) {
-                queue.pop_urgent(ms)
+                queue.pop_interactive(ms)
             } else {
                 queue.pop(ms)
             };
@@ -223,7 +223,7 @@
     runner
         .run(&steps, |steps| {
             let accounts = keys(4);
-            let mut queue = Queue::new(
+            let mut queue = AdmissionQueue::new(
                 QueueLimits {
                     total: 30,
                     per_account: 12,
@@ -245,13 +245,13 @@
                             Priority::Interactive
                         };
                         let deadline = now + patience;
-                        let one = Waiting {
+                        let one = QueuedRequest {
                             priority,
                             deadline,
                             cost,
                             ..waiting(accounts[account], 1, offered)
                         };
-                        if queue.offer(one, now).is_err() {
+                        if queue.try_push(one, now).is_err() {
                             ends.push(offered);
                         }
                         offered += 1;
--- a/daemon/src/admission.rs
+++ b/daemon/src/admission.rs
@@ -7,7 +7,9 @@
 };
 
 use celerypond_answer::{ResumeLimits, ResumeScheduler, WaiterKey};
-use celerypond_route::{InFlight, PickCriteria, Queue, QueueLimits, Refusal, Route, View, Waiting};
+use celerypond_route::{
+    AdmissionQueue, InFlight, PickCriteria, QueueLimits, QueuedRequest, Refusal, Route, View,
+};
 use celerypond_telemetry::Gauge;
 use celerypond_types::{NotRunReason, Priority, TargetKey, VersionKey};
 use rand::rngs::SmallRng;
@@ -44,7 +46,7 @@
 }
 
 struct Inner {
-    queues: HashMap<Route, Queue<Grant>>,
+    queues: HashMap<Route, AdmissionQueue<Grant>>,
     resume_scheduler: ResumeScheduler,
     resumes: HashMap<WaiterKey, oneshot::Sender<TargetKey>>,
     /// The engines that have not loaded a version, as those who wait to resume last saw it.
@@ -74,14 +76,17 @@
         node: &Node,
         route: Route,
         ask: &PickCriteria<'_>,
-        waiting: Waiting<()>,
+        waiting: QueuedRequest<()>,
     ) -> Result<Permit, Refusal> {
         let receiver = {
             let view = node.view.load();
             let now = Instant::now();
             let now_ms = view.clock().millis(now);
             let mut inner = self.lock();
-            let is_first = inner.queues.get(&route).is_none_or(Queue::is_empty);
+            let is_first = inner
+                .queues
+                .get(&route)
+                .is_none_or(AdmissionQueue::is_empty);
             if is_first && inner.admits(route) {
                 let permit = begin(&view, route, ask, waiting.priority, &mut node.rng());
                 if let Some(permit) = permit {
@@ -89,7 +94,7 @@
                 }
             }
             let (grant, receiver) = oneshot::channel();
-            inner.queue(route).offer(hold(waiting, grant), now_ms)?;
+            inner.queue(route).try_push(hold(waiting, grant), now_ms)?;
             receiver
         };
         receiver.await.unwrap_or(Err(Refusal {
@@ -153,7 +158,7 @@
         let suspects = node.suspects.with(Vec::new(), now);
         inner.grant_resumes(&view, &suspects, now, rng);
         inner.grant_new(&view, &suspects, now_ms, rng);
-        let waiting: usize = inner.queues.values().map(Queue::len).sum();
+        let waiting: usize = inner.queues.values().map(AdmissionQueue::len).sum();
         let waiting = waiting + inner.resume_scheduler.waiting();
         node.metrics.set(Gauge::Waiting, waiting as u64);
     }
@@ -164,9 +169,9 @@
 }
 
 impl Inner {
-    fn queue(&mut self, route: Route) -> &mut Queue<Grant> {
+    fn queue(&mut self, route: Route) -> &mut AdmissionQueue<Grant> {
         let queue = self.queues.entry(route);
-        queue.or_insert_with(|| Queue::new(QueueLimits::default(), FIRST_PACE))
+        queue.or_insert_with(|| AdmissionQueue::new(QueueLimits::default(), FIRST_PACE))
     }
 
     /// Returns whether no answer of the route waits to be resumed.
@@ -247,7 +252,7 @@
 
 /// Gives a place to the next request that may have it; returns whether to go on.
 fn grant_one(
-    queue: &mut Queue<Grant>,
+    queue: &mut AdmissionQueue<Grant>,
     view: &View,
     route: Route,
     ask: &PickCriteria<'_>,
@@ -258,7 +263,7 @@
     let (permit, waiting) = match any {
         Some(permit) => (permit, queue.pop(now_ms)),
         None => match begin(view, route, ask, Priority::Interactive, rng) {
-            Some(permit) => (permit, queue.pop_urgent(now_ms)),
+            Some(permit) => (permit, queue.pop_interactive(now_ms)),
             None => return false,
         },
     };
@@ -291,8 +296,8 @@
     })
 }
 
-fn hold(waiting: Waiting<()>, item: Grant) -> Waiting<Grant> {
-    Waiting {
+fn hold(waiting: QueuedRequest<()>, item: Grant) -> QueuedRequest<Grant> {
+    QueuedRequest {
         account: waiting.account,
         weight: waiting.weight,
         priority: waiting.priority,
--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -7,7 +7,7 @@
     TakeOver,
 };
 use celerypond_bundle::{Account, Model};
-use celerypond_route::{Route, Waiting};
+use celerypond_route::{QueuedRequest, Route};
 use celerypond_telemetry::Counter;
 use celerypond_types::{
     AdapterName, Digest, ModelName, NotRunReason, Priority, RequestKey, TokenId,
@@ -210,7 +210,7 @@
         };
         let patience = deadline.saturating_duration_since(Instant::now());
         let patience = patience.min(start_within(priority));
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             account,
             weight: self.account.weight,
             priority,
