--- a/bench/src/route/classes.rs
+++ b/bench/src/route/classes.rs
@@ -133,7 +133,7 @@
             rng: SmallRng::seed_from_u64(seed),
             fault,
             rule,
-            budget: budget.then(RetryBudget::overall),
+            budget: budget.then(RetryBudget::per_instance),
             down: vec![0; TARGETS],
             ended: 0,
         }
@@ -172,7 +172,7 @@
                         waits += ms - call.came;
                         retried += u64::from(call.tries > 1);
                         detector.record_success(keys[at], 100.0);
-                        self.budget.iter().for_each(RetryBudget::succeeded);
+                        self.budget.iter().for_each(RetryBudget::record_success);
                     }
                     Some(failure) => {
                         let status =
@@ -196,11 +196,16 @@
 
     fn again(&mut self, call: Call, failure: Failure, ms: u64) -> Option<Call> {
         let wait = (self.rule)(failure, call.tries)?;
-        if call.tries >= TRIES || self.budget.as_ref().is_some_and(|budget| !budget.take()) {
+        if call.tries >= TRIES
+            || self
+                .budget
+                .as_ref()
+                .is_some_and(|budget| !budget.try_take())
+        {
             return None;
         }
         let jittered = match self.budget.is_some() && failure != Failure::Refused {
-            true => Backoff::default().next(Duration::ZERO, wait, &mut self.rng),
+            true => Backoff::default().next_delay(Duration::ZERO, wait, &mut self.rng),
             false => wait,
         };
         Some(Call {
--- a/bench/src/route/overload.rs
+++ b/bench/src/route/overload.rs
@@ -177,5 +177,5 @@
 
 /// The budget of an instance.
 pub(crate) fn budget() -> RetryBudget {
-    RetryBudget::overall()
+    RetryBudget::per_instance()
 }
--- a/bench/src/route/overload/model.rs
+++ b/bench/src/route/overload/model.rs
@@ -302,13 +302,13 @@
         open.into_iter().for_each(|open| open.end(self.now));
         let instance = self.jobs[job].instance;
         let of = &mut self.instances[instance];
-        of.budget.succeeded();
+        of.budget.record_success();
         let wait = self.now.saturating_sub(sent) as f64 - self.jobs[job].service;
         of.detector.record_success(of.keys[at], wait.max(1.0));
         let target = of.view.target(of.keys[at]);
         target
             .into_iter()
-            .for_each(|target| target.state.retry_budget.succeeded());
+            .for_each(|target| target.state.retry_budget.record_success());
         self.jobs[job].live -= 1;
         self.engines[at].busy -= 1;
         self.next(at);
@@ -365,13 +365,13 @@
         let target = of.view.target(of.keys[at]);
         let allowed = !self.way.budget
             || elsewhere
-            || target.is_some_and(|target| of.budget.take_both(&target.state.retry_budget));
+            || target.is_some_and(|target| of.budget.try_take_both(&target.state.retry_budget));
         if !allowed {
             self.jobs[job].failed |= failure != Failure::Timeout;
             return;
         }
         let wait = match self.way.decides && !elsewhere {
-            true => Backoff::default().next(Duration::ZERO, Duration::ZERO, &mut self.rng),
+            true => Backoff::default().next_delay(Duration::ZERO, Duration::ZERO, &mut self.rng),
             false => Duration::ZERO,
         };
         self.push(self.now + wait.as_millis() as u64, Event::Again(job));
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -21,10 +21,10 @@
 /// use celerypond_route::RetryBudget;
 ///
 /// let budget = RetryBudget::new(100, 1, 10); // 10% of successes, 1 at first, at most 10.
-/// assert!(budget.take());
-/// assert!(!budget.take());
-/// (0..10).for_each(|_| budget.succeeded());
-/// assert!(budget.take());
+/// assert!(budget.try_take());
+/// assert!(!budget.try_take());
+/// (0..10).for_each(|_| budget.record_success());
+/// assert!(budget.try_take());
 /// ```
 #[derive(Debug)]
 pub struct RetryBudget {
@@ -46,25 +46,25 @@
     }
 
     /// Makes the budget of all calls of an instance: 10% of successes.
-    pub const fn overall() -> Self {
+    pub const fn per_instance() -> Self {
         Self::new(100, 10, 100)
     }
 
     /// Makes the budget of calls that failed at one target: 10% of its successes, and enough for
     /// what was open at it when it died.
-    pub const fn of_target() -> Self {
+    pub const fn per_target() -> Self {
         Self::new(100, 16, 32)
     }
 
     /// Counts a success.
-    pub fn succeeded(&self) {
+    pub fn record_success(&self) {
         let add = |level: u32| Some(level.saturating_add(self.gain).min(self.cap));
         // The closure always returns a value.
         let _ = self.level.fetch_update(Relaxed, Relaxed, add);
     }
 
     /// Takes a retry, or returns `false` when the budget is used up.
-    pub fn take(&self) -> bool {
+    pub fn try_take(&self) -> bool {
         let take = |level: u32| level.checked_sub(RETRY);
         self.level.fetch_update(Relaxed, Relaxed, take).is_ok()
     }
@@ -76,11 +76,11 @@
     }
 
     /// Takes a retry from both budgets or from none.
-    pub fn take_both(&self, other: &Self) -> bool {
-        if !self.take() {
+    pub fn try_take_both(&self, other: &Self) -> bool {
+        if !self.try_take() {
             return false;
         }
-        if other.take() {
+        if other.try_take() {
             return true;
         }
         self.give_back();
@@ -112,7 +112,7 @@
     /// Each wait is drawn between the base and three times the last, so calls that failed together
     /// do not come back together. A `floor`, from the target's `Retry-After`, is added to and never
     /// cut short.
-    pub fn next(&self, last: Duration, floor: Duration, rng: &mut impl Rng) -> Duration {
+    pub fn next_delay(&self, last: Duration, floor: Duration, rng: &mut impl Rng) -> Duration {
         let high = (last.max(self.base) * 3).min(self.cap).max(self.base);
         let drawn = rng.random_range(self.base.as_micros()..=high.as_micros());
         floor + Duration::from_micros(drawn as u64)
--- a/crates/route/src/gauge.rs
+++ b/crates/route/src/gauge.rs
@@ -89,7 +89,7 @@
             service: AtomicU32::new(0),
             word: AtomicU64::new(0),
             tallies: ArcSwap::default(),
-            retry_budget: RetryBudget::of_target(),
+            retry_budget: RetryBudget::per_target(),
             marks: Default::default(),
         })
     }
--- a/crates/route/tests/test_retries.rs
+++ b/crates/route/tests/test_retries.rs
@@ -12,7 +12,7 @@
 /// returns tries over calls.
 fn amplification(dead: u32, budget: Option<&RetryBudget>) -> f64 {
     let mut rng = rng(1);
-    let target = RetryBudget::of_target();
+    let target = RetryBudget::per_target();
     let mut tries = 0;
     for _ in 0..10_000 {
         for _ in 0..4 {
@@ -21,10 +21,10 @@
                 budget
                     .into_iter()
                     .chain([&target])
-                    .for_each(RetryBudget::succeeded);
+                    .for_each(RetryBudget::record_success);
                 break;
             }
-            if budget.is_some_and(|budget| !budget.take_both(&target)) {
+            if budget.is_some_and(|budget| !budget.try_take_both(&target)) {
                 break;
             }
         }
@@ -38,23 +38,23 @@
 #[case::half(50, 1.8)]
 #[case::all(100, 3.9)]
 fn retries_add_a_tenth_at_most(#[case] dead: u32, #[case] unlimited: f64) {
-    let limited = amplification(dead, Some(&RetryBudget::overall()));
+    let limited = amplification(dead, Some(&RetryBudget::per_instance()));
     assert!(limited <= 1.1, "{limited}");
     assert!(amplification(dead, None) > unlimited);
 }
 
 #[test]
 fn rare_failures_are_all_tried_again() {
-    let budget = RetryBudget::overall();
+    let budget = RetryBudget::per_instance();
     assert!(amplification(2, Some(&budget)) > 1.019);
     // What a full target had open when it died can all be tried again.
     let state = TargetState::new();
     let overall = RetryBudget::new(0, 100, 100);
-    assert!((0..16).all(|_| overall.take_both(&state.retry_budget)));
-    assert!(!overall.take_both(&state.retry_budget));
+    assert!((0..16).all(|_| overall.try_take_both(&state.retry_budget)));
+    assert!(!overall.try_take_both(&state.retry_budget));
     // The retry that was refused by one budget was given back to the other.
-    assert!((0..84).all(|_| overall.take()));
-    assert!(!overall.take());
+    assert!((0..84).all(|_| overall.try_take()));
+    assert!(!overall.try_take());
 }
 
 // A target dies and a thousand calls fail at the same moment. They come back spread over the whole
@@ -67,9 +67,9 @@
     let mut waits = vec![Duration::ZERO; 1_000];
     for high in [60, 180, 540, 1_620, 2_000, 2_000] {
         for wait in &mut waits {
-            *wait = backoff.next(*wait, Duration::ZERO, &mut rng);
+            *wait = backoff.next_delay(*wait, Duration::ZERO, &mut rng);
             assert!((backoff.base..=Duration::from_millis(high)).contains(wait));
-            assert!(backoff.next(*wait, floor, &mut rng) >= floor + backoff.base);
+            assert!(backoff.next_delay(*wait, floor, &mut rng) >= floor + backoff.base);
         }
         let mut slots = [0; 20];
         let top = waits.iter().max().unwrap().as_secs_f64() + 1e-9;
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -146,7 +146,7 @@
             suspects: Suspects::default(),
             events,
             ledger: Ledger::default(),
-            retries: RetryBudget::overall(),
+            retries: RetryBudget::per_instance(),
             backoff: Backoff::default(),
             resume_token_key,
             peers: Peers::default(),
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -87,8 +87,8 @@
     /// retry, so that the failures of all others go to their callers.
     fn may_retry(&self, node: &Node) -> bool {
         match &self.target {
-            Some(target) => node.retries.take_both(&target.state.retry_budget),
-            None => node.retries.take(),
+            Some(target) => node.retries.try_take_both(&target.state.retry_budget),
+            None => node.retries.try_take(),
         }
     }
 
@@ -184,7 +184,7 @@
                 node.metrics.add(Counter::RetriesWithheld, 1);
                 return tries.give_up(NotRunReason::RetryBudget);
             }
-            pause = node.backoff.next(pause, floor, &mut rng);
+            pause = node.backoff.next_delay(pause, floor, &mut rng);
             if Instant::now() + pause >= self.deadline {
                 return tries.give_up(NotRunReason::Overload);
             }
@@ -209,8 +209,8 @@
             Tried::Answer(reply, after) => {
                 let failure = status(&reply, after);
                 if reply.status < 400 || failure.retry_decision() == RetryDecision::Never {
-                    node.retries.succeeded();
-                    target.state.retry_budget.succeeded();
+                    node.retries.record_success();
+                    target.state.retry_budget.record_success();
                     return Ok(reply);
                 }
                 tries.last = Some(reply);
--- a/daemon/tests/test_targets.rs
+++ b/daemon/tests/test_targets.rs
@@ -266,7 +266,7 @@
     }));
     let view = node.view.load_full();
     for (_, target) in view.targets().filter(|_| used_up) {
-        while target.state.retry_budget.take() {}
+        while target.state.retry_budget.try_take() {}
     }
     let force = node.force.load_full().unwrap();
     let service = Arc::new(force.service(&"desk".into()).unwrap().clone());
