--- a/crates/route/src/drain.rs
+++ b/crates/route/src/drain.rs
@@ -1,6 +1,6 @@
 //! The stages of a planned stop.
 
-use crate::ENTRIES_TTL;
+use crate::ENTRY_POINTS_TTL;
 
 /// How long other instances may go on giving out the address of a stopping one: until its word has
 /// reached them, with a margin.
@@ -96,7 +96,7 @@
     #[must_use]
     pub fn step(self, now_ms: u64, open: usize) -> (Self, Option<DrainEffect>) {
         let passed = now_ms.saturating_sub(self.since);
-        let cached = LEAVING_PROPAGATION_MS + ENTRIES_TTL.as_millis() as u64;
+        let cached = LEAVING_PROPAGATION_MS + ENTRY_POINTS_TTL.as_millis() as u64;
         match self.stage {
             DrainStage::Leaving if passed >= cached => {
                 to(DrainStage::Refusing, now_ms, DrainEffect::CloseListener)
--- a/crates/route/src/entries.rs
+++ b/crates/route/src/entries.rs
@@ -7,7 +7,7 @@
 use crate::hash::{hash, mix};
 
 /// How long a caller may keep an answer.
-pub const ENTRIES_TTL: Duration = Duration::from_secs(10);
+pub const ENTRY_POINTS_TTL: Duration = Duration::from_secs(10);
 /// How many addresses an answer has at most.
 const ANSWER_LEN: usize = 6;
 /// How many of them are kept for other data centres than the nearest.
@@ -15,7 +15,7 @@
 
 /// An instance that callers may connect to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct EntryPoint {
     /// Its name.
     pub name: InstanceName,
     /// Where callers connect.
@@ -36,27 +36,31 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_route::{entries, Entry};
+/// use celerypond_route::{select_entry_points, EntryPoint};
 ///
-/// let entry = |name: &str, data_centre: &str, leaving| Entry {
+/// let entry = |name: &str, data_centre: &str, leaving| EntryPoint {
 ///     name: name.into(),
 ///     address: "10.0.0.1:80".parse().unwrap(),
 ///     data_centre: data_centre.into(),
 ///     leaving,
 /// };
 /// let all = [entry("a", "west", false), entry("b", "east", false), entry("c", "east", true)];
-/// let chosen = entries(&all, &["east".into()], 7);
+/// let chosen = select_entry_points(&all, &["east".into()], 7);
 /// let names: Vec<&str> = chosen.iter().map(|entry| entry.name.as_str()).collect();
 /// assert_eq!(names, ["b", "a"]);
 /// ```
-pub fn entries<'a>(all: &'a [Entry], near: &[DataCentre], caller: u64) -> Vec<&'a Entry> {
-    let place = |entry: &Entry| near.iter().position(|name| *name == entry.data_centre);
-    let distance = |entry: &Entry| place(entry).unwrap_or(near.len());
-    let draw = |entry: &Entry| mix(hash(entry.name.as_str().as_bytes()), caller);
-    let mut live: Vec<&Entry> = all.iter().filter(|entry| !entry.leaving).collect();
+pub fn select_entry_points<'a>(
+    all: &'a [EntryPoint],
+    near: &[DataCentre],
+    caller: u64,
+) -> Vec<&'a EntryPoint> {
+    let place = |entry: &EntryPoint| near.iter().position(|name| *name == entry.data_centre);
+    let distance = |entry: &EntryPoint| place(entry).unwrap_or(near.len());
+    let draw = |entry: &EntryPoint| mix(hash(entry.name.as_str().as_bytes()), caller);
+    let mut live: Vec<&EntryPoint> = all.iter().filter(|entry| !entry.leaving).collect();
     live.sort_by_key(|entry| (distance(entry), draw(entry)));
     let first = live.first().map(|entry| entry.data_centre.clone());
-    let (home, away): (Vec<&Entry>, Vec<&Entry>) = live
+    let (home, away): (Vec<&EntryPoint>, Vec<&EntryPoint>) = live
         .into_iter()
         .partition(|entry| Some(&entry.data_centre) == first.as_ref());
     let kept = ELSEWHERE.min(away.len());
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -40,7 +40,7 @@
     Drain, DrainEffect, DrainStage, IDLE_CLOSE_MS, KEEP_ALIVE_MS, LEAVING_PROPAGATION_MS,
 };
 pub use ejector::{OutlierDetector, OutlierEffect, OutlierLimits};
-pub use entries::{entries, Entry, ENTRIES_TTL};
+pub use entries::{select_entry_points, EntryPoint, ENTRY_POINTS_TTL};
 pub use failure::{Attribution, Failure, RetryDecision};
 pub use gauge::{InFlight, PoolAverages, TargetState, LIVENESS_TTL_MS};
 pub use hash::hash;
--- a/crates/route/tests/test_drain.rs
+++ b/crates/route/tests/test_drain.rs
@@ -1,8 +1,8 @@
 //! G8: a planned stop cuts off no request. And the answers that lead callers to an instance.
 
 use celerypond_route::{
-    entries, Drain, DrainEffect, DrainStage, Entry, ENTRIES_TTL, IDLE_CLOSE_MS, KEEP_ALIVE_MS,
-    LEAVING_PROPAGATION_MS,
+    select_entry_points, Drain, DrainEffect, DrainStage, EntryPoint, ENTRY_POINTS_TTL,
+    IDLE_CLOSE_MS, KEEP_ALIVE_MS, LEAVING_PROPAGATION_MS,
 };
 use rand::Rng;
 use rstest::rstest;
@@ -59,7 +59,7 @@
         }
         let left = drain.stage() != DrainStage::Serving;
         if ms < last_answer && rng.random_bool(0.2) {
-            known.push(ms + ENTRIES_TTL.as_millis() as u64);
+            known.push(ms + ENTRY_POINTS_TTL.as_millis() as u64);
         }
         known.retain(|until| *until > ms);
         // A response whose head was sent after the stop says that its connection closes.
@@ -123,8 +123,8 @@
     assert_eq!(sum == Harm::default(), holds, "{sum:?}");
 }
 
-fn fleet(leaving: &[usize]) -> Vec<Entry> {
-    let entry = |at: usize| Entry {
+fn fleet(leaving: &[usize]) -> Vec<EntryPoint> {
+    let entry = |at: usize| EntryPoint {
         name: format!("instance-{at}").as_str().into(),
         address: ([10, 0, 0, at as u8], 80).into(),
         data_centre: format!("dc-{}", at % 3).as_str().into(),
@@ -139,8 +139,8 @@
     let near = ["dc-1".into(), "dc-2".into()];
     let mut first = [0; 30];
     for caller in 0..8_000 {
-        let chosen = entries(&all, &near, caller);
-        assert_eq!(chosen, entries(&all, &near, caller));
+        let chosen = select_entry_points(&all, &near, caller);
+        assert_eq!(chosen, select_entry_points(&all, &near, caller));
         let places: Vec<&str> = chosen.iter().map(|one| one.data_centre.as_str()).collect();
         assert_eq!(places, ["dc-1", "dc-1", "dc-1", "dc-1", "dc-2", "dc-2"]);
         assert!(chosen.iter().all(|one| !one.leaving));
@@ -167,7 +167,7 @@
 #[test]
 fn a_lost_data_centre_leaves_addresses_elsewhere() {
     let all = fleet(&(0..30).filter(|at| at % 3 != 0).collect::<Vec<_>>());
-    let chosen = entries(&all, &["dc-1".into()], 5);
+    let chosen = select_entry_points(&all, &["dc-1".into()], 5);
     assert_eq!(chosen.len(), 6);
-    assert!(entries(&[], &["dc-1".into()], 5).is_empty());
+    assert!(select_entry_points(&[], &["dc-1".into()], 5).is_empty());
 }
--- a/daemon/src/front/entries.rs
+++ b/daemon/src/front/entries.rs
@@ -4,7 +4,7 @@
 
 use celerypond_fleet::MemberState;
 use celerypond_platform::Presence;
-use celerypond_route::{entries, hash, Entry, ENTRIES_TTL};
+use celerypond_route::{hash, select_entry_points, EntryPoint, ENTRY_POINTS_TTL};
 use gotham::hyper::StatusCode;
 use serde::Serialize;
 
@@ -32,16 +32,16 @@
     let caller = call
         .caller
         .map_or(0, |caller| hash(caller.ip().to_string().as_bytes()));
-    let chosen = entries(&all, &near, caller);
+    let chosen = select_entry_points(&all, &near, caller);
     let answer = Answer {
         entries: chosen.into_iter().map(address).collect(),
-        ttl_s: ENTRIES_TTL.as_secs(),
+        ttl_s: ENTRY_POINTS_TTL.as_secs(),
     };
     problem::json(StatusCode::OK, &answer)
 }
 
 /// Returns the listed instances; gossip knows sooner than the list which of them leave.
-fn known(node: &Node) -> Vec<Entry> {
+fn known(node: &Node) -> Vec<EntryPoint> {
     let list = node.list.load();
     let gossip = node.gossip();
     let is_gone = |name| {
@@ -56,7 +56,7 @@
         .map(|instance| {
             let is_own = instance.name == node.settings.instance;
             let own_leaving = is_own && node.leaving.is_cancelled();
-            Entry {
+            EntryPoint {
                 name: instance.name.clone(),
                 address: instance.address,
                 data_centre: instance.data_centre.clone(),
@@ -68,7 +68,7 @@
         .collect()
 }
 
-fn address(entry: &Entry) -> Address {
+fn address(entry: &EntryPoint) -> Address {
     Address {
         address: entry.address,
         data_centre: entry.data_centre.to_string(),
