--- a/bench/src/route/affinity.rs
+++ b/bench/src/route/affinity.rs
@@ -113,7 +113,7 @@
                 let index = Arc::new(self.tracker.build_index());
                 for (view, _, keys) in &mut views {
                     *view = view.with_prefix_index(Arc::clone(&index));
-                    view.survey(now);
+                    view.update_load_stats(now);
                     for (key, load) in keys.iter().zip(&loads) {
                         let target = view.target(*key);
                         target
--- a/bench/src/route/cost.rs
+++ b/bench/src/route/cost.rs
@@ -4,7 +4,7 @@
 
 use celerypond_route::{
     hash, AdmissionQueue, OutlierDetector, OutlierLimits, PickCriteria, QueueLimits, QueuedRequest,
-    Route, View,
+    Route, RoutingView,
 };
 use celerypond_types::{Priority, TargetKey};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -39,7 +39,7 @@
             target.state.record_load(1, rng.random_range(0..8));
         }
     }
-    view.survey(now);
+    view.update_load_stats(now);
     let scan = |_: &mut SmallRng| least(&view, route, now);
     let free = |rng: &mut SmallRng| pick(&view, route, &[], now, rng);
     let affine = |rng: &mut SmallRng| {
@@ -65,7 +65,7 @@
 }
 
 fn pick(
-    view: &View,
+    view: &RoutingView,
     route: Route,
     prefixes: &[u64],
     now: Instant,
@@ -88,14 +88,14 @@
         target.state.record_load(1, 5);
     }
     let mut rng = SmallRng::seed_from_u64(1);
-    let survey = timed(&mut rng, 1, |_| view.survey(now));
+    let survey = timed(&mut rng, 1, |_| view.update_load_stats(now));
     let renew = timed(&mut rng, 1, |_| view.with_bundle(&bundle, now));
     let mut detector = OutlierDetector::new(OutlierLimits::default());
     for at in 0..20 * targets {
         let key = bundle
             .targets
             .get(at % targets)
-            .and_then(|target| view.key(&target.name));
+            .and_then(|target| view.target_key(&target.name));
         key.into_iter()
             .for_each(|key| detector.record_success(key, at as f64 % 100.0));
     }
@@ -117,7 +117,7 @@
 }
 
 /// Finds the least loaded target of all.
-fn least(view: &View, route: Route, now: Instant) -> Option<TargetKey> {
+fn least(view: &RoutingView, route: Route, now: Instant) -> Option<TargetKey> {
     let ms = view.clock().millis(now);
     let pool = view.pool(route)?;
     let averages = pool.averages();
--- a/bench/src/route/fleet.rs
+++ b/bench/src/route/fleet.rs
@@ -1,22 +1,28 @@
 //! A bundle with one model for the models of this measure.
 
 use celerypond_bundle::{Account, Bundle, Model, Target, TargetKind, Version, FORMAT};
-use celerypond_route::{Accounts, Route, View};
+use celerypond_route::{Accounts, Route, RoutingView};
 use celerypond_types::{AccountKey, Digest, TargetKey};
 use tokio::time::Instant;
 
 /// Makes a view of `engines` engines of one version, the route to it and the engines' keys.
-pub(crate) fn view(engines: usize, slots: u32, now: Instant) -> (View, Route, Vec<TargetKey>) {
+pub(crate) fn view(
+    engines: usize,
+    slots: u32,
+    now: Instant,
+) -> (RoutingView, Route, Vec<TargetKey>) {
     let (view, bundle) = declared(engines, slots, now);
-    let version = view.version(&"draft".into(), &"v1".into());
+    let version = view.version_key(&"draft".into(), &"v1".into());
     let route = Route::Version(version.unwrap_or_default());
     let keys = bundle.targets.iter();
-    let keys = keys.filter_map(|target| view.key(&target.name)).collect();
+    let keys = keys
+        .filter_map(|target| view.target_key(&target.name))
+        .collect();
     (view, route, keys)
 }
 
 /// Makes a view of `engines` engines of one version, and the bundle that declares them.
-pub(crate) fn declared(engines: usize, slots: u32, now: Instant) -> (View, Bundle) {
+pub(crate) fn declared(engines: usize, slots: u32, now: Instant) -> (RoutingView, Bundle) {
     let targets: Vec<Target> = (0..engines).map(|at| target(at, slots)).collect();
     let version = Version {
         name: "v1".into(),
@@ -39,7 +45,7 @@
         services: vec![],
         accounts: vec![],
     };
-    (View::new(now).with_bundle(&bundle, now), bundle)
+    (RoutingView::new(now).with_bundle(&bundle, now), bundle)
 }
 
 fn target(at: usize, slots: u32) -> Target {
--- a/bench/src/route/herding.rs
+++ b/bench/src/route/herding.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use celerypond_route::{InFlight, PickCriteria, PoolAverages, Route, View};
+use celerypond_route::{InFlight, PickCriteria, PoolAverages, Route, RoutingView};
 use celerypond_types::TargetKey;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use tokio::time::{Duration, Instant};
@@ -82,7 +82,7 @@
             }
         }
         for (view, ..) in views.iter().filter(|_| ms % 100 == 0) {
-            view.survey(now);
+            view.update_load_stats(now);
         }
         let mut due = per_tick;
         while due > 0.0 && rng.random_bool(due.min(1.0)) {
@@ -105,7 +105,7 @@
     ratios.iter().sum::<f64>() / ratios.len() as f64
 }
 
-fn report(views: &[(View, Route, Vec<TargetKey>)], seen: &[u32], sampled_ms: u64) {
+fn report(views: &[(RoutingView, Route, Vec<TargetKey>)], seen: &[u32], sampled_ms: u64) {
     for (view, _, keys) in views {
         for (key, load) in keys.iter().zip(seen) {
             if let Some(target) = view.target(*key) {
@@ -117,7 +117,7 @@
 
 fn choose(
     way: Way,
-    view: &View,
+    view: &RoutingView,
     route: Route,
     keys: &[TargetKey],
     now: Instant,
--- a/bench/src/route/overload/model.rs
+++ b/bench/src/route/overload/model.rs
@@ -7,7 +7,7 @@
 
 use celerypond_route::{
     AdmissionQueue, Backoff, Choice, Failure, OutlierDetector, OutlierEffect, OutlierLimits,
-    PickCriteria, QueueLimits, QueuedRequest, RetryBudget, RetryDecision, Route, View,
+    PickCriteria, QueueLimits, QueuedRequest, RetryBudget, RetryDecision, Route, RoutingView,
 };
 use celerypond_types::{AccountKey, Priority, TargetKey};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -47,7 +47,7 @@
 }
 
 struct Instance {
-    view: View,
+    view: RoutingView,
     route: Route,
     keys: Vec<TargetKey>,
     queue: AdmissionQueue<usize>,
@@ -390,7 +390,7 @@
             if let Some(seen) = &seen {
                 self.instances[at].report(seen, self.now - LAG_MS);
             }
-            self.instances[at].view.survey(now);
+            self.instances[at].view.update_load_stats(now);
             self.eject(at);
             for (late, _) in self.instances[at].queue.expire(self.now) {
                 self.refuse(late.item);
@@ -410,7 +410,7 @@
         for effect in of.detector.step(pool, self.now) {
             match effect {
                 OutlierEffect::Weight(key, weight) => pool.set_weight(key, weight),
-                OutlierEffect::Panic(on) => pool.set_panic(on),
+                OutlierEffect::Panic(on) => pool.set_panic_mode(on),
                 OutlierEffect::Probe(key) => {
                     let engine = of.keys.iter().position(|one| *one == key);
                     let alive = engine.is_some_and(|engine| !self.engines[engine].dead);
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,7 +1,7 @@
 //! Choice of a target, account limits, admission, ejection, retry budget.
 //!
 //! All decisions are functions of their input: the time is passed in, and so is the generator of
-//! random numbers. The request path reads one [`View`]; counts that change with every request are
+//! random numbers. The request path reads one [`RoutingView`]; counts that change with every request are
 //! atomics in [`TargetState`]s, which all views share.
 
 mod accounts;
@@ -53,4 +53,4 @@
     INCREASE_DELAY_MS,
 };
 pub use target::Target;
-pub use view::{Route, ServiceKey, View};
+pub use view::{Route, RoutingView, ServiceKey};
--- a/crates/route/src/pick.rs
+++ b/crates/route/src/pick.rs
@@ -9,7 +9,7 @@
     hash::mix,
     pool::{Member, Site, SLOT_UNIT},
     ring::Ring,
-    Pool, PoolAverages, Route, View,
+    Pool, PoolAverages, Route, RoutingView,
 };
 
 /// How far a target may be above the mean load before work goes past it, in percent of the mean.
@@ -87,7 +87,7 @@
     NoTarget,
 }
 
-impl View {
+impl RoutingView {
     /// Chooses a target for a request.
     ///
     /// The same view, gauges, instant and generator state give the same choice.
@@ -101,7 +101,7 @@
     ///
     /// ```
     /// use celerypond_bundle::Bundle;
-    /// use celerypond_route::{PickCriteria, Route, View};
+    /// use celerypond_route::{PickCriteria, Route, RoutingView};
     /// use rand::{rngs::SmallRng, SeedableRng};
     /// use tokio::time::Instant;
     ///
@@ -113,11 +113,11 @@
     /// )
     /// .unwrap();
     /// let now = Instant::now();
-    /// let view = View::new(now).with_bundle(&bundle, now);
-    /// let desk = view.service(&"desk".into()).unwrap();
+    /// let view = RoutingView::new(now).with_bundle(&bundle, now);
+    /// let desk = view.service_key(&"desk".into()).unwrap();
     /// let mut rng = SmallRng::seed_from_u64(1);
     /// let choice = view.pick(Route::Service(desk), &PickCriteria::default(), now, &mut rng).unwrap();
-    /// assert_eq!(Some(choice.target), view.key(&"desk-1".into()));
+    /// assert_eq!(Some(choice.target), view.target_key(&"desk-1".into()));
     /// ```
     pub fn pick(
         &self,
@@ -135,7 +135,7 @@
             now_ms,
             typical: pool.averages(),
             bound: bound(pool),
-            panic: pool.is_panic(),
+            panic: pool.is_in_panic_mode(),
         };
         let (member, reason) = picker.pick(rng).ok_or(PickError::NoTarget)?;
         Ok(Choice {
@@ -156,7 +156,7 @@
 }
 
 struct Picker<'a> {
-    view: &'a View,
+    view: &'a RoutingView,
     pool: &'a Pool,
     ask: &'a PickCriteria<'a>,
     now_ms: u64,
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -141,7 +141,7 @@
 
     /// Takes the means over the pool, against which single targets are compared until the next
     /// survey, and the allowance of this instance, one of `instances`.
-    pub fn survey(&self, now_ms: u64, instances: usize) {
+    pub fn update_load_stats(&self, now_ms: u64, instances: usize) {
         let last = self.averages();
         let stride = self.members.len().div_ceil(SURVEYED).max(1);
         let start = self.gauge.turn.fetch_add(1, Relaxed) as usize % stride;
@@ -203,7 +203,7 @@
 
     /// Returns whether a target may be chosen.
     pub(crate) fn is_usable(&self, member: &Member) -> bool {
-        !member.gauge.is_closed() && (!member.is_out() || self.is_panic())
+        !member.gauge.is_closed() && (!member.is_out() || self.is_in_panic_mode())
     }
 
     /// Sets the part of its work that a target gets in this pool: 0 is ejected, [`FULL_WEIGHT`]
@@ -215,12 +215,12 @@
     }
 
     /// Sets whether targets that seem bad are used all the same.
-    pub fn set_panic(&self, panic: bool) {
+    pub fn set_panic_mode(&self, panic: bool) {
         self.gauge.panic.store(panic, Relaxed);
     }
 
     /// Returns whether targets that seem bad are used all the same.
-    pub fn is_panic(&self) -> bool {
+    pub fn is_in_panic_mode(&self) -> bool {
         self.gauge.panic.load(Relaxed)
     }
 
--- a/crates/route/src/target.rs
+++ b/crates/route/src/target.rs
@@ -7,7 +7,7 @@
 
 use crate::TargetState;
 
-/// A target in the arena of a [`crate::View`].
+/// A target in the arena of a [`crate::RoutingView`].
 #[derive(Clone, Debug)]
 pub struct Target {
     /// The name in the bundle.
--- a/crates/route/src/view.rs
+++ b/crates/route/src/view.rs
@@ -46,7 +46,7 @@
 /// Keys of targets and versions that a later bundle still declares stay the same, and so do the
 /// gauges, which hold all that changes between two bundles.
 #[derive(Clone, Debug)]
-pub struct View {
+pub struct RoutingView {
     pub(crate) clock: Clock,
     layout: Arc<Layout>,
     accounts: Arc<Accounts>,
@@ -55,7 +55,7 @@
     pub(crate) cache: Arc<PrefixIndex>,
 }
 
-impl View {
+impl RoutingView {
     /// Makes an empty view whose clock counts from `base`.
     pub fn new(base: Instant) -> Self {
         Self {
@@ -116,7 +116,7 @@
     }
 
     /// Finds a version of a model.
-    pub fn version(&self, model: &ModelName, version: &VersionName) -> Option<VersionKey> {
+    pub fn version_key(&self, model: &ModelName, version: &VersionName) -> Option<VersionKey> {
         self.layout
             .models
             .get(model)?
@@ -132,12 +132,12 @@
     }
 
     /// Finds a service.
-    pub fn service(&self, name: &ServiceName) -> Option<ServiceKey> {
+    pub fn service_key(&self, name: &ServiceName) -> Option<ServiceKey> {
         self.layout.by_service.get(name).copied()
     }
 
     /// Finds a target by name.
-    pub fn key(&self, name: &TargetName) -> Option<TargetKey> {
+    pub fn target_key(&self, name: &TargetName) -> Option<TargetKey> {
         self.layout.names.get(name).copied()
     }
 
@@ -160,10 +160,10 @@
     }
 
     /// Surveys every pool; call it about every 100 ms.
-    pub fn survey(&self, now: Instant) {
+    pub fn update_load_stats(&self, now: Instant) {
         let now_ms = self.clock.millis(now);
         for pool in self.pools() {
-            pool.survey(now_ms, self.instances);
+            pool.update_load_stats(now_ms, self.instances);
         }
     }
 
--- a/crates/route/tests/test_fixture.rs
+++ b/crates/route/tests/test_fixture.rs
@@ -1,7 +1,7 @@
 //! A bundle with engines and a desk service, for the other tests.
 
 use celerypond_bundle::{Account, Bundle, Model, Service, Target, TargetKind, Version, FORMAT};
-use celerypond_route::{Route, View};
+use celerypond_route::{Route, RoutingView};
 use celerypond_types::{Digest, TargetKey};
 use rand::{rngs::SmallRng, SeedableRng};
 use tokio::time::Instant;
@@ -69,9 +69,9 @@
 }
 
 /// Makes a view of [`bundle`] and returns the route to version `v1` and its engines.
-pub(crate) fn view(engines: usize, now: Instant) -> (View, Route, Vec<TargetKey>) {
-    let view = View::new(now).with_bundle(&bundle(engines), now);
-    let route = Route::Version(view.version(&"draft".into(), &"v1".into()).unwrap());
+pub(crate) fn view(engines: usize, now: Instant) -> (RoutingView, Route, Vec<TargetKey>) {
+    let view = RoutingView::new(now).with_bundle(&bundle(engines), now);
+    let route = Route::Version(view.version_key(&"draft".into(), &"v1".into()).unwrap());
     let mut keys: Vec<TargetKey> = view.pool(route).unwrap().keys().collect();
     keys.sort();
     (view, route, keys)
--- a/crates/route/tests/test_leaving.rs
+++ b/crates/route/tests/test_leaving.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use celerypond_route::{Availability, DepartureNotice, DepartureState, PickCriteria, Route, View};
+use celerypond_route::{
+    Availability, DepartureNotice, DepartureState, PickCriteria, Route, RoutingView,
+};
 use celerypond_types::TargetKey;
 use proptest::{
     prelude::*,
@@ -41,7 +43,7 @@
 };
 
 struct Instance {
-    view: View,
+    view: RoutingView,
     route: Route,
     keys: Vec<TargetKey>,
     departures: BTreeMap<TargetKey, DepartureState>,
--- a/crates/route/tests/test_pick.rs
+++ b/crates/route/tests/test_pick.rs
@@ -7,7 +7,7 @@
 
 use celerypond_route::{
     CacheEvent, InFlight, PickCriteria, PickError, PickReason, PoolAverages, PrefixTracker, Route,
-    View, FULL_WEIGHT,
+    RoutingView, FULL_WEIGHT,
 };
 use celerypond_types::{Priority, TargetKey};
 use rand::Rng;
@@ -38,7 +38,7 @@
     let none = view.pick(route, &ask, now, &mut rng(0));
     assert_eq!(none, Err(PickError::NoTarget));
     // When most seem bad, ejection is ignored and leaving is not.
-    pool.set_panic(true);
+    pool.set_panic_mode(true);
     let mut counts = BTreeMap::new();
     for seed in 0..200 {
         let choice = view.pick(route, &ask, now, &mut rng(seed)).unwrap();
@@ -53,7 +53,7 @@
     let (view, route, keys) = view(2, now);
     let pool = view.pool(route).unwrap();
     pool.set_weight(keys[0], 0);
-    pool.set_panic(true);
+    pool.set_panic_mode(true);
     let pick = |seed| {
         view.pick(route, &PickCriteria::default(), now, &mut rng(seed))
             .unwrap()
@@ -68,19 +68,19 @@
 fn a_service_is_served_by_its_own_targets_and_nearby_ones_first() {
     let now = Instant::now();
     let (view, _, _) = view(ENGINES, now);
-    let desk = Route::Service(view.service(&"desk".into()).unwrap());
+    let desk = Route::Service(view.service_key(&"desk".into()).unwrap());
     let near = "dc-1".into();
     let ask = PickCriteria {
         preferred_data_centre: Some(&near),
         ..PickCriteria::default()
     };
     let choice = view.pick(desk, &ask, now, &mut rng(1)).unwrap();
-    assert_eq!(Some(choice.target), view.key(&"desk-001".into()));
+    assert_eq!(Some(choice.target), view.target_key(&"desk-001".into()));
     assert_eq!(choice.reason, PickReason::PreferredDataCentre);
     // Far above the mean, the work goes elsewhere.
     let state = &view.target(choice.target).unwrap().state;
     state.record_load(1, 4 * SLOTS);
-    view.survey(now);
+    view.update_load_stats(now);
     let choice = view.pick(desk, &ask, now, &mut rng(1)).unwrap();
     assert_eq!(choice.reason, PickReason::AnyDataCentre);
 }
@@ -103,7 +103,7 @@
     next.models[0].versions[1].targets.remove(1);
     let after = view.with_bundle(&next, now);
     assert_eq!(after.target(keys[3]).unwrap().state.in_flight(), 1);
-    assert_ne!(after.key(&"engine-000".into()), Some(keys[0]));
+    assert_ne!(after.target_key(&"engine-000".into()), Some(keys[0]));
     assert!(after.target(keys[1]).is_none());
     drop(open);
     assert_eq!(after.target(keys[3]).unwrap().state.in_flight(), 0);
@@ -114,7 +114,7 @@
     };
     // Only the ejected target and the one with a new address are not excluded.
     let choice = after.pick(route, &ask, now, &mut rng(0)).unwrap();
-    assert_eq!(after.key(&"engine-000".into()), Some(choice.target));
+    assert_eq!(after.target_key(&"engine-000".into()), Some(choice.target));
 }
 
 #[test]
@@ -146,7 +146,7 @@
     for at in 0..2_000_u64 {
         let now = start + Duration::from_millis(5 * at);
         if bounded {
-            view.survey(now);
+            view.update_load_stats(now);
         }
         let target = match bounded {
             true => {
@@ -218,7 +218,7 @@
 /// time of the most loaded engine over the mean load.
 fn herding(
     seed: u64,
-    choose: impl Fn(&View, Route, Instant, &mut rand::rngs::SmallRng) -> TargetKey,
+    choose: impl Fn(&RoutingView, Route, Instant, &mut rand::rngs::SmallRng) -> TargetKey,
 ) -> f64 {
     let start = Instant::now();
     let views: Vec<_> = (0..7).map(|_| view(ENGINES, start)).collect();
@@ -247,7 +247,7 @@
                         .record_load(ms - 1_000, load);
                 }
             }
-            view.survey(now);
+            view.update_load_stats(now);
             if rng.random_bool(0.7) {
                 let key = choose(view, *route, now, &mut rng);
                 let open = view.target(key).unwrap().state.begin_request(ms).unwrap();
@@ -293,7 +293,7 @@
 
 /// Lets 3 instances with more work than slots send as long as `room` says, with reports that are 1
 /// s old, and returns the mean share of slots in use and the mean queue of an engine.
-fn saturated(room: impl Fn(&View, &celerypond_route::Choice, u64) -> bool) -> (f64, f64) {
+fn saturated(room: impl Fn(&RoutingView, &celerypond_route::Choice, u64) -> bool) -> (f64, f64) {
     let start = Instant::now();
     let views = (0..3).map(|_| view(ENGINES, start));
     let views: Vec<_> = views
@@ -319,7 +319,7 @@
                         .record_load(ms - 1_000, *load);
                 }
             }
-            view.survey(now);
+            view.update_load_stats(now);
             for _ in 0..40 {
                 let choice = view
                     .pick(*route, &PickCriteria::default(), now, &mut rng)
--- a/crates/route/tests/test_scripts.rs
+++ b/crates/route/tests/test_scripts.rs
@@ -4,7 +4,7 @@
 
 use celerypond_route::{
     Availability, DepartureNotice, DepartureState, OutlierDetector, OutlierEffect, OutlierLimits,
-    Pool, Route, View,
+    Pool, Route, RoutingView,
 };
 use celerypond_types::TargetKey;
 use rstest::rstest;
@@ -54,7 +54,7 @@
 }
 
 struct Runner {
-    view: View,
+    view: RoutingView,
     route: Route,
     keys: Vec<TargetKey>,
     detector: OutlierDetector,
--- a/daemon/src/admission.rs
+++ b/daemon/src/admission.rs
@@ -8,7 +8,7 @@
 
 use celerypond_answer::{ResumeLimits, ResumeScheduler, WaiterKey};
 use celerypond_route::{
-    AdmissionQueue, InFlight, PickCriteria, QueueLimits, QueuedRequest, Refusal, Route, View,
+    AdmissionQueue, InFlight, PickCriteria, QueueLimits, QueuedRequest, Refusal, Route, RoutingView,
 };
 use celerypond_telemetry::Gauge;
 use celerypond_types::{NotRunReason, Priority, TargetKey, VersionKey};
@@ -184,7 +184,7 @@
 
     fn grant_resumes(
         &mut self,
-        view: &View,
+        view: &RoutingView,
         suspects: &[TargetKey],
         now: Instant,
         rng: &mut SmallRng,
@@ -222,7 +222,13 @@
         }
     }
 
-    fn grant_new(&mut self, view: &View, suspects: &[TargetKey], now_ms: u64, rng: &mut SmallRng) {
+    fn grant_new(
+        &mut self,
+        view: &RoutingView,
+        suspects: &[TargetKey],
+        now_ms: u64,
+        rng: &mut SmallRng,
+    ) {
         let ask = PickCriteria {
             excluded: suspects,
             ..PickCriteria::default()
@@ -253,7 +259,7 @@
 /// Gives a place to the next request that may have it; returns whether to go on.
 fn grant_one(
     queue: &mut AdmissionQueue<Grant>,
-    view: &View,
+    view: &RoutingView,
     route: Route,
     ask: &PickCriteria<'_>,
     now_ms: u64,
@@ -278,7 +284,7 @@
 }
 
 fn begin(
-    view: &View,
+    view: &RoutingView,
     route: Route,
     ask: &PickCriteria<'_>,
     priority: Priority,
--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -196,7 +196,10 @@
         let (account, charge) = Charge::new(node, self.account, tokens)?;
         let view = node.view.load_full();
         let version = node.rollouts.choose(node, self.model);
-        let Some(route) = view.version(&self.model.name, &version).map(Route::Version) else {
+        let Some(route) = view
+            .version_key(&self.model.name, &version)
+            .map(Route::Version)
+        else {
             return Err(Problem::not_run(NotRunReason::NoTarget, NO_BUNDLE));
         };
         let prefixes = prefixes(&self.completion.prompt);
--- a/daemon/src/generation/choice.rs
+++ b/daemon/src/generation/choice.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use celerypond_answer::{ChosenTarget, Input, TargetCriteria};
-use celerypond_route::{Route, View};
+use celerypond_route::{Route, RoutingView};
 use celerypond_types::{TargetKey, TargetName, VersionKey, VersionName};
 use tokio::time::Instant;
 
@@ -21,7 +21,7 @@
             (None, None) => return Some(Input::NoTarget),
         };
         let view = self.node.view.load_full();
-        let Some(key) = view.version(&self.ask.model, &version) else {
+        let Some(key) = view.version_key(&self.ask.model, &version) else {
             return Some(Input::NoTarget);
         };
         if criteria.is_resume {
@@ -31,7 +31,7 @@
         let avoid = criteria
             .excluded
             .iter()
-            .filter_map(|name| view.key(name))
+            .filter_map(|name| view.target_key(name))
             .collect();
         let name = self.pick_live(&view, Route::Version(key), avoid).await;
         Some(match name {
@@ -43,7 +43,7 @@
     /// Chooses a target that takes new work by a word that is not old.
     pub(super) async fn pick_live(
         &mut self,
-        view: &View,
+        view: &RoutingView,
         route: Route,
         avoid: Vec<TargetKey>,
     ) -> Option<TargetName> {
--- a/daemon/src/generation/open.rs
+++ b/daemon/src/generation/open.rs
@@ -56,10 +56,10 @@
         let link = start.connection;
         let view = self.node.view.load_full();
         let resumed = self.granted.take().is_some();
-        let key = view.key(&start.stream.target);
+        let key = view.target_key(&start.stream.target);
         let found = key.and_then(|key| Some((key, view.target(key)?)));
         let route = view
-            .version(&self.ask.model, &start.version)
+            .version_key(&self.ask.model, &start.version)
             .map(Route::Version);
         let (Some((target, found)), Some(route)) = (found, route) else {
             return Some(Input::Closed(link));
@@ -146,7 +146,7 @@
 
     pub(super) fn find(&self, target: &TargetName) -> Option<(TargetKey, SocketAddr)> {
         let view = self.node.view.load();
-        let key = view.key(target)?;
+        let key = view.target_key(target)?;
         Some((key, view.target(key)?.address))
     }
 }
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -16,7 +16,7 @@
 use celerypond_fleet::{Gossip, Identity, Incarnation};
 use celerypond_platform::{Client, InstanceList, Rates};
 use celerypond_rollout::InForce;
-use celerypond_route::{Backoff, RetryBudget, View};
+use celerypond_route::{Backoff, RetryBudget, RoutingView};
 use celerypond_telemetry::{Counter, Gauge, Metrics};
 use celerypond_types::{RequestKey, TargetName, VersionName};
 use rand::{rngs::SmallRng, SeedableRng};
@@ -59,7 +59,7 @@
     /// The platform.
     pub platform: Client,
     /// The snapshot by which targets are chosen.
-    pub view: ArcSwap<View>,
+    pub view: ArcSwap<RoutingView>,
     /// The bundle in force; none before the first roll.
     pub force: ArcSwapOption<Force>,
     /// The targets of this instance's group; none until the fleet is known.
@@ -133,7 +133,7 @@
             settings,
             metrics,
             platform: Client::new(&platform),
-            view: ArcSwap::from_pointee(View::new(now)),
+            view: ArcSwap::from_pointee(RoutingView::new(now)),
             force: ArcSwapOption::empty(),
             group: ArcSwap::default(),
             list: ArcSwap::default(),
@@ -211,7 +211,7 @@
     /// Gives accounts that are new here a part of their limits.
     ///
     /// The failure: until demand was measured, a second later, each of their requests would be refused.
-    fn share_evenly(&self, before: &View) {
+    fn share_evenly(&self, before: &RoutingView) {
         let view = self.view.load();
         let part = limits::first_part(self);
         let now_ms = self.now_ms();
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -266,7 +266,7 @@
 
 fn address(node: &Node, target: &TargetName) -> Option<SocketAddr> {
     let view = node.view.load();
-    Some(view.target(view.key(target)?)?.address)
+    Some(view.target(view.target_key(target)?)?.address)
 }
 
 fn note(node: &Node, target: &TargetName, order: &Order, sent: Sent) {
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -145,7 +145,7 @@
         let view = node.view.load();
         // All instances leave out the same engines, in the order that the bundle names them.
         let left_out = targets.iter().skip(engines);
-        excluded.extend(left_out.filter_map(|name| view.key(name)));
+        excluded.extend(left_out.filter_map(|name| view.target_key(name)));
         excluded
     }
 
@@ -157,7 +157,7 @@
         let unloaded = targets
             .iter()
             .filter(|name| !has_loaded(node, name, version));
-        unloaded.filter_map(|name| view.key(name)).collect()
+        unloaded.filter_map(|name| view.target_key(name)).collect()
     }
 
     /// Lets the controller note what became of a request.
@@ -315,7 +315,7 @@
     let targets = targets(model, version).unwrap_or_default().iter();
     // An instance uses the engines of its group only, and a stage may use none of those.
     let mut used = targets.filter(|target| {
-        let key = view.key(target);
+        let key = view.target_key(target);
         key.is_some_and(|key| !left_out.contains(&key))
     });
     used.any(|target| has_loaded(node, target, version))
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -6,7 +6,7 @@
 use celerypond_bundle::Service;
 use celerypond_ledger::{BodyTag, Finished, Proof, Reply, Unsent};
 use celerypond_route::{
-    Attribution, Failure, InFlight, PickCriteria, RetryDecision, Route, Target, View,
+    Attribution, Failure, InFlight, PickCriteria, RetryDecision, Route, RoutingView, Target,
 };
 use celerypond_telemetry::{hop, Counter, TraceContext};
 use celerypond_types::{NotRunReason, Outcome, TargetKey};
@@ -228,7 +228,7 @@
         let mut refused = 0;
         while refused < Failure::Refused.max_attempts() && Instant::now() < self.deadline {
             let view = node.view.load_full();
-            let service = view.service(&self.service.name).ok_or(reason)?;
+            let service = view.service_key(&self.service.name).ok_or(reason)?;
             let route = Route::Service(service);
             let key = pick(node, &view, route, excluded).ok_or(reason)?;
             let target = view.target(key).ok_or(reason)?;
@@ -370,7 +370,12 @@
 }
 
 /// Chooses a target; one that failed a moment ago only when there is no other.
-fn pick(node: &Node, view: &View, route: Route, excluded: &[TargetKey]) -> Option<TargetKey> {
+fn pick(
+    node: &Node,
+    view: &RoutingView,
+    route: Route,
+    excluded: &[TargetKey],
+) -> Option<TargetKey> {
     let now = Instant::now();
     let suspects = node.suspects.with(excluded.to_vec(), now);
     let choose = |excluded| {
--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -7,7 +7,7 @@
 use celerypond_platform::Presence;
 use celerypond_route::{
     Availability, CacheEvent, DepartureNotice, DepartureState, OutlierDetector, OutlierEffect,
-    OutlierLimits, PrefixTracker, Route, Target, View,
+    OutlierLimits, PrefixTracker, Route, RoutingView, Target,
 };
 use celerypond_telemetry::{Counter, Gauge};
 use celerypond_types::{TargetKey, TargetName, VersionName};
@@ -111,7 +111,7 @@
         self.read_list(&view, now_ms);
         self.index_caches();
         self.retain(&view);
-        view.survey(now);
+        view.update_load_stats(now);
         self.eject(&view, now_ms);
         self.poll(&view, now_ms);
         let live = view
@@ -170,7 +170,7 @@
     fn index_caches(&mut self) {
         if std::mem::take(&mut self.is_cache_new) {
             let index = Arc::new(self.prefixes.build_index());
-            let cached = |view: &Arc<View>| view.with_prefix_index(Arc::clone(&index));
+            let cached = |view: &Arc<RoutingView>| view.with_prefix_index(Arc::clone(&index));
             self.node.view.rcu(cached);
         }
     }
@@ -191,7 +191,7 @@
         };
         for (name, relays) in words {
             let Some((key, target)) = view
-                .key(&name)
+                .target_key(&name)
                 .and_then(|key| Some((key, view.target(key)?)))
             else {
                 continue;
@@ -204,10 +204,10 @@
         }
     }
 
-    fn read_list(&mut self, view: &View, now_ms: u64) {
+    fn read_list(&mut self, view: &RoutingView, now_ms: u64) {
         let list = self.node.list.load_full();
         for listed in &list.targets {
-            let Some(key) = view.key(&listed.name) else {
+            let Some(key) = view.target_key(&listed.name) else {
                 continue;
             };
             let word = word(listed.state);
@@ -254,7 +254,7 @@
         gossip::set(&self.node, EntryKind::TargetLeaving, name, value);
     }
 
-    fn retain(&mut self, view: &View) {
+    fn retain(&mut self, view: &RoutingView) {
         let Self {
             departures,
             prefixes,
@@ -272,7 +272,7 @@
             .retain(|route, _| view.pool(*route).is_some());
     }
 
-    fn eject(&mut self, view: &View, now_ms: u64) {
+    fn eject(&mut self, view: &RoutingView, now_ms: u64) {
         let mut probes = Vec::new();
         for (route, detector) in &mut self.detectors {
             let Some(pool) = view.pool(*route) else {
@@ -284,7 +284,7 @@
                         note(&self.node, view, target, weight);
                         pool.set_weight(target, weight);
                     }
-                    OutlierEffect::Panic(panic) => pool.set_panic(panic),
+                    OutlierEffect::Panic(panic) => pool.set_panic_mode(panic),
                     OutlierEffect::Probe(target) => probes.push((*route, target)),
                 }
             }
@@ -297,7 +297,7 @@
         }
     }
 
-    fn poll(&mut self, view: &View, now_ms: u64) {
+    fn poll(&mut self, view: &RoutingView, now_ms: u64) {
         for (key, target) in view.targets() {
             let due = self.due.get(key).copied().unwrap_or(0);
             if due > now_ms || self.polls.len() >= POLLS {
@@ -318,7 +318,7 @@
     }
 }
 
-fn note(node: &Node, view: &View, target: TargetKey, weight: u32) {
+fn note(node: &Node, view: &RoutingView, target: TargetKey, weight: u32) {
     let Some(target) = view.target(target) else {
         return;
     };
--- a/daemon/tests/test_targets.rs
+++ b/daemon/tests/test_targets.rs
@@ -187,7 +187,7 @@
     assert_eq!(tokens.unwrap(), reference("v1", "p", 1, 50));
     let view = node.view.load_full();
     let gauge = &view
-        .target(view.key(&"engine-0".into()).unwrap())
+        .target(view.target_key(&"engine-0".into()).unwrap())
         .unwrap()
         .state;
     wait_for(async || gauge.in_flight() == 0).await;
