--- a/bench/src/route/classes.rs
+++ b/bench/src/route/classes.rs
@@ -256,11 +256,11 @@
         for effect in detector.step(pool, ms) {
             let at = |key| keys.iter().position(|one| *one == key).unwrap_or(0);
             match effect {
-                OutlierEffect::Weight(key, weight) => out[at(key)] = weight == 0,
+                OutlierEffect::SetWeight(key, weight) => out[at(key)] = weight == 0,
                 OutlierEffect::Probe(key) => {
                     detector.record_probe(key, self.down[at(key)] <= ms, ms)
                 }
-                OutlierEffect::Panic(_) => {}
+                OutlierEffect::SetPanicMode(_) => {}
             }
         }
     }
--- a/bench/src/route/cost.rs
+++ b/bench/src/route/cost.rs
@@ -125,7 +125,7 @@
         view.target(*key)
             .map(|target| target.state.estimated_load(ms, averages))
     };
-    pool.keys().min_by_key(load)
+    pool.target_keys().min_by_key(load)
 }
 
 fn timed<T>(rng: &mut SmallRng, batch: u32, act: impl Fn(&mut SmallRng) -> T) -> Vec<f64> {
--- a/bench/src/route/overload/model.rs
+++ b/bench/src/route/overload/model.rs
@@ -409,8 +409,8 @@
         };
         for effect in of.detector.step(pool, self.now) {
             match effect {
-                OutlierEffect::Weight(key, weight) => pool.set_weight(key, weight),
-                OutlierEffect::Panic(on) => pool.set_panic_mode(on),
+                OutlierEffect::SetWeight(key, weight) => pool.set_weight(key, weight),
+                OutlierEffect::SetPanicMode(on) => pool.set_panic_mode(on),
                 OutlierEffect::Probe(key) => {
                     let engine = of.keys.iter().position(|one| *one == key);
                     let alive = engine.is_some_and(|engine| !self.engines[engine].dead);
--- a/crates/route/src/ejector.rs
+++ b/crates/route/src/ejector.rs
@@ -19,21 +19,21 @@
 #[derive(Clone, Copy, Debug)]
 pub struct OutlierLimits {
     /// So many failures in a row eject a target.
-    pub failures: u32,
+    pub consecutive_failures: u32,
     /// A mean latency of so many times the median of its peers ejects a target.
-    pub slowness: f64,
+    pub latency_factor: f64,
     /// So many samples are needed before a latency is compared.
-    pub samples: u32,
+    pub min_samples: u32,
     /// Latencies below this many milliseconds are never slow.
-    pub least_ms: f64,
+    pub min_latency_ms: f64,
     /// At most this share of a pool may be out at a time.
-    pub out_share: f64,
+    pub max_ejected_share: f64,
     /// Above this share of failing targets none is treated as bad.
-    pub panic_share: f64,
+    pub panic_threshold: f64,
     /// The first stay outside, in milliseconds; it doubles with each failed probe.
-    pub base_ms: u64,
+    pub base_ejection_ms: u64,
     /// The longest stay outside, in milliseconds.
-    pub cap_ms: u64,
+    pub max_ejection_ms: u64,
     /// The time from a good probe to the whole part of the work, in milliseconds.
     pub ramp_ms: u64,
 }
@@ -41,14 +41,14 @@
 impl Default for OutlierLimits {
     fn default() -> Self {
         Self {
-            failures: 5,
-            slowness: 3.0,
-            samples: 20,
-            least_ms: 200.0,
-            out_share: 1.0 / 3.0,
-            panic_share: 0.5,
-            base_ms: 5_000,
-            cap_ms: 60_000,
+            consecutive_failures: 5,
+            latency_factor: 3.0,
+            min_samples: 20,
+            min_latency_ms: 200.0,
+            max_ejected_share: 1.0 / 3.0,
+            panic_threshold: 0.5,
+            base_ejection_ms: 5_000,
+            max_ejection_ms: 60_000,
             ramp_ms: 10_000,
         }
     }
@@ -58,11 +58,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutlierEffect {
     /// Set the part of the work that a target gets.
-    Weight(TargetKey, u32),
+    SetWeight(TargetKey, u32),
     /// PickCriteria a target for its health on a new connection, then call [`OutlierDetector::record_probe`].
     Probe(TargetKey),
     /// Use targets that seem bad, or stop to.
-    Panic(bool),
+    SetPanicMode(bool),
 }
 
 /// Decides which targets of one pool are out.
@@ -121,7 +121,8 @@
         let median = self.median_ms();
         let takes_work = |key: &&TargetKey| self.health[**key].takes_work();
         let taking: Vec<TargetKey> = known.iter().filter(takes_work).copied().collect();
-        let is_failing = |key: &TargetKey| self.health[*key].failures >= self.limits.failures;
+        let is_failing =
+            |key: &TargetKey| self.health[*key].failures >= self.limits.consecutive_failures;
         let is_slow = |key: &TargetKey| self.is_slow(&self.health[*key], median);
         let (failing, rest): (Vec<_>, Vec<_>) = taking.into_iter().partition(is_failing);
         let slow: Vec<TargetKey> = rest.into_iter().filter(is_slow).collect();
@@ -131,9 +132,9 @@
         // Slow ones do not count: they are compared with the median, so they cannot be most.
         let failed = self.health.values().filter(|h| !h.takes_work() && !h.slow);
         let share = (failing.len() + failed.count()) as f64 / base.max(1) as f64;
-        self.set_panic(share > self.limits.panic_share, &mut effects);
+        self.set_panic(share > self.limits.panic_threshold, &mut effects);
         if !self.panic {
-            let most = (pool.members.len() as f64 * self.limits.out_share).floor() as usize;
+            let most = (pool.members.len() as f64 * self.limits.max_ejected_share).floor() as usize;
             let lacking = (out + failing.len()).saturating_sub(most);
             let room = most.saturating_sub(out) + self.return_slow(lacking, now_ms);
             let failing = &failing[..room.min(failing.len())];
@@ -150,7 +151,7 @@
     fn set_panic(&mut self, panic: bool, effects: &mut Vec<OutlierEffect>) {
         if panic != self.panic {
             self.panic = panic;
-            effects.push(OutlierEffect::Panic(panic));
+            effects.push(OutlierEffect::SetPanicMode(panic));
         }
     }
 
@@ -164,7 +165,7 @@
         let limits = self.limits;
         for key in bad {
             self.change(*key, |health| health.out(now_ms, slow, &limits));
-            effects.push(OutlierEffect::Weight(*key, 0));
+            effects.push(OutlierEffect::SetWeight(*key, 0));
         }
     }
 
@@ -187,7 +188,7 @@
     /// Moves a target that is out or returning on.
     fn advance(&mut self, key: TargetKey, now_ms: u64) -> Option<OutlierEffect> {
         let health = self.health.get(key).copied()?;
-        let wait_ms = self.limits.base_ms;
+        let wait_ms = self.limits.base_ejection_ms;
         match health.state {
             State::Out { until } if now_ms >= until => {
                 self.change(key, |health| health.probing(now_ms, wait_ms));
@@ -204,21 +205,23 @@
                 if part >= 1.0 {
                     self.change(key, Health::back);
                 }
-                Some(OutlierEffect::Weight(key, ramp(part)))
+                Some(OutlierEffect::SetWeight(key, ramp(part)))
             }
             _ => None,
         }
     }
 
     fn is_slow(&self, health: &Health, median: Option<f64>) -> bool {
-        let limit = median.map(|median| (median * self.limits.slowness).max(self.limits.least_ms));
-        health.samples >= self.limits.samples && limit.is_some_and(|limit| health.mean_ms > limit)
+        let limit = median
+            .map(|median| (median * self.limits.latency_factor).max(self.limits.min_latency_ms));
+        health.samples >= self.limits.min_samples
+            && limit.is_some_and(|limit| health.mean_ms > limit)
     }
 
     /// Returns the median of the targets' mean latencies, when at least three have one.
     fn median_ms(&self) -> Option<f64> {
         let values = self.health.values();
-        let enough = values.filter(|health| health.samples >= self.limits.samples);
+        let enough = values.filter(|health| health.samples >= self.limits.min_samples);
         let mut means: Vec<f64> = enough.map(|health| health.mean_ms).collect();
         if means.len() < 3 {
             return None;
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -57,10 +57,12 @@
     }
 
     pub(crate) fn out(self, now_ms: u64, slow: bool, limits: &OutlierLimits) -> Self {
-        let doubled = limits.base_ms.saturating_mul(1 << self.times.min(16));
+        let doubled = limits
+            .base_ejection_ms
+            .saturating_mul(1 << self.times.min(16));
         Self {
             state: State::Out {
-                until: now_ms + doubled.min(limits.cap_ms),
+                until: now_ms + doubled.min(limits.max_ejection_ms),
             },
             times: self.times + 1,
             slow,
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -135,7 +135,7 @@
     }
 
     /// Returns the keys of the targets, by data centre and then by name.
-    pub fn keys(&self) -> impl Iterator<Item = TargetKey> + '_ {
+    pub fn target_keys(&self) -> impl Iterator<Item = TargetKey> + '_ {
         self.members.iter().map(|member| member.key)
     }
 
--- a/crates/route/src/view.rs
+++ b/crates/route/src/view.rs
@@ -249,7 +249,7 @@
     fn set_tallies(&self) {
         let mut tallies: SecondaryMap<TargetKey, Tallies> = SecondaryMap::new();
         for pool in self.versions.values().chain(self.services.values()) {
-            for key in pool.keys() {
+            for key in pool.target_keys() {
                 let tally = Arc::clone(&pool.gauge.open);
                 if let Some(entry) = tallies.entry(key) {
                     entry.or_default().push(tally);
--- a/crates/route/tests/test_fixture.rs
+++ b/crates/route/tests/test_fixture.rs
@@ -72,7 +72,7 @@
 pub(crate) fn view(engines: usize, now: Instant) -> (RoutingView, Route, Vec<TargetKey>) {
     let view = RoutingView::new(now).with_bundle(&bundle(engines), now);
     let route = Route::Version(view.version_key(&"draft".into(), &"v1".into()).unwrap());
-    let mut keys: Vec<TargetKey> = view.pool(route).unwrap().keys().collect();
+    let mut keys: Vec<TargetKey> = view.pool(route).unwrap().target_keys().collect();
     keys.sort();
     (view, route, keys)
 }
--- a/crates/route/tests/test_pick.rs
+++ b/crates/route/tests/test_pick.rs
@@ -156,7 +156,7 @@
                 };
                 view.pick(route, &ask, now, &mut rng(at)).unwrap().target
             }
-            false => view.pool(route).unwrap().keys().next().unwrap(),
+            false => view.pool(route).unwrap().target_keys().next().unwrap(),
         };
         hits += u32::from(!held.insert(target));
         let state = &view.target(target).unwrap().state;
@@ -281,10 +281,10 @@
             let state = &view.target(*key).unwrap().state;
             state.remote_load(ms, PoolAverages::default())
         };
-        pool.keys().min_by_key(load).unwrap()
+        pool.target_keys().min_by_key(load).unwrap()
     });
     let random = herding(seed, |view, route, _, rng| {
-        let keys: Vec<TargetKey> = view.pool(route).unwrap().keys().collect();
+        let keys: Vec<TargetKey> = view.pool(route).unwrap().target_keys().collect();
         keys[rng.random_range(0..keys.len())]
     });
     assert!(ours < 2.0 && ours < random, "{ours} {random}");
--- a/crates/route/tests/test_scripts.rs
+++ b/crates/route/tests/test_scripts.rs
@@ -88,7 +88,7 @@
             for effect in self.detector.step(&pool, self.now) {
                 let name = |key| self.keys.iter().position(|one| *one == key).unwrap();
                 match effect {
-                    OutlierEffect::Weight(key, weight) => {
+                    OutlierEffect::SetWeight(key, weight) => {
                         pool.set_weight(key, weight);
                         // A ramp has a step each 100 ms; its ends are enough.
                         if [0, 102, celerypond_route::FULL_WEIGHT].contains(&weight) {
@@ -99,7 +99,9 @@
                     OutlierEffect::Probe(key) => {
                         lines += &format!("{} ms: probe engine {}\n", self.now, name(key))
                     }
-                    OutlierEffect::Panic(on) => lines += &format!("{} ms: panic {on}\n", self.now),
+                    OutlierEffect::SetPanicMode(on) => {
+                        lines += &format!("{} ms: panic {on}\n", self.now)
+                    }
                 }
             }
         }
@@ -134,7 +136,7 @@
         Ok(match command {
             Command::Pool(engines) => {
                 *self = Self::new(*engines);
-                format!("{} engines\n", self.pool().keys().count())
+                format!("{} engines\n", self.pool().target_keys().count())
             }
             Command::Wait(ms) => self.wait(*ms),
             Command::Succeed { engines, ms, times } => {
--- a/daemon/src/admission.rs
+++ b/daemon/src/admission.rs
@@ -203,7 +203,10 @@
         let unloaded = &self.unloaded;
         while let Some(grant) = self.resume_scheduler.grant(|version, is_free| {
             let route = Route::Version(version);
-            let busy = view.pool(route)?.keys().filter(|target| !is_free(*target));
+            let busy = view
+                .pool(route)?
+                .target_keys()
+                .filter(|target| !is_free(*target));
             let without = unloaded.get(&version).into_iter().flatten();
             let others = suspects.iter().chain(without).copied();
             let excluded: Vec<TargetKey> = busy.chain(others).collect();
--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -280,11 +280,11 @@
             };
             for effect in detector.step(pool, now_ms) {
                 match effect {
-                    OutlierEffect::Weight(target, weight) => {
+                    OutlierEffect::SetWeight(target, weight) => {
                         note(&self.node, view, target, weight);
                         pool.set_weight(target, weight);
                     }
-                    OutlierEffect::Panic(panic) => pool.set_panic_mode(panic),
+                    OutlierEffect::SetPanicMode(panic) => pool.set_panic_mode(panic),
                     OutlierEffect::Probe(target) => probes.push((*route, target)),
                 }
             }
