--- a/crates/route/src/queue.rs
+++ b/crates/route/src/admission_queue.rs
@@ -5,7 +5,7 @@
 use celerypond_types::{AccountKey, NotRunReason, Priority};
 use slotmap::SecondaryMap;
 
-use crate::lane::Lane;
+use crate::fair_queue::Lane;
 
 /// Of so many requests taken while both priorities wait, one is a draft.
 const DRAFT_TURN: u32 = 8;
--- a/crates/route/src/lane.rs
+++ b/crates/route/src/fair_queue.rs
@@ -5,7 +5,7 @@
 use celerypond_types::AccountKey;
 use slotmap::SecondaryMap;
 
-use crate::{pace::Pace, QueuedRequest};
+use crate::{start_rate::Pace, QueuedRequest};
 
 /// The virtual time that a request of cost 1 takes an account of weight 1.
 const TAG_UNIT: u64 = 1_024;
--- a/crates/route/src/ejector.rs
+++ b/crates/route/src/outlier.rs
@@ -4,8 +4,8 @@
 use slotmap::SecondaryMap;
 
 use crate::{
-    health::{Health, State},
     pool::FULL_WEIGHT,
+    target_health::{Health, State},
     Pool,
 };
 
--- a/crates/route/src/pick.rs
+++ b/crates/route/src/pick.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     hash::mix,
+    hash_ring::Ring,
     pool::{Member, Site, SLOT_UNIT},
-    ring::Ring,
     Pool, PoolAverages, Route, RoutingView,
 };
 
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -10,7 +10,7 @@
 
 use celerypond_types::{DataCentre, TargetKey};
 
-use crate::{hash::hash, ring::Ring, PoolAverages, Target, TargetState};
+use crate::{hash::hash, hash_ring::Ring, PoolAverages, Target, TargetState};
 
 /// The weight of a target that gets its whole part of the work; 0 is ejected.
 pub const FULL_WEIGHT: u32 = 1_024;
--- a/crates/route/src/view.rs
+++ b/crates/route/src/view.rs
@@ -9,7 +9,7 @@
 use slotmap::{Key, SecondaryMap, SlotMap};
 use tokio::time::Instant;
 
-use crate::{gauge::Tallies, Accounts, Clock, Pool, PrefixIndex, Target};
+use crate::{target_state::Tallies, Accounts, Clock, Pool, PrefixIndex, Target};
 
 slotmap::new_key_type! {
     /// A plain service in the services arena.
