--- a/crates/route/src/departure.rs
+++ b/crates/route/src/departure.rs
@@ -1,111 +1,115 @@
-//! Whether a target is leaving, from sources that lag and disagree.
+//! Determines whether a target is leaving, from sources that lag and disagree.
 
 use serde::{Deserialize, Serialize};
 
-/// How long the list must say 'live' without a break before it takes back its own 'leaving'.
+/// How long the list must report a target as live without interruption before that overrides the
+/// list's earlier report that it is leaving.
 ///
-/// It must be longer than the list lags: a reader of a replica that is behind would otherwise
-/// open a target that the list has closed.
+/// It must exceed the lag of the list. Otherwise reads from a lagging replica would reopen a target
+/// that the list has closed.
 pub const LIST_SETTLE_MS: u64 = 30_000;
-/// How long a 'leaving' is passed on to peers.
-const RELAY_MS: u64 = 60_000;
+/// The age up to which a departure notice is forwarded to peers.
+const NOTICE_TTL_MS: u64 = 60_000;
 
-/// Who said that a target leaves.
+/// The source that reported a target as leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Origin {
     /// The platform's list of instances.
     List,
-    /// The target itself, by its health or by a response.
+    /// The target itself, in a health check or a response.
     Target,
 }
 
-/// What a source says of a target.
+/// Whether a target accepts new requests, according to one source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It takes new work.
+    /// It accepts new requests.
     Live,
-    /// It takes no new work.
+    /// It accepts no new requests.
     Leaving,
 }
 
-/// A 'leaving' as peers pass it on.
+/// A report that a target is leaving, as instances exchange it.
 ///
-/// It carries its age, not a time: clocks of instances differ. Time on the wire makes the word
-/// look younger than it is, which can only keep a target closed until its next own 'live'.
+/// It carries an age rather than a timestamp, since the clocks of instances differ. Transmission
+/// delay makes a notice look newer than it is; at worst that keeps a target closed until its next
+/// own report of being live.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DepartureNotice {
-    /// Who said it first.
+    /// The source of the report.
     pub origin: Origin,
-    /// How long ago it was heard, in milliseconds.
+    /// How long ago the report was received from that source, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What the two origins last said of a target, in milliseconds of the process's clock.
+/// The latest reports of each origin about a target, in milliseconds of the process's clock.
 ///
-/// The failure: an instance hears from a target that it leaves, then reads an old list that says
-/// 'live', and sends work that the target cuts off. So each origin can only take back its own
-/// word, and a target leaves as long as the last word of either is 'leaving'. All fields only
-/// rise, so words may come in any order and twice.
+/// If an instance learned from a target that it is leaving and then read a stale list that says it
+/// is live, it would send requests that the target aborts. Therefore a report of being live only
+/// overrides reports of the same origin, and a target is leaving while the latest report of either
+/// origin says so. Each timestamp of a report only increases, so reports may arrive repeatedly and
+/// in any order.
 ///
 /// # Examples
 ///
 /// ```
-/// use celerypond_route::{DepartureState, Availability};
+/// use celerypond_route::{Availability, DepartureState};
 ///
-/// let left = DepartureState::default().observe_target(Availability::Leaving, 900, 1_000);
-/// assert!(left.is_leaving());
-/// // A list that lags and an answer to an earlier probe change nothing.
-/// assert!(left.observe_list(Availability::Live, 2_000).is_leaving());
-/// assert!(left.observe_target(Availability::Live, 990, 2_000).is_leaving());
-/// // An answer to a later probe does.
-/// assert!(!left.observe_target(Availability::Live, 3_000, 3_001).is_leaving());
+/// let state = DepartureState::default().observe_target(Availability::Leaving, 900, 1_000);
+/// assert!(state.is_leaving());
+/// // A stale list and the reply to an earlier probe change nothing.
+/// assert!(state.observe_list(Availability::Live, 2_000).is_leaving());
+/// assert!(state.observe_target(Availability::Live, 990, 2_000).is_leaving());
+/// // The reply to a later probe does.
+/// assert!(!state.observe_target(Availability::Live, 3_000, 3_001).is_leaving());
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DepartureState {
-    target_left: Option<u64>,
-    target_live: Option<u64>,
-    list_left: Option<u64>,
-    list_live: Option<u64>,
-    /// Since when the list has said 'live' without a break.
-    steady: Option<u64>,
+    target_leaving_at: Option<u64>,
+    target_live_at: Option<u64>,
+    list_leaving_at: Option<u64>,
+    list_live_at: Option<u64>,
+    /// Since when the list has reported the target as live without interruption.
+    list_live_since: Option<u64>,
 }
 
 impl DepartureState {
-    /// Takes the target's own word, from a probe or request that was sent at `sent_ms`.
+    /// Applies a report by the target itself, in reply to a probe or request sent at `sent_ms`.
     #[must_use]
-    pub fn observe_target(self, word: Availability, sent_ms: u64, now_ms: u64) -> Self {
-        match word {
+    pub fn observe_target(self, availability: Availability, sent_ms: u64, now_ms: u64) -> Self {
+        match availability {
             Availability::Leaving => Self {
-                target_left: self.target_left.max(Some(now_ms)),
+                target_leaving_at: self.target_leaving_at.max(Some(now_ms)),
                 ..self
             },
-            // The answer may have been late on its way: only when it was asked for counts.
+            // The reply may have been delayed, so a live report counts from when the probe was
+            // sent.
             Availability::Live => Self {
-                target_live: self.target_live.max(Some(sent_ms)),
+                target_live_at: self.target_live_at.max(Some(sent_ms)),
                 ..self
             },
         }
     }
 
-    /// Takes the word of the platform's list.
+    /// Applies the state of the target in the platform's list.
     #[must_use]
-    pub fn observe_list(self, word: Availability, now_ms: u64) -> Self {
-        match word {
+    pub fn observe_list(self, availability: Availability, now_ms: u64) -> Self {
+        match availability {
             Availability::Leaving => Self {
-                list_left: self.list_left.max(Some(now_ms)),
-                steady: None,
+                list_leaving_at: self.list_leaving_at.max(Some(now_ms)),
+                list_live_since: None,
                 ..self
             },
             Availability::Live => {
-                let steady = self.steady.unwrap_or(now_ms);
-                let start = self.list_left.unwrap_or(0).max(steady);
+                let list_live_since = self.list_live_since.unwrap_or(now_ms);
+                let start = self.list_leaving_at.unwrap_or(0).max(list_live_since);
                 let settled = now_ms.saturating_sub(start) >= LIST_SETTLE_MS;
                 Self {
-                    steady: Some(steady),
-                    list_live: if settled {
+                    list_live_since: Some(list_live_since),
+                    list_live_at: if settled {
                         Some(now_ms)
                     } else {
-                        self.list_live
+                        self.list_live_at
                     },
                     ..self
                 }
@@ -113,37 +117,41 @@
         }
     }
 
-    /// Takes a 'leaving' that a peer passes on; a peer's 'live' is never taken.
+    /// Applies a notice from a peer. Peers only report that a target is leaving, never that it is
+    /// live.
     #[must_use]
-    pub fn observe_notice(self, relay: DepartureNotice, now_ms: u64) -> Self {
-        let heard = Some(now_ms.saturating_sub(relay.age_ms));
-        match relay.origin {
+    pub fn observe_notice(self, notice: DepartureNotice, now_ms: u64) -> Self {
+        let leaving_at = Some(now_ms.saturating_sub(notice.age_ms));
+        match notice.origin {
             Origin::Target => Self {
-                target_left: self.target_left.max(heard),
+                target_leaving_at: self.target_leaving_at.max(leaving_at),
                 ..self
             },
             Origin::List => Self {
-                list_left: self.list_left.max(heard),
+                list_leaving_at: self.list_leaving_at.max(leaving_at),
                 ..self
             },
         }
     }
 
-    /// Returns whether the target takes no new work.
+    /// Returns whether the target accepts no new requests.
     pub fn is_leaving(&self) -> bool {
-        let closed = |left: Option<u64>, live| left.is_some() && left >= live;
-        closed(self.target_left, self.target_live) || closed(self.list_left, self.list_live)
+        let is_closed =
+            |leaving_at: Option<u64>, live_at| leaving_at.is_some() && leaving_at >= live_at;
+        is_closed(self.target_leaving_at, self.target_live_at)
+            || is_closed(self.list_leaving_at, self.list_live_at)
     }
 
-    /// Returns what to pass on to peers: each 'leaving' that holds and is not too old.
+    /// Returns the notices to send to peers: those still in effect and not too old.
     pub fn notices(&self, now_ms: u64) -> impl Iterator<Item = DepartureNotice> {
-        let target = (Origin::Target, self.target_left, self.target_live);
-        let list = (Origin::List, self.list_left, self.list_live);
+        let target = (Origin::Target, self.target_leaving_at, self.target_live_at);
+        let list = (Origin::List, self.list_leaving_at, self.list_live_at);
         [target, list]
             .into_iter()
-            .filter_map(move |(origin, left, live)| {
-                let age_ms = now_ms.saturating_sub(left?);
-                (left >= live && age_ms <= RELAY_MS).then_some(DepartureNotice { origin, age_ms })
+            .filter_map(move |(origin, leaving_at, live_at)| {
+                let age_ms = now_ms.saturating_sub(leaving_at?);
+                (leaving_at >= live_at && age_ms <= NOTICE_TTL_MS)
+                    .then_some(DepartureNotice { origin, age_ms })
             })
     }
 }
--- a/crates/route/src/drain.rs
+++ b/crates/route/src/drain.rs
@@ -1,52 +1,53 @@
-//! The stages of a planned stop.
+//! The stages of a graceful shutdown.
 
 use crate::ENTRY_POINTS_TTL;
 
-/// How long other instances may go on giving out the address of a stopping one: until its word has
-/// reached them, with a margin.
+/// How long other instances may keep handing out the address of an instance that is leaving: the
+/// time until the news has reached them, with a margin.
 pub const LEAVING_PROPAGATION_MS: u64 = 5_000;
-/// How long a connection may be idle, as each response tells its caller.
+/// The idle timeout of a connection, as responses announce it to the client in the `Keep-Alive`
+/// header.
 pub const KEEP_ALIVE_MS: u64 = 10_000;
-/// After how long an idle connection is closed, at any time: a caller may have sent a request just
-/// before [`KEEP_ALIVE_MS`] ran out, and it must arrive before the close.
+/// The time after which the server closes an idle connection. It exceeds [`KEEP_ALIVE_MS`] so that
+/// a request that the client sends just before that timeout still arrives in time.
 pub const IDLE_CLOSE_MS: u64 = KEEP_ALIVE_MS + 1_000;
 
-/// How far a planned stop has come.
+/// The stage of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainStage {
-    /// No stop was asked for.
+    /// No shutdown was requested.
     Serving,
-    /// The address is given to nobody, but callers may still have it; all is served, and each
-    /// response says that its connection closes.
+    /// The address is no longer handed out, but clients may still have it. All requests are served,
+    /// and each response announces that its connection will be closed.
     Leaving,
-    /// New connections are refused; requests that run, and those that come on connections that are
-    /// still open, are served.
+    /// New connections are refused. Requests in flight, and new ones on connections that are still
+    /// open, are served.
     Refusing,
-    /// No connection is open; tasks can be joined and the process can end.
+    /// All connections are closed; the process can join its tasks and exit.
     Done,
 }
 
-/// What the caller has to do on reaching a stage.
+/// What to do on entering a stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainEffect {
-    /// Say 'leaving' to peers, leave the own address out of answers, and say `Connection: close` in
-    /// each response from now on.
+    /// Announce to peers that this instance is leaving, omit its address from the entry points, and
+    /// send `Connection: close` with each response from now on.
     AnnounceLeaving,
-    /// Drop the listener.
+    /// Close the listening socket.
     CloseListener,
-    /// Join all tasks and end.
+    /// Join all tasks and exit.
     Exit,
 }
 
-/// A planned stop.
+/// The state machine of a graceful shutdown.
 ///
-/// The failure: a caller that was told an address a moment ago connects there and is refused, or
-/// has its request cut off. So an instance serves on until every answer that names it has expired:
-/// the time for its word to reach the others, and then the time to live of the last answer.
+/// A client that was given the address just before the shutdown would have its connection refused
+/// or its request aborted. The instance therefore keeps serving until every answer with its address
+/// has expired: the time for the news to reach the other instances plus the TTL of the last answer.
 ///
-/// Idle connections are not closed for the stop. A response whose head was sent before the stop did
-/// not say that its connection closes, so its caller may use it again; the server closes it once it
-/// has been idle for [`IDLE_CLOSE_MS`], as always.
+/// Idle connections are not closed early. A response whose head was sent before the shutdown did
+/// not announce that its connection would be closed, so the client may reuse it; it is closed after
+/// [`IDLE_CLOSE_MS`] of idleness, as at any other time.
 ///
 /// # Examples
 ///
@@ -55,7 +56,7 @@
 ///
 /// let (drain, effect) = Drain::default().start(0);
 /// assert_eq!(effect, Some(DrainEffect::AnnounceLeaving));
-/// // A second stop changes nothing.
+/// // A second call changes nothing.
 /// assert_eq!(drain.start(3_000), (drain, None));
 /// let (drain, effect) = drain.step(60_000, 2);
 /// assert_eq!((drain.stage(), effect), (DrainStage::Refusing, Some(DrainEffect::CloseListener)));
@@ -63,7 +64,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Drain {
     stage: DrainStage,
-    /// When the stage was reached, in milliseconds.
+    /// When the stage was entered, in milliseconds.
     since: u64,
 }
 
@@ -77,36 +78,38 @@
 }
 
 impl Drain {
-    /// Returns the stage.
+    /// Returns the current stage.
     pub const fn stage(&self) -> DrainStage {
         self.stage
     }
 
-    /// Asks for the stop; once is enough.
+    /// Starts the shutdown. Further calls have no effect.
     #[must_use]
     pub fn start(self, now_ms: u64) -> (Self, Option<DrainEffect>) {
         match self.stage {
-            DrainStage::Serving => to(DrainStage::Leaving, now_ms, DrainEffect::AnnounceLeaving),
+            DrainStage::Serving => enter(DrainStage::Leaving, now_ms, DrainEffect::AnnounceLeaving),
             _ => (self, None),
         }
     }
 
-    /// Moves on by at most one stage. `open` counts the connections of callers, and all else that
-    /// must not be cut off. Call it every 100 ms and when a connection closes.
+    /// Advances by at most one stage. `open_connections` counts client connections and anything
+    /// else that must not be interrupted. Call it every 100 ms and whenever a connection closes.
     #[must_use]
-    pub fn step(self, now_ms: u64, open: usize) -> (Self, Option<DrainEffect>) {
-        let passed = now_ms.saturating_sub(self.since);
-        let cached = LEAVING_PROPAGATION_MS + ENTRY_POINTS_TTL.as_millis() as u64;
+    pub fn step(self, now_ms: u64, open_connections: usize) -> (Self, Option<DrainEffect>) {
+        let elapsed = now_ms.saturating_sub(self.since);
+        let drain_ms = LEAVING_PROPAGATION_MS + ENTRY_POINTS_TTL.as_millis() as u64;
         match self.stage {
-            DrainStage::Leaving if passed >= cached => {
-                to(DrainStage::Refusing, now_ms, DrainEffect::CloseListener)
+            DrainStage::Leaving if elapsed >= drain_ms => {
+                enter(DrainStage::Refusing, now_ms, DrainEffect::CloseListener)
+            }
+            DrainStage::Refusing if open_connections == 0 => {
+                enter(DrainStage::Done, now_ms, DrainEffect::Exit)
             }
-            DrainStage::Refusing if open == 0 => to(DrainStage::Done, now_ms, DrainEffect::Exit),
             _ => (self, None),
         }
     }
 }
 
-fn to(stage: DrainStage, since: u64, effect: DrainEffect) -> (Drain, Option<DrainEffect>) {
+fn enter(stage: DrainStage, since: u64, effect: DrainEffect) -> (Drain, Option<DrainEffect>) {
     (Drain { stage, since }, Some(effect))
 }
