--- a/crates/route/src/accounts.rs
+++ b/crates/route/src/accounts.rs
@@ -8,25 +8,25 @@
 
 use crate::AccountLimiter;
 
-/// A client account in the accounts arena.
+/// A client account, as stored in [`Accounts`].
 #[derive(Clone, Debug)]
 pub struct AccountEntry {
-    /// What the bundle declares.
+    /// The account as the bundle declares it.
     pub account: Account,
-    /// What it uses of this instance, over all snapshots.
+    /// The account's rate limiter at this instance, shared by all views.
     pub limiter: Arc<AccountLimiter>,
 }
 
-/// The client accounts of a bundle; keys and meters outlive a change of the bundle.
+/// The client accounts of a bundle. Keys and limiters are kept when the bundle changes.
 #[derive(Clone, Debug, Default)]
 pub struct Accounts {
     entries: SlotMap<AccountKey, AccountEntry>,
-    names: HashMap<AccountName, AccountKey>,
-    digests: HashMap<Digest, AccountKey>,
+    keys_by_name: HashMap<AccountName, AccountKey>,
+    keys_by_digest: HashMap<Digest, AccountKey>,
 }
 
 impl Accounts {
-    /// Returns the accounts after a bundle has come into force at `now_ms`.
+    /// Returns the accounts after a bundle came into force at `now_ms`.
     #[must_use]
     pub fn with_bundle(&self, accounts: &[Account], now_ms: u64) -> Self {
         let mut next = Self {
@@ -34,16 +34,24 @@
             ..Self::default()
         };
         for account in accounts {
-            let key = next.set(self.names.get(&account.name).copied(), account, now_ms);
-            next.names.insert(account.name.clone(), key);
-            next.digests.insert(account.key_digest, key);
+            let key = next.upsert(
+                self.keys_by_name.get(&account.name).copied(),
+                account,
+                now_ms,
+            );
+            next.keys_by_name.insert(account.name.clone(), key);
+            next.keys_by_digest.insert(account.key_digest, key);
         }
-        let Self { entries, names, .. } = &mut next;
-        entries.retain(|key, entry| names.get(&entry.account.name) == Some(&key));
+        let Self {
+            entries,
+            keys_by_name,
+            ..
+        } = &mut next;
+        entries.retain(|key, entry| keys_by_name.get(&entry.account.name) == Some(&key));
         next
     }
 
-    fn set(&mut self, key: Option<AccountKey>, account: &Account, now_ms: u64) -> AccountKey {
+    fn upsert(&mut self, key: Option<AccountKey>, account: &Account, now_ms: u64) -> AccountKey {
         let Some(key) = key else {
             return self.entries.insert(AccountEntry {
                 account: account.clone(),
@@ -54,22 +62,22 @@
         key
     }
 
-    /// Finds an account by the digest of the key that its callers send.
+    /// Looks up an account by the digest of its API key.
     pub fn by_digest(&self, digest: &Digest) -> Option<AccountKey> {
-        self.digests.get(digest).copied()
+        self.keys_by_digest.get(digest).copied()
     }
 
-    /// Finds an account by name.
+    /// Looks up an account by name.
     pub fn key(&self, name: &AccountName) -> Option<AccountKey> {
-        self.names.get(name).copied()
+        self.keys_by_name.get(name).copied()
     }
 
-    /// Finds an account by key.
+    /// Looks up an account by key.
     pub fn get(&self, key: AccountKey) -> Option<&AccountEntry> {
         self.entries.get(key)
     }
 
-    /// Returns all accounts, in the order of the arena.
+    /// Iterates over all accounts in storage order.
     pub fn iter(&self) -> impl Iterator<Item = (AccountKey, &AccountEntry)> + '_ {
         self.entries.iter()
     }
--- a/crates/route/src/demand.rs
+++ b/crates/route/src/demand.rs
@@ -1,78 +1,84 @@
-//! How much each instance is asked for by an account.
+//! The demand of an account at each instance.
 
 use std::collections::BTreeMap;
 
 use celerypond_types::InstanceName;
 use serde::{Deserialize, Serialize};
 
-/// The factor between two steps of a quantize_rate demand: a steady demand is not quantize_rate again.
-const STEP: f64 = 1.25;
+/// The ratio between two consecutive values of a quantized rate, so that small variations of a
+/// steady demand are not published.
+const QUANTIZATION_FACTOR: f64 = 1.25;
 
-/// What an account asks of one instance, as the instance publishes it.
+/// The demand of an account at one instance, as that instance publishes it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Demand {
-    /// Rises with each change, also over restarts of the instance.
+    /// Increases with each change, also across restarts of the instance.
     pub sequence: u64,
-    /// Requests a second, rounded up to a step, in thousandths.
+    /// Requests per second in thousandths, quantized.
     pub requests: u64,
-    /// Tokens a second, rounded up to a step, in thousandths.
+    /// Tokens per second in thousandths, quantized.
     pub tokens: u64,
 }
 
-/// What an account asks of each instance.
+/// The demand of an account at each instance.
 ///
-/// Merging is idempotent, commutative and associative: the row with the higher sequence wins.
+/// Merging is idempotent, commutative and associative: for each instance, the demand with the
+/// higher sequence wins.
 ///
 /// # Examples
 ///
 /// ```
 /// use celerypond_route::{Demand, DemandMap};
 ///
-/// let row = Demand { sequence: 1, requests: 5_000, tokens: 0 };
+/// let demand = Demand { sequence: 1, requests: 5_000, tokens: 0 };
 /// let newer = Demand { sequence: 2, requests: 1_000, tokens: 0 };
-/// let one = DemandMap::single("a".into(), row);
-/// let both = one.merge(&DemandMap::single("a".into(), newer));
-/// assert_eq!(both.merge(&one), both);
-/// assert_eq!(both.iter().count(), 1);
+/// let map =  DemandMap::single("a".into(), demand);
+/// let merged = map.merge(&DemandMap::single("a".into(), newer));
+/// assert_eq!(merged.merge(&map), merged);
+/// assert_eq!(merged.iter().count(), 1);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct DemandMap(BTreeMap<InstanceName, Demand>);
 
 impl DemandMap {
-    /// Makes the demand of one instance.
-    pub fn single(instance: InstanceName, row: Demand) -> Self {
-        Self(BTreeMap::from([(instance, row)]))
+    /// Creates a map with the demand at one instance.
+    pub fn single(instance: InstanceName, demand: Demand) -> Self {
+        Self(BTreeMap::from([(instance, demand)]))
     }
 
-    /// Returns the demands that either knows.
+    /// Returns the union of both maps, with the newer demand of each instance.
     #[must_use]
     pub fn merge(&self, other: &Self) -> Self {
-        let mut rows = self.0.clone();
-        for (name, row) in &other.0 {
-            let last = rows.entry(name.clone()).or_default();
-            *last = (*last).max(*row);
+        let mut demands = self.0.clone();
+        for (name, demand) in &other.0 {
+            let last = demands.entry(name.clone()).or_default();
+            *last = (*last).max(*demand);
         }
-        Self(rows)
+        Self(demands)
     }
 
-    /// Returns the demands without those of instances that `gone` names.
+    /// Returns the map without the instances for which `gone` returns `true`.
     ///
-    /// An instance is gone when the platform's list no longer has it. Silence is not enough: the
-    /// other side of a partition still uses its share.
+    /// An instance counts as gone only once the platform's list no longer contains it. Being
+    /// unreachable is not enough: across a network partition it still uses its share.
     #[must_use]
     pub fn without(&self, gone: impl Fn(&InstanceName) -> bool) -> Self {
-        let rows = self.0.iter().filter(|(name, _)| !gone(name));
-        Self(rows.map(|(name, row)| (name.clone(), *row)).collect())
+        let demands = self.0.iter().filter(|(name, _)| !gone(name));
+        Self(
+            demands
+                .map(|(name, demand)| (name.clone(), *demand))
+                .collect(),
+        )
     }
 
-    /// Returns the row of each instance, by name.
+    /// Iterates over the instances and their demand, by name.
     pub fn iter(&self) -> impl Iterator<Item = (&InstanceName, &Demand)> + '_ {
         self.0.iter()
     }
 }
 
-/// Rounds a rate up to a step, in thousandths.
+/// Converts a rate to thousandths and rounds it up to the next quantization step.
 ///
 /// # Examples
 ///
@@ -87,6 +93,6 @@
     if rate * 1_000.0 < 1.0 {
         return 0;
     }
-    let step = ((rate * 1_000.0).ln() / STEP.ln()).ceil();
-    STEP.powf(step).ceil() as u64
+    let step = ((rate * 1_000.0).ln() / QUANTIZATION_FACTOR.ln()).ceil();
+    QUANTIZATION_FACTOR.powf(step).ceil() as u64
 }
--- a/crates/route/src/limit_share.rs
+++ b/crates/route/src/limit_share.rs
@@ -1,69 +1,72 @@
-//! The part of an account's limit that an instance may use.
+//! Division of an account's rate limits among instances.
 
 use celerypond_types::InstanceName;
 
 use crate::{Demand, DemandMap};
 
-/// The part of a limit that is given to idle instances, so that each can serve at once.
+/// The share of a limit that is divided equally regardless of demand, so that an idle instance can
+/// serve its first requests immediately.
 pub const IDLE_SHARE: f64 = 0.1;
-/// The longest time that a change of demand takes to reach all instances in touch.
+/// The maximum time until a change of demand has reached all connected instances.
 pub const DEMAND_PROPAGATION_MS: u64 = 5_000;
-/// An instance is in touch with another if it heard from it within this time.
+/// An instance is in contact with another one from which it has received an update within this
+/// time.
 pub const CONTACT_TIMEOUT_MS: u64 = DEMAND_PROPAGATION_MS + 1_000;
-/// How long a rise of the own demand waits before the share follows it.
+/// How long an increase of an instance's own demand must last before its share follows.
 ///
-/// A rise that nobody hears of is quantize_rate just after a partition began. The last word from the
-/// other side came up to [`DEMAND_PROPAGATION_MS`] after that, and counts as touch for [`CONTACT_TIMEOUT_MS`] more. Only
-/// then does the instance know that it must not use the rise.
+/// Suppose that an increase is published just after a network partition began, so that the other
+/// side does not learn of it. The last update from the other side may arrive up to
+/// [`DEMAND_PROPAGATION_MS`] later, and counts as contact for another [`CONTACT_TIMEOUT_MS`]. Only
+/// then does the instance know that it must not use the increase.
 pub const INCREASE_DELAY_MS: u64 = DEMAND_PROPAGATION_MS + CONTACT_TIMEOUT_MS;
 
-/// A part of a limit, from 0 to 1, for requests and for tokens.
+/// A share of a limit, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitShare {
-    /// The part of requests a second.
+    /// The share of the limit on requests per second.
     pub requests: f64,
-    /// The part of tokens a second.
+    /// The share of the limit on tokens per second.
     pub tokens: f64,
 }
 
-/// What an instance knows when it reckons its part.
+/// What the share of an instance is computed from.
 #[derive(Clone, Copy, Debug)]
 pub struct ShareInputs<'a> {
-    /// The own name.
+    /// The name of this instance.
     pub instance: &'a InstanceName,
-    /// The demands of all instances that it has heard of and that are not gone.
+    /// The demand at all known instances that are not gone.
     pub demands: &'a DemandMap,
-    /// How many instances are listed or heard of.
+    /// How many instances are listed or otherwise known.
     pub instances: usize,
-    /// How many instances the settings say there are; a new instance knows no other yet.
+    /// How many instances the settings declare; a new instance knows no others yet.
     pub expected_instances: usize,
-    /// Whether every listed instance was heard of within [`CONTACT_TIMEOUT_MS`].
+    /// Whether an update from every listed instance arrived within [`CONTACT_TIMEOUT_MS`].
     pub in_contact: bool,
-    /// The account's limit of requests a second.
+    /// The account's limit on requests per second.
     pub requests_per_s: u32,
-    /// The account's limit of tokens a second.
+    /// The account's limit on tokens per second.
     pub tokens_per_s: u32,
 }
 
-/// The split of one account's limit, as one instance sees it.
+/// Computes an instance's share of an account's limits.
 ///
-/// The failure: two instances both believe that a demand has moved to them, and together admit more
-/// than the account may use. So a fall of the own demand counts at once and a rise only after
-/// [`INCREASE_DELAY_MS`], when all others have heard of it; and while an instance is out of touch with a
-/// listed one, its demand cannot rise at all. Then every instance counts each other one with at
-/// least what that one uses, and the parts add up to at most 1.
+/// If two instances both assumed that demand had moved to them, they would together admit more than
+/// the limit. A decrease of an instance's own demand therefore takes effect immediately, but an
+/// increase only after [`INCREASE_DELAY_MS`], when all others know of it; and without contact with a
+/// listed instance it does not take effect at all. So every instance assumes at least the demand
+/// that each other one uses, and the shares add up to at most 1.
 ///
-/// The bound: with `n` instances of which the one that knows fewest counts `m`, all parts add up to
-/// at most `max(1, n / m) + IDLE_SHARE`, as long as changes spread in [`DEMAND_PROPAGATION_MS`] among instances
-/// in touch, and touch is lost in both directions.
+/// For `n` instances of which the least informed one counts `m`, the shares add up to at most
+/// `max(1, n / m) + IDLE_SHARE`, provided that updates reach connected instances within
+/// [`DEMAND_PROPAGATION_MS`] and that contact is lost in both directions.
 ///
 /// # Examples
 ///
 /// ```
-/// use celerypond_route::{Demand, DemandMap, ShareInputs, ShareAllocator};
+/// use celerypond_route::{Demand, DemandMap, ShareAllocator, ShareInputs};
 ///
 /// let other = Demand { sequence: 1, requests: 30_000, tokens: 0 };
-/// let known = ShareInputs {
+/// let inputs = ShareInputs {
 ///     instance: &"a".into(),
 ///     demands: &DemandMap::single("b".into(), other),
 ///     instances: 2,
@@ -73,19 +76,19 @@
 ///     tokens_per_s: 0,
 /// };
 /// let own = Demand { sequence: 1, requests: 90_000, tokens: 0 };
-/// let (allocator, share) = ShareAllocator::default().update(own, &known, 0);
-/// assert!(share.requests < 0.2); // Nobody may know of the demand yet.
-/// let (_, share) = allocator.update(own, &known, 11_000);
+/// let (allocator, share) = ShareAllocator::default().update(own, &inputs, 0);
+/// assert!(share.requests < 0.2); // Other instances may not know of the demand yet.
+/// let (_, share) = allocator.update(own, &inputs, 11_000);
 /// assert!(share.requests > 0.7);
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct ShareAllocator {
-    /// The demand by which the own part is reckoned.
-    used: Demand,
-    /// The least demand since `since`, which becomes `used` when it has held long enough.
-    rising: Demand,
-    since: Option<u64>,
-    hold_ms: u64,
+    /// The demand that the share is computed from.
+    effective: Demand,
+    /// The lowest demand since `pending_since`; it becomes `effective` after the delay.
+    pending: Demand,
+    pending_since: Option<u64>,
+    increase_delay_ms: u64,
 }
 
 impl Default for ShareAllocator {
@@ -95,87 +98,89 @@
 }
 
 impl ShareAllocator {
-    /// Makes a split whose rises wait for `hold_ms`; less than [`INCREASE_DELAY_MS`] breaks the bound.
-    pub const fn with_increase_delay(hold_ms: u64) -> Self {
+    /// Creates an allocator with another delay of increases. Less than [`INCREASE_DELAY_MS`] breaks
+    /// the bound.
+    pub const fn with_increase_delay(increase_delay_ms: u64) -> Self {
         let none = Demand {
             sequence: 0,
             requests: 0,
             tokens: 0,
         };
         Self {
-            used: none,
-            rising: none,
-            since: None,
-            hold_ms,
+            effective: none,
+            pending: none,
+            pending_since: None,
+            increase_delay_ms,
         }
     }
 
-    /// Takes the own demand as it was just quantize_rate and returns the split and the own part.
+    /// Applies this instance's newly published demand; returns the new state and this instance's
+    /// share.
     #[must_use]
-    pub fn update(self, own: Demand, known: &ShareInputs<'_>, now_ms: u64) -> (Self, LimitShare) {
-        let next = self.follow(own, known.in_contact, now_ms);
-        let part = next.part(known);
-        (next, part)
+    pub fn update(self, own: Demand, inputs: &ShareInputs<'_>, now_ms: u64) -> (Self, LimitShare) {
+        let next = self.track_demand(own, inputs.in_contact, now_ms);
+        let share = next.share(inputs);
+        (next, share)
     }
 
-    fn follow(self, own: Demand, in_touch: bool, now_ms: u64) -> Self {
-        let used = least(self.used, own);
+    fn track_demand(self, own: Demand, in_contact: bool, now_ms: u64) -> Self {
+        let effective = min_demand(self.effective, own);
         let start = Self {
-            used,
-            rising: own,
-            since: Some(now_ms),
+            effective,
+            pending: own,
+            pending_since: Some(now_ms),
             ..self
         };
-        match self.since {
-            // What others may not hear of does not count: the rise starts again.
-            _ if !in_touch => Self {
-                since: None,
+        match self.pending_since {
+            // Other instances may not learn of this demand, so the delay starts over.
+            _ if !in_contact => Self {
+                pending_since: None,
                 ..start
             },
             None => start,
-            Some(since) if now_ms.saturating_sub(since) >= self.hold_ms => Self {
-                used: least(self.rising, own),
+            Some(since) if now_ms.saturating_sub(since) >= self.increase_delay_ms => Self {
+                effective: min_demand(self.pending, own),
                 ..start
             },
             Some(_) => Self {
-                used,
-                rising: least(self.rising, own),
+                effective,
+                pending: min_demand(self.pending, own),
                 ..self
             },
         }
     }
 
-    fn part(&self, known: &ShareInputs<'_>) -> LimitShare {
-        let rows = known.demands.iter();
-        let others = rows.filter(|(name, _)| *name != known.instance);
-        let (requests, tokens) = others.fold((0, 0), |(requests, tokens), (_, row)| {
-            (requests + row.requests, tokens + row.tokens)
+    fn share(&self, inputs: &ShareInputs<'_>) -> LimitShare {
+        let demands = inputs.demands.iter();
+        let others = demands.filter(|(name, _)| *name != inputs.instance);
+        let (requests, tokens) = others.fold((0, 0), |(requests, tokens), (_, demand)| {
+            (requests + demand.requests, tokens + demand.tokens)
         });
-        let of = |own: u64, others: u64, per_s: u32| known.part(own, others, per_s);
+        let share = |own: u64, others: u64, per_s: u32| inputs.share(own, others, per_s);
         LimitShare {
-            requests: of(self.used.requests, requests, known.requests_per_s),
-            tokens: of(self.used.tokens, tokens, known.tokens_per_s),
+            requests: share(self.effective.requests, requests, inputs.requests_per_s),
+            tokens: share(self.effective.tokens, tokens, inputs.tokens_per_s),
         }
     }
 }
 
 impl ShareInputs<'_> {
-    fn part(&self, own: u64, others: u64, per_s: u32) -> f64 {
+    fn share(&self, own: u64, others: u64, per_s: u32) -> f64 {
         let limit = f64::from(per_s.max(1)) * 1_000.0;
         let count = self.instances.max(self.expected_instances).max(1);
-        let idle = IDLE_SHARE * limit;
-        let heard = (own + others) as f64;
-        // Out of touch, others may use the whole limit unheard.
-        let asked = if self.in_contact {
-            heard
+        let reserve = IDLE_SHARE * limit;
+        let known_demand = (own + others) as f64;
+        // Instances that are out of contact may be using the whole limit.
+        let total = if self.in_contact {
+            known_demand
         } else {
-            heard.max(limit)
+            known_demand.max(limit)
         };
-        (own as f64 + idle / count as f64) / (asked + idle)
+        (own as f64 + reserve / count as f64) / (total + reserve)
     }
 }
 
-fn least(a: Demand, b: Demand) -> Demand {
+fn min_demand(a: Demand, b: Demand) -> Demand {
     Demand {
         sequence: a.sequence.max(b.sequence),
         requests: a.requests.min(b.requests),
--- a/crates/route/src/token_bucket.rs
+++ b/crates/route/src/token_bucket.rs
@@ -1,19 +1,20 @@
-//! A token bucket in atomics.
+//! A lock-free token bucket.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering::Relaxed},
     time::Duration,
 };
 
-/// How much of a rate may be saved up.
+/// The size of a bucket, as the time in which it fills.
 pub const BURST_MS: u64 = 1_000;
 
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// A token bucket that fills at a rate and holds what the rate gives in [`BURST_MS`].
+/// A token bucket that holds at most the tokens of [`BURST_MS`].
 ///
-/// It keeps one number, the time at which all that was taken will be paid for. So it needs no lock
-/// and no clock of its own, and a debt is a time that lies further ahead.
+/// It stores only the theoretical arrival time (TAT) of the generic cell rate algorithm: the time
+/// at which all tokens taken so far will have been refilled. It therefore needs neither a lock nor
+/// a clock of its own, and a debt is just a later TAT.
 ///
 /// # Examples
 ///
@@ -28,93 +29,94 @@
 /// ```
 #[derive(Debug)]
 pub struct TokenBucket {
-    /// When all that was taken is paid for, in nanoseconds.
-    paid: AtomicU64,
-    /// The nanoseconds that one token takes; 0 gives none.
-    cost: AtomicU64,
+    /// The theoretical arrival time, in nanoseconds.
+    tat: AtomicU64,
+    /// The time in which one token is refilled, in nanoseconds; 0 if none ever is.
+    ns_per_token: AtomicU64,
 }
 
 impl TokenBucket {
-    /// Makes an empty bucket that does not fill yet.
+    /// Creates an empty bucket with a rate of zero.
     pub const fn new(now_ms: u64) -> Self {
         Self {
-            paid: AtomicU64::new(now_ms * NANOS_PER_MS),
-            cost: AtomicU64::new(0),
+            tat: AtomicU64::new(now_ms * NANOS_PER_MS),
+            ns_per_token: AtomicU64::new(0),
         }
     }
 
-    /// Sets the rate in tokens a second.
+    /// Sets the rate in tokens per second.
     ///
-    /// Saved tokens are kept but never multiplied: they are time in this bucket, and the same time
-    /// would be worth more tokens at a higher rate, which nobody has given up elsewhere.
+    /// The number of saved tokens never grows by a change of the rate. Since they are stored as
+    /// time, they would otherwise be worth more tokens at a higher rate, which no other instance
+    /// has given up.
     pub fn set_rate(&self, rate: f64, now_ms: u64) {
-        let cost = if rate > 0.0 { 1e9 / rate } else { 0.0 } as u64;
-        let last = self.cost.swap(cost, Relaxed);
+        let ns_per_token = if rate > 0.0 { 1e9 / rate } else { 0.0 } as u64;
+        let previous = self.ns_per_token.swap(ns_per_token, Relaxed);
         let now = now_ms * NANOS_PER_MS;
-        let rescale = |paid: u64| {
-            let start = paid.max(now.saturating_sub(BURST_MS * NANOS_PER_MS));
+        let rescale = |tat: u64| {
+            let start = tat.max(now.saturating_sub(BURST_MS * NANOS_PER_MS));
             let saved = now.saturating_sub(start);
-            let kept = if last == 0 {
+            let kept = if previous == 0 {
                 0
             } else {
-                scaled(saved, cost, last).min(saved)
+                scale(saved, ns_per_token, previous).min(saved)
             };
-            // A debt stays the same number of tokens too.
+            // A debt keeps its number of tokens as well.
             let debt = start.saturating_sub(now);
-            let owed = if last == 0 {
+            let owed = if previous == 0 {
                 debt
             } else {
-                scaled(debt, cost, last)
+                scale(debt, ns_per_token, previous)
             };
             Some(now - kept + owed)
         };
         // The closure always returns a value.
-        let _ = self.paid.fetch_update(Relaxed, Relaxed, rescale);
+        let _ = self.tat.fetch_update(Relaxed, Relaxed, rescale);
     }
 
     /// Takes `tokens`, or returns how long to wait until they can be taken.
     ///
-    /// More tokens than the bucket holds can be taken once it is full; the rest is a debt.
+    /// More tokens than the bucket holds can be taken when it is full; the excess becomes a debt.
     ///
     /// # Errors
     ///
-    /// The time until the same call succeeds if nobody else takes any.
+    /// The time until the same call succeeds if no other call takes tokens.
     pub fn try_take(&self, tokens: u64, now_ms: u64) -> Result<(), Duration> {
-        let cost = self.cost.load(Relaxed);
+        let ns_per_token = self.ns_per_token.load(Relaxed);
         if tokens == 0 {
-            // A call that generates nothing need not wait for a debt of those that do.
+            // A call that generates no tokens need not wait for the debt of those that do.
             return Ok(());
         }
-        if cost == 0 {
+        if ns_per_token == 0 {
             return Err(Duration::from_millis(BURST_MS));
         }
         let now = now_ms * NANOS_PER_MS;
         let burst = BURST_MS * NANOS_PER_MS;
-        let price = tokens.saturating_mul(cost);
-        // A price above the whole burst is allowed when the bucket is full.
+        let cost = tokens.saturating_mul(ns_per_token);
+        // A cost above the burst is accepted when the bucket is full.
         let start = now.saturating_sub(burst);
-        let limit = start.saturating_add(burst.max(price));
-        let pay = |paid: u64| {
-            let next = paid.max(start).saturating_add(price);
+        let limit = start.saturating_add(burst.max(cost));
+        let advance = |tat: u64| {
+            let next = tat.max(start).saturating_add(cost);
             (next <= limit).then_some(next)
         };
-        let paid = self.paid.fetch_update(Relaxed, Relaxed, pay);
-        let late = |paid: u64| paid.max(start).saturating_add(price).saturating_sub(limit);
-        paid.map(drop)
-            .map_err(|paid| Duration::from_nanos(late(paid)))
+        let tat = self.tat.fetch_update(Relaxed, Relaxed, advance);
+        let excess = |tat: u64| tat.max(start).saturating_add(cost).saturating_sub(limit);
+        tat.map(drop)
+            .map_err(|tat| Duration::from_nanos(excess(tat)))
     }
 
-    /// Corrects an estimate: `used` tokens were used where `taken` were taken.
+    /// Corrects an estimate after `used` tokens were used instead of the `taken` ones.
     pub fn reconcile(&self, taken: u64, used: u64) {
-        let cost = self.cost.load(Relaxed);
-        let more = used.saturating_sub(taken).saturating_mul(cost);
-        let less = taken.saturating_sub(used).saturating_mul(cost);
-        let correct = |paid: u64| Some(paid.saturating_add(more).saturating_sub(less));
-        let _ = self.paid.fetch_update(Relaxed, Relaxed, correct);
+        let ns_per_token = self.ns_per_token.load(Relaxed);
+        let more = used.saturating_sub(taken).saturating_mul(ns_per_token);
+        let less = taken.saturating_sub(used).saturating_mul(ns_per_token);
+        let correct = |tat: u64| Some(tat.saturating_add(more).saturating_sub(less));
+        let _ = self.tat.fetch_update(Relaxed, Relaxed, correct);
     }
 }
 
-/// Returns `time` when the price of a token changes from `last` to `cost`.
-fn scaled(time: u64, cost: u64, last: u64) -> u64 {
-    (u128::from(time) * u128::from(cost) / u128::from(last)) as u64
+/// Converts `time` for the change of the refill time of a token from `previous` to `ns_per_token`.
+fn scale(time: u64, ns_per_token: u64, previous: u64) -> u64 {
+    (u128::from(time) * u128::from(ns_per_token) / u128::from(previous)) as u64
 }
