--- a/crates/route/src/start_rate.rs
+++ b/crates/route/src/start_rate.rs
@@ -1,73 +1,78 @@
-//! How fast requests start while others wait.
+//! An estimate of the rate at which queued requests start.
 
-/// The time over which starts are remembered, in milliseconds.
-const MEMORY_MS: f64 = 2_000.0;
-/// How many starts the first expectation counts for.
-const FIRST_COUNT: f64 = 8.0;
-/// A pause of so many mean intervals is taken for a standstill.
-const STANDSTILL: f64 = 8.0;
+/// The time constant of the exponential decay of past starts, in milliseconds.
+const DECAY_MS: f64 = 2_000.0;
+/// How many starts the initial assumption counts as.
+const INITIAL_COUNT: f64 = 8.0;
+/// No start for this many mean intervals is considered a stall.
+const STALL_INTERVALS: f64 = 8.0;
 
-/// How fast requests start while others wait.
+/// An estimate of the rate at which requests start while others wait.
 ///
-/// The mean must be steady: under overload, requests are let in whenever it is low for a moment, so
-/// noise in it alone makes the queue too long.
+/// It has to be steady. Under overload, requests are admitted whenever the estimated wait is low
+/// for a moment, so noise alone makes the queue too long.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pace {
-    /// The time that passed while requests waited, in milliseconds; it fades.
-    time: f64,
-    /// The starts in that time; they fade alike.
+pub(crate) struct StartRate {
+    /// The time during which requests waited, in milliseconds, with exponential decay.
+    elapsed_ms: f64,
+    /// The starts in that time, with the same decay.
     count: f64,
-    /// When the last request started, or the first began to wait.
-    last: Option<u64>,
+    /// When the last request started, or when the queue became non-empty.
+    last_start: Option<u64>,
 }
 
-impl Pace {
+impl StartRate {
     pub(crate) fn new(per_s: f64) -> Self {
         Self {
-            time: FIRST_COUNT * 1_000.0 / per_s.max(f64::MIN_POSITIVE),
-            count: FIRST_COUNT,
-            last: None,
+            elapsed_ms: INITIAL_COUNT * 1_000.0 / per_s.max(f64::MIN_POSITIVE),
+            count: INITIAL_COUNT,
+            last_start: None,
         }
     }
 
-    pub(crate) fn offered(self, now_ms: u64) -> Self {
+    pub(crate) fn record_arrival(self, now_ms: u64) -> Self {
         Self {
-            last: self.last.or(Some(now_ms)),
+            last_start: self.last_start.or(Some(now_ms)),
             ..self
         }
     }
 
-    /// Takes a start; `is_last` says that no other request waits, so that the next interval would
-    /// measure the callers and not the targets.
-    pub(crate) fn taken(self, now_ms: u64, is_last: bool) -> Self {
-        let last = (!is_last).then_some(now_ms);
-        let Some(before) = self.last else {
-            return Self { last, ..self };
+    /// Records a start. With `is_last`, no other request waits, so the time until the next start
+    /// depends on the clients rather than the targets and is not measured.
+    pub(crate) fn record_start(self, now_ms: u64, is_last: bool) -> Self {
+        let last_start = (!is_last).then_some(now_ms);
+        let Some(previous) = self.last_start else {
+            return Self { last_start, ..self };
         };
-        let interval = now_ms.saturating_sub(before) as f64;
-        let kept = (-interval / MEMORY_MS).exp();
+        let interval = now_ms.saturating_sub(previous) as f64;
+        let decay = (-interval / DECAY_MS).exp();
         Self {
-            time: self.time * kept + interval,
-            count: self.count * kept + 1.0,
-            last,
+            elapsed_ms: self.elapsed_ms * decay + interval,
+            count: self.count * decay + 1.0,
+            last_start,
         }
     }
 
-    pub(crate) fn idle(self) -> Self {
-        Self { last: None, ..self }
+    pub(crate) fn paused(self) -> Self {
+        Self {
+            last_start: None,
+            ..self
+        }
     }
 
     /// Estimates the time until `count` more requests have started.
     ///
-    /// A standstill is expected to last as long again as it has lasted.
+    /// A stall is expected to last as long again as it already has.
     pub(crate) fn wait_ms(&self, count: f64, now_ms: u64) -> f64 {
-        let mean = self.time / self.count;
-        let since = self.last.map_or(0, |last| now_ms.saturating_sub(last)) as f64;
-        let pause = if since > mean * STANDSTILL {
+        let mean = self.elapsed_ms / self.count;
+        let since = self
+            .last_start
+            .map_or(0, |last| now_ms.saturating_sub(last)) as f64;
+        let stall_ms = if since > mean * STALL_INTERVALS {
             since
         } else {
             0.0
         };
-        count * mean + pause
+        count * mean + stall_ms
     }
 }
