--- a/crates/route/src/failure.rs
+++ b/crates/route/src/failure.rs
@@ -1,58 +1,60 @@
-//! Classes of failures, for calls that may be repeated.
+//! Classification of failed attempts of idempotent calls.
 
 use std::time::Duration;
 
-/// How a try at a target failed.
+/// How an attempt at a target failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The host refused the connection: no process listens.
+    /// The connection was refused: no process is listening.
     Refused,
-    /// The connection could not be made in time.
+    /// The connection could not be established in time.
     Unreachable,
-    /// The connection was reset or closed before the response was whole.
+    /// The connection was reset or closed before the response was complete.
     Reset,
     /// No progress was made in time.
     Timeout,
-    /// The response broke the protocol or answered another request.
+    /// The response violated the protocol or belonged to another request.
     Protocol,
-    /// The target answered with a status that is not a success.
+    /// The target responded with an error status.
     Status {
         /// The HTTP status code.
         code: u16,
-        /// The target's `Retry-After`.
+        /// The value of the `Retry-After` header.
         retry_after: Option<Duration>,
     },
 }
 
-/// What to do after a failure of a call that may be repeated.
+/// Whether and when to retry a failed idempotent call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try another target at once: this try did no work, so it costs nothing but a connection.
+    /// Retry at another target immediately: no work was done, so the attempt cost only a
+    /// connection.
     OtherTarget,
-    /// Try again after a backoff, within the retry budget, not before the given time has passed.
+    /// Retry after a backoff of at least this duration, if the retry budget allows it.
     AfterBackoff(Duration),
-    /// Give the failure to the caller: it would come again.
+    /// Return the failure to the client, since a retry would fail in the same way.
     Never,
 }
 
-/// Whom a failure speaks against.
+/// What a failure is attributed to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Attribution {
-    /// The target: it counts towards ejection.
+    /// The target; the failure counts towards its ejection.
     Target,
-    /// Only the connection: close it and do not pool it.
+    /// Only the connection, which must be closed and not reused.
     Connection,
-    /// The request, or nobody.
+    /// Neither: the request itself, or nothing in particular.
     Neither,
 }
 
 impl Failure {
-    /// Classifies the failure of a call that may be repeated.
+    /// Decides whether to retry an idempotent call that failed this way.
     ///
-    /// The classes are those of "Retry Classification When the Failure Arrives as a Timeout", but
-    /// for three. A refused connection goes to another target at once, where the paper waits for
-    /// the same peer. A 500 is tried once more, which the paper never does. A reset is tried once
-    /// more, which the paper does until a cap. `docs/design/routing.md` has the measurements.
+    /// The decisions follow "Retry Classification When the Failure Arrives as a Timeout" with three
+    /// exceptions. A refused connection is retried at another target immediately, where the paper
+    /// waits for the same peer. A 500 is retried once; the paper never retries it. A reset is
+    /// retried once; the paper retries it up to a cap. `docs/design/routing.md` has the
+    /// measurements.
     ///
     /// # Examples
     ///
@@ -78,10 +80,12 @@
         }
     }
 
-    /// Returns how many tries a call may have that ended in this failure, the first one included.
+    /// Returns the maximum number of attempts, including the first, for a call that failed this
+    /// way.
     ///
-    /// A 500 or a reset is of the target or of the call, and one more try tells. More would carry a
-    /// call that ends targets from one to the next.
+    /// A 500 or a reset may be caused by the target or by the call itself, and one more attempt
+    /// tells which. Further attempts would carry a call that crashes targets from one target to the
+    /// next.
     pub const fn max_attempts(self) -> u32 {
         match self {
             Self::Reset | Self::Status { code: 500, .. } => 2,
@@ -90,13 +94,13 @@
         }
     }
 
-    /// Returns whom the failure speaks against.
+    /// Returns what the failure is attributed to.
     ///
-    /// `probe` is the outcome of a probe on a new connection, where one was made: when something
-    /// between the ends loses track of a connection, it stays silent while the target is well.
-    /// Counted against the target, such losses would eject targets that work.
-    pub fn attribution(self, probe: Option<bool>) -> Attribution {
-        match (self, probe) {
+    /// `probe_succeeded` is the result of a health probe on a new connection, if one was made. When
+    /// a middlebox loses a connection, the connection goes silent although the target is healthy;
+    /// attributing this to the target would eject healthy targets.
+    pub fn attribution(self, probe_succeeded: Option<bool>) -> Attribution {
+        match (self, probe_succeeded) {
             (Self::Timeout | Self::Reset, Some(true)) => Attribution::Connection,
             (Self::Refused | Self::Unreachable | Self::Reset | Self::Timeout, _) => {
                 Attribution::Target
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -1,4 +1,4 @@
-//! Limits on retries, and the time between them.
+//! Limits on the number of retries and the delays between them.
 
 use std::{
     sync::atomic::{AtomicU32, Ordering::Relaxed},
@@ -7,20 +7,20 @@
 
 use rand::Rng;
 
-/// The unit of a budget: one retry.
-const RETRY: u32 = 1_000;
+/// The balance of a budget that one retry costs.
+const UNITS_PER_RETRY: u32 = 1_000;
 
-/// A store of retries that successes fill.
+/// A budget for retries that successes replenish.
 ///
-/// The failure: targets slow down, calls time out, each is tried again, and the load of the tries
-/// keeps the targets slow. With a budget the tries can add no more than a share of the successes.
+/// Without it, slow targets would make calls time out, and the load of their retries would keep the
+/// targets slow. With it, retries can add no more than a fixed share of the successes.
 ///
 /// # Examples
 ///
 /// ```
 /// use celerypond_route::RetryBudget;
 ///
-/// let budget = RetryBudget::new(100, 1, 10); // 10% of successes, 1 at first, at most 10.
+/// let budget = RetryBudget::new(100, 1, 10); // 10% of successes, initially 1 retry, at most 10.
 /// assert!(budget.try_take());
 /// assert!(!budget.try_take());
 /// (0..10).for_each(|_| budget.record_success());
@@ -28,54 +28,54 @@
 /// ```
 #[derive(Debug)]
 pub struct RetryBudget {
-    level: AtomicU32,
+    balance: AtomicU32,
     /// What a success adds, in thousandths of a retry.
-    gain: u32,
+    per_success: u32,
     cap: u32,
 }
 
 impl RetryBudget {
-    /// Makes a budget to which a success adds `per_mille` thousandths of a retry, which has
-    /// `first` retries now and `most` at most.
-    pub const fn new(per_mille: u32, first: u32, most: u32) -> Self {
+    /// Creates a budget of `initial` retries that gains `per_mille` thousandths of a retry with
+    /// each success, up to `max` retries.
+    pub const fn new(per_mille: u32, initial: u32, max: u32) -> Self {
         Self {
-            level: AtomicU32::new(first * RETRY),
-            gain: per_mille,
-            cap: most * RETRY,
+            balance: AtomicU32::new(initial * UNITS_PER_RETRY),
+            per_success: per_mille,
+            cap: max * UNITS_PER_RETRY,
         }
     }
 
-    /// Makes the budget of all calls of an instance: 10% of successes.
+    /// Creates the budget for all calls of an instance: 10% of successes.
     pub const fn per_instance() -> Self {
         Self::new(100, 10, 100)
     }
 
-    /// Makes the budget of calls that failed at one target: 10% of its successes, and enough for
-    /// what was open at it when it died.
+    /// Creates the budget for calls that failed at one target: 10% of its successes, and initially
+    /// enough for the calls in flight when a target crashes.
     pub const fn per_target() -> Self {
         Self::new(100, 16, 32)
     }
 
-    /// Counts a success.
+    /// Adds the share of a retry that a success earns.
     pub fn record_success(&self) {
-        let add = |level: u32| Some(level.saturating_add(self.gain).min(self.cap));
+        let add = |balance: u32| Some(balance.saturating_add(self.per_success).min(self.cap));
         // The closure always returns a value.
-        let _ = self.level.fetch_update(Relaxed, Relaxed, add);
+        let _ = self.balance.fetch_update(Relaxed, Relaxed, add);
     }
 
-    /// Takes a retry, or returns `false` when the budget is used up.
+    /// Takes a retry, or returns `false` if the budget is exhausted.
     pub fn try_take(&self) -> bool {
-        let take = |level: u32| level.checked_sub(RETRY);
-        self.level.fetch_update(Relaxed, Relaxed, take).is_ok()
+        let take = |balance: u32| balance.checked_sub(UNITS_PER_RETRY);
+        self.balance.fetch_update(Relaxed, Relaxed, take).is_ok()
     }
 
-    /// Gives back a retry that was taken and not used.
-    fn give_back(&self) {
-        let add = |level: u32| Some(level.saturating_add(RETRY).min(self.cap));
-        let _ = self.level.fetch_update(Relaxed, Relaxed, add);
+    /// Returns a retry that was taken but not used.
+    fn refund(&self) {
+        let add = |balance: u32| Some(balance.saturating_add(UNITS_PER_RETRY).min(self.cap));
+        let _ = self.balance.fetch_update(Relaxed, Relaxed, add);
     }
 
-    /// Takes a retry from both budgets or from none.
+    /// Takes a retry from both budgets, or from neither.
     pub fn try_take_both(&self, other: &Self) -> bool {
         if !self.try_take() {
             return false;
@@ -83,17 +83,17 @@
         if other.try_take() {
             return true;
         }
-        self.give_back();
+        self.refund();
         false
     }
 }
 
-/// The time between tries, with decorrelated jitter.
+/// Exponential backoff with decorrelated jitter.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
-    /// The shortest wait.
+    /// The minimum delay.
     pub base: Duration,
-    /// The longest wait.
+    /// The maximum delay.
     pub cap: Duration,
 }
 
@@ -107,11 +107,11 @@
 }
 
 impl Backoff {
-    /// Returns the wait after one of `last`, or after the first failure when `last` is zero.
+    /// Returns the delay that follows a delay of `last`, or the first delay if `last` is zero.
     ///
-    /// Each wait is drawn between the base and three times the last, so calls that failed together
-    /// do not come back together. A `floor`, from the target's `Retry-After`, is added to and never
-    /// cut short.
+    /// Each delay is drawn between the minimum and three times the last, so that calls that failed
+    /// at the same time are not retried at the same time. `floor`, from the target's `Retry-After`,
+    /// is added in full and not subject to the maximum.
     pub fn next_delay(&self, last: Duration, floor: Duration, rng: &mut impl Rng) -> Duration {
         let high = (last.max(self.base) * 3).min(self.cap).max(self.base);
         let drawn = rng.random_range(self.base.as_micros()..=high.as_micros());
--- a/crates/route/src/target_health.rs
+++ b/crates/route/src/target_health.rs
@@ -1,76 +1,85 @@
-//! What is known of the health of one target in one pool.
+//! The health of one target in one pool, as outlier detection sees it.
 
 use crate::OutlierLimits;
 
-/// How much a new latency counts against the mean of those before it.
-const LATENCY_PART: f64 = 0.1;
+/// The weight of a new sample in the moving average of latencies.
+const LATENCY_WEIGHT: f64 = 0.1;
 
-/// Where a target stands between work and ejection.
+/// Whether a target receives traffic.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum State {
-    /// It takes its part of the work.
+    /// It receives traffic at its full weight.
     #[default]
-    In,
-    /// It takes no work until a time in milliseconds.
-    Out { until: u64 },
-    /// It is being asked; the question is put again at a time in milliseconds.
+    Active,
+    /// It receives no traffic until this time, in milliseconds.
+    Ejected { until: u64 },
+    /// A health probe is pending; it is repeated at this time, in milliseconds.
     Probing { until: u64 },
-    /// It takes a growing part of the work since a time in milliseconds.
+    /// Its weight has been growing since this time, in milliseconds.
     Ramping { since: u64 },
 }
 
-/// What is known of the health of one target in one pool.
+/// The health of one target in one pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
     pub(crate) state: State,
-    /// The failures since the last success.
+    /// Consecutive failures.
     pub(crate) failures: u32,
-    /// How many latencies the mean covers.
+    /// How many latency samples the mean covers.
     pub(crate) samples: u32,
     pub(crate) mean_ms: f64,
-    /// The ejections since it last took its whole part.
-    times: u32,
-    /// Whether it is out for its latency and not for failures.
-    pub(crate) slow: bool,
+    /// Ejections since the target last had its full weight.
+    ejections: u32,
+    /// Whether the target was ejected for its latency rather than for failures.
+    pub(crate) is_latency_outlier: bool,
 }
 
 impl Health {
-    pub(crate) fn takes_work(&self) -> bool {
-        matches!(self.state, State::In | State::Ramping { .. })
+    pub(crate) fn is_active(&self) -> bool {
+        matches!(self.state, State::Active | State::Ramping { .. })
     }
 
-    pub(crate) fn succeeded(self, latency_ms: f64) -> Self {
-        let part = if self.samples == 0 { 1.0 } else { LATENCY_PART };
+    pub(crate) fn record_success(self, latency_ms: f64) -> Self {
+        let weight = if self.samples == 0 {
+            1.0
+        } else {
+            LATENCY_WEIGHT
+        };
         Self {
             failures: 0,
             samples: self.samples.saturating_add(1),
-            mean_ms: self.mean_ms + (latency_ms - self.mean_ms) * part,
+            mean_ms: self.mean_ms + (latency_ms - self.mean_ms) * weight,
             ..self
         }
     }
 
-    pub(crate) fn failed(self) -> Self {
+    pub(crate) fn record_failure(self) -> Self {
         Self {
             failures: self.failures.saturating_add(1),
             ..self
         }
     }
 
-    pub(crate) fn out(self, now_ms: u64, slow: bool, limits: &OutlierLimits) -> Self {
-        let doubled = limits
+    pub(crate) fn eject(
+        self,
+        now_ms: u64,
+        is_latency_outlier: bool,
+        limits: &OutlierLimits,
+    ) -> Self {
+        let backoff_ms = limits
             .base_ejection_ms
-            .saturating_mul(1 << self.times.min(16));
+            .saturating_mul(1 << self.ejections.min(16));
         Self {
-            state: State::Out {
-                until: now_ms + doubled.min(limits.max_ejection_ms),
+            state: State::Ejected {
+                until: now_ms + backoff_ms.min(limits.max_ejection_ms),
             },
-            times: self.times + 1,
-            slow,
+            ejections: self.ejections + 1,
+            is_latency_outlier,
             ..self
         }
     }
 
-    pub(crate) fn probing(self, now_ms: u64, wait_ms: u64) -> Self {
+    pub(crate) fn start_probe(self, now_ms: u64, wait_ms: u64) -> Self {
         Self {
             state: State::Probing {
                 until: now_ms + wait_ms,
@@ -79,19 +88,20 @@
         }
     }
 
-    /// Lets the target back, with a clean record but for the number of its ejections.
-    pub(crate) fn ramping(self, now_ms: u64) -> Self {
+    /// Returns the target to traffic at a reduced weight and clears its record, except for the
+    /// number of ejections.
+    pub(crate) fn start_ramp(self, now_ms: u64) -> Self {
         Self {
             state: State::Ramping { since: now_ms },
-            times: self.times,
+            ejections: self.ejections,
             ..Self::default()
         }
     }
 
-    pub(crate) fn back(self) -> Self {
+    pub(crate) fn reinstate(self) -> Self {
         Self {
-            state: State::In,
-            times: 0,
+            state: State::Active,
+            ejections: 0,
             ..self
         }
     }
