--- a/crates/route/src/clock.rs
+++ b/crates/route/src/clock.rs
@@ -1,10 +1,10 @@
-//! Milliseconds since a base instant, small enough for an atomic.
+//! A monotonic clock in milliseconds, which fit into one atomic.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Turns instants into milliseconds since a base that all snapshots of a process share.
+/// Converts instants to milliseconds since a base instant that all views of a process share.
 ///
 /// # Examples
 ///
@@ -20,17 +20,17 @@
 pub struct Clock(Instant);
 
 impl Clock {
-    /// Makes a clock that counts from `base`.
+    /// Creates a clock that counts from `base`.
     pub const fn new(base: Instant) -> Self {
         Self(base)
     }
 
-    /// Returns the milliseconds from the base to `now`; 0 for an instant before the base.
+    /// Returns the milliseconds from the base to `now`, or 0 for an instant before the base.
     pub fn millis(self, now: Instant) -> u64 {
         now.saturating_duration_since(self.0).as_millis() as u64
     }
 
-    /// Returns the instant that lies `millis` after the base.
+    /// Returns the instant `millis` after the base.
     pub fn instant(self, millis: u64) -> Instant {
         self.0 + Duration::from_millis(millis)
     }
--- a/crates/route/src/entry_points.rs
+++ b/crates/route/src/entry_points.rs
@@ -1,4 +1,4 @@
-//! Which entry addresses a caller is told.
+//! Selection of the entry points that a client may connect to.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,32 +6,32 @@
 
 use crate::hash::{hash, mix};
 
-/// How long a caller may keep an answer.
+/// How long a client may cache an answer.
 pub const ENTRY_POINTS_TTL: Duration = Duration::from_secs(10);
-/// How many addresses an answer has at most.
-const ANSWER_LEN: usize = 6;
-/// How many of them are kept for other data centres than the nearest.
-const ELSEWHERE: usize = 2;
+/// The maximum number of addresses in an answer.
+const MAX_ENTRY_POINTS: usize = 6;
+/// How many of them are reserved for data centres other than the nearest.
+const MAX_REMOTE: usize = 2;
 
-/// An instance that callers may connect to.
+/// An instance that clients may connect to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryPoint {
-    /// Its name.
+    /// The name of the instance.
     pub name: InstanceName,
-    /// Where callers connect.
+    /// The address that clients connect to.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre it runs in.
     pub data_centre: DataCentre,
-    /// Whether it is leaving; its address is given to nobody.
+    /// Whether it is leaving, in which case its address is not handed out.
     pub leaving: bool,
 }
 
-/// Chooses the entry addresses for a caller, the one to try first at the front.
+/// Selects the entry points for a client, in the order in which to try them.
 ///
-/// `near` lists the data centres by their distance from the caller, those not named come last.
-/// `caller` is a hash of the caller's address: callers are spread over the instances of a data
-/// centre, and one caller gets the same order again. A few addresses are in other data centres, so
-/// a caller whose data centre is lost need not ask anew.
+/// `data_centres` is ordered by distance from the client; data centres that are not listed come
+/// last. `client` is a hash of the client's address: it spreads clients over the instances of a
+/// data centre, and a client always gets the same order. A few addresses are in other data centres,
+/// so that a client whose data centre fails need not ask again.
 ///
 /// # Examples
 ///
@@ -51,19 +51,23 @@
 /// ```
 pub fn select_entry_points<'a>(
     all: &'a [EntryPoint],
-    near: &[DataCentre],
-    caller: u64,
+    data_centres: &[DataCentre],
+    client: u64,
 ) -> Vec<&'a EntryPoint> {
-    let place = |entry: &EntryPoint| near.iter().position(|name| *name == entry.data_centre);
-    let distance = |entry: &EntryPoint| place(entry).unwrap_or(near.len());
-    let draw = |entry: &EntryPoint| mix(hash(entry.name.as_str().as_bytes()), caller);
+    let rank = |entry: &EntryPoint| {
+        data_centres
+            .iter()
+            .position(|name| *name == entry.data_centre)
+    };
+    let distance = |entry: &EntryPoint| rank(entry).unwrap_or(data_centres.len());
+    let rendezvous_hash = |entry: &EntryPoint| mix(hash(entry.name.as_str().as_bytes()), client);
     let mut live: Vec<&EntryPoint> = all.iter().filter(|entry| !entry.leaving).collect();
-    live.sort_by_key(|entry| (distance(entry), draw(entry)));
-    let first = live.first().map(|entry| entry.data_centre.clone());
-    let (home, away): (Vec<&EntryPoint>, Vec<&EntryPoint>) = live
+    live.sort_by_key(|entry| (distance(entry), rendezvous_hash(entry)));
+    let nearest = live.first().map(|entry| entry.data_centre.clone());
+    let (local, remote): (Vec<&EntryPoint>, Vec<&EntryPoint>) = live
         .into_iter()
-        .partition(|entry| Some(&entry.data_centre) == first.as_ref());
-    let kept = ELSEWHERE.min(away.len());
-    let home = home.into_iter().take(ANSWER_LEN - kept);
-    home.chain(away).take(ANSWER_LEN).collect()
+        .partition(|entry| Some(&entry.data_centre) == nearest.as_ref());
+    let reserved = MAX_REMOTE.min(remote.len());
+    let local = local.into_iter().take(MAX_ENTRY_POINTS - reserved);
+    local.chain(remote).take(MAX_ENTRY_POINTS).collect()
 }
--- a/crates/route/src/hash.rs
+++ b/crates/route/src/hash.rs
@@ -1,10 +1,10 @@
-//! Hashes that are the same in every instance.
+//! Hash functions with the same results in every instance.
 
 use rapidhash::v3::rapidhash_v3;
 
-/// Hashes a name or a piece of a prompt.
+/// Hashes a name or a prefix of a prompt.
 ///
-/// Instances must agree on the result, for a prefix goes to the same engines from everywhere.
+/// All instances must get the same hash, so that they send a prefix to the same engines.
 ///
 /// # Examples
 ///
@@ -18,9 +18,9 @@
     rapidhash_v3(bytes)
 }
 
-/// Mixes two hashes into one.
+/// Combines two hashes.
 pub(crate) const fn mix(left: u64, right: u64) -> u64 {
-    // The finalizer of SplitMix64: every bit of the input moves about half of the output.
+    // The finalizer of SplitMix64: each input bit flips about half of the output bits.
     let mut bits = left ^ right.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,8 +1,8 @@
-//! Choice of a target, account limits, admission, ejection, retry budget.
+//! Target selection, account rate limits, admission queueing, outlier ejection and retry budgets.
 //!
-//! All decisions are functions of their input: the time is passed in, and so is the generator of
-//! random numbers. The request path reads one [`RoutingView`]; counts that change with every request are
-//! atomics in [`TargetState`]s, which all views share.
+//! All decisions are deterministic: the current time and the random number generator are passed in.
+//! The request path reads one immutable [`RoutingView`]. Counters that change with every request
+//! are atomics in [`TargetState`]s, which all views share.
 
 mod account_limiter;
 mod accounts;
--- a/crates/route/src/prefix_cache.rs
+++ b/crates/route/src/prefix_cache.rs
@@ -1,33 +1,33 @@
-//! Which engines hold which prompt prefixes.
+//! Tracks which engines have which prompt prefixes cached.
 
 use std::collections::BTreeMap;
 
 use celerypond_types::TargetKey;
 use slotmap::SecondaryMap;
 
-/// How many prefixes are kept for one engine.
-const PER_ENGINE: usize = 256;
-/// How many prefixes are kept for all engines; an entry takes about 100 bytes with its place in
-/// the index.
-const IN_ALL: usize = 65_536;
+/// The maximum number of prefixes tracked per engine.
+const MAX_PREFIXES_PER_ENGINE: usize = 256;
+/// The maximum number of prefixes tracked in total. An entry takes about 100 bytes, including its
+/// place in the index.
+const MAX_PREFIXES: usize = 65_536;
 
-/// An event of an engine's cache.
+/// An event of an engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheEvent {
-    /// The engine holds the prefix with this hash.
+    /// The engine stored the prefix with this hash.
     Stored(u64),
-    /// It no longer does.
+    /// The engine evicted it.
     Evicted(u64),
 }
 
-/// An engine that holds a prefix.
+/// An engine that has a prefix cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixHolder {
     /// The hash of the prefix.
     pub prefix: u64,
     /// The engine.
     pub target: TargetKey,
-    /// Whether no event of the engine was missed since it stored the prefix.
+    /// Whether no event of the engine has been lost since it stored the prefix.
     pub certain: bool,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl PrefixIndex {
-    /// Returns the engines that hold a prefix.
+    /// Returns the engines that have a prefix cached.
     pub fn holders(&self, prefix: u64) -> &[PrefixHolder] {
         let start = self.entries.partition_point(|e| e.prefix < prefix);
         let rest = &self.entries[start..];
@@ -47,25 +47,25 @@
     }
 }
 
-/// What the cache events of one engine have told.
+/// The state derived from the cache events of one engine.
 #[derive(Clone, Debug, Default)]
-struct Engine {
+struct EngineEvents {
     /// The sequence number of the last event.
-    last: u64,
+    last_sequence: u64,
     /// The last event.
-    event: Option<CacheEvent>,
-    /// The last event before which one is missing.
-    gap: u64,
+    last_event: Option<CacheEvent>,
+    /// The sequence number of the last event that followed a gap.
+    last_gap: u64,
     /// The sequence number at which each prefix was stored.
     prefixes: BTreeMap<u64, u64>,
 }
 
-/// What the cache events of all engines have told; its size is bounded.
+/// Tracks the prefix caches of all engines from their events, in bounded memory.
 ///
-/// The failure: an engine evicts a prefix, the event is lost, and requests go on to that engine
-/// for a prefix that it no longer holds, past engines with less to do. After a gap in the sequence
-/// numbers, what was stored before it is uncertain, and a request goes there only if the engine has
-/// little to do.
+/// If the event of an eviction is lost, requests would keep going to an engine for a prefix that it
+/// no longer holds, past less loaded engines. After a gap in the sequence numbers, prefixes stored
+/// before it are therefore uncertain, and affinity to them applies only while the engine has little
+/// load.
 ///
 /// # Examples
 ///
@@ -74,8 +74,8 @@
 /// use celerypond_types::TargetKey;
 /// use slotmap::SlotMap;
 ///
-/// let mut arena = SlotMap::<TargetKey, ()>::with_key();
-/// let engine = arena.insert(());
+/// let mut targets =  SlotMap::<TargetKey, ()>::with_key();
+/// let engine = targets.insert(());
 /// let mut tracker = PrefixTracker::default();
 /// tracker.apply(engine, 1, CacheEvent::Stored(7));
 /// assert!(tracker.build_index().holders(7)[0].certain);
@@ -85,72 +85,73 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct PrefixTracker {
-    engines: SecondaryMap<TargetKey, Engine>,
+    engines: SecondaryMap<TargetKey, EngineEvents>,
     len: usize,
 }
 
 impl PrefixTracker {
-    /// Takes an event; one that is not newer than the last of its engine is dropped.
+    /// Applies an event, unless its sequence number is not newer than the engine's last.
     pub fn apply(&mut self, target: TargetKey, sequence: u64, event: CacheEvent) {
         let mut engine = self.engines.remove(target).unwrap_or_default();
         self.len -= engine.prefixes.len();
-        engine.take(sequence, event, self.len < IN_ALL);
+        engine.apply(sequence, event, self.len < MAX_PREFIXES);
         self.len += engine.prefixes.len();
         self.engines.insert(target, engine);
     }
 
-    /// Returns the sequence number after which to ask an engine for its events: the last event is
-    /// asked for once more, so that [`Self::apply_poll`] knows whether the engine still counts on from it.
+    /// Returns the sequence number after which to request an engine's events. It includes the last
+    /// known event again, so that [`Self::apply_poll`] can tell whether the engine's sequence
+    /// continues.
     pub fn poll_after(&self, target: TargetKey) -> u64 {
         let engine = self.engines.get(target);
-        engine.map_or(0, |engine| engine.last.saturating_sub(1))
+        engine.map_or(0, |engine| engine.last_sequence.saturating_sub(1))
     }
 
-    /// Takes an engine's events after [`Self::poll_after`]; returns whether anything changed.
+    /// Applies an engine's events after [`Self::poll_after`]; returns whether anything changed.
     ///
-    /// The failure: an engine starts anew with an empty cache and counts from 1. It has no events
-    /// after the last that was heard, so its old prefixes stay in the index, and requests go there
-    /// for what it no longer holds. When the last event is not there again, the engine is forgotten
-    /// and read from its first event on with the next answer.
+    /// An engine that restarts has an empty cache and numbers its events from 1 again. Polling
+    /// after the last known event would return nothing, and requests would keep going there for
+    /// prefixes that it no longer holds. If the last known event is not returned again, the engine
+    /// is therefore removed and its events are read from the start with the next poll.
     pub fn apply_poll(&mut self, target: TargetKey, events: &[(u64, CacheEvent)]) -> bool {
         let known = self
             .engines
             .get(target)
-            .map(|engine| (engine.last, engine.event));
+            .map(|engine| (engine.last_sequence, engine.last_event));
         if let Some((last, Some(event))) = known
             && events.first() != Some(&(last, event))
         {
             self.remove(target);
             return true;
         }
-        let news = events
+        let new_events = events
             .iter()
             .filter(|(sequence, _)| known.is_none_or(|(last, _)| *sequence > last));
-        let mut is_new = false;
-        for (sequence, event) in news {
+        let mut changed = false;
+        for (sequence, event) in new_events {
             self.apply(target, *sequence, *event);
-            is_new = true;
+            changed = true;
         }
-        is_new
+        changed
     }
 
-    /// Forgets an engine, when it has left or started anew.
+    /// Removes an engine that has left or restarted.
     pub fn remove(&mut self, target: TargetKey) {
         let engine = self.engines.remove(target);
         self.len -= engine.map_or(0, |engine| engine.prefixes.len());
     }
 
-    /// Returns how many prefixes are kept.
+    /// Returns the number of tracked prefixes.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Returns whether no prefix is kept.
+    /// Returns whether no prefix is tracked.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Makes the index for the request path; call it at most every 500 ms.
+    /// Builds the index for the request path; call it at most every 500 ms.
     pub fn build_index(&self) -> PrefixIndex {
         let holders = self.engines.iter().flat_map(|(target, engine)| {
             engine
@@ -159,7 +160,7 @@
                 .map(move |(prefix, stored)| PrefixHolder {
                     prefix: *prefix,
                     target,
-                    certain: *stored >= engine.gap,
+                    certain: *stored >= engine.last_gap,
                 })
         });
         let mut entries: Vec<PrefixHolder> = holders.collect();
@@ -170,21 +171,22 @@
     }
 }
 
-impl Engine {
-    fn take(&mut self, sequence: u64, event: CacheEvent, has_room: bool) {
-        if sequence <= self.last {
+impl EngineEvents {
+    fn apply(&mut self, sequence: u64, event: CacheEvent, has_room: bool) {
+        if sequence <= self.last_sequence {
             return;
         }
-        // The first event heard of an engine has no known one before it, but nothing is held then.
-        if sequence > self.last + 1 {
-            self.gap = sequence;
+        // The first event seen of an engine may also follow a gap, but no prefix was stored before
+        // it.
+        if sequence > self.last_sequence + 1 {
+            self.last_gap = sequence;
         }
-        self.last = sequence;
-        self.event = Some(event);
+        self.last_sequence = sequence;
+        self.last_event = Some(event);
         match event {
             CacheEvent::Stored(prefix) => {
                 self.prefixes.insert(prefix, sequence);
-                if self.prefixes.len() > PER_ENGINE || !has_room {
+                if self.prefixes.len() > MAX_PREFIXES_PER_ENGINE || !has_room {
                     self.drop_oldest();
                 }
             }
@@ -195,8 +197,8 @@
     }
 
     fn drop_oldest(&mut self) {
-        let by_age = self.prefixes.iter().min_by_key(|(_, stored)| **stored);
-        if let Some((prefix, _)) = by_age.map(|(prefix, stored)| (*prefix, *stored)) {
+        let oldest = self.prefixes.iter().min_by_key(|(_, stored)| **stored);
+        if let Some((prefix, _)) = oldest.map(|(prefix, stored)| (*prefix, *stored)) {
             self.prefixes.remove(&prefix);
         }
     }
--- a/crates/route/src/target.rs
+++ b/crates/route/src/target.rs
@@ -1,4 +1,4 @@
-//! A target in the arena.
+//! A target of a routing view.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -7,25 +7,25 @@
 
 use crate::TargetState;
 
-/// A target in the arena of a [`crate::RoutingView`].
+/// A target that a [`crate::RoutingView`] routes to.
 #[derive(Clone, Debug)]
 pub struct Target {
     /// The name in the bundle.
     pub name: TargetName,
-    /// What the target is.
+    /// Whether the target is an engine or a plain service.
     pub kind: TargetKind,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre it runs in.
     pub data_centre: DataCentre,
-    /// How many requests it serves at once before they queue.
+    /// How many requests it processes at once; further ones queue at the target.
     pub slots: u32,
-    /// Its load and state.
+    /// Its load and availability, shared by all views.
     pub state: Arc<TargetState>,
 }
 
 impl Target {
-    /// Makes a target as the bundle declares it, with a new gauge.
+    /// Creates a target as the bundle declares it, with a new state.
     pub fn new(declared: &celerypond_bundle::Target) -> Self {
         Self {
             name: declared.name.clone(),
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Returns the target as a later bundle declares it, with the same gauge, or `None` when
-    /// another process is meant.
+    /// Returns the target as a later bundle declares it, with its state kept, or `None` if the
+    /// address or kind changed and the name therefore refers to another process.
     pub(crate) fn updated(&self, declared: &celerypond_bundle::Target) -> Option<Self> {
         let same = self.address == declared.address && self.kind == declared.kind;
         same.then(|| Self {
--- a/crates/route/src/view.rs
+++ b/crates/route/src/view.rs
@@ -1,4 +1,4 @@
-//! The snapshot that the request path reads.
+//! The immutable snapshot that the request path reads.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -9,14 +9,14 @@
 use slotmap::{Key, SecondaryMap, SlotMap};
 use tokio::time::Instant;
 
-use crate::{target_state::Tallies, Accounts, Clock, Pool, PrefixIndex, Target};
+use crate::{target_state::PoolCounters, Accounts, Clock, Pool, PrefixIndex, Target};
 
 slotmap::new_key_type! {
-    /// A plain service in the services arena.
+    /// The key of a plain service in a [`RoutingView`].
     pub struct ServiceKey;
 }
 
-/// What serves a request.
+/// The destination of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Route {
     /// One version of a model.
@@ -32,57 +32,58 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Layout {
+struct Topology {
     targets: SlotMap<TargetKey, Arc<Target>>,
-    names: HashMap<TargetName, TargetKey>,
+    target_keys: HashMap<TargetName, TargetKey>,
     models: HashMap<ModelName, ModelEntry>,
     versions: SlotMap<VersionKey, Arc<Pool>>,
     services: SlotMap<ServiceKey, Arc<Pool>>,
-    by_service: HashMap<ServiceName, ServiceKey>,
+    service_keys: HashMap<ServiceName, ServiceKey>,
 }
 
 /// An immutable snapshot of what a bundle declares; cheap to clone.
 ///
-/// Keys of targets and versions that a later bundle still declares stay the same, and so do the
-/// gauges, which hold all that changes between two bundles.
+/// Targets and versions that a later bundle still declares keep their keys, and targets keep their
+/// [`crate::TargetState`], which holds everything that changes between bundles.
 #[derive(Clone, Debug)]
 pub struct RoutingView {
     pub(crate) clock: Clock,
-    layout: Arc<Layout>,
+    topology: Arc<Topology>,
     accounts: Arc<Accounts>,
     /// How many instances send to the same targets.
     instances: usize,
-    pub(crate) cache: Arc<PrefixIndex>,
+    pub(crate) prefix_index: Arc<PrefixIndex>,
 }
 
 impl RoutingView {
-    /// Makes an empty view whose clock counts from `base`.
+    /// Creates an empty view whose clock counts from `base`.
     pub fn new(base: Instant) -> Self {
         Self {
             clock: Clock::new(base),
-            layout: Arc::default(),
+            topology: Arc::default(),
             accounts: Arc::default(),
             instances: 1,
-            cache: Arc::default(),
+            prefix_index: Arc::default(),
         }
     }
 
-    /// Returns the view after `bundle` has come into force at `now`.
+    /// Returns the view after `bundle` came into force at `now`.
     #[must_use]
     pub fn with_bundle(&self, bundle: &Bundle, now: Instant) -> Self {
         let now_ms = self.clock.millis(now);
-        let mut layout = self.layout.with_targets(bundle);
-        layout.set_models(&self.layout, bundle);
-        layout.set_services(&self.layout, bundle);
-        layout.set_tallies();
+        let mut topology = self.topology.with_targets(bundle);
+        topology.set_models(&self.topology, bundle);
+        topology.set_services(&self.topology, bundle);
+        topology.assign_pool_counters();
         Self {
-            layout: Arc::new(layout),
+            topology: Arc::new(topology),
             accounts: Arc::new(self.accounts.with_bundle(&bundle.accounts, now_ms)),
             ..self.clone()
         }
     }
 
-    /// Returns the view of one of so many instances, which send to the same targets.
+    /// Returns the view with the number of instances, this one included, that send to the same
+    /// targets.
     #[must_use]
     pub fn with_instances(&self, instances: usize) -> Self {
         Self {
@@ -98,14 +99,14 @@
 
     /// Returns the view with another index of cached prefixes.
     #[must_use]
-    pub fn with_prefix_index(&self, cache: Arc<PrefixIndex>) -> Self {
+    pub fn with_prefix_index(&self, prefix_index: Arc<PrefixIndex>) -> Self {
         Self {
-            cache,
+            prefix_index,
             ..self.clone()
         }
     }
 
-    /// Returns the clock that the gauges count by.
+    /// Returns the clock that the states of targets use.
     pub const fn clock(&self) -> Clock {
         self.clock
     }
@@ -115,9 +116,9 @@
         &self.accounts
     }
 
-    /// Finds a version of a model.
+    /// Looks up a version of a model.
     pub fn version_key(&self, model: &ModelName, version: &VersionName) -> Option<VersionKey> {
-        self.layout
+        self.topology
             .models
             .get(model)?
             .versions
@@ -127,39 +128,39 @@
 
     /// Returns whether a model has an adapter.
     pub fn has_adapter(&self, model: &ModelName, adapter: &AdapterName) -> bool {
-        let entry = self.layout.models.get(model);
+        let entry = self.topology.models.get(model);
         entry.is_some_and(|entry| entry.adapters.contains(adapter))
     }
 
-    /// Finds a service.
+    /// Looks up a plain service.
     pub fn service_key(&self, name: &ServiceName) -> Option<ServiceKey> {
-        self.layout.by_service.get(name).copied()
+        self.topology.service_keys.get(name).copied()
     }
 
-    /// Finds a target by name.
+    /// Looks up a target by name.
     pub fn target_key(&self, name: &TargetName) -> Option<TargetKey> {
-        self.layout.names.get(name).copied()
+        self.topology.target_keys.get(name).copied()
     }
 
-    /// Finds a target by key.
+    /// Looks up a target by key.
     pub fn target(&self, key: TargetKey) -> Option<&Arc<Target>> {
-        self.layout.targets.get(key)
+        self.topology.targets.get(key)
     }
 
-    /// Returns all targets, in the order of the arena.
+    /// Iterates over all targets in storage order.
     pub fn targets(&self) -> impl Iterator<Item = (TargetKey, &Arc<Target>)> + '_ {
-        self.layout.targets.iter()
+        self.topology.targets.iter()
     }
 
-    /// Finds the pool of a route.
+    /// Looks up the pool of a route.
     pub fn pool(&self, route: Route) -> Option<&Arc<Pool>> {
         match route {
-            Route::Version(key) => self.layout.versions.get(key),
-            Route::Service(key) => self.layout.services.get(key),
+            Route::Version(key) => self.topology.versions.get(key),
+            Route::Service(key) => self.topology.services.get(key),
         }
     }
 
-    /// Surveys every pool; call it about every 100 ms.
+    /// Updates the load statistics of every pool; call it about every 100 ms.
     pub fn update_load_stats(&self, now: Instant) {
         let now_ms = self.clock.millis(now);
         for pool in self.pools() {
@@ -167,113 +168,118 @@
         }
     }
 
-    /// Returns all pools.
+    /// Iterates over all pools.
     pub fn pools(&self) -> impl Iterator<Item = &Arc<Pool>> + '_ {
-        let versions = self.layout.versions.values();
-        versions.chain(self.layout.services.values())
+        let versions = self.topology.versions.values();
+        versions.chain(self.topology.services.values())
     }
 }
 
-impl Layout {
+impl Topology {
     fn with_targets(&self, bundle: &Bundle) -> Self {
         let mut targets = self.targets.clone();
-        let mut names = HashMap::with_capacity(bundle.targets.len());
+        let mut target_keys = HashMap::with_capacity(bundle.targets.len());
         for declared in &bundle.targets {
-            let key = match self.kept(declared) {
+            let key = match self.existing_target(declared) {
                 Some((key, target)) => {
                     targets[key] = Arc::new(target);
                     key
                 }
                 None => targets.insert(Arc::new(Target::new(declared))),
             };
-            names.insert(declared.name.clone(), key);
+            target_keys.insert(declared.name.clone(), key);
         }
-        targets.retain(|key, target| names.get(&target.name) == Some(&key));
+        targets.retain(|key, target| target_keys.get(&target.name) == Some(&key));
         Self {
             targets,
-            names,
+            target_keys,
             versions: self.versions.clone(),
             services: self.services.clone(),
             ..Self::default()
         }
     }
 
-    fn kept(&self, declared: &celerypond_bundle::Target) -> Option<(TargetKey, Target)> {
-        let key = *self.names.get(&declared.name)?;
+    fn existing_target(&self, declared: &celerypond_bundle::Target) -> Option<(TargetKey, Target)> {
+        let key = *self.target_keys.get(&declared.name)?;
         let target = self.targets.get(key)?.updated(declared)?;
         Some((key, target))
     }
 
-    fn set_models(&mut self, last: &Self, bundle: &Bundle) {
-        let mut kept = Vec::new();
+    fn set_models(&mut self, previous: &Self, bundle: &Bundle) {
+        let mut retained = Vec::new();
         for model in &bundle.models {
-            let entry = self.model_entry(last.models.get(&model.name), model);
-            kept.extend(entry.versions.values().copied());
+            let entry = self.model_entry(previous.models.get(&model.name), model);
+            retained.extend(entry.versions.values().copied());
             self.models.insert(model.name.clone(), entry);
         }
-        self.versions.retain(|key, _| kept.contains(&key));
+        self.versions.retain(|key, _| retained.contains(&key));
     }
 
-    fn model_entry(&mut self, last: Option<&ModelEntry>, model: &Model) -> ModelEntry {
+    fn model_entry(&mut self, previous: Option<&ModelEntry>, model: &Model) -> ModelEntry {
         let mut entry = ModelEntry {
             adapters: model.adapters.clone(),
             ..ModelEntry::default()
         };
         for version in &model.versions {
-            let kept = last.and_then(|last| last.versions.get(&version.name).copied());
-            let before = kept.map(|key| &self.versions[key]);
-            let pool = self.pool_of(&version.targets, before);
-            let key = put(&mut self.versions, kept, pool);
+            let existing =
+                previous.and_then(|previous| previous.versions.get(&version.name).copied());
+            let previous_pool = existing.map(|key| &self.versions[key]);
+            let pool = self.build_pool(&version.targets, previous_pool);
+            let key = insert_or_replace(&mut self.versions, existing, pool);
             entry.versions.insert(version.name.clone(), key);
         }
         entry
     }
 
-    fn set_services(&mut self, last: &Self, bundle: &Bundle) {
+    fn set_services(&mut self, previous: &Self, bundle: &Bundle) {
         for service in &bundle.services {
-            let kept = last.by_service.get(&service.name).copied();
-            let before = kept.map(|key| &self.services[key]);
-            let pool = self.pool_of(&service.targets, before);
-            let key = put(&mut self.services, kept, pool);
-            self.by_service.insert(service.name.clone(), key);
+            let existing = previous.service_keys.get(&service.name).copied();
+            let previous_pool = existing.map(|key| &self.services[key]);
+            let pool = self.build_pool(&service.targets, previous_pool);
+            let key = insert_or_replace(&mut self.services, existing, pool);
+            self.service_keys.insert(service.name.clone(), key);
         }
         let Self {
             services,
-            by_service,
+            service_keys,
             ..
         } = self;
-        services.retain(|key, _| by_service.values().any(|kept| *kept == key));
+        services.retain(|key, _| service_keys.values().any(|existing| *existing == key));
     }
 
-    /// Tells each gauge the pools that count its requests.
-    fn set_tallies(&self) {
-        let mut tallies: SecondaryMap<TargetKey, Tallies> = SecondaryMap::new();
+    /// Sets, for each target, the in-flight counters of the pools it belongs to.
+    fn assign_pool_counters(&self) {
+        let mut counters: SecondaryMap<TargetKey, PoolCounters> = SecondaryMap::new();
         for pool in self.versions.values().chain(self.services.values()) {
             for key in pool.target_keys() {
-                let tally = Arc::clone(&pool.gauge.open);
-                if let Some(entry) = tallies.entry(key) {
-                    entry.or_default().push(tally);
+                let counter = Arc::clone(&pool.stats.in_flight);
+                if let Some(entry) = counters.entry(key) {
+                    entry.or_default().push(counter);
                 }
             }
         }
         for (key, target) in &self.targets {
             target
                 .state
-                .set_tallies(tallies.remove(key).unwrap_or_default());
+                .set_pool_counters(counters.remove(key).unwrap_or_default());
         }
     }
 
-    fn pool_of(&self, names: &[TargetName], last: Option<&Arc<Pool>>) -> Pool {
-        let keys = names.iter().filter_map(|name| self.names.get(name));
+    fn build_pool(&self, names: &[TargetName], previous: Option<&Arc<Pool>>) -> Pool {
+        let keys = names.iter().filter_map(|name| self.target_keys.get(name));
         let targets = keys.map(|key| (*key, Arc::clone(&self.targets[*key])));
-        Pool::new(targets.collect(), last.map(Arc::as_ref))
+        Pool::new(targets.collect(), previous.map(Arc::as_ref))
     }
 }
 
-/// Puts a pool under the key that it had before, or under a new one, and returns the key.
-fn put<K: Key>(pools: &mut SlotMap<K, Arc<Pool>>, kept: Option<K>, pool: Pool) -> K {
+/// Stores a pool under its existing key, or under a new one, and returns the key.
+fn insert_or_replace<K: Key>(
+    pools: &mut SlotMap<K, Arc<Pool>>,
+    existing: Option<K>,
+    pool: Pool,
+) -> K {
     let pool = Arc::new(pool);
-    let Some(key) = kept else {
+    let Some(key) = existing else {
         return pools.insert(pool);
     };
     pools[key] = pool;
