--- a/crates/route/tests/test_drain.rs
+++ b/crates/route/tests/test_drain.rs
@@ -1,4 +1,4 @@
-//! G8: a planned stop cuts off no request. And the answers that lead callers to an instance.
+//! Graceful shutdown fails no request; selection of entry points.
 
 use celerypond_route::{
     select_entry_points, Drain, DrainEffect, DrainStage, EntryPoint, ENTRY_POINTS_TTL,
@@ -9,20 +9,20 @@
 
 use crate::test_fixture::rng;
 
-const STOP_MS: u64 = 20_000;
+const SHUTDOWN_MS: u64 = 20_000;
 
-/// How the instance stops.
+/// How the instance shuts down: as designed, or without one of the precautions.
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
-    AsDecided,
+enum Strategy {
+    AsDesigned,
     RefuseAtOnce,
-    EndAtOnce,
+    ExitAtOnce,
     CloseIdle,
 }
 
-/// A caller's connection.
+/// A client's connection.
 struct Connection {
-    /// When its last request began.
+    /// When its last request started.
     began: u64,
     /// When its last request ends or ended.
     ends: u64,
@@ -33,94 +33,109 @@
         ms.checked_sub(self.ends)
     }
 
-    /// Returns whether its caller may be sending on it.
-    fn is_kept(&self, ms: u64) -> bool {
+    /// Returns whether the client may send another request on it.
+    fn is_reusable(&self, ms: u64) -> bool {
         self.idle(ms).is_some_and(|idle| idle < KEEP_ALIVE_MS)
     }
 }
 
 #[derive(Debug, Default, PartialEq)]
-struct Harm {
+struct Failures {
     refused: usize,
-    cut_off: usize,
+    aborted: usize,
 }
 
-/// Stops an instance while callers with cached answers come and go; returns the harm and the end.
-fn stop(seed: u64, way: Way) -> (Harm, u64) {
+/// Shuts an instance down while clients with cached answers connect and send requests. Returns the
+/// failed requests and the time at which the instance exited.
+fn shut_down(seed: u64, strategy: Strategy) -> (Failures, u64) {
     let mut rng = rng(seed);
     let mut drain = Drain::default();
-    let mut harm = Harm::default();
-    // Some peer hears of the stop as late as it may.
-    let last_answer = STOP_MS + rng.random_range(0..LEAVING_PROPAGATION_MS);
-    let (mut known, mut open): (Vec<u64>, Vec<Connection>) = Default::default();
+    let mut failures = Failures::default();
+    // One peer learns of the shutdown as late as possible.
+    let last_answer = SHUTDOWN_MS + rng.random_range(0..LEAVING_PROPAGATION_MS);
+    let (mut expiries, mut open): (Vec<u64>, Vec<Connection>) = Default::default();
     for ms in (0..400_000).step_by(50) {
-        if ms == STOP_MS || ms == STOP_MS + 2_000 {
+        if ms == SHUTDOWN_MS || ms == SHUTDOWN_MS + 2_000 {
             drain = drain.start(ms).0;
         }
-        let left = drain.stage() != DrainStage::Serving;
+        let leaving = drain.stage() != DrainStage::Serving;
         if ms < last_answer && rng.random_bool(0.2) {
-            known.push(ms + ENTRY_POINTS_TTL.as_millis() as u64);
+            expiries.push(ms + ENTRY_POINTS_TTL.as_millis() as u64);
         }
-        known.retain(|until| *until > ms);
-        // A response whose head was sent after the stop says that its connection closes.
-        let closed = |one: &Connection| one.idle(ms).is_some() && left && one.began >= STOP_MS;
-        open.retain(|one| !closed(one) && one.idle(ms).is_none_or(|idle| idle < IDLE_CLOSE_MS));
+        expiries.retain(|until| *until > ms);
+        // A response whose head was sent after the shutdown began announces that its connection
+        // closes.
+        let closed = |connection: &Connection| {
+            connection.idle(ms).is_some() && leaving && connection.began >= SHUTDOWN_MS
+        };
+        open.retain(|connection| {
+            !closed(connection) && connection.idle(ms).is_none_or(|idle| idle < IDLE_CLOSE_MS)
+        });
         let mut request = || Connection {
             began: ms,
             ends: ms + rng.random_range(10..90_000),
         };
-        for one in open.iter_mut().filter(|one| one.is_kept(ms)) {
-            if ms % 700 == one.began % 700 {
-                *one = request();
+        for connection in open
+            .iter_mut()
+            .filter(|connection| connection.is_reusable(ms))
+        {
+            if ms % 700 == connection.began % 700 {
+                *connection = request();
             }
         }
-        if !known.is_empty() && ms % 150 == 0 {
-            let refuses = drain.stage() == DrainStage::Refusing || left && way == Way::RefuseAtOnce;
+        if !expiries.is_empty() && ms % 150 == 0 {
+            let refuses = drain.stage() == DrainStage::Refusing
+                || leaving && strategy == Strategy::RefuseAtOnce;
             match refuses {
-                true => harm.refused += 1,
+                true => failures.refused += 1,
                 false => open.push(request()),
             }
         }
         let (next, effect) = drain.step(ms, open.len());
         drain = next;
-        if effect == Some(DrainEffect::CloseListener) && way == Way::CloseIdle {
-            harm.cut_off += open.iter().filter(|one| one.is_kept(ms)).count();
-            open.retain(|one| one.idle(ms).is_none());
+        if effect == Some(DrainEffect::CloseListener) && strategy == Strategy::CloseIdle {
+            failures.aborted += open
+                .iter()
+                .filter(|connection| connection.is_reusable(ms))
+                .count();
+            open.retain(|connection| connection.idle(ms).is_none());
         }
-        let ends = effect == Some(DrainEffect::CloseListener) && way == Way::EndAtOnce;
-        if ends || drain.stage() == DrainStage::Done {
-            let busy = |one: &&Connection| one.idle(ms).is_none() || one.is_kept(ms);
-            harm.cut_off += open.iter().filter(busy).count();
-            return (harm, ms);
+        let exits = effect == Some(DrainEffect::CloseListener) && strategy == Strategy::ExitAtOnce;
+        if exits || drain.stage() == DrainStage::Done {
+            let busy = |connection: &&Connection| {
+                connection.idle(ms).is_none() || connection.is_reusable(ms)
+            };
+            failures.aborted += open.iter().filter(busy).count();
+            return (failures, ms);
         }
     }
-    (harm, u64::MAX)
+    (failures, u64::MAX)
 }
 
-// An instance is stopped twice while callers still have its address from answers given up to 5 s
-// later, use idle connections and wait for answers of a minute and a half. Refused at once, a
-// caller would see its connection fail; ended at once, its answer would break off. And a response
-// that began before the stop has not said that its connection closes, so its caller may send on it
-// just when the instance closes what is idle.
+// An instance is told twice to shut down. Clients still have its address from answers given up to 5
+// s later, reuse idle connections and wait up to 90 s for responses. If it refused connections at
+// once, clients would fail to connect; if it exited at once, responses would be aborted. A response
+// that started before the shutdown did not announce that its connection closes, so if the instance
+// closed idle connections, a client might be sending on one at that moment.
 #[rstest]
-#[case::as_decided(Way::AsDecided, true)]
-#[case::refusing_at_once(Way::RefuseAtOnce, false)]
-#[case::ending_at_once(Way::EndAtOnce, false)]
-#[case::closing_what_is_idle(Way::CloseIdle, false)]
-fn a_planned_stop_harms_no_caller(#[case] way: Way, #[case] holds: bool) {
-    let mut sum = Harm::default();
+#[case::as_designed(Strategy::AsDesigned, true)]
+#[case::refusing_at_once(Strategy::RefuseAtOnce, false)]
+#[case::exiting_at_once(Strategy::ExitAtOnce, false)]
+#[case::closing_idle_connections(Strategy::CloseIdle, false)]
+fn graceful_shutdown_fails_no_request(#[case] strategy: Strategy, #[case] succeeds: bool) {
+    let mut sum = Failures::default();
     for seed in 0..20 {
-        let (harm, end) = stop(seed, way);
-        sum.refused += harm.refused;
-        sum.cut_off += harm.cut_off;
-        // It does end: each connection had a last request in the time that its address was known,
-        // and one more after it at most.
+        let (failures, end) = shut_down(seed, strategy);
+        sum.refused += failures.refused;
+        sum.aborted += failures.aborted;
+        // The shutdown terminates: each connection had its last request started while its address
+        // was known, and at most one more after that.
         assert!(
-            end < STOP_MS + 15_000 + 2 * 90_000 + 2 * IDLE_CLOSE_MS,
+            end < SHUTDOWN_MS + 15_000 + 2 * 90_000 + 2 * IDLE_CLOSE_MS,
             "{end}"
         );
     }
-    assert_eq!(sum == Harm::default(), holds, "{sum:?}");
+    assert_eq!(sum == Failures::default(), succeeds, "{sum:?}");
 }
 
 fn fleet(leaving: &[usize]) -> Vec<EntryPoint> {
@@ -134,16 +149,22 @@
 }
 
 #[test]
-fn callers_are_spread_over_the_nearest_data_centre() {
+fn clients_are_spread_over_the_nearest_data_centre() {
     let all = fleet(&[4, 7]);
     let near = ["dc-1".into(), "dc-2".into()];
     let mut first = [0; 30];
     for caller in 0..8_000 {
         let chosen = select_entry_points(&all, &near, caller);
         assert_eq!(chosen, select_entry_points(&all, &near, caller));
-        let places: Vec<&str> = chosen.iter().map(|one| one.data_centre.as_str()).collect();
-        assert_eq!(places, ["dc-1", "dc-1", "dc-1", "dc-1", "dc-2", "dc-2"]);
-        assert!(chosen.iter().all(|one| !one.leaving));
+        let data_centres: Vec<&str> = chosen
+            .iter()
+            .map(|entry| entry.data_centre.as_str())
+            .collect();
+        assert_eq!(
+            data_centres,
+            ["dc-1", "dc-1", "dc-1", "dc-1", "dc-2", "dc-2"]
+        );
+        assert!(chosen.iter().all(|entry| !entry.leaving));
         first[usize::from(
             chosen[0]
                 .address
@@ -165,7 +186,7 @@
 }
 
 #[test]
-fn a_lost_data_centre_leaves_addresses_elsewhere() {
+fn a_failed_data_centre_leaves_entry_points_in_others() {
     let all = fleet(&(0..30).filter(|at| at % 3 != 0).collect::<Vec<_>>());
     let chosen = select_entry_points(&all, &["dc-1".into()], 5);
     assert_eq!(chosen.len(), 6);
--- a/crates/route/tests/test_scripts.rs
+++ b/crates/route/tests/test_scripts.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios of ejection and of leaving, in `tests/scripts`.
+//! Scripted scenarios of outlier ejection and of departures, in `tests/scripts`.
 
 use std::error::Error;
 
@@ -14,11 +14,11 @@
 
 #[derive(goldenscript::Command)]
 enum Command {
-    /// Starts with a pool of so many engines.
+    /// Starts over with a pool of this many engines.
     Pool(usize),
-    /// Lets time pass, in milliseconds, with a step each 100 ms.
+    /// Advances the time by this many milliseconds, with a step every 100 ms.
     Wait(u64),
-    /// A number of successes with a latency in milliseconds at each engine.
+    /// Records successes with this latency in milliseconds at each engine.
     Succeed {
         engines: Vec<usize>,
         #[arg(key)]
@@ -26,27 +26,27 @@
         #[arg(key)]
         times: u32,
     },
-    /// A number of failures at each engine.
+    /// Records failures at each engine.
     Fail {
         engines: Vec<usize>,
         #[arg(key)]
         times: u32,
     },
-    /// The result of a probe.
+    /// Records the result of a probe.
     Probed {
         engine: usize,
         #[arg(key)]
         alive: bool,
     },
-    /// A word of the target about itself, from a question asked so long ago.
+    /// A report by the target itself, in reply to a probe sent this long ago.
     Target {
-        word: String,
+        availability: String,
         #[arg(key, optional)]
-        asked_ms_ago: u64,
+        sent_ms_ago: u64,
     },
-    /// A word of the list.
+    /// A report by the list.
     List(String),
-    /// A 'leaving' of the target passed on by a peer.
+    /// A notice from a peer that the target reported itself as leaving.
     Peer {
         #[arg(key)]
         age_ms: u64,
@@ -86,11 +86,16 @@
             self.now += 100;
             let pool = std::sync::Arc::clone(self.view.pool(self.route).unwrap());
             for effect in self.detector.step(&pool, self.now) {
-                let name = |key| self.keys.iter().position(|one| *one == key).unwrap();
+                let name = |key| {
+                    self.keys
+                        .iter()
+                        .position(|candidate| *candidate == key)
+                        .unwrap()
+                };
                 match effect {
                     OutlierEffect::SetWeight(key, weight) => {
                         pool.set_weight(key, weight);
-                        // A ramp has a step each 100 ms; its ends are enough.
+                        // A ramp changes the weight every 100 ms; only its ends are printed.
                         if [0, 102, celerypond_route::FULL_WEIGHT].contains(&weight) {
                             lines +=
                                 &format!("{} ms: engine {} weight {weight}\n", self.now, name(key));
@@ -108,7 +113,7 @@
         lines
     }
 
-    fn say(&mut self, next: DepartureState) -> String {
+    fn set_departure(&mut self, next: DepartureState) -> String {
         self.departure = next;
         match next.is_leaving() {
             true => "leaving\n".into(),
@@ -117,7 +122,7 @@
     }
 }
 
-fn word(text: &str) -> Availability {
+fn parse_availability(text: &str) -> Availability {
     match text {
         "leaving" => Availability::Leaving,
         _ => Availability::Live,
@@ -163,16 +168,22 @@
                 String::new()
             }
             Command::Target {
-                word: text,
-                asked_ms_ago,
+                availability,
+                sent_ms_ago,
             } => {
-                let sent = self.now - asked_ms_ago;
-                self.say(last.observe_target(word(text), sent, self.now))
+                let sent = self.now - sent_ms_ago;
+                self.set_departure(last.observe_target(
+                    parse_availability(availability),
+                    sent,
+                    self.now,
+                ))
+            }
+            Command::List(availability) => {
+                self.set_departure(last.observe_list(parse_availability(availability), self.now))
             }
-            Command::List(text) => self.say(last.observe_list(word(text), self.now)),
             Command::Peer { age_ms } => {
                 let origin = celerypond_route::Origin::Target;
-                self.say(last.observe_notice(
+                self.set_departure(last.observe_notice(
                     DepartureNotice {
                         origin,
                         age_ms: *age_ms,
