--- a/crates/route/tests/runner.rs
+++ b/crates/route/tests/runner.rs
@@ -2,7 +2,6 @@
 
 mod test_cache;
 mod test_drain;
-mod test_ejection;
 mod test_fixture;
 mod test_leaving;
 mod test_pick;
--- a/crates/route/tests/test_fixture.rs
+++ b/crates/route/tests/test_fixture.rs
@@ -1,4 +1,4 @@
-//! A bundle with engines and a desk service, for the other tests.
+//! Fixtures of the other tests: a bundle with engines and a plain service, and a view of it.
 
 use celerypond_bundle::{Account, Bundle, Model, Service, Target, TargetKind, Version, FORMAT};
 use celerypond_route::{Route, RoutingView};
@@ -6,7 +6,7 @@
 use rand::{rngs::SmallRng, SeedableRng};
 use tokio::time::Instant;
 
-/// Slots of each target.
+/// The number of slots of each target.
 pub(crate) const SLOTS: u32 = 8;
 
 pub(crate) fn rng(seed: u64) -> SmallRng {
@@ -24,7 +24,8 @@
     }
 }
 
-/// Makes a bundle with `engines` engines, all of which serve both versions of a model.
+/// Creates a bundle with `engines` engines that all serve both versions of a model, and a plain
+/// service with three targets.
 pub(crate) fn bundle(engines: usize) -> Bundle {
     let engines: Vec<Target> = (0..engines)
         .map(|at| target(TargetKind::Engine, "engine", at))
@@ -68,7 +69,8 @@
     }
 }
 
-/// Makes a view of [`bundle`] and returns the route to version `v1` and its engines.
+/// Creates a view of [`bundle`]; returns it with the route to version `v1` and the keys of its
+/// engines.
 pub(crate) fn view(engines: usize, now: Instant) -> (RoutingView, Route, Vec<TargetKey>) {
     let view = RoutingView::new(now).with_bundle(&bundle(engines), now);
     let route = Route::Version(view.version_key(&"draft".into(), &"v1".into()).unwrap());
--- a/crates/route/tests/test_pick.rs
+++ b/crates/route/tests/test_pick.rs
@@ -1,4 +1,4 @@
-//! The choice of a target: constraints, load reports that lag, prefixes, snapshots.
+//! Target selection: exclusions, lagging load reports, prefix affinity, changes of the bundle.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -25,30 +25,30 @@
     let pool = view.pool(route).unwrap();
     view.target(keys[0]).unwrap().state.set_closed(true);
     pool.set_weight(keys[1], 0);
-    let ask = PickCriteria {
+    let criteria = PickCriteria {
         excluded: &keys[2..ENGINES - 1],
         prefixes: &[7],
         ..PickCriteria::default()
     };
     for seed in 0..200 {
-        let choice = view.pick(route, &ask, now, &mut rng(seed)).unwrap();
+        let choice = view.pick(route, &criteria, now, &mut rng(seed)).unwrap();
         assert_eq!(choice.target, keys[ENGINES - 1]);
     }
     pool.set_weight(keys[ENGINES - 1], 0);
-    let none = view.pick(route, &ask, now, &mut rng(0));
+    let none = view.pick(route, &criteria, now, &mut rng(0));
     assert_eq!(none, Err(PickError::NoTarget));
-    // When most seem bad, ejection is ignored and leaving is not.
+    // In panic mode ejected targets may be picked, but leaving ones may not.
     pool.set_panic_mode(true);
     let mut counts = BTreeMap::new();
     for seed in 0..200 {
-        let choice = view.pick(route, &ask, now, &mut rng(seed)).unwrap();
+        let choice = view.pick(route, &criteria, now, &mut rng(seed)).unwrap();
         *counts.entry(choice.target).or_insert(0) += 1;
     }
     assert_eq!(counts.len(), 2, "{counts:?}");
 }
 
 #[test]
-fn in_a_panic_targets_that_seem_bad_share_the_work() {
+fn panic_mode_spreads_requests_over_ejected_targets() {
     let now = Instant::now();
     let (view, route, keys) = view(2, now);
     let pool = view.pool(route).unwrap();
@@ -58,35 +58,35 @@
         view.pick(route, &PickCriteria::default(), now, &mut rng(seed))
             .unwrap()
     };
-    let bad = (0..400)
+    let ejected = (0..400)
         .filter(|seed| pick(*seed).target == keys[0])
         .count();
-    assert!((150..250).contains(&bad), "{bad}");
+    assert!((150..250).contains(&ejected), "{ejected}");
 }
 
 #[test]
-fn a_service_is_served_by_its_own_targets_and_nearby_ones_first() {
+fn services_use_their_own_targets_and_prefer_a_data_centre() {
     let now = Instant::now();
     let (view, _, _) = view(ENGINES, now);
     let desk = Route::Service(view.service_key(&"desk".into()).unwrap());
     let near = "dc-1".into();
-    let ask = PickCriteria {
+    let criteria = PickCriteria {
         preferred_data_centre: Some(&near),
         ..PickCriteria::default()
     };
-    let choice = view.pick(desk, &ask, now, &mut rng(1)).unwrap();
+    let choice = view.pick(desk, &criteria, now, &mut rng(1)).unwrap();
     assert_eq!(Some(choice.target), view.target_key(&"desk-001".into()));
     assert_eq!(choice.reason, PickReason::PreferredDataCentre);
-    // Far above the mean, the work goes elsewhere.
+    // If the target's load is far above the mean, the request goes to another data centre.
     let state = &view.target(choice.target).unwrap().state;
     state.record_load(1, 4 * SLOTS);
     view.update_load_stats(now);
-    let choice = view.pick(desk, &ask, now, &mut rng(1)).unwrap();
+    let choice = view.pick(desk, &criteria, now, &mut rng(1)).unwrap();
     assert_eq!(choice.reason, PickReason::AnyDataCentre);
 }
 
 #[test]
-fn counts_and_keys_outlive_a_new_bundle() {
+fn state_and_keys_survive_a_new_bundle() {
     let now = Instant::now();
     let (view, route, keys) = view(ENGINES, now);
     let open = view
@@ -108,27 +108,29 @@
     drop(open);
     assert_eq!(after.target(keys[3]).unwrap().state.in_flight(), 0);
     let left: Vec<TargetKey> = keys.iter().copied().filter(|key| *key != keys[4]).collect();
-    let ask = PickCriteria {
+    let criteria = PickCriteria {
         excluded: &left,
         ..PickCriteria::default()
     };
     // Only the ejected target and the one with a new address are not excluded.
-    let choice = after.pick(route, &ask, now, &mut rng(0)).unwrap();
+    let choice = after.pick(route, &criteria, now, &mut rng(0)).unwrap();
     assert_eq!(after.target_key(&"engine-000".into()), Some(choice.target));
 }
 
 #[test]
-fn an_adapter_moves_a_prefix_to_engines_of_its_own() {
+fn adapters_map_a_prefix_to_different_engines() {
     let now = Instant::now();
     let (view, route, _) = view(ENGINES, now);
     let targets = |adapter| {
         let chosen = (0..32).map(|seed| {
-            let ask = PickCriteria {
+            let criteria = PickCriteria {
                 prefixes: &[7],
                 adapter,
                 ..PickCriteria::default()
             };
-            view.pick(route, &ask, now, &mut rng(seed)).unwrap().target
+            view.pick(route, &criteria, now, &mut rng(seed))
+                .unwrap()
+                .target
         });
         chosen.collect::<std::collections::BTreeSet<_>>()
     };
@@ -136,12 +138,13 @@
     assert_ne!(targets(1), targets(2));
 }
 
-/// Sends the same prompt 2,000 times to engines that take 100 ms for each, one every 5 ms, and
-/// returns the share that found its prefix and the most requests on one engine over the mean.
-fn hot_prompt(bounded: bool) -> (f64, f64) {
+/// Sends the same prompt 2,000 times, every 5 ms, to engines that take 100 ms for each. Returns the
+/// share of requests that reached an engine with the prefix, and the highest number of requests in
+/// flight at one engine.
+fn run_hot_prompt(bounded: bool) -> (f64, f64) {
     let start = Instant::now();
     let (view, route, _) = view(ENGINES, start);
-    let mut held = std::collections::BTreeSet::new();
+    let mut seen = std::collections::BTreeSet::new();
     let (mut hits, mut open, mut worst) = (0, Vec::new(), 0);
     for at in 0..2_000_u64 {
         let now = start + Duration::from_millis(5 * at);
@@ -150,15 +153,17 @@
         }
         let target = match bounded {
             true => {
-                let ask = PickCriteria {
+                let criteria = PickCriteria {
                     prefixes: &[7],
                     ..PickCriteria::default()
                 };
-                view.pick(route, &ask, now, &mut rng(at)).unwrap().target
+                view.pick(route, &criteria, now, &mut rng(at))
+                    .unwrap()
+                    .target
             }
             false => view.pool(route).unwrap().target_keys().next().unwrap(),
         };
-        hits += u32::from(!held.insert(target));
+        hits += u32::from(!seen.insert(target));
         let state = &view.target(target).unwrap().state;
         open.push((5 * at + 100, state.begin_request(5 * at).unwrap()));
         open.retain(|(end, _)| *end > 5 * at);
@@ -167,56 +172,58 @@
     (f64::from(hits) / 2_000.0, f64::from(worst))
 }
 
-// A mill sends the same certificate a thousand times: the engine with its prefix is asked first,
-// each time. Without a bound that one engine gets all the work and its callers wait, while
-// nineteen engines do nothing. With it, the work spills over to a few engines that learn the prefix.
+// Many requests share one prompt prefix. Without a load bound, the engine with the prefix gets all
+// of them and clients wait while nineteen engines are idle. With the bound, requests spill over to
+// a few engines, which then cache the prefix as well.
 #[test]
-fn a_hot_prefix_does_not_drown_its_engine() {
-    let (hits, worst) = hot_prompt(true);
+fn a_hot_prefix_spills_over_to_other_engines() {
+    let (hits, worst) = run_hot_prompt(true);
     assert!(hits > 0.98 && worst <= 8.0, "{hits} {worst}");
-    let (_, worst) = hot_prompt(false);
+    let (_, worst) = run_hot_prompt(false);
     assert!(worst >= 20.0, "{worst}");
 }
 
 #[test]
-fn a_holder_that_may_have_evicted_weighs_less() {
+fn uncertain_holders_rank_lower() {
     let now = Instant::now();
     let (view, route, keys) = view(ENGINES, now);
-    let mut caches = PrefixTracker::default();
-    caches.apply(keys[5], 1, CacheEvent::Stored(70));
-    let pick = |caches: &PrefixTracker, load| {
+    let mut tracker = PrefixTracker::default();
+    tracker.apply(keys[5], 1, CacheEvent::Stored(70));
+    let pick = |tracker: &PrefixTracker, load| {
         let state = &view.target(keys[5]).unwrap().state;
         state.record_load(1, load);
-        let view = view.with_prefix_index(Arc::new(caches.build_index()));
-        let ask = PickCriteria {
+        let view = view.with_prefix_index(Arc::new(tracker.build_index()));
+        let criteria = PickCriteria {
             prefixes: &[71, 70],
             ..PickCriteria::default()
         };
-        view.pick(route, &ask, now, &mut rng(1)).unwrap().target
+        view.pick(route, &criteria, now, &mut rng(1))
+            .unwrap()
+            .target
     };
-    assert_eq!(pick(&caches, 0), keys[5]);
-    caches.apply(keys[5], 3, CacheEvent::Stored(72));
-    assert_ne!(pick(&caches, 0), keys[5]);
-    caches.apply(keys[5], 4, CacheEvent::Evicted(70));
-    assert_ne!(pick(&caches, 0), keys[5]);
+    assert_eq!(pick(&tracker, 0), keys[5]);
+    tracker.apply(keys[5], 3, CacheEvent::Stored(72));
+    assert_ne!(pick(&tracker, 0), keys[5]);
+    tracker.apply(keys[5], 4, CacheEvent::Evicted(70));
+    assert_ne!(pick(&tracker, 0), keys[5]);
 }
 
 #[test]
-fn the_cache_view_is_bounded() {
+fn prefix_tracker_is_bounded() {
     let (_, _, keys) = view(ENGINES, Instant::now());
-    let mut caches = PrefixTracker::default();
+    let mut tracker = PrefixTracker::default();
     for sequence in 1..10_000 {
-        caches.apply(keys[0], sequence, CacheEvent::Stored(sequence));
+        tracker.apply(keys[0], sequence, CacheEvent::Stored(sequence));
     }
-    assert_eq!(caches.len(), 256);
-    // What is kept is the newest.
-    assert_eq!(caches.build_index().holders(9_999).len(), 1);
-    assert!(caches.build_index().holders(1).is_empty());
+    assert_eq!(tracker.len(), 256);
+    // The newest prefixes are kept.
+    assert_eq!(tracker.build_index().holders(9_999).len(), 1);
+    assert!(tracker.build_index().holders(1).is_empty());
 }
 
-/// Drives 7 instances before 20 engines with reports that lag by 1 s, and returns the mean over
-/// time of the most loaded engine over the mean load.
-fn herding(
+/// Simulates 7 instances and 20 engines whose load reports lag by 1 s. Returns the ratio of the
+/// highest load of an engine to the mean load, averaged over time.
+fn load_imbalance(
     seed: u64,
     choose: impl Fn(&RoutingView, Route, Instant, &mut rand::rngs::SmallRng) -> TargetKey,
 ) -> f64 {
@@ -237,7 +244,7 @@
         }
         history.push(loads.clone());
         for (view, route, keys) in &views {
-            // A report each 500 ms, of the state 1 s ago.
+            // Every 500 ms a report of the load 1 s ago.
             if tick % 10 == 0 && tick >= 20 {
                 for key in keys {
                     let load = history[tick as usize - 20].get(key).copied().unwrap_or(0);
@@ -264,17 +271,17 @@
     ratios.iter().sum::<f64>() / ratios.len() as f64
 }
 
-// Seven instances read the same load reports, each a second old. If each sends to the engine that
-// was idle then, all send to the same one: its queue grows for a second until a report shows it,
-// then the next engine is flooded. Callers see waits while most engines idle.
+// Seven instances read the same load reports, each 1 s old. If each sends to the engine that was
+// least loaded then, all choose the same one: its queue grows for a second until a report shows it,
+// and then the next engine is flooded. Clients wait while most engines are idle.
 #[rstest]
-fn reports_that_lag_cause_no_herding(#[values(1, 2, 3)] seed: u64) {
-    let ours = herding(seed, |view, route, now, rng| {
+fn lagging_reports_cause_no_herding(#[values(1, 2, 3)] seed: u64) {
+    let picked = load_imbalance(seed, |view, route, now, rng| {
         view.pick(route, &PickCriteria::default(), now, rng)
             .unwrap()
             .target
     });
-    let least_reported = herding(seed, |view, route, now, _| {
+    let least_reported = load_imbalance(seed, |view, route, now, _| {
         let pool = view.pool(route).unwrap();
         let ms = view.clock().millis(now);
         let load = |key: &TargetKey| {
@@ -283,17 +290,20 @@
         };
         pool.target_keys().min_by_key(load).unwrap()
     });
-    let random = herding(seed, |view, route, _, rng| {
+    let random = load_imbalance(seed, |view, route, _, rng| {
         let keys: Vec<TargetKey> = view.pool(route).unwrap().target_keys().collect();
         keys[rng.random_range(0..keys.len())]
     });
-    assert!(ours < 2.0 && ours < random, "{ours} {random}");
-    assert!(least_reported > 2.0 * ours, "{least_reported} {ours}");
+    assert!(picked < 2.0 && picked < random, "{picked} {random}");
+    assert!(least_reported > 2.0 * picked, "{least_reported} {picked}");
 }
 
-/// Lets 3 instances with more work than slots send as long as `room` says, with reports that are 1
-/// s old, and returns the mean share of slots in use and the mean queue of an engine.
-fn saturated(room: impl Fn(&RoutingView, &celerypond_route::Choice, u64) -> bool) -> (f64, f64) {
+/// Simulates 3 instances with more requests than slots and load reports that lag by 1 s; instances
+/// send while `has_capacity` returns `true`. Returns the mean share of slots in use and the mean
+/// queue length of an engine.
+fn run_saturated(
+    has_capacity: impl Fn(&RoutingView, &celerypond_route::Choice, u64) -> bool,
+) -> (f64, f64) {
     let start = Instant::now();
     let views = (0..3).map(|_| view(ENGINES, start));
     let views: Vec<_> = views
@@ -324,7 +334,7 @@
                 let choice = view
                     .pick(*route, &PickCriteria::default(), now, &mut rng)
                     .unwrap();
-                if !room(view, &choice, ms) {
+                if !has_capacity(view, &choice, ms) {
                     break;
                 }
                 let at = keys.iter().position(|key| *key == choice.target).unwrap();
@@ -368,14 +378,15 @@
     )
 }
 
-// All instances have more work than slots. If each sends while the last reports show free slots,
-// all fill the engines at once, see it a second later, and all stop until the engines have run
-// empty: callers wait while a quarter of the slots idles, and in between engines have long queues.
+// All instances have more requests than slots. If each sends while the last reports show free
+// slots, all fill the engines at once, see it a second later and all stop until the engines are
+// idle: clients wait while a quarter of the slots is unused, and in between the engines have long
+// queues.
 #[test]
-fn instances_that_see_old_reports_do_not_stop_and_go() {
-    let (used, queued) = saturated(|_, choice, _| choice.fits_quota(Priority::Draft));
+fn stale_reports_cause_no_load_oscillation() {
+    let (used, queued) = run_saturated(|_, choice, _| choice.fits_quota(Priority::Draft));
     assert!(used > 0.93 && queued < 3.0, "{used} {queued}");
-    let (used, queued) = saturated(|view, choice, ms| {
+    let (used, queued) = run_saturated(|view, choice, ms| {
         let state = &view.target(choice.target).unwrap().state;
         state.estimated_load(ms, PoolAverages::default()) < SLOTS
     });
@@ -383,7 +394,7 @@
 }
 
 #[test]
-fn the_same_seed_is_the_same_run() {
+fn picks_are_deterministic_for_a_seed() {
     let now = Instant::now();
     let run = || {
         let (view, route, _) = view(ENGINES, now);
