--- a/crates/route/src/outlier.rs
+++ b/crates/route/src/outlier.rs
@@ -240,8 +240,8 @@
             return None;
         }
         // The lower median, so that of two targets the slow one is not compared with itself.
-        let at = (means.len() - 1) / 2;
-        let (_, median, _) = means.select_nth_unstable_by(at, f64::total_cmp);
+        let index = (means.len() - 1) / 2;
+        let (_, median, _) = means.select_nth_unstable_by(index, f64::total_cmp);
         Some(*median)
     }
 
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -124,7 +124,7 @@
         let points: Vec<(u64, u32)> = targets
             .iter()
             .enumerate()
-            .map(|(at, (_, target))| (hash(target.name.as_str().as_bytes()), at as u32))
+            .map(|(index, (_, target))| (hash(target.name.as_str().as_bytes()), index as u32))
             .collect();
         Self {
             ring: HashRing::new(points.iter().copied()),
@@ -235,8 +235,8 @@
 
     /// Looks up a member by key.
     pub(crate) fn member(&self, key: TargetKey) -> Option<&Member> {
-        let at = self.by_key.binary_search_by_key(&key, |(key, _)| *key);
-        let (_, index) = self.by_key[at.ok()?];
+        let position = self.by_key.binary_search_by_key(&key, |(key, _)| *key);
+        let (_, index) = self.by_key[position.ok()?];
         self.members.get(index as usize)
     }
 
@@ -287,7 +287,7 @@
 fn by_key(targets: &[(TargetKey, Arc<Target>)]) -> Box<[(TargetKey, u32)]> {
     let mut by_key: Vec<_> = (0..)
         .zip(targets)
-        .map(|(at, (key, _))| (*key, at))
+        .map(|(index, (key, _))| (*key, index))
         .collect();
     by_key.sort_unstable();
     by_key.into_boxed_slice()
--- a/crates/route/src/target_state.rs
+++ b/crates/route/src/target_state.rs
@@ -228,8 +228,8 @@
     fn record_in_flight(&self, now_ms: u64, in_flight: u32) {
         // Intervals are numbered from 1, so that an empty entry is the oldest.
         let interval = now_ms / HISTORY_INTERVAL_MS + 1;
-        let at = interval as usize % HISTORY_LEN;
-        self.history[at].store(interval << 32 | u64::from(in_flight), Relaxed);
+        let index = interval as usize % HISTORY_LEN;
+        self.history[index].store(interval << 32 | u64::from(in_flight), Relaxed);
     }
 }
 
--- a/crates/route/tests/test_drain.rs
+++ b/crates/route/tests/test_drain.rs
@@ -139,11 +139,11 @@
 }
 
 fn fleet(leaving: &[usize]) -> Vec<EntryPoint> {
-    let entry = |at: usize| EntryPoint {
-        name: format!("instance-{at}").as_str().into(),
-        address: ([10, 0, 0, at as u8], 80).into(),
-        data_centre: format!("dc-{}", at % 3).as_str().into(),
-        leaving: leaving.contains(&at),
+    let entry = |index: usize| EntryPoint {
+        name: format!("instance-{index}").as_str().into(),
+        address: ([10, 0, 0, index as u8], 80).into(),
+        data_centre: format!("dc-{}", index % 3).as_str().into(),
+        leaving: leaving.contains(&index),
     };
     (0..30).map(entry).collect()
 }
@@ -153,9 +153,9 @@
     let all = fleet(&[4, 7]);
     let near = ["dc-1".into(), "dc-2".into()];
     let mut first = [0; 30];
-    for caller in 0..8_000 {
-        let chosen = select_entry_points(&all, &near, caller);
-        assert_eq!(chosen, select_entry_points(&all, &near, caller));
+    for client in 0..8_000 {
+        let chosen = select_entry_points(&all, &near, client);
+        assert_eq!(chosen, select_entry_points(&all, &near, client));
         let data_centres: Vec<&str> = chosen
             .iter()
             .map(|entry| entry.data_centre.as_str())
@@ -187,7 +187,7 @@
 
 #[test]
 fn a_failed_data_centre_leaves_entry_points_in_others() {
-    let all = fleet(&(0..30).filter(|at| at % 3 != 0).collect::<Vec<_>>());
+    let all = fleet(&(0..30).filter(|index| index % 3 != 0).collect::<Vec<_>>());
     let chosen = select_entry_points(&all, &["dc-1".into()], 5);
     assert_eq!(chosen.len(), 6);
     assert!(select_entry_points(&[], &["dc-1".into()], 5).is_empty());
--- a/crates/route/tests/test_fixture.rs
+++ b/crates/route/tests/test_fixture.rs
@@ -13,12 +13,12 @@
     SmallRng::seed_from_u64(seed)
 }
 
-fn target(kind: TargetKind, prefix: &str, at: usize) -> Target {
+fn target(kind: TargetKind, prefix: &str, index: usize) -> Target {
     Target {
-        name: format!("{prefix}-{at:03}").as_str().into(),
+        name: format!("{prefix}-{index:03}").as_str().into(),
         kind,
-        address: ([10, 0, (at / 200) as u8, (at % 200) as u8], 80).into(),
-        data_centre: format!("dc-{}", at % 3).as_str().into(),
+        address: ([10, 0, (index / 200) as u8, (index % 200) as u8], 80).into(),
+        data_centre: format!("dc-{}", index % 3).as_str().into(),
         slots: SLOTS,
         fencing: Default::default(),
     }
@@ -28,10 +28,10 @@
 /// service with three targets.
 pub(crate) fn bundle(engines: usize) -> Bundle {
     let engines: Vec<Target> = (0..engines)
-        .map(|at| target(TargetKind::Engine, "engine", at))
+        .map(|index| target(TargetKind::Engine, "engine", index))
         .collect();
     let desks: Vec<Target> = (0..3)
-        .map(|at| target(TargetKind::Service, "desk", at))
+        .map(|index| target(TargetKind::Service, "desk", index))
         .collect();
     let version = |name: &str| Version {
         name: name.into(),
--- a/crates/route/tests/test_leaving.rs
+++ b/crates/route/tests/test_leaving.rs
@@ -97,12 +97,12 @@
 
     fn observe(
         &mut self,
-        at: usize,
+        index: usize,
         key: TargetKey,
         update: impl Fn(DepartureState) -> DepartureState,
     ) {
         let per_origin = self.safeguards.per_origin;
-        let instance = &mut self.instances[at];
+        let instance = &mut self.instances[index];
         let last = instance.departures.entry(key).or_default();
         let next = update(*last);
         // Without the safeguard, the latest report counts, whatever its origin.
@@ -116,13 +116,13 @@
     }
 
     /// Checks the health of a target; the reply takes 2 ms.
-    fn check_health(&mut self, at: usize, key: TargetKey, ms: u64) {
+    fn check_health(&mut self, index: usize, key: TargetKey, ms: u64) {
         let availability = self.availability(key, ms);
-        self.observe(at, key, |last| {
+        self.observe(index, key, |last| {
             last.observe_target(availability, ms, ms + 2)
         });
         if availability == Availability::Live {
-            self.instances[at]
+            self.instances[index]
                 .view
                 .target(key)
                 .unwrap()
@@ -131,49 +131,52 @@
         }
     }
 
-    fn choose(&mut self, at: usize, ms: u64, kind: &'static str) {
+    fn choose(&mut self, index: usize, ms: u64, kind: &'static str) {
         let now = self.start + Duration::from_millis(ms);
         let mut excluded = Vec::new();
         loop {
-            let ask = PickCriteria {
+            let criteria = PickCriteria {
                 excluded: &excluded,
                 prefixes: &[3],
                 ..PickCriteria::default()
             };
-            let one = &self.instances[at];
-            let choice = one.view.pick(one.route, &ask, now, &mut self.rng).unwrap();
+            let instance = &self.instances[index];
+            let choice = instance
+                .view
+                .pick(instance.route, &criteria, now, &mut self.rng)
+                .unwrap();
             if self.safeguards.health_check && choice.needs_health_check {
-                self.check_health(at, choice.target, ms);
+                self.check_health(index, choice.target, ms);
                 excluded.push(choice.target);
                 if self.availability(choice.target, ms) == Availability::Leaving {
                     continue;
                 }
             }
             let wait = [0, 0, 500, 4_000][self.rng.random_range(0..4)];
-            return self.instances[at]
+            return self.instances[index]
                 .queued
                 .push((ms + wait, choice.target, kind));
         }
     }
 
-    fn send(&mut self, at: usize, ms: u64) {
-        let (due, rest) = std::mem::take(&mut self.instances[at].queued)
+    fn send(&mut self, index: usize, ms: u64) {
+        let (due, rest) = std::mem::take(&mut self.instances[index].queued)
             .into_iter()
             .partition(|(when, ..)| *when <= ms);
-        self.instances[at].queued = rest;
+        self.instances[index].queued = rest;
         let due: Vec<(u64, TargetKey, &'static str)> = due;
         for (_, key, kind) in due {
-            let state = &self.instances[at].view.target(key).unwrap().state;
+            let state = &self.instances[index].view.target(key).unwrap().state;
             let stale = self.safeguards.health_check && state.needs_health_check(ms);
             if stale {
-                self.check_health(at, key, ms);
+                self.check_health(index, key, ms);
             }
-            let state = &self.instances[at].view.target(key).unwrap().state;
+            let state = &self.instances[index].view.target(key).unwrap().state;
             match state.begin_request(ms) {
-                None if self.safeguards.recheck => self.choose(at, ms, "again"),
+                None if self.safeguards.recheck => self.choose(index, ms, "again"),
                 open => {
                     if key == self.leaving_target && ms >= DEPARTURE_MS {
-                        self.late_starts.push((ms, at, kind));
+                        self.late_starts.push((ms, index, kind));
                     }
                     open.into_iter().for_each(|open| open.end(ms + 1));
                 }
@@ -201,25 +204,27 @@
 
     fn run(mut self) -> Vec<(u64, usize, &'static str)> {
         for ms in (0..END_MS).step_by(TICK_MS as usize) {
-            for at in 0..INSTANCES {
+            for index in 0..INSTANCES {
                 if ms % 1_000 == 0 {
                     let seen =
                         self.availability(self.leaving_target, ms.saturating_sub(LIST_LAG_MS));
-                    self.observe(at, self.leaving_target, |last| last.observe_list(seen, ms));
+                    self.observe(index, self.leaving_target, |last| {
+                        last.observe_list(seen, ms)
+                    });
                     // Each instance polls the health of a third of the targets.
-                    for key in self.instances[at]
+                    for key in self.instances[index]
                         .keys
                         .clone()
                         .into_iter()
-                        .skip(at % 3)
+                        .skip(index % 3)
                         .step_by(3)
                     {
-                        self.check_health(at, key, ms);
+                        self.check_health(index, key, ms);
                     }
                 }
                 let kind = ["first", "retry", "resume"][self.rng.random_range(0..3)];
-                self.choose(at, ms, kind);
-                self.send(at, ms);
+                self.choose(index, ms, kind);
+                self.send(index, ms);
             }
             if ms % 250 == 0 {
                 self.gossip(ms);
@@ -286,7 +291,7 @@
         .run(&reports, |reports| {
             let mut now = 20_000;
             let mut state = DepartureState::default();
-            let mut left = None;
+            let mut leaving_since = None;
             for (report, wait) in reports {
                 now += wait;
                 state = match report {
@@ -304,18 +309,18 @@
                     Report::List { leaving: false } => state.observe_list(Availability::Live, now),
                     Report::Peer { notice } => state.observe_notice(notice, now),
                 };
-                left = match report {
+                leaving_since = match report {
                     Report::Target { leaving: true, .. } => Some(now),
                     Report::Target {
                         leaving: false,
                         delay_ms,
-                    } if left < Some(now - delay_ms) => None,
-                    _ => left,
+                    } if leaving_since < Some(now - delay_ms) => None,
+                    _ => leaving_since,
                 };
                 prop_assert!(
-                    left.is_none() || state.is_leaving(),
+                    leaving_since.is_none() || state.is_leaving(),
                     "{:?} {:?}",
-                    left,
+                    leaving_since,
                     state
                 );
             }
@@ -330,17 +335,17 @@
         let reads = (from..until).step_by(1_000);
         reads.fold(state, |state, ms| state.observe_list(availability, ms))
     };
-    let left = list(DepartureState::default(), Availability::Leaving, 0, 5_000);
+    let leaving = list(DepartureState::default(), Availability::Leaving, 0, 5_000);
     // A lagging replica reports the target as live for 10 s.
-    let stale = list(left, Availability::Live, 5_000, 15_000);
+    let stale = list(leaving, Availability::Live, 5_000, 15_000);
     assert!(stale.is_leaving());
-    let again = list(stale, Availability::Leaving, 15_000, 16_000);
-    assert!(list(again, Availability::Live, 16_000, 45_000).is_leaving());
-    let reopened = list(again, Availability::Live, 16_000, 48_000);
+    let leaving_again = list(stale, Availability::Leaving, 15_000, 16_000);
+    assert!(list(leaving_again, Availability::Live, 16_000, 45_000).is_leaving());
+    let reopened = list(leaving_again, Availability::Live, 16_000, 48_000);
     assert!(!reopened.is_leaving() && reopened.notices(48_000).count() == 0);
     // The earlier notice, still forwarded by a peer, does not close the target again; a new one
     // does.
-    let old = again.notices(48_000).next().unwrap();
+    let old = leaving_again.notices(48_000).next().unwrap();
     assert!(!reopened.observe_notice(old, 48_000).is_leaving());
     let new = DepartureNotice { age_ms: 0, ..old };
     assert!(reopened.observe_notice(new, 48_000).is_leaving());
--- a/crates/route/tests/test_pick.rs
+++ b/crates/route/tests/test_pick.rs
@@ -107,9 +107,9 @@
     assert!(after.target(keys[1]).is_none());
     drop(open);
     assert_eq!(after.target(keys[3]).unwrap().state.in_flight(), 0);
-    let left: Vec<TargetKey> = keys.iter().copied().filter(|key| *key != keys[4]).collect();
+    let excluded: Vec<TargetKey> = keys.iter().copied().filter(|key| *key != keys[4]).collect();
     let criteria = PickCriteria {
-        excluded: &left,
+        excluded: &excluded,
         ..PickCriteria::default()
     };
     // Only the ejected target and the one with a new address are not excluded.
@@ -146,8 +146,8 @@
     let (view, route, _) = view(ENGINES, start);
     let mut seen = std::collections::BTreeSet::new();
     let (mut hits, mut open, mut worst) = (0, Vec::new(), 0);
-    for at in 0..2_000_u64 {
-        let now = start + Duration::from_millis(5 * at);
+    for index in 0..2_000_u64 {
+        let now = start + Duration::from_millis(5 * index);
         if bounded {
             view.update_load_stats(now);
         }
@@ -157,7 +157,7 @@
                     prefixes: &[7],
                     ..PickCriteria::default()
                 };
-                view.pick(route, &criteria, now, &mut rng(at))
+                view.pick(route, &criteria, now, &mut rng(index))
                     .unwrap()
                     .target
             }
@@ -165,8 +165,8 @@
         };
         hits += u32::from(!seen.insert(target));
         let state = &view.target(target).unwrap().state;
-        open.push((5 * at + 100, state.begin_request(5 * at).unwrap()));
-        open.retain(|(end, _)| *end > 5 * at);
+        open.push((5 * index + 100, state.begin_request(5 * index).unwrap()));
+        open.retain(|(end, _)| *end > 5 * index);
         worst = worst.max(state.in_flight());
     }
     (f64::from(hits) / 2_000.0, f64::from(worst))
@@ -337,8 +337,8 @@
                 if !has_capacity(view, &choice, ms) {
                     break;
                 }
-                let at = keys.iter().position(|key| *key == choice.target).unwrap();
-                queues[at].push_back(
+                let index = keys.iter().position(|key| *key == choice.target).unwrap();
+                queues[index].push_back(
                     view.target(choice.target)
                         .unwrap()
                         .state
@@ -347,23 +347,23 @@
                 );
             }
         }
-        for (at, queue) in queues.iter_mut().enumerate() {
+        for (index, queue) in queues.iter_mut().enumerate() {
             let busy = running
                 .iter()
-                .filter(|(_, engine, _)| *engine == at)
+                .filter(|(_, engine, _)| *engine == index)
                 .count();
             let free = queue.drain(..queue.len().min(SLOTS as usize - busy));
-            running.extend(free.map(|open| (ms + rng.random_range(200..1_100), at, open)));
+            running.extend(free.map(|open| (ms + rng.random_range(200..1_100), index, open)));
         }
-        let busy = |at| {
+        let busy = |index| {
             running
                 .iter()
-                .filter(|(_, engine, _)| *engine == at)
+                .filter(|(_, engine, _)| *engine == index)
                 .count()
         };
         history.push(
             (0..ENGINES)
-                .map(|at| (busy(at) + queues[at].len()) as u32)
+                .map(|index| (busy(index) + queues[index].len()) as u32)
                 .collect(),
         );
         if ms >= 10_000 {
@@ -399,11 +399,11 @@
     let run = || {
         let (view, route, _) = view(ENGINES, now);
         let mut rng = rng(9);
-        let one = |_| {
+        let pick = |_| {
             view.pick(route, &PickCriteria::default(), now, &mut rng)
                 .unwrap()
         };
-        (0..100).map(one).collect::<Vec<_>>()
+        (0..100).map(pick).collect::<Vec<_>>()
     };
     assert_eq!(run(), run());
     assert_eq!(FULL_WEIGHT, 1_024);
--- a/crates/route/tests/test_queue.rs
+++ b/crates/route/tests/test_queue.rs
@@ -39,7 +39,7 @@
             queue.try_push(request(*account, weight, 0), 0).unwrap();
         }
     }
-    let taken: Vec<_> = (0..120).map_while(|at| queue.pop(at)).collect();
+    let taken: Vec<_> = (0..120).map_while(|now_ms| queue.pop(now_ms)).collect();
     for (account, count) in accounts.iter().zip(served) {
         let of = taken
             .iter()
@@ -53,19 +53,19 @@
 fn accounts_are_served_by_cost_rather_than_count() {
     let accounts = keys(2);
     let mut queue = AdmissionQueue::new(QueueLimits::default(), 1_000.0);
-    for at in 0..200 {
+    for item in 0..200 {
         queue
             .try_push(
                 QueuedRequest {
                     cost: 10,
-                    ..request(accounts[0], 1, at)
+                    ..request(accounts[0], 1, item)
                 },
                 0,
             )
             .unwrap();
-        queue.try_push(request(accounts[1], 1, at), 0).unwrap();
+        queue.try_push(request(accounts[1], 1, item), 0).unwrap();
     }
-    let taken = (0..110).map_while(|at| queue.pop(at));
+    let taken = (0..110).map_while(|now_ms| queue.pop(now_ms));
     let costly = taken
         .filter(|request| request.account == accounts[0])
         .count();
@@ -76,20 +76,20 @@
 fn interactive_requests_have_priority_without_starving_drafts() {
     let account = keys(1)[0];
     let mut queue = AdmissionQueue::new(QueueLimits::default(), 1_000.0);
-    for at in 0..100 {
+    for item in 0..100 {
         let draft = Priority::Draft;
         queue
             .try_push(
                 QueuedRequest {
                     priority: draft,
-                    ..request(account, 1, at)
+                    ..request(account, 1, item)
                 },
                 0,
             )
             .unwrap();
-        queue.try_push(request(account, 1, at), 0).unwrap();
+        queue.try_push(request(account, 1, item), 0).unwrap();
     }
-    let taken: Vec<_> = (0..80).map_while(|at| queue.pop(at)).collect();
+    let taken: Vec<_> = (0..80).map_while(|now_ms| queue.pop(now_ms)).collect();
     assert!(taken[..7]
         .iter()
         .all(|request| request.priority == Priority::Interactive));
@@ -271,7 +271,7 @@
                 let expired = queue.expire(now);
                 prop_assert!(expired.iter().all(|(request, _)| request.deadline <= now));
                 finished.extend(expired.iter().map(|(request, _)| request.item));
-                prop_assert!(queue.next_expiry().is_none_or(|at| at > now));
+                prop_assert!(queue.next_expiry().is_none_or(|deadline| deadline > now));
                 prop_assert_eq!(queue.len() + finished.len(), offered as usize);
             }
             while let Some(request) = queue.pop(now) {
--- a/crates/route/tests/test_share.rs
+++ b/crates/route/tests/test_share.rs
@@ -84,8 +84,8 @@
             self.join();
         }
         if self.rng.random_bool(0.02) && self.instances.len() > EXPECTED {
-            let at = self.rng.random_range(0..self.instances.len());
-            let name = self.instances.remove(at).name;
+            let index = self.rng.random_range(0..self.instances.len());
+            let name = self.instances.remove(index).name;
             self.gone.insert(name, self.now);
         }
         if self.rng.random_bool(0.02) {
@@ -126,7 +126,10 @@
         self.messages = rest;
         let due: Vec<Message> = due;
         for message in due {
-            let to = self.instances.iter_mut().find(|one| one.name == message.to);
+            let to = self
+                .instances
+                .iter_mut()
+                .find(|instance| instance.name == message.to);
             let Some(to) = to else { continue };
             to.last_heard.insert(message.from.clone(), now);
             to.demands = to
@@ -137,12 +140,17 @@
 
     /// Returns the instances in the platform's list as `by` sees it; the list lags.
     fn listed(&self, by: &Instance) -> Vec<InstanceName> {
-        let old = |at: u64| at == 0 || at + LIST_LAG_MS <= self.now;
+        let is_listed = |at_ms: u64| at_ms == 0 || at_ms + LIST_LAG_MS <= self.now;
         let live = self.instances.iter();
-        let live = live.filter(|one| old(one.joined) || one.name == by.name);
-        let left = self.gone.iter().filter(|(_, at)| !old(**at));
+        let live = live.filter(|instance| is_listed(instance.joined) || instance.name == by.name);
+        let left = self
+            .gone
+            .iter()
+            .filter(|(_, left_at)| !is_listed(**left_at));
         let left = left.map(|(name, _)| name.clone());
-        live.map(|one| one.name.clone()).chain(left).collect()
+        live.map(|instance| instance.name.clone())
+            .chain(left)
+            .collect()
     }
 
     /// Returns the sum of all shares and its bound.
@@ -151,7 +159,11 @@
         self.vary();
         self.send(now);
         self.deliver(now);
-        let lists: Vec<_> = self.instances.iter().map(|one| self.listed(one)).collect();
+        let lists: Vec<_> = self
+            .instances
+            .iter()
+            .map(|instance| self.listed(instance))
+            .collect();
         let (mut sum, mut least) = (0.0, usize::MAX);
         let gone = &self.gone;
         for (instance, listed) in self.instances.iter_mut().zip(&lists) {
@@ -208,22 +220,24 @@
 
 #[test]
 fn shares_of_a_settled_fleet_add_up_to_the_limit() {
-    let names: Vec<InstanceName> = (0..5).map(|at| format!("i-{at}").as_str().into()).collect();
-    let demand = |at: usize| Demand {
+    let names: Vec<InstanceName> = (0..5)
+        .map(|index| format!("i-{index}").as_str().into())
+        .collect();
+    let demand = |index: usize| Demand {
         sequence: 1,
-        requests: [0, 0, 5, 50, 500][at] * 1_000,
+        requests: [0, 0, 5, 50, 500][index] * 1_000,
         tokens: 0,
     };
     let demands = names
         .iter()
         .enumerate()
-        .fold(DemandMap::default(), |all, (at, name)| {
-            all.merge(&DemandMap::single(name.clone(), demand(at)))
+        .fold(DemandMap::default(), |all, (index, name)| {
+            all.merge(&DemandMap::single(name.clone(), demand(index)))
         });
     let shares: Vec<f64> = (0..5)
-        .map(|at| {
+        .map(|index| {
             let inputs = ShareInputs {
-                instance: &names[at],
+                instance: &names[index],
                 demands: &demands,
                 instances: 5,
                 expected_instances: 5,
@@ -231,9 +245,9 @@
                 requests_per_s: LIMIT_PER_S,
                 tokens_per_s: 1,
             };
-            let (allocator, _) = ShareAllocator::default().update(demand(at), &inputs, 0);
+            let (allocator, _) = ShareAllocator::default().update(demand(index), &inputs, 0);
             allocator
-                .update(demand(at), &inputs, INCREASE_DELAY_MS)
+                .update(demand(index), &inputs, INCREASE_DELAY_MS)
                 .1
                 .requests
         })
