--- a/bench/src/route/affinity.rs
+++ b/bench/src/route/affinity.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::VecDeque, sync::Arc};
 
-use celerypond_route::{hash, Ask, CacheEvent, Caches, InFlight};
+use celerypond_route::{hash, CacheEvent, InFlight, PickCriteria, PrefixTracker};
 use celerypond_types::TargetKey;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use tokio::time::{Duration, Instant};
@@ -69,7 +69,7 @@
     held: Vec<VecDeque<u64>>,
     sequences: Vec<u64>,
     events: VecDeque<Event>,
-    caches: Caches,
+    tracker: PrefixTracker,
     weights: Vec<f64>,
 }
 
@@ -86,7 +86,7 @@
             held: vec![VecDeque::new(); ENGINES],
             sequences: vec![0; ENGINES],
             events: VecDeque::new(),
-            caches: Caches::default(),
+            tracker: PrefixTracker::default(),
         }
     }
 
@@ -110,10 +110,10 @@
             }
             if ms.is_multiple_of(500) {
                 self.hear(ms, &views[0].2);
-                let index = Arc::new(self.caches.index());
+                let index = Arc::new(self.tracker.build_index());
                 for (view, _, keys) in &mut views {
-                    *view = view.with_cache(Arc::clone(&index));
-                    view.survey(now);
+                    *view = view.with_prefix_index(Arc::clone(&index));
+                    view.update_load_stats(now);
                     for (key, load) in keys.iter().zip(&loads) {
                         let target = view.target(*key);
                         target
@@ -125,9 +125,9 @@
             let prefix = self.prefix();
             let (view, route, keys) = &views[self.rng.random_range(0..INSTANCES)];
             let prefixes = [prefix];
-            let ask = Ask {
+            let ask = PickCriteria {
                 prefixes: if way == Way::None { &[] } else { &prefixes },
-                ..Ask::default()
+                ..PickCriteria::default()
             };
             let Ok(choice) = view.pick(*route, &ask, now, &mut self.rng) else {
                 continue;
@@ -195,8 +195,8 @@
     fn hear(&mut self, ms: u64, keys: &[TargetKey]) {
         while self.events.front().is_some_and(|event| event.due <= ms) {
             if let Some(event) = self.events.pop_front() {
-                self.caches
-                    .take(keys[event.at], event.sequence, event.event);
+                self.tracker
+                    .apply(keys[event.at], event.sequence, event.event);
             }
         }
     }
--- a/bench/src/route/classes.rs
+++ b/bench/src/route/classes.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use celerypond_route::{
-    Backoff, Failure, OutlierDetector, OutlierEffect, OutlierLimits, Pool, RetryBudget, Verdict,
+    Backoff, Failure, OutlierDetector, OutlierEffect, OutlierLimits, Pool, RetryBudget,
+    RetryDecision,
 };
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use tokio::time::Instant;
@@ -59,12 +60,12 @@
 ];
 
 fn ours(failure: Failure, tries: u32) -> Option<Duration> {
-    let wait = match failure.verdict() {
-        Verdict::Elsewhere => Some(Duration::ZERO),
-        Verdict::Later(wait) => Some(wait),
-        Verdict::Final => None,
+    let wait = match failure.retry_decision() {
+        RetryDecision::OtherTarget => Some(Duration::ZERO),
+        RetryDecision::AfterBackoff(wait) => Some(wait),
+        RetryDecision::Never => None,
     };
-    wait.filter(|_| tries < failure.most_tries())
+    wait.filter(|_| tries < failure.max_attempts())
 }
 
 /// The classes as the paper has them: refused later, 500 never, hints kept.
@@ -132,7 +133,7 @@
             rng: SmallRng::seed_from_u64(seed),
             fault,
             rule,
-            budget: budget.then(RetryBudget::overall),
+            budget: budget.then(RetryBudget::per_instance),
             down: vec![0; TARGETS],
             ended: 0,
         }
@@ -171,7 +172,7 @@
                         waits += ms - call.came;
                         retried += u64::from(call.tries > 1);
                         detector.record_success(keys[at], 100.0);
-                        self.budget.iter().for_each(RetryBudget::succeeded);
+                        self.budget.iter().for_each(RetryBudget::record_success);
                     }
                     Some(failure) => {
                         let status =
@@ -195,11 +196,16 @@
 
     fn again(&mut self, call: Call, failure: Failure, ms: u64) -> Option<Call> {
         let wait = (self.rule)(failure, call.tries)?;
-        if call.tries >= TRIES || self.budget.as_ref().is_some_and(|budget| !budget.take()) {
+        if call.tries >= TRIES
+            || self
+                .budget
+                .as_ref()
+                .is_some_and(|budget| !budget.try_take())
+        {
             return None;
         }
         let jittered = match self.budget.is_some() && failure != Failure::Refused {
-            true => Backoff::default().next(Duration::ZERO, wait, &mut self.rng),
+            true => Backoff::default().next_delay(Duration::ZERO, wait, &mut self.rng),
             false => wait,
         };
         Some(Call {
@@ -250,11 +256,11 @@
         for effect in detector.step(pool, ms) {
             let at = |key| keys.iter().position(|one| *one == key).unwrap_or(0);
             match effect {
-                OutlierEffect::Weight(key, weight) => out[at(key)] = weight == 0,
+                OutlierEffect::SetWeight(key, weight) => out[at(key)] = weight == 0,
                 OutlierEffect::Probe(key) => {
                     detector.record_probe(key, self.down[at(key)] <= ms, ms)
                 }
-                OutlierEffect::Panic(_) => {}
+                OutlierEffect::SetPanicMode(_) => {}
             }
         }
     }
--- a/bench/src/route/cost.rs
+++ b/bench/src/route/cost.rs
@@ -3,7 +3,8 @@
 use std::{fs, hint::black_box};
 
 use celerypond_route::{
-    hash, Ask, OutlierDetector, OutlierLimits, Queue, QueueLimits, Route, View, Waiting,
+    hash, AdmissionQueue, OutlierDetector, OutlierLimits, PickCriteria, QueueLimits, QueuedRequest,
+    Route, RoutingView,
 };
 use celerypond_types::{Priority, TargetKey};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -38,7 +39,7 @@
             target.state.record_load(1, rng.random_range(0..8));
         }
     }
-    view.survey(now);
+    view.update_load_stats(now);
     let scan = |_: &mut SmallRng| least(&view, route, now);
     let free = |rng: &mut SmallRng| pick(&view, route, &[], now, rng);
     let affine = |rng: &mut SmallRng| {
@@ -64,15 +65,15 @@
 }
 
 fn pick(
-    view: &View,
+    view: &RoutingView,
     route: Route,
     prefixes: &[u64],
     now: Instant,
     rng: &mut SmallRng,
 ) -> Option<TargetKey> {
-    let ask = Ask {
+    let ask = PickCriteria {
         prefixes,
-        ..Ask::default()
+        ..PickCriteria::default()
     };
     view.pick(route, &ask, now, rng)
         .ok()
@@ -87,14 +88,14 @@
         target.state.record_load(1, 5);
     }
     let mut rng = SmallRng::seed_from_u64(1);
-    let survey = timed(&mut rng, 1, |_| view.survey(now));
+    let survey = timed(&mut rng, 1, |_| view.update_load_stats(now));
     let renew = timed(&mut rng, 1, |_| view.with_bundle(&bundle, now));
     let mut detector = OutlierDetector::new(OutlierLimits::default());
     for at in 0..20 * targets {
         let key = bundle
             .targets
             .get(at % targets)
-            .and_then(|target| view.key(&target.name));
+            .and_then(|target| view.target_key(&target.name));
         key.into_iter()
             .for_each(|key| detector.record_success(key, at as f64 % 100.0));
     }
@@ -116,7 +117,7 @@
 }
 
 /// Finds the least loaded target of all.
-fn least(view: &View, route: Route, now: Instant) -> Option<TargetKey> {
+fn least(view: &RoutingView, route: Route, now: Instant) -> Option<TargetKey> {
     let ms = view.clock().millis(now);
     let pool = view.pool(route)?;
     let averages = pool.averages();
@@ -124,7 +125,7 @@
         view.target(*key)
             .map(|target| target.state.estimated_load(ms, averages))
     };
-    pool.keys().min_by_key(load)
+    pool.target_keys().min_by_key(load)
 }
 
 fn timed<T>(rng: &mut SmallRng, batch: u32, act: impl Fn(&mut SmallRng) -> T) -> Vec<f64> {
@@ -181,8 +182,8 @@
 /// Times refusals by a full queue of many accounts.
 fn refusals() -> Row {
     let accounts = fleet::accounts(ACCOUNTS);
-    let mut queue = Queue::new(QueueLimits::default(), 1_000.0);
-    let offer = |item: usize, deadline| Waiting {
+    let mut queue = AdmissionQueue::new(QueueLimits::default(), 1_000.0);
+    let offer = |item: usize, deadline| QueuedRequest {
         account: accounts[item % ACCOUNTS],
         weight: 1,
         priority: if item.is_multiple_of(3) {
@@ -196,11 +197,11 @@
     };
     for item in 0..4_000 {
         // Those that do not fit are refused, which fills the queue as well.
-        let _ = queue.offer(offer(item, u64::MAX / 2), 0);
+        let _ = queue.try_push(offer(item, u64::MAX / 2), 0);
     }
     let sample = |item| {
         let start = std::time::Instant::now();
-        let refused = black_box(queue.offer(offer(item, 1), 0));
+        let refused = black_box(queue.try_push(offer(item, 1), 0));
         debug_assert!(refused.is_err());
         start.elapsed().as_secs_f64() * 1e6
     };
--- a/bench/src/route/overload/model.rs
+++ b/bench/src/route/overload/model.rs
@@ -6,8 +6,8 @@
 };
 
 use celerypond_route::{
-    Ask, Backoff, Choice, Failure, OutlierDetector, OutlierEffect, OutlierLimits, Queue,
-    QueueLimits, RetryBudget, Route, Verdict, View, Waiting,
+    AdmissionQueue, Backoff, Choice, Failure, OutlierDetector, OutlierEffect, OutlierLimits,
+    PickCriteria, QueueLimits, QueuedRequest, RetryBudget, RetryDecision, Route, RoutingView,
 };
 use celerypond_types::{AccountKey, Priority, TargetKey};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -47,10 +47,10 @@
 }
 
 struct Instance {
-    view: View,
+    view: RoutingView,
     route: Route,
     keys: Vec<TargetKey>,
-    queue: Queue<usize>,
+    queue: AdmissionQueue<usize>,
     detector: OutlierDetector,
     budget: RetryBudget,
 }
@@ -83,7 +83,7 @@
                 view: view.with_instances(INSTANCES),
                 route,
                 keys,
-                queue: Queue::new(QueueLimits::default(), per_s),
+                queue: AdmissionQueue::new(QueueLimits::default(), per_s),
                 detector: OutlierDetector::new(OutlierLimits::default()),
                 budget: budget(),
             }
@@ -156,7 +156,9 @@
         }
         let priority = self.jobs[job].priority;
         let empty = self.instances[self.jobs[job].instance].queue.is_empty();
-        let choice = self.choose(job).filter(|choice| choice.has_room(priority));
+        let choice = self
+            .choose(job)
+            .filter(|choice| choice.fits_quota(priority));
         match choice {
             Some(choice) if empty => self.dispatch(job, choice),
             _ => self.wait(job),
@@ -165,7 +167,7 @@
 
     fn wait(&mut self, job: usize) {
         let one = &self.jobs[job];
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             account: self.accounts[one.account],
             weight: 1,
             priority: one.priority,
@@ -180,7 +182,7 @@
         };
         if self.instances[one.instance]
             .queue
-            .offer(waiting, self.now)
+            .try_push(waiting, self.now)
             .is_err()
         {
             self.refuse(job);
@@ -198,9 +200,9 @@
         let one = &self.jobs[job];
         let instance = &self.instances[one.instance];
         let excluded: Vec<TargetKey> = one.avoid.iter().map(|at| instance.keys[*at]).collect();
-        let ask = Ask {
+        let ask = PickCriteria {
             excluded: &excluded,
-            ..Ask::default()
+            ..PickCriteria::default()
         };
         let now = self.start + Duration::from_millis(self.now);
         instance
@@ -225,8 +227,10 @@
             };
             let queue = &mut self.instances[instance].queue;
             let next = match probe {
-                choice if choice.has_room(Priority::Draft) => queue.pop(self.now),
-                choice if choice.has_room(Priority::Interactive) => queue.pop_urgent(self.now),
+                choice if choice.fits_quota(Priority::Draft) => queue.pop(self.now),
+                choice if choice.fits_quota(Priority::Interactive) => {
+                    queue.pop_interactive(self.now)
+                }
                 _ => None,
             };
             let Some(waiting) = next else { return };
@@ -247,7 +251,7 @@
         }
         let now = self.start + Duration::from_millis(self.now);
         one.view
-            .pick(one.route, &Ask::default(), now, &mut self.rng)
+            .pick(one.route, &PickCriteria::default(), now, &mut self.rng)
             .ok()
     }
 
@@ -298,13 +302,13 @@
         open.into_iter().for_each(|open| open.end(self.now));
         let instance = self.jobs[job].instance;
         let of = &mut self.instances[instance];
-        of.budget.succeeded();
+        of.budget.record_success();
         let wait = self.now.saturating_sub(sent) as f64 - self.jobs[job].service;
         of.detector.record_success(of.keys[at], wait.max(1.0));
         let target = of.view.target(of.keys[at]);
         target
             .into_iter()
-            .for_each(|target| target.state.retry_budget.succeeded());
+            .for_each(|target| target.state.retry_budget.record_success());
         self.jobs[job].live -= 1;
         self.engines[at].busy -= 1;
         self.next(at);
@@ -350,23 +354,24 @@
     }
 
     fn fail(&mut self, job: usize, at: usize, failure: Failure) {
-        let verdict = failure.verdict();
+        let verdict = failure.retry_decision();
         let of = &mut self.instances[self.jobs[job].instance];
         if self.way.decides && failure != Failure::Timeout {
             of.detector.record_failure(of.keys[at]);
         }
         self.jobs[job].avoid.push(at);
-        let elsewhere = verdict == Verdict::Elsewhere && self.jobs[job].avoid.len() <= ELSEWHERE;
+        let elsewhere =
+            verdict == RetryDecision::OtherTarget && self.jobs[job].avoid.len() <= ELSEWHERE;
         let target = of.view.target(of.keys[at]);
         let allowed = !self.way.budget
             || elsewhere
-            || target.is_some_and(|target| of.budget.take_both(&target.state.retry_budget));
+            || target.is_some_and(|target| of.budget.try_take_both(&target.state.retry_budget));
         if !allowed {
             self.jobs[job].failed |= failure != Failure::Timeout;
             return;
         }
         let wait = match self.way.decides && !elsewhere {
-            true => Backoff::default().next(Duration::ZERO, Duration::ZERO, &mut self.rng),
+            true => Backoff::default().next_delay(Duration::ZERO, Duration::ZERO, &mut self.rng),
             false => Duration::ZERO,
         };
         self.push(self.now + wait.as_millis() as u64, Event::Again(job));
@@ -385,7 +390,7 @@
             if let Some(seen) = &seen {
                 self.instances[at].report(seen, self.now - LAG_MS);
             }
-            self.instances[at].view.survey(now);
+            self.instances[at].view.update_load_stats(now);
             self.eject(at);
             for (late, _) in self.instances[at].queue.expire(self.now) {
                 self.refuse(late.item);
@@ -404,8 +409,8 @@
         };
         for effect in of.detector.step(pool, self.now) {
             match effect {
-                OutlierEffect::Weight(key, weight) => pool.set_weight(key, weight),
-                OutlierEffect::Panic(on) => pool.set_panic(on),
+                OutlierEffect::SetWeight(key, weight) => pool.set_weight(key, weight),
+                OutlierEffect::SetPanicMode(on) => pool.set_panic_mode(on),
                 OutlierEffect::Probe(key) => {
                     let engine = of.keys.iter().position(|one| *one == key);
                     let alive = engine.is_some_and(|engine| !self.engines[engine].dead);
--- a/crates/route/tests/test_fixture.rs
+++ b/crates/route/tests/test_fixture.rs
@@ -1,36 +1,37 @@
-//! A bundle with engines and a desk service, for the other tests.
+//! Fixtures of the other tests: a bundle with engines and a plain service, and a view of it.
 
 use celerypond_bundle::{Account, Bundle, Model, Service, Target, TargetKind, Version, FORMAT};
-use celerypond_route::{Route, View};
+use celerypond_route::{Route, RoutingView};
 use celerypond_types::{Digest, TargetKey};
 use rand::{rngs::SmallRng, SeedableRng};
 use tokio::time::Instant;
 
-/// Slots of each target.
+/// The number of slots of each target.
 pub(crate) const SLOTS: u32 = 8;
 
 pub(crate) fn rng(seed: u64) -> SmallRng {
     SmallRng::seed_from_u64(seed)
 }
 
-fn target(kind: TargetKind, prefix: &str, at: usize) -> Target {
+fn target(kind: TargetKind, prefix: &str, index: usize) -> Target {
     Target {
-        name: format!("{prefix}-{at:03}").as_str().into(),
+        name: format!("{prefix}-{index:03}").as_str().into(),
         kind,
-        address: ([10, 0, (at / 200) as u8, (at % 200) as u8], 80).into(),
-        data_centre: format!("dc-{}", at % 3).as_str().into(),
+        address: ([10, 0, (index / 200) as u8, (index % 200) as u8], 80).into(),
+        data_centre: format!("dc-{}", index % 3).as_str().into(),
         slots: SLOTS,
         fencing: Default::default(),
     }
 }
 
-/// Makes a bundle with `engines` engines, all of which serve both versions of a model.
+/// Creates a bundle with `engines` engines that all serve both versions of a model, and a plain
+/// service with three targets.
 pub(crate) fn bundle(engines: usize) -> Bundle {
     let engines: Vec<Target> = (0..engines)
-        .map(|at| target(TargetKind::Engine, "engine", at))
+        .map(|index| target(TargetKind::Engine, "engine", index))
         .collect();
     let desks: Vec<Target> = (0..3)
-        .map(|at| target(TargetKind::Service, "desk", at))
+        .map(|index| target(TargetKind::Service, "desk", index))
         .collect();
     let version = |name: &str| Version {
         name: name.into(),
@@ -68,11 +69,12 @@
     }
 }
 
-/// Makes a view of [`bundle`] and returns the route to version `v1` and its engines.
-pub(crate) fn view(engines: usize, now: Instant) -> (View, Route, Vec<TargetKey>) {
-    let view = View::new(now).with_bundle(&bundle(engines), now);
-    let route = Route::Version(view.version(&"draft".into(), &"v1".into()).unwrap());
-    let mut keys: Vec<TargetKey> = view.pool(route).unwrap().keys().collect();
+/// Creates a view of [`bundle`]; returns it with the route to version `v1` and the keys of its
+/// engines.
+pub(crate) fn view(engines: usize, now: Instant) -> (RoutingView, Route, Vec<TargetKey>) {
+    let view = RoutingView::new(now).with_bundle(&bundle(engines), now);
+    let route = Route::Version(view.version_key(&"draft".into(), &"v1".into()).unwrap());
+    let mut keys: Vec<TargetKey> = view.pool(route).unwrap().target_keys().collect();
     keys.sort();
     (view, route, keys)
 }
--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -7,7 +7,7 @@
     TakeOver,
 };
 use celerypond_bundle::{Account, Model};
-use celerypond_route::{Route, Waiting};
+use celerypond_route::{QueuedRequest, Route};
 use celerypond_telemetry::Counter;
 use celerypond_types::{
     AdapterName, Digest, ModelName, NotRunReason, Priority, RequestKey, TokenId,
@@ -196,21 +196,24 @@
         let (account, charge) = Charge::new(node, self.account, tokens)?;
         let view = node.view.load_full();
         let version = node.rollouts.choose(node, self.model);
-        let Some(route) = view.version(&self.model.name, &version).map(Route::Version) else {
+        let Some(route) = view
+            .version_key(&self.model.name, &version)
+            .map(Route::Version)
+        else {
             return Err(Problem::not_run(NotRunReason::NoTarget, NO_BUNDLE));
         };
         let prefixes = prefixes(&self.completion.prompt);
         let held_back = node.rollouts.excluded(node, self.model, &version);
         let excluded = node.suspects.with(held_back, Instant::now());
-        let ask = celerypond_route::Ask {
+        let ask = celerypond_route::PickCriteria {
             prefixes: &prefixes,
             adapter: self.adapter_hash(),
             excluded: &excluded,
-            near: Some(&node.settings.data_centre),
+            preferred_data_centre: Some(&node.settings.data_centre),
         };
         let patience = deadline.saturating_duration_since(Instant::now());
         let patience = patience.min(start_within(priority));
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             account,
             weight: self.account.weight,
             priority,
--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -3,7 +3,9 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use celerypond_fleet::{EntryKind, MemberState};
-use celerypond_route::{published, Demand, Demands, Knowledge, Part, Split, FLOOR_PART};
+use celerypond_route::{
+    quantize_rate, Demand, DemandMap, LimitShare, ShareAllocator, ShareInputs, IDLE_SHARE,
+};
 use celerypond_types::{AccountName, InstanceName};
 use tokio::time;
 
@@ -18,7 +20,7 @@
 /// What this instance knows of one account's demand.
 #[derive(Default)]
 struct Own {
-    split: Split,
+    split: ShareAllocator,
     demand: Demand,
     rate: f64,
     tokens: f64,
@@ -60,24 +62,26 @@
     for (_, entry) in view.accounts().iter() {
         let name = &entry.account.name;
         let held = own.entry(name.clone()).or_default();
-        let changed = held.measure(entry.meter.drain());
+        let changed = held.measure(entry.limiter.take_demand());
         if changed {
             let value = serde_json::to_vec(&held.demand).unwrap_or_default();
             gossip::set(node, EntryKind::Demand, name.as_str(), value);
         }
-        let none = Demands::default();
-        let known = Knowledge {
+        let none = DemandMap::default();
+        let known = ShareInputs {
             instance: &node.settings.instance,
             demands: demands.get(name).unwrap_or(&none),
             instances: touch.instances,
-            expected: node.expected(),
-            in_touch: touch.is_whole,
+            expected_instances: node.expected(),
+            in_contact: touch.is_whole,
             requests_per_s: entry.account.requests_per_s,
             tokens_per_s: entry.account.tokens_per_s,
         };
-        let (split, part) = held.split.step(held.demand, &known, now_ms);
+        let (split, part) = held.split.update(held.demand, &known, now_ms);
         held.split = split;
-        entry.meter.set_account(&entry.account, part, now_ms);
+        entry
+            .limiter
+            .set_account_limit(&entry.account, part, now_ms);
     }
 }
 
@@ -90,8 +94,8 @@
         let seconds = STEP.as_secs_f64();
         self.rate += (asked.0 as f64 / seconds - self.rate) * PART;
         self.tokens += (asked.1 as f64 / seconds - self.tokens) * PART;
-        let requests = published(self.rate);
-        let tokens = published(self.tokens);
+        let requests = quantize_rate(self.rate);
+        let tokens = quantize_rate(self.tokens);
         let changed = (requests, tokens) != (self.demand.requests, self.demand.tokens);
         if changed {
             self.demand = Demand {
@@ -105,10 +109,10 @@
     }
 }
 
-fn demands(node: &Node) -> HashMap<AccountName, Demands> {
+fn demands(node: &Node) -> HashMap<AccountName, DemandMap> {
     let list = node.list.load();
     let gossip = node.gossip();
-    let mut all: HashMap<AccountName, Demands> = HashMap::new();
+    let mut all: HashMap<AccountName, DemandMap> = HashMap::new();
     for (origin, item) in gossip.entries().items(EntryKind::Demand) {
         let Some(member) = gossip.membership().by_origin(origin) else {
             continue;
@@ -125,7 +129,7 @@
             continue;
         };
         let rows = all.entry(AccountName::new(&item.key)).or_default();
-        *rows = rows.merge(&Demands::of(member.name.clone(), demand));
+        *rows = rows.merge(&DemandMap::single(member.name.clone(), demand));
     }
     all
 }
@@ -162,12 +166,12 @@
 /// Returns the part of a limit for an account that nobody has asked for yet.
 ///
 /// Out of touch it is a part of what idle instances have: others may use all the rest unheard.
-pub fn first_part(node: &Node) -> Part {
+pub fn first_part(node: &Node) -> LimitShare {
     let touch = touch(node);
-    let idle = FLOOR_PART / (1.0 + FLOOR_PART);
+    let idle = IDLE_SHARE / (1.0 + IDLE_SHARE);
     let whole = if touch.is_whole { 1.0 } else { idle };
     let part = whole / touch.instances as f64;
-    Part {
+    LimitShare {
         requests: part,
         tokens: part,
     }
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -7,7 +7,9 @@
 use celerypond_ledger::{
     FinishedCall, NotRunCodes, RequestFingerprint, ServiceResponse, UnsentCall,
 };
-use celerypond_route::{Ask, Blame, Failure, InFlight, Route, Target, Verdict, View};
+use celerypond_route::{
+    Attribution, Failure, InFlight, PickCriteria, RetryDecision, Route, RoutingView, Target,
+};
 use celerypond_telemetry::{hop, Counter, TraceContext};
 use celerypond_types::{NotRunReason, Outcome, TargetKey};
 use gotham::hyper::{HeaderMap, Method};
@@ -87,8 +89,8 @@
     /// retry, so that the failures of all others go to their callers.
     fn may_retry(&self, node: &Node) -> bool {
         match &self.target {
-            Some(target) => node.retries.take_both(&target.state.retry_budget),
-            None => node.retries.take(),
+            Some(target) => node.retries.try_take_both(&target.state.retry_budget),
+            None => node.retries.try_take(),
         }
     }
 
@@ -171,20 +173,20 @@
                 Err(Some(failure)) => failure,
                 Err(None) => return tries.give_up(NotRunReason::NoTarget),
             };
-            let floor = match failure.verdict() {
-                Verdict::Elsewhere => Duration::ZERO,
-                Verdict::Later(floor) => floor,
-                Verdict::Final => return tries.give_up(NotRunReason::Refused),
+            let floor = match failure.retry_decision() {
+                RetryDecision::OtherTarget => Duration::ZERO,
+                RetryDecision::AfterBackoff(floor) => floor,
+                RetryDecision::Never => return tries.give_up(NotRunReason::Refused),
             };
             // The failure: a call that ends targets is carried from one to the next.
-            if tries.sent >= failure.most_tries() {
+            if tries.sent >= failure.max_attempts() {
                 return tries.give_up(NotRunReason::Refused);
             }
             if !tries.may_retry(node) {
                 node.metrics.add(Counter::RetriesWithheld, 1);
                 return tries.give_up(NotRunReason::RetryBudget);
             }
-            pause = node.backoff.next(pause, floor, &mut rng);
+            pause = node.backoff.next_delay(pause, floor, &mut rng);
             if Instant::now() + pause >= self.deadline {
                 return tries.give_up(NotRunReason::Overload);
             }
@@ -212,9 +214,9 @@
             Tried::Failed(failure) => Err(Some(failure)),
             Tried::Answer(reply, after) => {
                 let failure = status(&reply, after);
-                if reply.status < 400 || failure.verdict() == Verdict::Final {
-                    node.retries.succeeded();
-                    target.state.retry_budget.succeeded();
+                if reply.status < 400 || failure.retry_decision() == RetryDecision::Never {
+                    node.retries.record_success();
+                    target.state.retry_budget.record_success();
                     return Ok(reply);
                 }
                 tries.last = Some(reply);
@@ -230,9 +232,9 @@
     ) -> Result<Connected, NotRunReason> {
         let mut reason = NotRunReason::NoTarget;
         let mut refused = 0;
-        while refused < Failure::Refused.most_tries() && Instant::now() < self.deadline {
+        while refused < Failure::Refused.max_attempts() && Instant::now() < self.deadline {
             let view = node.view.load_full();
-            let service = view.service(&self.service.name).ok_or(reason)?;
+            let service = view.service_key(&self.service.name).ok_or(reason)?;
             let route = Route::Service(service);
             let key = pick(node, &view, route, excluded).ok_or(reason)?;
             let target = view.target(key).ok_or(reason)?;
@@ -363,25 +365,30 @@
             node.work.spawn(async move {
                 let health = engine::health(target.address, health_path(target.kind)).await;
                 let is_well = matches!(health, Ok(Some(_)));
-                if failure.blame(Some(is_well)) == Blame::Target {
+                if failure.attribution(Some(is_well)) == Attribution::Target {
                     tell();
                 }
             });
         }
-        _ if failure.blame(None) == Blame::Target => tell(),
+        _ if failure.attribution(None) == Attribution::Target => tell(),
         _ => {}
     }
 }
 
 /// Chooses a target; one that failed a moment ago only when there is no other.
-fn pick(node: &Node, view: &View, route: Route, excluded: &[TargetKey]) -> Option<TargetKey> {
+fn pick(
+    node: &Node,
+    view: &RoutingView,
+    route: Route,
+    excluded: &[TargetKey],
+) -> Option<TargetKey> {
     let now = Instant::now();
     let suspects = node.suspects.with(excluded.to_vec(), now);
     let choose = |excluded| {
-        let ask = Ask {
+        let ask = PickCriteria {
             excluded,
-            near: Some(&node.settings.data_centre),
-            ..Ask::default()
+            preferred_data_centre: Some(&node.settings.data_centre),
+            ..PickCriteria::default()
         };
         view.pick(route, &ask, now, &mut node.rng())
     };
--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -6,8 +6,8 @@
 use celerypond_fleet::EntryKind;
 use celerypond_platform::Presence;
 use celerypond_route::{
-    Availability, CacheEvent, Caches, DepartureNotice, DepartureState, OutlierDetector,
-    OutlierEffect, OutlierLimits, Route, Target, View,
+    Availability, CacheEvent, DepartureNotice, DepartureState, OutlierDetector, OutlierEffect,
+    OutlierLimits, PrefixTracker, Route, RoutingView, Target,
 };
 use celerypond_telemetry::{Counter, Gauge};
 use celerypond_types::{TargetKey, TargetName, VersionName};
@@ -73,7 +73,7 @@
     /// Pools in which a target was asked for its health on behalf of their detectors.
     probed: SecondaryMap<TargetKey, Vec<Route>>,
     polls: JoinSet<Polled>,
-    caches: Caches,
+    prefixes: PrefixTracker,
     is_cache_new: bool,
 }
 
@@ -86,7 +86,7 @@
         detectors: HashMap::new(),
         probed: SecondaryMap::new(),
         polls: JoinSet::new(),
-        caches: Caches::default(),
+        prefixes: PrefixTracker::default(),
         is_cache_new: false,
         node: Arc::clone(&node),
     };
@@ -111,7 +111,7 @@
         self.read_list(&view, now_ms);
         self.index_caches();
         self.retain(&view);
-        view.survey(now);
+        view.update_load_stats(now);
         self.eject(&view, now_ms);
         self.poll(&view, now_ms);
         let live = view
@@ -158,7 +158,7 @@
         }
         if let Some(changes) = &polled.cache {
             let events: Vec<(u64, CacheEvent)> = changes.iter().map(cache_event).collect();
-            self.is_cache_new |= self.caches.hear(polled.target, &events);
+            self.is_cache_new |= self.prefixes.apply_poll(polled.target, &events);
         }
         for route in self.probed.remove(polled.target).unwrap_or_default() {
             let alive = polled.word.is_some();
@@ -169,8 +169,8 @@
 
     fn index_caches(&mut self) {
         if std::mem::take(&mut self.is_cache_new) {
-            let index = Arc::new(self.caches.index());
-            let cached = |view: &Arc<View>| view.with_cache(Arc::clone(&index));
+            let index = Arc::new(self.prefixes.build_index());
+            let cached = |view: &Arc<RoutingView>| view.with_prefix_index(Arc::clone(&index));
             self.node.view.rcu(cached);
         }
     }
@@ -191,7 +191,7 @@
         };
         for (name, relays) in words {
             let Some((key, target)) = view
-                .key(&name)
+                .target_key(&name)
                 .and_then(|key| Some((key, view.target(key)?)))
             else {
                 continue;
@@ -204,10 +204,10 @@
         }
     }
 
-    fn read_list(&mut self, view: &View, now_ms: u64) {
+    fn read_list(&mut self, view: &RoutingView, now_ms: u64) {
         let list = self.node.list.load_full();
         for listed in &list.targets {
-            let Some(key) = view.key(&listed.name) else {
+            let Some(key) = view.target_key(&listed.name) else {
                 continue;
             };
             let word = word(listed.state);
@@ -254,14 +254,16 @@
         gossip::set(&self.node, EntryKind::TargetLeaving, name, value);
     }
 
-    fn retain(&mut self, view: &View) {
+    fn retain(&mut self, view: &RoutingView) {
         let Self {
-            departures, caches, ..
+            departures,
+            prefixes,
+            ..
         } = self;
         departures.retain(|key, _| {
             let is_kept = view.target(key).is_some();
             if !is_kept {
-                caches.forget(key);
+                prefixes.remove(key);
             }
             is_kept
         });
@@ -270,7 +272,7 @@
             .retain(|route, _| view.pool(*route).is_some());
     }
 
-    fn eject(&mut self, view: &View, now_ms: u64) {
+    fn eject(&mut self, view: &RoutingView, now_ms: u64) {
         let mut probes = Vec::new();
         for (route, detector) in &mut self.detectors {
             let Some(pool) = view.pool(*route) else {
@@ -278,11 +280,11 @@
             };
             for effect in detector.step(pool, now_ms) {
                 match effect {
-                    OutlierEffect::Weight(target, weight) => {
+                    OutlierEffect::SetWeight(target, weight) => {
                         note(&self.node, view, target, weight);
                         pool.set_weight(target, weight);
                     }
-                    OutlierEffect::Panic(panic) => pool.set_panic(panic),
+                    OutlierEffect::SetPanicMode(panic) => pool.set_panic_mode(panic),
                     OutlierEffect::Probe(target) => probes.push((*route, target)),
                 }
             }
@@ -295,7 +297,7 @@
         }
     }
 
-    fn poll(&mut self, view: &View, now_ms: u64) {
+    fn poll(&mut self, view: &RoutingView, now_ms: u64) {
         for (key, target) in view.targets() {
             let due = self.due.get(key).copied().unwrap_or(0);
             if due > now_ms || self.polls.len() >= POLLS {
@@ -304,7 +306,7 @@
             // Jitter keeps instances from asking a target in step.
             let next = now_ms + self.rng.random_range(POLL_MS / 2..POLL_MS * 3 / 2);
             self.due.insert(key, next);
-            let since = self.caches.since(key);
+            let since = self.prefixes.poll_after(key);
             self.polls
                 .spawn(poll(key, Arc::clone(target), now_ms, since));
         }
@@ -316,7 +318,7 @@
     }
 }
 
-fn note(node: &Node, view: &View, target: TargetKey, weight: u32) {
+fn note(node: &Node, view: &RoutingView, target: TargetKey, weight: u32) {
     let Some(target) = view.target(target) else {
         return;
     };
--- a/daemon/tests/test_targets.rs
+++ b/daemon/tests/test_targets.rs
@@ -187,7 +187,7 @@
     assert_eq!(tokens.unwrap(), reference("v1", "p", 1, 50));
     let view = node.view.load_full();
     let gauge = &view
-        .target(view.key(&"engine-0".into()).unwrap())
+        .target(view.target_key(&"engine-0".into()).unwrap())
         .unwrap()
         .state;
     wait_for(async || gauge.in_flight() == 0).await;
@@ -266,7 +266,7 @@
     }));
     let view = node.view.load_full();
     for (_, target) in view.targets().filter(|_| used_up) {
-        while target.state.retry_budget.take() {}
+        while target.state.retry_budget.try_take() {}
     }
     let force = node.force.load_full().unwrap();
     let service = Arc::new(force.service(&"desk".into()).unwrap().clone());
