--- a/crates/ledger/tests/history.rs
+++ b/crates/ledger/tests/history.rs
@@ -19,7 +19,7 @@
     pub(crate) started_at: Instant,
     /// When the call must have been sent.
     pub(crate) send_by: Instant,
-    /// The answer and its time; `None` if there is none yet, or if the instance instance_crashed.
+    /// The answer and its time; `None` if there is none yet, or if the instance crashed.
     pub(crate) answer: Option<(Instant, Answer)>,
     pub(crate) instance_crashed: bool,
 }
--- a/crates/ledger/tests/simulation.rs
+++ b/crates/ledger/tests/simulation.rs
@@ -35,7 +35,7 @@
 pub(crate) struct Faults {
     /// The probability that the reply of the store is lost after a request took effect.
     pub(crate) lost_reply: f64,
-    /// The probability that a request reaches the store after up to 40 s.
+    /// The probability that a request reaches the store late, by 0.3 to 40 s.
     pub(crate) late_request: f64,
     /// The probability that the store reports a write that took effect as not applied.
     pub(crate) false_not_applied: f64,
@@ -50,8 +50,8 @@
     pub(crate) max_pause_ms: u64,
 }
 
-/// Numbers are an instance, then the request to the store or the count of restarts that the event
-/// belongs to.
+/// The `usize` is the instance. The `u64` is the id of the store request, or the instance's count of
+/// restarts, that the event belongs to. The `u32` is the number of retries that the caller has left.
 enum Event {
     StoreRequest(usize, u64, Effect),
     ListPage(usize, u64, SmolStr, Vec<Object>),
@@ -69,7 +69,7 @@
 
 struct Instance {
     shard: Shard,
-    /// How often the instance crashed; events from before the last crash are dropped.
+    /// How often the instance has crashed; events from before the last crash are dropped.
     restarts: u64,
     /// Identifies the request to the store that is under way.
     request_id: u64,
