--- a/crates/orders/src/lease_client.rs
+++ b/crates/orders/src/lease_client.rs
@@ -142,8 +142,7 @@
             .then_some((held.fencing, write_deadline))
     }
 
-    /// Returns whether orders of the predecessor can no longer reach a target with this guard, or do
-    /// no harm there.
+    /// Returns whether the takeover delay of targets with this guard has passed.
     fn is_past_takeover_delay(&self, guard: StaleOrderGuard, now: Instant) -> bool {
         let delay = guard.takeover_delay(&self.settings);
         guard == StaleOrderGuard::Fencing
