--- a/crates/route/src/departure.rs
+++ b/crates/route/src/departure.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How long the list must report a target as live without interruption before that overrides the
-/// list's earlier report that it is leaving.
+/// How long the platform's list of instances must report a target as live without interruption
+/// before that overrides the list's earlier report that it is leaving.
 ///
 /// It must exceed the lag of the list. Otherwise reads from a lagging replica would reopen a target
 /// that the list has closed.
--- a/crates/route/src/drain.rs
+++ b/crates/route/src/drain.rs
@@ -42,8 +42,9 @@
 /// The state machine of a graceful shutdown.
 ///
 /// A client that was given the address just before the shutdown would have its connection refused
-/// or its request aborted. The instance therefore keeps serving until every answer with its address
-/// has expired: the time for the news to reach the other instances plus the TTL of the last answer.
+/// or its request aborted. The instance therefore keeps serving until every list of entry points
+/// with its address has expired: the time for the news to reach the other instances plus the TTL of
+/// the last list.
 ///
 /// Idle connections are not closed early. A response whose head was sent before the shutdown did
 /// not announce that its connection would be closed, so the client may reuse it; it is closed after
--- a/crates/route/src/entry_points.rs
+++ b/crates/route/src/entry_points.rs
@@ -6,9 +6,9 @@
 
 use crate::hash::{hash, mix};
 
-/// How long a client may cache an answer.
+/// How long a client may cache the list of entry points that it was given.
 pub const ENTRY_POINTS_TTL: Duration = Duration::from_secs(10);
-/// The maximum number of addresses in an answer.
+/// The maximum number of entry points in a list.
 const MAX_ENTRY_POINTS: usize = 6;
 /// How many of them are reserved for data centres other than the nearest.
 const MAX_REMOTE: usize = 2;
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -24,7 +24,7 @@
 
 /// Roughly how many targets one update samples; successive updates sample different ones. This
 /// suffices for a mean, while reading 11,000 targets ten times a second would take most of the CPU
-/// time that an instance may spend on control.
+/// time that an instance may spend on control tasks.
 const STATS_SAMPLE_SIZE: usize = 512;
 
 /// The fixed-point unit of load per slot: 1,024 is one request per slot.
--- a/crates/route/tests/test_drain.rs
+++ b/crates/route/tests/test_drain.rs
@@ -138,7 +138,7 @@
     assert_eq!(sum == Failures::default(), succeeds, "{sum:?}");
 }
 
-fn fleet(leaving: &[usize]) -> Vec<EntryPoint> {
+fn instances(leaving: &[usize]) -> Vec<EntryPoint> {
     let entry = |index: usize| EntryPoint {
         name: format!("instance-{index}").as_str().into(),
         address: ([10, 0, 0, index as u8], 80).into(),
@@ -150,9 +150,9 @@
 
 #[test]
 fn clients_are_spread_over_the_nearest_data_centre() {
-    let all = fleet(&[4, 7]);
+    let all = instances(&[4, 7]);
     let near = ["dc-1".into(), "dc-2".into()];
-    let mut first = [0; 30];
+    let mut first_choices = [0; 30];
     for client in 0..8_000 {
         let chosen = select_entry_points(&all, &near, client);
         assert_eq!(chosen, select_entry_points(&all, &near, client));
@@ -165,7 +165,7 @@
             ["dc-1", "dc-1", "dc-1", "dc-1", "dc-2", "dc-2"]
         );
         assert!(chosen.iter().all(|entry| !entry.leaving));
-        first[usize::from(
+        first_choices[usize::from(
             chosen[0]
                 .address
                 .ip()
@@ -177,7 +177,10 @@
                 .unwrap(),
         )] += 1;
     }
-    let used: Vec<i32> = first.into_iter().filter(|count| *count > 0).collect();
+    let used: Vec<i32> = first_choices
+        .into_iter()
+        .filter(|count| *count > 0)
+        .collect();
     assert_eq!(used.len(), 8);
     assert!(
         used.iter().all(|count| (850..1_150).contains(count)),
@@ -187,7 +190,7 @@
 
 #[test]
 fn a_failed_data_centre_leaves_entry_points_in_others() {
-    let all = fleet(&(0..30).filter(|index| index % 3 != 0).collect::<Vec<_>>());
+    let all = instances(&(0..30).filter(|index| index % 3 != 0).collect::<Vec<_>>());
     let chosen = select_entry_points(&all, &["dc-1".into()], 5);
     assert_eq!(chosen.len(), 6);
     assert!(select_entry_points(&[], &["dc-1".into()], 5).is_empty());
