--- a/crates/rollout/src/applied_state.rs
+++ b/crates/rollout/src/applied_state.rs
@@ -22,8 +22,8 @@
     pub braked: bool,
     /// Whether the instance has promised not to brake the version itself any more.
     ///
-    /// From then on it brakes only if the record in the store says so. "Done" is written once all live
-    /// instances have promised.
+    /// From then on it brakes only if the record in the store says so. "Done" is written once all
+    /// live instances have promised.
     pub promised: bool,
     /// Number of answers of the base that are still open on the instance.
     pub base_open: u32,
--- a/crates/rollout/src/bayes.rs
+++ b/crates/rollout/src/bayes.rs
@@ -37,10 +37,10 @@
 
 /// Returns the Bayes factor of the new version being bad against it being as good as its base.
 ///
-/// The rate of the base is unknown: it is its usual rate or, with a probability of 2 %, any other. A
-/// point estimate from the few trials that a high share leaves to the base would find the new version
-/// bad whenever the base is lucky while a fault affects both. `past` gives the usual rate of the base,
-/// and `floor` a rate that never counts against the new version.
+/// The rate of the base is unknown: it is its usual rate or, with a probability of 2 %, any other.
+/// A point estimate from the few trials that a high share leaves to the base would find the new
+/// version bad whenever the base is lucky while a fault affects both. `past` gives the usual rate
+/// of the base, and `floor` a rate that never counts against the new version.
 ///
 /// # Examples
 ///
--- a/crates/rollout/src/brake.rs
+++ b/crates/rollout/src/brake.rs
@@ -9,8 +9,8 @@
 
 /// The braked versions.
 ///
-/// Merging only adds entries, so instances converge in whatever order they exchange sets, also while the
-/// store is down.
+/// Merging only adds entries, so instances converge in whatever order they exchange sets, also
+/// while the store is down.
 ///
 /// # Examples
 ///
--- a/crates/rollout/src/bundle_tracker.rs
+++ b/crates/rollout/src/bundle_tracker.rs
@@ -78,8 +78,8 @@
     /// Records a header; returns whether its revision is higher than all known ones.
     ///
     /// Lower revisions are ignored whatever the source: after a stale read, from a peer that was
-    /// isolated or after a restart during an outage, an older bundle may be announced, which must never
-    /// come back into force.
+    /// isolated or after a restart during an outage, an older bundle may be announced, which must
+    /// never come back into force.
     pub fn note_header(&mut self, header: BundleHeader, source: Source) -> bool {
         if header.revision <= self.newest_revision() {
             return false;
@@ -112,9 +112,10 @@
 
     /// Returns whether a starting instance may serve requests.
     ///
-    /// Before its restart it may have served a revision that some peers don't know yet. If it relied on
-    /// the first peer that answers, its callers would see an older revision again. The store knows the
-    /// newest one; while it is down, the answers of all reachable peers are the best available.
+    /// Before its restart it may have served a revision that some peers don't know yet. If it
+    /// relied on the first peer that answers, its callers would see an older revision again. The
+    /// store knows the newest one; while it is down, the answers of all reachable peers are the
+    /// best available.
     pub fn is_ready(&self, peers: &[InstanceName]) -> bool {
         let is_current = self.active.is_some() && self.pending.is_none();
         let all_answered = |peers: &[InstanceName]| {
@@ -126,8 +127,8 @@
 
     /// Returns the source to request the pending bundle from now, if any.
     ///
-    /// The peer that announced the bundle is asked first, then the store and random `peers` by turns.
-    /// So neither an outage of the store nor a crash of the peer prevents the fetch.
+    /// The peer that announced the bundle is asked first, then the store and random `peers` by
+    /// turns. So neither an outage of the store nor a crash of the peer prevents the fetch.
     pub fn next_fetch(
         &mut self,
         now: Instant,
--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -28,15 +28,16 @@
     pub rollouts: Vec<Rollout>,
     /// Known brakes.
     ///
-    /// They are sent together with the records, so that an instance never learns of a stage without a
-    /// brake that the sender knows of.
+    /// They are sent together with the records, so that an instance never learns of a stage without
+    /// a brake that the sender knows of.
     pub brakes: Brakes,
 }
 
 /// The part of one instance in all rollouts.
 ///
-/// The daemon passes it the messages of peers, the records in the store and the results of requests. It
-/// chooses the version for each request, detects bad versions and proposes the next rollout record.
+/// The daemon passes it the messages of peers, the records in the store and the results of
+/// requests. It chooses the version for each request, detects bad versions and proposes the next
+/// rollout record.
 #[derive(Clone, Debug)]
 pub struct RolloutController {
     me: InstanceName,
@@ -167,8 +168,8 @@
     }
 
     fn merge_brake(&mut self, origin: Revision, candidate: Candidate, cause: Cause) -> bool {
-        // After its promise an instance brakes only when the store says so. Otherwise "done" could be
-        // written while some instance has just started to roll back.
+        // After its promise an instance brakes only when the store says so. Otherwise "done" could
+        // be written while some instance has just started to roll back.
         let key = (origin, candidate.clone());
         if self.promised.contains(&key) && self.brakes.cause(origin, &candidate).is_none() {
             return self.objections.insert(key, cause).is_none();
@@ -178,9 +179,9 @@
 
     /// Returns whether a peer has sent a snapshot since the start of the instance.
     ///
-    /// An instance must not serve before: the store does not have the brakes that were set while it was
-    /// down, and by its record alone requests would reach the bad version. The daemon serves without
-    /// a snapshot only after it has tried all peers.
+    /// An instance must not serve before: the store does not have the brakes that were set while it
+    /// was down, and by its record alone requests would reach the bad version. The daemon serves
+    /// without a snapshot only after it has tried all peers.
     pub fn is_synced(&self) -> bool {
         self.is_synced || self.live.iter().all(|name| *name == self.me)
     }
--- a/crates/rollout/src/controller/evaluation.rs
+++ b/crates/rollout/src/controller/evaluation.rs
@@ -22,7 +22,8 @@
 const MS_PER_S: u64 = 1_000;
 
 impl RolloutController {
-    /// Evaluates all evidence; returns whether a version was braked, which peers must learn at once.
+    /// Evaluates all evidence; returns whether a version was braked, which peers must learn at
+    /// once.
     ///
     /// To be called periodically and after each failure, when the evidence is strongest.
     pub fn evaluate(&mut self, base_engines: impl Fn(&ShareIncrease) -> u32, now_ms: u64) -> bool {
@@ -72,8 +73,8 @@
 
     /// Updates the applied state of this instance and returns it for peers.
     ///
-    /// `base_open` returns the number of open answers of a version. An instance that applies a record
-    /// in the closing phase hereby promises not to brake any more.
+    /// `base_open` returns the number of open answers of a version. An instance that applies a
+    /// record in the closing phase hereby promises not to brake any more.
     pub fn update_applied_state(
         &mut self,
         revision: Revision,
@@ -124,9 +125,9 @@
 
     /// Returns the records to write: those of new rollouts, then the next steps of known ones.
     ///
-    /// A new record is to be written if it is absent, a next step if the stored record has not changed.
-    /// `is_listed` tells whether the list of live instances is recent, and `rate` returns the requests
-    /// per second for a model.
+    /// A new record is to be written if it is absent, a next step if the stored record has not
+    /// changed. `is_listed` tells whether the list of live instances is recent, and `rate` returns
+    /// the requests per second for a model.
     pub fn due_records(
         &self,
         models: &[Model],
@@ -157,7 +158,8 @@
         due
     }
 
-    /// Returns the status of a rollout for operators; `is_fresh` tells whether the store answered recently.
+    /// Returns the status of a rollout for operators; `is_fresh` tells whether the store answered
+    /// recently.
     pub fn reported_status(
         &self,
         origin: Revision,
--- a/crates/rollout/src/controller/traffic.rs
+++ b/crates/rollout/src/controller/traffic.rs
@@ -36,7 +36,8 @@
         base
     }
 
-    /// Returns the version that takes the remaining requests, and the current local shares of the others.
+    /// Returns the version that takes the remaining requests, and the current local shares of the
+    /// others.
     ///
     /// The daemon publishes them to its request threads, which split by [`crate::selects`].
     pub fn effective_shares(&self, model: &Model) -> (VersionName, BTreeMap<VersionName, u32>) {
@@ -53,14 +54,16 @@
         (base.clone(), shares)
     }
 
-    /// Returns the share of its requests that this instance sends to a candidate, in parts per million.
+    /// Returns the share of its requests that this instance sends to a candidate, in parts per
+    /// million.
     pub fn local_share(&self, origin: Revision, change: &ShareIncrease) -> u32 {
         let candidate = &change.candidate;
         if self.brakes.cause(origin, candidate).is_some() {
             return 0;
         }
         let Some(rollout) = self.version_rollout(origin, candidate) else {
-            // The bundle is in force but its rollout record is not known yet: the share must not rise.
+            // The bundle is in force but its rollout record is not known yet: the share must not
+            // rise.
             let last = self.previous_shares.get(candidate).copied().unwrap_or(0);
             return last.min(change.from_ppm);
         };
@@ -81,8 +84,8 @@
 
     /// Lowers the local share of a sender that gets more traffic than the mean.
     ///
-    /// The share of a stage is a share of all traffic. Callers choose instances freely: if one of a few
-    /// senders got three times the mean traffic, the version would get three times its share.
+    /// The share of a stage is a share of all traffic. Callers choose instances freely: if one of a
+    /// few senders got three times the mean traffic, the version would get three times its share.
     fn limit_by_traffic(&self, candidate: &Candidate, local_ppm: u32) -> u32 {
         let relative = self
             .relative_traffic
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -14,7 +14,8 @@
 const MAX_INCIDENTS: usize = 64;
 const MAX_FAILING_TARGETS: usize = 16;
 
-/// A class of requests that may fail independently of others, for example the requests for one adapter.
+/// A class of requests that may fail independently of others, for example the requests for one
+/// adapter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestClass(pub SmolStr);
@@ -140,10 +141,10 @@
 
     /// Records that a trial broke off on a target; returns whether its failure is to be discounted.
     ///
-    /// An engine that crashes breaks all its streams: dozens of failures at once that say nothing about
-    /// the version. Trials that were running at the first break are discounted, and the break counts as
-    /// one incident. A trial begun later reached the target again and counts in full, so a version that
-    /// breaks each connection is still found.
+    /// An engine that crashes breaks all its streams: dozens of failures at once that say nothing
+    /// about the version. Trials that were running at the first break are discounted, and the break
+    /// counts as one incident. A trial begun later reached the target again and counts in full, so
+    /// a version that breaks each connection is still found.
     pub fn record_break(
         &mut self,
         version: &VersionName,
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -16,16 +16,18 @@
 
 /// Bayes factor at which the brake is set for failures and incidents.
 const FAILURE_THRESHOLD: f64 = 1e4;
-/// Bayes factor at which it is set for slowness. It is higher because times of trials are more correlated.
+/// Bayes factor at which it is set for slowness. It is higher because times of trials are more
+/// correlated.
 const SLOWNESS_THRESHOLD: f64 = 1e6;
 /// Failure rate that never counts against a version.
 const FAILURE_FLOOR: f64 = 0.005;
-/// Fraction of slow samples that never counts against a version; the base has about half of it, by the
-/// choice of [`NORMAL_QUANTILE`].
+/// Fraction of slow samples that never counts against a version; the base has about half of it, by
+/// the choice of [`NORMAL_QUANTILE`].
 const SLOW_FLOOR: f64 = 0.10;
 /// Fraction of the samples of the base that are not slow.
 const NORMAL_QUANTILE: f64 = 0.95;
-/// Number of buckets above that quantile from which a sample is slow: 1.25^2, so 1.56 times its bound.
+/// Number of buckets above that quantile from which a sample is slow: 1.25^2, so 1.56 times its
+/// bound.
 const SLOW_BUCKETS: usize = 2;
 /// Minimum number of samples of the base to determine the quantile.
 const MIN_BASE_SAMPLES: u64 = 40;
@@ -72,12 +74,12 @@
 
 /// Tests one version against its base on the merged evidence of all instances.
 ///
-/// Failures and slow trials are tested for each scope in a window that starts at the first sign of a
-/// fault. Within it, a mixture of rates of a bad version is compared with a version whose rate is at
-/// most 1.5 times that of the base *in the same window*: a fault that affects both, such as an overload
-/// or a network partition, raises the rate that is expected of the new version. The window restarts
-/// when its Bayes factor falls to 1, so that a fault after some minutes is not hidden by the good
-/// minutes before it.
+/// Failures and slow trials are tested for each scope in a window that starts at the first sign of
+/// a fault. Within it, a mixture of rates of a bad version is compared with a version whose rate is
+/// at most 1.5 times that of the base *in the same window*: a fault that affects both, such as an
+/// overload or a network partition, raises the rate that is expected of the new version. The window
+/// restarts when its Bayes factor falls to 1, so that a fault after some minutes is not hidden by
+/// the good minutes before it.
 #[derive(Clone, Debug)]
 pub struct Judge {
     subject: Subject,
@@ -104,7 +106,8 @@
         }
     }
 
-    /// Tests the evidence so far; returns the finding with the highest Bayes factor, if the version is bad.
+    /// Tests the evidence so far; returns the finding with the highest Bayes factor, if the version
+    /// is bad.
     pub fn evaluate(
         &mut self,
         evidence: &Evidence,
@@ -179,9 +182,9 @@
         let new = pair.new.since(&window.start.new);
         let base = pair.base.since(&window.start.base);
         let failed = new.failures();
-        // Failures often show before successes. Trials of the new version without a result therefore
-        // count as successes, and successes of base trials from before the window don't count: a fault
-        // that affects both would otherwise seem to affect the new version first.
+        // Failures often show before successes. Trials of the new version without a result
+        // therefore count as successes, and successes of base trials from before the window don't
+        // count: a fault that affects both would otherwise seem to affect the new version first.
         let begun = new.sent + window.start.new.pending();
         let trials = begun.saturating_sub(new.discounted).max(failed);
         let pending_before = window.start.base.pending();
@@ -213,11 +216,11 @@
         let has_new_failures = |(target, count): &(&TargetName, &u64)| {
             **count > window.target_failures.get(*target).copied().unwrap_or(0)
         };
-        // A single faulty engine is not a fault of the version, and the router ejects it soon. Failures
-        // on one target therefore need twice the evidence.
+        // A single faulty engine is not a fault of the version, and the router ejects it soon.
+        // Failures on one target therefore need twice the evidence.
         let has_several_targets = target_failures.iter().filter(has_new_failures).count() > 1;
-        // A faulty engine fails on all request classes. If the others are healthy, the version is bad on
-        // this class.
+        // A faulty engine fails on all request classes. If the others are healthy, the version is
+        // bad on this class.
         let others = other_classes.since(&window.other_classes);
         let successes = others.times.count();
         let is_class_fault =
@@ -265,7 +268,8 @@
 
     /// Compares how often targets crash, as Poisson counts since each incident of the new version.
     ///
-    /// The incident that starts a window is not counted in it, so a single crash is never a finding.
+    /// The incident that starts a window is not counted in it, so a single crash is never a
+    /// finding.
     fn incidents(
         &self,
         evidence: &Evidence,
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -3,15 +3,18 @@
 //! The crate does no I/O: the daemon makes the store calls and exchanges state between instances.
 //!
 //! - A *bundle* is one version of the whole configuration. Operators submit, approve and *roll* it
-//!   ([`Operation`]); a roll puts it *in force* under the next revision. [`BundleTracker`] keeps the
-//!   newest bundle on each instance.
+//!   ([`Operation`]); a roll puts it *in force* under the next revision. [`BundleTracker`] keeps
+//!   the newest bundle on each instance.
 //! - A bundle that raises the traffic share of a version starts a *rollout* ([`Rollout`]). It is
 //!   identified by its *origin*, the revision at which the configuration of the model changed. The
-//!   *candidate* is the version whose share rises, and the *base* the version that it is compared with.
-//! - [`RolloutController`] runs on each instance. It splits requests between candidate and base, counts
-//!   their results as evidence and writes the record of the rollout to the store stage by stage.
-//! - [`Judge`] compares candidate and base. A version that it finds bad is *braked* ([`Brakes`]): all
-//!   instances set its share to 0, and it gets no traffic until a later bundle changes the model.
+//!   *candidate* is the version whose share rises, and the *base* the version that it is compared
+//!   with.
+//! - [`RolloutController`] runs on each instance. It splits requests between candidate and base,
+//!   counts their results as evidence and proposes the next rollout record, which the daemon writes
+//!   to the store.
+//! - [`Judge`] compares candidate and base. A version that it finds bad is *braked* ([`Brakes`]):
+//!   all instances set its share to 0, and it gets no traffic until a later bundle changes the
+//!   model.
 
 mod applied_state;
 mod bayes;
--- a/crates/rollout/src/operation.rs
+++ b/crates/rollout/src/operation.rs
@@ -1,7 +1,7 @@
 //! Operations of operators: submit, approve and roll a bundle.
 //!
-//! Each operation is a state machine that makes one store call at a time. A single conditional write
-//! decides its outcome, so operators may race and any reply may be lost.
+//! Each operation is a state machine that makes one store call at a time. A single conditional
+//! write decides its outcome, so operators may race and any reply may be lost.
 
 mod replies;
 
@@ -16,8 +16,8 @@
 
 /// Maximum number of attempts of a call before the operation ends with an unknown outcome.
 const MAX_ATTEMPTS: u32 = 4;
-/// Number of nonces kept in `current`: the number of later rolls after which a roll whose reply was lost
-/// can still be recognized.
+/// Number of nonces kept in `current`: the number of later rolls after which a roll whose reply was
+/// lost can still be recognized.
 const KEPT_NONCES: usize = 16;
 
 /// Request of an operator.
@@ -120,7 +120,9 @@
 /// # Examples
 ///
 /// ```
-/// use celerypond_rollout::{Operation, OperationError, OperationRequest, Signature, OperationStep, StoreReply};
+/// use celerypond_rollout::{
+///     Operation, OperationError, OperationRequest, OperationStep, Signature, StoreReply,
+/// };
 /// use celerypond_types::Digest;
 ///
 /// let digest = Digest::of(b"");
@@ -208,14 +210,15 @@
 
     /// Repeats a call that was refused or whose reply was lost.
     ///
-    /// A write whose reply was lost may still take effect later. Repeating it with the same condition is
-    /// safe: at most one of the writes takes effect, and the nonce tells whether it was one of this
-    /// operation.
+    /// A write whose reply was lost may still take effect later. Repeating it with the same
+    /// condition is safe: at most one of the writes takes effect, and the nonce tells whether it
+    /// was one of this operation.
     fn retry(&mut self, is_reply_lost: bool) -> OperationStep {
         if let Awaiting::Audit(after) = &self.awaiting {
-            // A missing audit record is no failure: it can be derived from the object that it is about,
-            // and the next operation on this bundle, or the next roll, writes it before it changes that
-            // object. A roll doesn't overwrite `current` before the earlier records are written.
+            // A missing audit record is no failure: it can be derived from the object that it is
+            // about, and the next operation on this bundle, or the next roll, writes it before it
+            // changes that object. A roll doesn't overwrite `current` before the earlier records
+            // are written.
             return match after {
                 AfterAudit::Roll(_) => OperationStep::Finished(Err(OperationError::StoreDown)),
                 AfterAudit::End(outcome) => OperationStep::Finished(Ok(outcome.clone())),
--- a/crates/rollout/src/operation/replies.rs
+++ b/crates/rollout/src/operation/replies.rs
@@ -124,8 +124,8 @@
             });
             next.parts.insert(model.name.clone(), part);
         }
-        // The audit record of the bundle in force is written before `current` is overwritten, in case
-        // the daemon that rolled it crashed before it wrote the record.
+        // The audit record of the bundle in force is written before `current` is overwritten, in
+        // case the daemon that rolled it crashed before it wrote the record.
         self.audits.extend(current.map(CurrentBundle::audit));
         self.next = Some(next.clone());
         self.write_audits(AfterAudit::Roll(next))
@@ -161,8 +161,8 @@
 
     /// Determines from the stored object whether this operation or another one wrote it.
     ///
-    /// If a write takes effect but its reply is lost, repeating it fails with a conflict. Without the
-    /// nonce the operator would be told that another operation was first.
+    /// If a write takes effect but its reply is lost, repeating it fails with a conflict. Without
+    /// the nonce the operator would be told that another operation was first.
     pub(super) fn on_read_back(&mut self, reply: StoreReply) -> OperationStep {
         let StoreReply::Found { value, .. } = reply else {
             return OperationStep::Finished(Err(OperationError::OutcomeUnknown));
@@ -197,7 +197,8 @@
             .as_ref()
             .map_or(0, |(_, current)| current.revision.0);
         if found.revision.0 <= base {
-            // The condition of the write failed, so a later revision exists and this read was stale.
+            // The condition of the write failed, so a later revision exists and this read was
+            // stale.
             return self.retry(true);
         }
         let is_nonce_dropped = found.revision.0.saturating_sub(base) > KEPT_NONCES as u64;
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -12,10 +12,11 @@
 const MAX_LOCAL_PPM: u32 = 500_000;
 /// Maximum number of instances that report evidence; more would cost bytes without being faster.
 pub const MAX_REPORTERS: u32 = 32;
-/// Answers that must have begun before the first stage may end; each later stage needs as many more.
+/// Answers that must have begun before the first stage may end; each later stage needs as many
+/// more.
 const MIN_ANSWERS: u64 = 20;
-/// Minimum number of engines of the candidate in the first stage, so that a fault of one engine can be
-/// distinguished from a fault of the version. The load of the first stage is low anyway.
+/// Minimum number of engines of the candidate in the first stage, so that a fault of one engine can
+/// be distinguished from a fault of the version. The load of the first stage is low anyway.
 const MIN_ENGINES: u32 = 2;
 /// Share that the base keeps as control group during the last stage before the final share.
 const CONTROL_PPM: u32 = 100_000;
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -31,7 +31,8 @@
     pub operator: OperatorName,
     /// Unix time in milliseconds.
     pub at_ms: u64,
-    /// Random number that identifies the operation; repeated writes after lost replies have the same one.
+    /// Random number that identifies the operation; repeated writes after lost replies have the
+    /// same one.
     pub nonce: u64,
 }
 
@@ -78,11 +79,12 @@
     pub previous: Option<Digest>,
     /// Last change of each model.
     ///
-    /// A bundle that does not change a model must neither restart the rollout of the model nor release
-    /// its brake. An instance that starts later reads here what is being rolled out.
+    /// A bundle that does not change a model must neither restart the rollout of the model nor
+    /// release its brake. An instance that starts later reads here what is being rolled out.
     #[serde(default)]
     pub parts: BTreeMap<ModelName, ModelPart>,
-    /// Nonces of the latest rolls, newest first. They tell whether a roll whose reply was lost took effect.
+    /// Nonces of the latest rolls, newest first. They tell whether a roll whose reply was lost took
+    /// effect.
     pub nonces: Vec<u64>,
 }
 
@@ -117,7 +119,8 @@
 impl AuditRecord {
     /// Returns the key, which depends on the record only and sorts by time.
     ///
-    /// Several writers of the record of one operation, or repeated writes, thus write the same object.
+    /// Several writers of the record of one operation, or repeated writes, thus write the same
+    /// object.
     pub fn key(&self) -> SmolStr {
         let step = match self.action {
             Action::Submitted => "submit",
--- a/crates/rollout/src/rendezvous.rs
+++ b/crates/rollout/src/rendezvous.rs
@@ -39,8 +39,8 @@
 
 /// Returns whether an instance is one of those in its data centre that watch the store.
 ///
-/// Instances with different lists of live instances may select too many watchers, or none for a while.
-/// The first costs a call; for the second, gossip from other data centres and polls make up.
+/// Instances with different lists of live instances may select too many watchers, or none for a
+/// while. The first costs a call; for the second, gossip from other data centres and polls make up.
 pub fn is_watcher(
     me: &InstanceName,
     centre: &DataCentre,
--- a/crates/rollout/src/reported_status.rs
+++ b/crates/rollout/src/reported_status.rs
@@ -30,12 +30,13 @@
     },
     /// A later bundle changed the model.
     Superseded,
-    /// The outcome is open: the store is down, the deadline has passed, the version is braked, or some
-    /// instance has not confirmed the final state.
+    /// The outcome is open: the store is down, the deadline has passed, the version is braked, or
+    /// some instance has not confirmed the final state.
     NotYetKnown {
         /// Last known phase.
         last: Option<Phase>,
-        /// Instances that confirmed the condition of the phase; `None` without a list of live instances.
+        /// Instances that confirmed the condition of the phase; `None` without a list of live
+        /// instances.
         #[serde(rename = "spread")]
         coverage: Option<Coverage>,
     },
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -66,7 +66,8 @@
     pub origin: Revision,
     /// When the bundle was rolled, as Unix time in milliseconds.
     pub rolled_ms: u64,
-    /// Number of writes of the record; of two records, instances keep the one with the higher number.
+    /// Number of writes of the record; of two records, instances keep the one with the higher
+    /// number.
     pub step: u64,
     /// Instance that wrote the record last.
     pub by: InstanceName,
@@ -93,7 +94,8 @@
 impl Rollout {
     /// Creates the record of a bundle that has just come into force.
     ///
-    /// `increases` lists the share increases with their stages and deadlines (Unix time in milliseconds).
+    /// `increases` lists the share increases with their stages and deadlines (Unix time in
+    /// milliseconds).
     pub fn new(
         origin: Revision,
         rolled_ms: u64,
@@ -126,9 +128,9 @@
     /// Returns the record after the next step, or `None` if no step is due.
     ///
     /// `answers` returns how many answers of a version have begun, `objection` the fault that this
-    /// instance detected after it had promised not to brake, and `superseded` whether a later bundle
-    /// changed the model. The caller writes the result on condition that the stored record has not
-    /// changed; if another instance was first, it reads the record and calls this again.
+    /// instance detected after it had promised not to brake, and `superseded` whether a later
+    /// bundle changed the model. The caller writes the result on condition that the stored record
+    /// has not changed; if another instance was first, it reads the record and calls this again.
     pub fn next_step(
         &self,
         context: &StepContext<'_>,
--- a/crates/rollout/src/share_increase.rs
+++ b/crates/rollout/src/share_increase.rs
@@ -50,8 +50,8 @@
 
 /// Returns the share increases from the previous configuration of a model to the next.
 ///
-/// A new model has no base to compare with, so its shares apply at once. A version that was the base
-/// before is known to work and needs no stages either.
+/// A new model has no base to compare with, so its shares apply at once. A version that was the
+/// base before is known to work and needs no stages either.
 pub fn share_increases(previous: Option<&Model>, next: &Model) -> Vec<ShareIncrease> {
     let Some(previous) = previous else {
         return Vec::new();
@@ -75,11 +75,12 @@
         .collect()
 }
 
-/// Returns the base for a candidate: the version that had most of the traffic and is still configured.
+/// Returns the base for a candidate: the version that had most of the traffic and is still
+/// configured.
 ///
-/// The configured base would be wrong where one bundle moved the traffic from v1 to v2 by a share and
-/// the next, without v1, moves it to v3: requests that v3 does not take would go to v1, which has no
-/// engines.
+/// The configured base would be wrong where one bundle moved the traffic from v1 to v2 by a share
+/// and the next, without v1, moves it to v3: requests that v3 does not take would go to v1, which
+/// has no engines.
 fn base_for(
     previous: &Model,
     before: &BTreeMap<VersionName, u32>,
--- a/crates/rollout/src/splitter.rs
+++ b/crates/rollout/src/splitter.rs
@@ -5,8 +5,9 @@
 
 /// Selects a share of requests by error diffusion.
 ///
-/// Random selection overshoots with small counts: at 1 % it may well select four of the first hundred
-/// requests. Here the number selected of the first n requests stays within one of their share.
+/// Random selection overshoots with small counts: at 1 % it may well select four of the first
+/// hundred requests. Here the number selected of the first n requests stays within one of their
+/// share.
 ///
 /// # Examples
 ///
@@ -39,9 +40,11 @@
     }
 }
 
-/// Returns whether to select the request with this number, for a counter that several threads share.
+/// Returns whether to select the request with this number, for a counter that several threads
+/// share.
 ///
-/// This is stateless error diffusion: of the first n requests, the share of n rounded down is selected.
+/// This is stateless error diffusion: of the first n requests, the share of n rounded down is
+/// selected.
 ///
 /// # Examples
 ///
--- a/crates/rollout/src/store.rs
+++ b/crates/rollout/src/store.rs
@@ -70,7 +70,8 @@
         Self::Write {
             key: key.into(),
             condition,
-            // Serialization can't fail: the values of this crate have string keys and no custom serializers.
+            // Serialization can't fail: the values of this crate have string keys and no custom
+            // serializers.
             value: serde_json::to_vec(value).unwrap_or_default(),
         }
     }
--- a/crates/rollout/src/tally.rs
+++ b/crates/rollout/src/tally.rs
@@ -77,10 +77,10 @@
 
 /// Trial counts of one version and request class.
 ///
-/// A trial is one chunk of an answer. Whole answers take minutes while failures show at once, so counts
-/// by answer would show nothing but failures of a good version in the first minutes. Chunks succeed
-/// about as fast as they fail. First chunks are counted separately: most faults show there, and the
-/// many later chunks would hide them.
+/// A trial is one chunk of an answer. Whole answers take minutes while failures show at once, so
+/// counts by answer would show nothing but failures of a good version in the first minutes. Chunks
+/// succeed about as fast as they fail. First chunks are counted separately: most faults show there,
+/// and the many later chunks would hide them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
     /// First chunks: up to the first token.
--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -32,7 +32,8 @@
     pub cause: Cause,
     /// Request class that shows the fault; `None` for all together.
     pub class: Option<RequestClass>,
-    /// How many times more likely the evidence is if the version is bad than if it is as good as its base.
+    /// How many times more likely the evidence is if the version is bad than if it is as good as
+    /// its base.
     pub bayes_factor: f64,
 }
 
@@ -43,7 +44,8 @@
     pub per_class: bool,
     /// Whether failures on a single target need twice the evidence.
     pub stricter_for_single_target: bool,
-    /// Whether trials cut off by the crash of a target count as one incident instead of as failures.
+    /// Whether trials cut off by the crash of a target count as one incident instead of as
+    /// failures.
     pub discount_incidents: bool,
     /// Shares and durations of the stages.
     pub stage_templates: &'static [StageTemplate],
--- a/crates/rollout/src/version_rollout.rs
+++ b/crates/rollout/src/version_rollout.rs
@@ -43,8 +43,8 @@
 
     /// Returns the live instances that confirm the outcome that the phase leads to.
     ///
-    /// That is the brake during a rollback, and otherwise the final share with a drained base. In the
-    /// closing phase it also takes their promise not to brake.
+    /// That is the brake during a rollback, and otherwise the final share with a drained base. In
+    /// the closing phase it also takes their promise not to brake.
     pub fn coverage(
         &self,
         origin: Revision,
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Moves to the next stage once the current one has lasted long enough and got enough answers, or
-    /// brakes at the deadline.
+    /// Moves to the next stage once the current one has lasted long enough and got enough answers,
+    /// or brakes at the deadline.
     fn advance_stage(
         &mut self,
         stage: u8,
@@ -127,8 +127,8 @@
         let is_time_over = context.now_ms >= rolled_ms + current.until_ms;
         let has_enough_answers = answers >= current.answers;
         if is_last {
-            // The final share is kept past the deadline. Rolling back a version that showed no fault
-            // only because one instance is unreachable would be worse than a late report.
+            // The final share is kept past the deadline. Rolling back a version that showed no
+            // fault only because one instance is unreachable would be worse than a late report.
             if is_time_over && has_enough_answers && is_complete {
                 self.set_phase(Phase::Closing, context.now_ms);
             }
--- a/crates/rollout/tests/fake_fleet.rs
+++ b/crates/rollout/tests/fake_fleet.rs
@@ -1,4 +1,5 @@
-//! Simulation of instances, engines and traffic in virtual time, for tests and benchmarks of rollouts.
+//! Simulation of instances, engines and traffic in virtual time, for tests and benchmarks of
+//! rollouts.
 
 use std::{
     cmp::Reverse,
@@ -50,8 +51,8 @@
 pub(crate) enum Strategy {
     /// The judge of each controller.
     Judged(JudgeConfig),
-    /// Baseline: fixed stages, random selection on all instances and a threshold on the error rate that is
-    /// checked every 10 s.
+    /// Baseline: fixed stages, random selection on all instances and a threshold on the error rate
+    /// that is checked every 10 s.
     FixedThreshold,
 }
 
@@ -59,7 +60,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Disruption {
     StoreDown(bool),
-    /// The connections of an instance to its peers and the store fail; engines and callers reach it.
+    /// The connections of an instance to its peers and the store fail; engines and callers reach
+    /// it.
     Isolate(usize, bool),
     /// An instance is suspended and continues with its old state.
     Pause(usize, bool),
@@ -205,8 +207,8 @@
     incarnation: u64,
     base_open: u32,
     served: u64,
-    /// Stage and local share, and the numbers of all requests and of those for the new version since they
-    /// changed.
+    /// Stage and local share, and the numbers of all requests and of those for the new version
+    /// since they changed.
     counts: (Option<(u8, u32)>, u64, u64),
 }
 
@@ -797,8 +799,8 @@
         }
     }
 
-    /// Returns whether the baseline finds the version bad: every 10 s, more than 5 % errors among at least
-    /// 20 requests.
+    /// Returns whether the baseline finds the version bad: every 10 s, more than 5 % errors among
+    /// at least 20 requests.
     fn exceeds_error_threshold(&mut self) -> bool {
         if self.now < self.last_check.0 + 10_000 {
             return false;
--- a/crates/rollout/tests/fake_store.rs
+++ b/crates/rollout/tests/fake_store.rs
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Makes a call that may be refused or whose reply may be lost, before or after it takes effect.
+    /// Makes a call that may be refused or whose reply may be lost, before or after it takes
+    /// effect.
     pub(crate) fn call_with_faults(
         &mut self,
         call: &StoreCall,
--- a/crates/rollout/tests/test_bundle_tracker.rs
+++ b/crates/rollout/tests/test_bundle_tracker.rs
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Runs watches, polls, gossip and fetches for one tick; checks that no instance serves an older
-    /// revision than before.
+    /// Runs watches, polls, gossip and fetches for one tick; checks that no instance serves an
+    /// older revision than before.
     fn tick(&mut self) {
         self.now += TICK;
         let names = self.names();
@@ -185,9 +185,9 @@
     #[case] down: bool,
     #[case] restarts: bool,
 ) {
-    // Callers must not see the rules of an older bundle again. Some reads of the store are stale, the store
-    // goes down right after one instance got the bundle, restarted instances know nothing, and lagging
-    // peers announce older bundles.
+    // Callers must not see the rules of an older bundle again. Some reads of the store are stale,
+    // the store goes down right after one instance got the bundle, restarted instances know
+    // nothing, and lagging peers announce older bundles.
     for seed in 0..60 {
         let (store, digests) = approved(&["a", "b", "c"]);
         let mut fleet = Fleet::new(store, seed);
@@ -228,8 +228,9 @@
 
 #[test]
 fn restarted_instance_waits_for_all_peers_while_the_store_is_down() {
-    // The instance served revision 2 and restarts while the store is down. The first peer that answers
-    // still has revision 1. If the instance served then, its callers would see the older bundle again.
+    // The instance served revision 2 and restarts while the store is down. The first peer that
+    // answers still has revision 1. If the instance served then, its callers would see the older
+    // bundle again.
     let header = |revision, title: &str| BundleHeader {
         revision: Revision(revision),
         digest: bundle(title).digest(),
--- a/crates/rollout/tests/test_merge.rs
+++ b/crates/rollout/tests/test_merge.rs
@@ -29,8 +29,8 @@
 
 #[test]
 fn reordered_and_repeated_messages_merge_to_the_same_state() {
-    // Gossip messages are lost, repeated and reordered. Instances that end with different evidence or
-    // brakes would judge a version differently.
+    // Gossip messages are lost, repeated and reordered. Instances that end with different evidence
+    // or brakes would judge a version differently.
     let mut reports = Vec::new();
     for name in ["a", "b", "c"] {
         let mut report = EvidenceReport::new(subject(), name.into(), 1);
@@ -75,8 +75,8 @@
     #[case] now_ms: u64,
     #[case] is_discounted: bool,
 ) {
-    // The crash of an engine breaks all its streams. A version that breaks each connection looks the same
-    // at first; only trials that begin after the first break distinguish the two.
+    // The crash of an engine breaks all its streams. A version that breaks each connection looks
+    // the same at first; only trials that begin after the first break distinguish the two.
     let mut report = EvidenceReport::new(subject(), "a".into(), 1);
     assert!(report.record_break(&"v2".into(), &"v2-1".into(), 0, 1_000));
     let found = report.record_break(&"v2".into(), &target.into(), begun_ms, now_ms);
--- a/crates/rollout/tests/test_operation.rs
+++ b/crates/rollout/tests/test_operation.rs
@@ -118,8 +118,8 @@
 
 #[test]
 fn approval_of_other_content_does_not_count() {
-    // The approval of one bundle is stored under the key of another. The approval contains the digest of
-    // the approved content, so the roll of the other bundle must be refused.
+    // The approval of one bundle is stored under the key of another. The approval contains the
+    // digest of the approved content, so the roll of the other bundle must be refused.
     let (mut store, digests) = approved(&["seen", "unseen"]);
     let seen = store.objects[&approval_key(digests[0])].clone();
     store.objects.insert(approval_key(digests[1]), seen);
@@ -141,7 +141,8 @@
     assert_eq!(current.previous, Some(digests[1]));
 }
 
-/// Runs several operations with their calls interleaved; a crash ends an operation after its current call.
+/// Runs several operations with their calls interleaved; a crash ends an operation after its
+/// current call.
 fn interleave(
     store: &mut FakeStore,
     requests: &[(OperationRequest, Signature)],
@@ -175,9 +176,9 @@
 
 #[test]
 fn racing_operators_get_correct_outcomes_despite_lost_replies() {
-    // Three operators roll at once while calls are refused, replies are lost before and after the call
-    // takes effect, and daemons crash between calls. Each outcome must match the audit trail, and the
-    // trail must be complete after the next roll.
+    // Three operators roll at once while calls are refused, replies are lost before and after the
+    // call takes effect, and daemons crash between calls. Each outcome must match the audit trail,
+    // and the trail must be complete after the next roll.
     let faults = Faults {
         down: 0.03,
         lost: 0.2,
@@ -241,8 +242,9 @@
 
 #[test]
 fn stale_read_after_a_conflict_is_not_the_winner() {
-    // A roll loses a race. The read after the conflict comes from a lagging replica and returns the bundle
-    // from before the race, which must not be reported as the winner; only the next read returns it.
+    // A roll loses a race. The read after the conflict comes from a lagging replica and returns the
+    // bundle from before the race, which must not be reported as the winner; only the next read
+    // returns it.
     let (mut store, digests) = approved(&["old", "mine", "theirs"]);
     store.run(roll(digests[0]), signed("dana", 50)).unwrap();
     let old = store.clone().call(&StoreCall::read(CURRENT_KEY));
--- a/crates/rollout/tests/test_rollout.rs
+++ b/crates/rollout/tests/test_rollout.rs
@@ -43,9 +43,9 @@
     defect: Defect,
     #[values(false, true)] is_store_down: bool,
 ) {
-    // Callers of the new version get failures or slow tokens. An instance must brake it and all must set
-    // its share to 0, also while the store is down and although engines of both versions crash. The
-    // result is reported once the store is available.
+    // Callers of the new version get failures or slow tokens. An instance must brake it and all
+    // must set its share to 0, also while the store is down and although engines of both versions
+    // crash. The result is reported once the store is available.
     let disruptions = if is_store_down {
         STORE_OUTAGE.to_vec()
     } else {
@@ -88,8 +88,9 @@
     #[case] crash_mtbf_s: f64,
     #[case] disruptions: Vec<(u64, Disruption)>,
 ) {
-    // Callers of both versions get failures: engines crash and break all their streams, or all engines fail
-    // a third of all chunks for some seconds. The new version must not be braked for them.
+    // Callers of both versions get failures: engines crash and break all their streams, or all
+    // engines fail a third of all chunks for some seconds. The new version must not be braked for
+    // them.
     for seed in 0..4 {
         let scenario = Scenario {
             crash_mtbf_s,
@@ -112,8 +113,8 @@
     #[values(None, Some(0), Some(1), Some(2), Some(3), Some(4), Some(5), Some(6))]
     hot_instance: Option<usize>,
 ) {
-    // Half of the callers may use a single instance, which may be one of a few senders. The share of a
-    // stage over all instances must still exceed its cap by statistical variation only.
+    // Half of the callers may use a single instance, which may be one of a few senders. The share
+    // of a stage over all instances must still exceed its cap by statistical variation only.
     let caps = [0.1, 0.1, 0.3, 0.6, 0.9, 1.0];
     let scenario = Scenario {
         hot_instance,
@@ -130,8 +131,8 @@
 #[case::isolated(Disruption::Isolate(3, true), Disruption::Isolate(3, false))]
 #[case::paused(Disruption::Pause(3, true), Disruption::Pause(3, false))]
 fn unreachable_instance_delays_the_report(#[case] begin: Disruption, #[case] end: Disruption) {
-    // An unreachable instance still applies an early stage, so "done" would be false. The result must not
-    // be reported before the instance is back, even past the deadline.
+    // An unreachable instance still applies an early stage, so "done" would be false. The result
+    // must not be reported before the instance is back, even past the deadline.
     for seed in 0..2 {
         let disruptions = vec![(40_000, begin), (200_000, end)];
         let outcome = run(
@@ -153,8 +154,8 @@
 
 #[test]
 fn isolated_instance_brakes_by_its_own_evidence() {
-    // The brake of its peers does not reach an isolated instance, which still sends requests to the bad
-    // version. It must brake by its own evidence.
+    // The brake of its peers does not reach an isolated instance, which still sends requests to the
+    // bad version. It must brake by its own evidence.
     for seed in 0..3 {
         let disruptions = vec![
             (45_000, Disruption::Isolate(3, true)),
@@ -187,8 +188,8 @@
     #[case] disruptions: Vec<(u64, Disruption)>,
     #[case] cause: Cause,
 ) {
-    // The deadline passes before the final share, because the store is down or there are too few requests.
-    // The version must be rolled back with the right cause.
+    // The deadline passes before the final share, because the store is down or there are too few
+    // requests. The version must be rolled back with the right cause.
     let outcome = run(
         Scenario {
             rate,
@@ -247,9 +248,9 @@
 #[case::bad(Defect::Delayed)]
 #[case::bad_under_load(Defect::UnderLoad)]
 fn reported_result_is_true_on_all_instances(#[case] defect: Defect) {
-    // When "done" or "taken back" is written, it must be true on each instance that serves, although
-    // writers crash after their writes, replies are lost, the store has outages, instances are isolated,
-    // paused and restarted, and all of them race for the next step.
+    // When "done" or "taken back" is written, it must be true on each instance that serves,
+    // although writers crash after their writes, replies are lost, the store has outages, instances
+    // are isolated, paused and restarted, and all of them race for the next step.
     for seed in 0..10 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let scenario = Scenario {
--- a/crates/rollout/tests/test_share_increase.rs
+++ b/crates/rollout/tests/test_share_increase.rs
@@ -64,9 +64,9 @@
     assert!(share_increases(None, &model("v1", 50)).is_empty());
 }
 
-// One bundle moved all traffic from v1 to v2 by a share, and the next one, without v1, moves it to v3.
-// With v1 as the base, requests that v3 does not take would be refused for lack of an engine, and v3
-// would be compared with a version without traffic.
+// One bundle moved all traffic from v1 to v2 by a share, and the next one, without v1, moves it to
+// v3. With v1 as the base, requests that v3 does not take would be refused for lack of an engine,
+// and v3 would be compared with a version without traffic.
 #[test]
 fn base_is_the_configured_version_with_most_traffic() {
     let moved = model("v1", 100);
