--- a/bench/src/rollout.rs
+++ b/bench/src/rollout.rs
@@ -12,7 +12,7 @@
 use std::{collections::BTreeMap, thread, time::Instant};
 
 use celerypond_rollout::{
-    JudgeConfig, ModelPart, Phase, RequestClass, RolloutController, ShareIncrease, Trial,
+    ModelPart, Phase, RequestClass, RolloutConfig, RolloutController, ShareIncrease, Trial,
     FULL_SHARE_PPM,
 };
 use celerypond_types::InstanceName;
@@ -34,13 +34,13 @@
 
 /// Takes the measures.
 pub(crate) fn run(seeds: u64) -> Vec<Row> {
-    let config = JudgeConfig::default();
+    let config = RolloutConfig::default();
     let all = DEFECTS.map(|(defect, _)| defect);
-    let pooled = JudgeConfig {
+    let pooled = RolloutConfig {
         per_class: false,
         ..config
     };
-    let counted = JudgeConfig {
+    let counted = RolloutConfig {
         stricter_for_single_target: false,
         discount_incidents: false,
         ..config
@@ -231,7 +231,7 @@
         increases: vec![change],
     };
     let controller = |name: &InstanceName| {
-        let mut controller = RolloutController::new(name.clone(), 1, JudgeConfig::default());
+        let mut controller = RolloutController::new(name.clone(), 1, RolloutConfig::default());
         controller.set_live(&names);
         controller.set_parts(BTreeMap::from([(models[0].name.clone(), part.clone())]));
         controller
--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -17,7 +17,7 @@
     rollout::{Phase, Rollout},
     share_increase::{Candidate, ShareIncrease},
     splitter::TrafficSplitter,
-    verdict::{Cause, JudgeConfig},
+    verdict::{Cause, RolloutConfig},
     version_rollout::VersionRollout,
 };
 
@@ -43,7 +43,7 @@
     me: InstanceName,
     incarnation: u64,
     sequence: u64,
-    judge_config: JudgeConfig,
+    config: RolloutConfig,
     parts: BTreeMap<ModelName, ModelPart>,
     live: Vec<InstanceName>,
     rollouts: BTreeMap<Revision, Rollout>,
@@ -70,12 +70,12 @@
 
 impl RolloutController {
     /// Creates the controller of an instance; `incarnation` must increase with each restart.
-    pub fn new(me: InstanceName, incarnation: u64, judge_config: JudgeConfig) -> Self {
+    pub fn new(me: InstanceName, incarnation: u64, config: RolloutConfig) -> Self {
         Self {
             me,
             incarnation,
             sequence: 0,
-            judge_config,
+            config,
             parts: BTreeMap::new(),
             live: Vec::new(),
             rollouts: BTreeMap::new(),
--- a/crates/rollout/src/controller/evaluation.rs
+++ b/crates/rollout/src/controller/evaluation.rs
@@ -57,7 +57,7 @@
                     subject,
                     candidate.version.clone(),
                     version.change.base.clone(),
-                    self.judge_config,
+                    self.config,
                 )
             });
             let verdict = judge.evaluate(&self.evidence, stage, engines, now_ms);
@@ -216,7 +216,7 @@
                     from_ppm,
                     ..change.clone()
                 };
-                let stages = plan_stages(&change, &input, self.judge_config.stage_templates);
+                let stages = plan_stages(&change, &input, self.config.stage_templates);
                 (change, stages, deadline_ms)
             }));
         }
--- a/crates/rollout/src/controller/traffic.rs
+++ b/crates/rollout/src/controller/traffic.rs
@@ -123,7 +123,7 @@
 
     /// Records that a chunk failed.
     pub fn record_failure(&mut self, trial: &Trial, failure: Failure, now_ms: u64) {
-        let discount = self.judge_config.discount_incidents;
+        let discount = self.config.discount_incidents;
         let Some(report) = self.report_for(trial) else {
             return;
         };
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -11,7 +11,7 @@
     plan::Stage,
     splitter::FULL_SHARE_PPM,
     tally::{Tally, TrialCounts},
-    verdict::{Cause, Engines, JudgeConfig, Verdict},
+    verdict::{Cause, Engines, RolloutConfig, Verdict},
 };
 
 /// Bayes factor at which the brake is set for failures and incidents.
@@ -85,7 +85,7 @@
     subject: Subject,
     version: VersionName,
     base: VersionName,
-    config: JudgeConfig,
+    config: RolloutConfig,
     windows: BTreeMap<Scope, Window>,
 }
 
@@ -95,7 +95,7 @@
         subject: Subject,
         version: VersionName,
         base: VersionName,
-        config: JudgeConfig,
+        config: RolloutConfig,
     ) -> Self {
         Self {
             subject,
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -63,5 +63,5 @@
 pub use splitter::{selects, TrafficSplitter, FULL_SHARE_PPM};
 pub use store::{parse_json, Condition, StoreCall, StoreReply, MAX_VALUE_BYTES};
 pub use tally::{Failure, Tally, TrialCounts};
-pub use verdict::{Cause, Engines, JudgeConfig, Verdict};
+pub use verdict::{Cause, Engines, RolloutConfig, Verdict};
 pub use version_rollout::VersionRollout;
--- a/crates/rollout/src/operation.rs
+++ b/crates/rollout/src/operation.rs
@@ -14,7 +14,7 @@
     store::{Condition, StoreCall, StoreReply, MAX_VALUE_BYTES},
 };
 
-/// Maximum number of attempts of a call before the operation ends with an unknown outcome.
+/// Maximum number of attempts of a call whose replies are lost.
 const MAX_ATTEMPTS: u32 = 4;
 /// Number of nonces kept in `current`: the number of later rolls after which a roll whose reply was
 /// lost can still be recognized.
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Repeats a call that was refused or whose reply was lost.
+    /// Repeats a call after a lost reply, or ends the operation.
     ///
     /// A write whose reply was lost may still take effect later. Repeating it with the same
     /// condition is safe: at most one of the writes takes effect, and the nonce tells whether it
--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -1,4 +1,4 @@
-//! Configuration and results of a [`Judge`](crate::Judge).
+//! Configuration of rollouts, and findings of a [`Judge`](crate::Judge).
 
 use serde::{Deserialize, Serialize};
 
@@ -37,9 +37,9 @@
     pub bayes_factor: f64,
 }
 
-/// Configuration of the judge; measurements chose the defaults.
+/// Configuration of the judge and of the stages; measurements chose the defaults.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct JudgeConfig {
+pub struct RolloutConfig {
     /// Whether to test each request class separately as well.
     pub per_class: bool,
     /// Whether failures on a single target need twice the evidence.
@@ -51,7 +51,7 @@
     pub stage_templates: &'static [StageTemplate],
 }
 
-impl Default for JudgeConfig {
+impl Default for RolloutConfig {
     fn default() -> Self {
         Self {
             per_class: true,
--- a/crates/rollout/tests/fake_fleet.rs
+++ b/crates/rollout/tests/fake_fleet.rs
@@ -10,7 +10,7 @@
 use celerypond_bundle::{Model, Share, Version};
 use celerypond_rollout::{
     parse_json, rollout_key, Brakes, Candidate, Cause, Condition, Engines, Failure, Judge,
-    JudgeConfig, ModelPart, Phase, RequestClass, Rollout, RolloutController, RolloutSnapshot,
+    ModelPart, Phase, RequestClass, Rollout, RolloutConfig, RolloutController, RolloutSnapshot,
     ShareIncrease, Stage, StoreCall, StoreReply, Subject, Trial, VersionRollout,
 };
 use celerypond_types::{InstanceName, Revision, VersionName};
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Strategy {
     /// The judge of each controller.
-    Judged(JudgeConfig),
+    Judged(RolloutConfig),
     /// Baseline: fixed stages, random selection on all instances and a threshold on the error rate
     /// that is checked every 10 s.
     FixedThreshold,
@@ -112,7 +112,7 @@
             percent: 100,
             crash_mtbf_s: 7_200.0,
             defect,
-            strategy: Strategy::Judged(JudgeConfig::default()),
+            strategy: Strategy::Judged(RolloutConfig::default()),
             disruptions: Vec::new(),
             lost_reply: 0.0,
             crash_after_write: 0.0,
@@ -293,7 +293,12 @@
         let mut fleet = Self {
             overload_threshold: 0.7 * final_rate * 9.0 / scenario.new_engines as f64,
             fault_ms: rng.random_range(60_000..400_000) * scenario.within_s / 600,
-            omniscient_judge: Judge::new(subject, "v2".into(), "v1".into(), JudgeConfig::default()),
+            omniscient_judge: Judge::new(
+                subject,
+                "v2".into(),
+                "v1".into(),
+                RolloutConfig::default(),
+            ),
             parts: BTreeMap::from([(model.name.clone(), part)]),
             engines: engines.collect(),
             instances: Vec::new(),
@@ -336,7 +341,7 @@
     fn start(&self, at: usize, incarnation: u64) -> Instance {
         let config = match self.scenario.strategy {
             Strategy::Judged(config) => config,
-            Strategy::FixedThreshold => JudgeConfig::default(),
+            Strategy::FixedThreshold => RolloutConfig::default(),
         };
         let mut controller =
             RolloutController::new(InstanceName::new(format!("i{at}")), incarnation, config);
--- a/crates/rollout/tests/test_rollout.rs
+++ b/crates/rollout/tests/test_rollout.rs
@@ -1,6 +1,6 @@
 //! Rollouts in a simulated fleet: bad versions lose their traffic, and reported results are true.
 
-use celerypond_rollout::{Cause, JudgeConfig, Phase};
+use celerypond_rollout::{Cause, Phase, RolloutConfig};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use rstest::rstest;
 
@@ -276,10 +276,10 @@
 
 #[test]
 fn without_the_discount_crashes_would_brake_a_good_version() {
-    let config = JudgeConfig {
+    let config = RolloutConfig {
         stricter_for_single_target: false,
         discount_incidents: false,
-        ..JudgeConfig::default()
+        ..RolloutConfig::default()
     };
     let braked = (0..4).filter(|seed| {
         let scenario = Scenario {
--- a/crates/rollout/tests/test_scripts.rs
+++ b/crates/rollout/tests/test_scripts.rs
@@ -4,8 +4,8 @@
 
 use celerypond_bundle::Model;
 use celerypond_rollout::{
-    parse_json, rollout_key, share_increases, Condition, Failure, JudgeConfig, ModelPart,
-    RequestClass, Rollout, RolloutController, StoreCall, StoreReply, Trial,
+    parse_json, rollout_key, share_increases, Condition, Failure, ModelPart, RequestClass, Rollout,
+    RolloutConfig, RolloutController, StoreCall, StoreReply, Trial,
 };
 use celerypond_types::{InstanceName, Revision};
 use goldenscript::Context;
@@ -41,7 +41,7 @@
     fn start(&mut self, name: &str) {
         self.incarnation += 1;
         let mut controller =
-            RolloutController::new(name.into(), self.incarnation, JudgeConfig::default());
+            RolloutController::new(name.into(), self.incarnation, RolloutConfig::default());
         let next = &Self::models()[0];
         let increases = share_increases(Some(&model("v1", 0)), next);
         let part = ModelPart {
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -9,8 +9,8 @@
 use celerypond_bundle::Model;
 use celerypond_fleet::{Brake, EntryKind};
 use celerypond_rollout::{
-    evidence_reporters, AppliedState, Brakes, Candidate, Cause, EvidenceReport, JudgeConfig,
-    RequestClass, RolloutController, RolloutSnapshot, Trial,
+    evidence_reporters, AppliedState, Brakes, Candidate, Cause, EvidenceReport, RequestClass,
+    RolloutConfig, RolloutController, RolloutSnapshot, Trial,
 };
 use celerypond_types::{InstanceName, ModelName, TargetKey, TargetName, VersionName};
 use rand::seq::IndexedRandom;
@@ -79,7 +79,7 @@
             controller: Mutex::new(RolloutController::new(
                 name,
                 incarnation,
-                JudgeConfig::default(),
+                RolloutConfig::default(),
             )),
             open: Mutex::default(),
             shares: Shares::default(),
