--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -1,4 +1,4 @@
-//! Configuration and results of a [`Judge`](crate::Judge).
+//! Configuration of rollouts, and findings of a [`Judge`](crate::Judge).
 
 use serde::{Deserialize, Serialize};
 
@@ -32,24 +32,26 @@
     pub cause: Cause,
     /// Request class that shows the fault; `None` for all together.
     pub class: Option<RequestClass>,
-    /// How many times more likely the evidence is if the version is bad than if it is as good as its base.
+    /// How many times more likely the evidence is if the version is bad than if it is as good as
+    /// its base.
     pub bayes_factor: f64,
 }
 
-/// Configuration of the judge; measurements chose the defaults.
+/// Configuration of the judge and of the stages; measurements chose the defaults.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct JudgeConfig {
+pub struct RolloutConfig {
     /// Whether to test each request class separately as well.
     pub per_class: bool,
     /// Whether failures on a single target need twice the evidence.
     pub stricter_for_single_target: bool,
-    /// Whether trials cut off by the crash of a target count as one incident instead of as failures.
+    /// Whether trials cut off by the crash of a target count as one incident instead of as
+    /// failures.
     pub discount_incidents: bool,
     /// Shares and durations of the stages.
     pub stage_templates: &'static [StageTemplate],
 }
 
-impl Default for JudgeConfig {
+impl Default for RolloutConfig {
     fn default() -> Self {
         Self {
             per_class: true,
