--- a/daemon/src/relay.rs
+++ b/daemon/src/relay.rs
@@ -4,40 +4,40 @@
 //! the sockets, the tasks and the clock.
 
 mod attempt;
-mod board;
 mod callers;
 mod config_sync;
 mod connections;
-mod control;
-mod copies;
+mod datagrams;
+mod endpoints;
+mod engine_calls;
+mod event_buffer;
 mod fleet;
-mod flow;
-mod follow;
+mod held_prompts;
 mod inbox;
-mod knowledge;
 mod lease;
-mod listen;
 mod members;
 mod order_store;
-mod passage;
 mod peer_service;
-mod plain;
-mod prompts;
-mod questions;
+mod probed_wait;
+mod relayed_stream;
 mod reload;
 mod relocation;
 mod reply;
 mod request;
-mod revive;
+mod restarted_engines;
 mod rollouts;
-mod run;
-mod site;
+mod routed_request;
+mod run_copy;
+mod single_response;
 mod start;
+mod state;
 mod stop;
 mod store_backoff;
+mod store_view;
 mod stream;
+mod target_sync;
+mod target_watch;
 mod watch_duty;
-mod watches;
 
 use celerypond_telemetry::Volume;
 
--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -11,9 +11,9 @@
 use tokio::time::{timeout, Instant};
 
 use super::{
-    connections::{Kept, Sender},
+    connections::{ReusedConnection, Sender},
     lease::Lease,
-    site::Site,
+    state::RelayState,
 };
 
 /// How soon a connection that was forgotten is reset after something was sent on it: a way there and back,
@@ -22,7 +22,7 @@
 
 /// A caller's request, read whole.
 #[derive(Clone, Debug)]
-pub(super) struct Asked {
+pub(super) struct CallerRequest {
     pub(super) method: Method,
     /// Path and query, as the caller sent them.
     pub(super) uri: Uri,
@@ -33,7 +33,7 @@
 }
 
 /// A response whose body is still to be read.
-pub(super) struct Opened {
+pub(super) struct OpenResponse {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) answer: TargetResponseHead,
@@ -41,11 +41,12 @@
     sender: Sender,
 }
 
-impl Opened {
+impl OpenResponse {
     /// Keeps the connection for further requests; the body must have been read to its end.
-    pub(super) fn keep(self, site: &Site, lease: &Lease) {
+    pub(super) fn keep(self, state: &RelayState, lease: &Lease) {
         let keep_alive = self.answer.keep_alive;
-        site.connections
+        state
+            .connections
             .keep(lease.address, self.sender, keep_alive, Instant::now());
     }
 }
@@ -56,18 +57,18 @@
 ///
 /// How the attempt ended, if no response to this request came.
 pub(super) async fn send(
-    site: &Arc<Site>,
+    state: &Arc<RelayState>,
     lease: &mut Lease,
-    asked: &Asked,
+    asked: &CallerRequest,
     head: &TargetRequestHead<'_>,
     limit: Duration,
-) -> Result<Opened, AttemptFailure> {
+) -> Result<OpenResponse, AttemptFailure> {
     let until = Instant::now() + limit;
     let mut request = make_request(asked, head);
     loop {
-        let Kept { mut sender, rested } = connection(site, lease).await?;
+        let ReusedConnection { mut sender, rested } = connection(state, lease).await?;
         // The target may have left since it was chosen.
-        if !site.known.targets().is_usable(lease.key) {
+        if !state.known.targets().is_usable(lease.key) {
             return Err(AttemptFailure::Left);
         }
         let begun = Instant::now();
@@ -94,21 +95,21 @@
 }
 
 /// Returns a connection to the target, a kept one if there is one.
-async fn connection(site: &Site, lease: &Lease) -> Result<Kept, AttemptFailure> {
+async fn connection(state: &RelayState, lease: &Lease) -> Result<ReusedConnection, AttemptFailure> {
     let now = Instant::now();
-    let most = site.known.targets().idle_limit(lease.key, now);
-    if let Some(kept) = site.connections.take(lease.address, most, now) {
+    let most = state.known.targets().idle_limit(lease.key, now);
+    if let Some(kept) = state.connections.take(lease.address, most, now) {
         return Ok(kept);
     }
-    let connected = site.connections.connect(lease.address).await;
+    let connected = state.connections.connect(lease.address).await;
     let sender = connected.map_err(|_| AttemptFailure::Unsent)?;
-    Ok(Kept {
+    Ok(ReusedConnection {
         sender,
         rested: Duration::ZERO,
     })
 }
 
-fn make_request(asked: &Asked, head: &TargetRequestHead<'_>) -> Request<Full<Bytes>> {
+fn make_request(asked: &CallerRequest, head: &TargetRequestHead<'_>) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(asked.body.clone()));
     *request.method_mut() = asked.method.clone();
     *request.uri_mut() = asked.uri.clone();
@@ -121,11 +122,11 @@
 /// The failure: a target sends a second response, or one that belongs to a request whose caller has
 /// left, and it arrives where this request's is due. Its id tells; the connection is dropped.
 fn check(
-    asked: &Asked,
+    asked: &CallerRequest,
     lease: &mut Lease,
     response: Response<Incoming>,
     sender: Sender,
-) -> Result<Opened, AttemptFailure> {
+) -> Result<OpenResponse, AttemptFailure> {
     let (parts, body) = response.into_parts();
     let answer = headers::read_answer(&parts.headers);
     if answer.request.as_ref() != Some(&asked.id) {
@@ -142,7 +143,7 @@
     if is_unsigned || answer.encoded {
         return Err(AttemptFailure::Foreign);
     }
-    Ok(Opened {
+    Ok(OpenResponse {
         status: parts.status,
         headers: parts.headers,
         answer,
--- a/daemon/src/relay/callers.rs
+++ b/daemon/src/relay/callers.rs
@@ -6,7 +6,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::{TcpListener, TcpStream};
 
-use super::{request, site::Site};
+use super::{request, state::RelayState};
 
 /// The least size of the buffer for a request's head that the library takes.
 const BUFFER_LEAST: usize = 8 << 10;
@@ -14,15 +14,15 @@
 const ACCEPT_REST: Duration = Duration::from_millis(20);
 
 /// Accepts callers until no more connections are taken.
-pub(super) async fn run(site: Arc<Site>, listener: TcpListener) {
+pub(super) async fn run(state: Arc<RelayState>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
-            () = site.closed.cancelled() => return,
+            () = state.closed.cancelled() => return,
             accepted = listener.accept() => accepted,
         };
         match accepted {
             Ok((stream, _)) => {
-                site.served.spawn(serve(Arc::clone(&site), stream));
+                state.served.spawn(serve(Arc::clone(&state), stream));
             }
             Err(error) => {
                 log::warn!(error:% = error; "a caller cannot be accepted");
@@ -32,33 +32,33 @@
     }
 }
 
-async fn serve(site: Arc<Site>, stream: TcpStream) {
+async fn serve(state: Arc<RelayState>, stream: TcpStream) {
     // Without it small events wait for acknowledgements; the connection works all the same.
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!(error:% = error; "a caller's socket keeps its delay");
     }
-    let limits = site.known.table().config().limits;
+    let limits = state.known.table().config().limits;
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_time.max(limits.head_time))
         .max_buf_size(limits.head_bytes.max(BUFFER_LEAST));
-    let was_stopping = site.stopping.is_cancelled();
+    let was_stopping = state.stopping.is_cancelled();
     let service = {
-        let site = Arc::clone(&site);
-        service_fn(move |request| request::answer(Arc::clone(&site), request))
+        let state = Arc::clone(&state);
+        service_fn(move |request| request::answer(Arc::clone(&state), request))
     };
     let mut connection = std::pin::pin!(builder.serve_connection(TokioIo::new(stream), service));
     if !was_stopping {
         tokio::select! {
             // A caller may leave in any way; its requests have their own lines.
             _ = connection.as_mut() => return,
-            () = site.killed.cancelled() => return,
-            () = site.stopping.cancelled() => connection.as_mut().graceful_shutdown(),
+            () = state.killed.cancelled() => return,
+            () = state.stopping.cancelled() => connection.as_mut().graceful_shutdown(),
         }
     }
     tokio::select! {
         _ = connection => {}
-        () = site.killed.cancelled() => {}
+        () = state.killed.cancelled() => {}
     }
 }
--- a/daemon/src/relay/config_sync.rs
+++ b/daemon/src/relay/config_sync.rs
@@ -18,10 +18,10 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use super::{
-    follow,
-    knowledge::Source,
-    site::Site,
+    state::RelayState,
     store_backoff::{pause, WATCH_POLL},
+    store_view::Source,
+    target_sync,
 };
 
 /// How long the store may take to begin its answer before peers are queried as well.
@@ -46,18 +46,18 @@
 const PEER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Keeps the configuration current until the instance ends.
-pub(super) async fn run(site: Arc<Site>) {
-    let mut sync = ConfigSync::new(&site);
+pub(super) async fn run(state: Arc<RelayState>) {
+    let mut sync = ConfigSync::new(&state);
     loop {
         tokio::select! {
-            () = site.ending.cancelled() => return,
+            () = state.ending.cancelled() => return,
             () = sync.turn() => {}
         }
     }
 }
 
 struct ConfigSync<'a> {
-    site: &'a Site,
+    state: &'a RelayState,
     store: Client,
     /// What has arrived of the store's answer to the call under way.
     received: Received,
@@ -68,10 +68,10 @@
 }
 
 impl<'a> ConfigSync<'a> {
-    fn new(site: &'a Site) -> Self {
-        let (store, received) = site.store.counting();
+    fn new(state: &'a RelayState) -> Self {
+        let (store, received) = state.store.counting();
         Self {
-            site,
+            state,
             store,
             received,
             backoff: StoreBackoff::default(),
@@ -81,11 +81,11 @@
     }
 
     async fn turn(&mut self) {
-        let site = self.site;
-        if site.known.has_config() && !site.duty.must_watch() {
+        let state = self.state;
+        if state.known.has_config() && !state.duty.must_watch() {
             return self.follow().await;
         }
-        let revision = site.known.config_revision();
+        let revision = state.known.config_revision();
         let answer = match revision.filter(|_| !self.must_list) {
             Some(revision) => self.watch(revision).await,
             None => self.list().await,
@@ -99,26 +99,26 @@
 
     /// Waits until a newer version is known of, and fetches it.
     async fn follow(&mut self) {
-        let site = self.site;
-        site.duty.set_config_answer(None);
+        let state = self.state;
+        state.duty.set_config_answer(None);
         self.is_lost = false;
         // Watchers report a revision to watch from whose history is kept.
         self.must_list = false;
         if !self.is_outdated() {
             tokio::select! {
-                () = site.newer_config.notified() => {}
+                () = state.newer_config.notified() => {}
                 () = sleep(WATCH_POLL) => {}
             }
             return;
         }
-        let before = site.known.version();
+        let before = state.known.version();
         match self.fetch().await {
-            Ok(_) if site.known.version() > before || !self.is_outdated() => {
+            Ok(_) if state.known.version() > before || !self.is_outdated() => {
                 self.backoff.answered()
             }
             // The version that is known of cannot be fetched yet.
             Ok(_) => sleep(*self.backoff.failed(false).start()).await,
-            Err(error) => pause(site, error, self.backoff.failed(true)).await,
+            Err(error) => pause(state, error, self.backoff.failed(true)).await,
         }
     }
 
@@ -126,18 +126,18 @@
     async fn wait_outdated(&self) {
         while !self.is_outdated() {
             tokio::select! {
-                () = self.site.newer_config.notified() => {}
+                () = self.state.newer_config.notified() => {}
                 () = sleep(WATCH_POLL) => {}
             }
         }
     }
 
     fn is_outdated(&self) -> bool {
-        self.site.newest_config() > self.site.known.version()
+        self.state.newest_config() > self.state.known.version()
     }
 
     async fn watch(&mut self, since: u64) -> Result<Source, PlatformError> {
-        let wait = self.site.settings.load().bounds.watch_wait();
+        let wait = self.state.settings.load().bounds.watch_wait();
         let begun = Instant::now();
         let answered = OnceLock::new();
         // What the call before has received must not be taken for the beginning of this answer.
@@ -147,7 +147,7 @@
             () = self.wait_watch_lag() => return self.fetch().await,
             never = self.report_transfer(since, begun, &answered) => match never {},
         };
-        self.site.known.is_receiving.store(false, Relaxed);
+        self.state.known.is_receiving.store(false, Relaxed);
         let changes = changes.map_err(|report| *report.current_context())?;
         // Without a change the store has held the watch for the whole wait.
         let held = (begun + wait).min(Instant::now());
@@ -178,7 +178,7 @@
         let sent = empty.checked_sub(ANSWER_DELAY);
         let sent = sent.map_or(begun, |sent| sent.max(begun));
         answered.get_or_init(|| sent);
-        let known = &self.site.known;
+        let known = &self.state.known;
         let now = Instant::now();
         if empty.saturating_duration_since(begun) > WATCH_HELD {
             // The store had nothing to report until it sent this.
@@ -190,7 +190,7 @@
         known.told.notify_one();
         loop {
             // The store answers all the while, so that the others need not watch for themselves.
-            self.site.duty.set_config_answer(Some(Instant::now()));
+            self.state.duty.set_config_answer(Some(Instant::now()));
             sleep(TRANSFER_POLL).await;
             known.freshness().record_transfer(version, Instant::now());
         }
@@ -212,7 +212,7 @@
 
     async fn list(&mut self) -> Result<Source, PlatformError> {
         let begun = Instant::now();
-        let knows_none = !self.site.known.has_config();
+        let knows_none = !self.state.known.has_config();
         let listing = tokio::select! {
             listing = self.store.list_all(store::CONFIG_PREFIX) => listing,
             () = self.poll_peers(0), if knows_none => return Ok(Source::Peer),
@@ -226,7 +226,7 @@
 
     /// Fetches the newest version that is known of, from the store or, where that does not send it, from a peer.
     async fn fetch(&mut self) -> Result<Source, PlatformError> {
-        let wanted = self.site.newest_config();
+        let wanted = self.state.newest_config();
         let begun = Instant::now();
         let object = tokio::select! {
             object = self.store.get(store::CONFIG_KEY) => object,
@@ -246,41 +246,41 @@
 
     fn take_listing(&self, listing: Listing, begun: Instant) {
         for object in listing.objects {
-            apply(self.site, &object.key, &object.value);
+            apply(self.state, &object.key, &object.value);
         }
         self.observe(listing.revision, begun);
-        self.site.known.freshness().confirm_read(begun);
+        self.state.known.freshness().confirm_read(begun);
     }
 
     fn take_changes(&self, changes: Changes, at: Instant) {
         for change in changes.changes {
             if let Some(value) = change.value {
-                apply(self.site, &change.key, &value);
+                apply(self.state, &change.key, &value);
             }
         }
         self.observe(changes.revision, at);
-        self.site.known.freshness().confirm_read(Instant::now());
+        self.state.known.freshness().confirm_read(Instant::now());
     }
 
     fn take_object(&self, object: &Object, begun: Instant) {
-        apply(self.site, &object.key, &object.value);
+        apply(self.state, &object.key, &object.value);
         self.observe(object.version, begun);
-        self.site.known.freshness().confirm_read(begun);
+        self.state.known.freshness().confirm_read(begun);
     }
 
     /// Records that the version in force is the newest one that can be read at this revision of the store.
     fn observe(&self, revision: Version, at: Instant) {
-        self.site.known.observe(Observation {
-            version: self.site.known.version(),
+        self.state.known.observe(Observation {
+            version: self.state.known.version(),
             revision: revision.0,
             at,
         });
-        self.site.known.record_contact(at);
+        self.state.known.record_contact(at);
     }
 
     fn answered(&mut self) {
         self.backoff.answered();
-        self.site.duty.set_config_answer(Some(Instant::now()));
+        self.state.duty.set_config_answer(Some(Instant::now()));
         if std::mem::take(&mut self.is_lost) {
             log::info!(kind = store::CONFIG_PREFIX; "store regained");
         }
@@ -297,16 +297,16 @@
         if !std::mem::replace(&mut self.is_lost, true) {
             log::warn!(kind = store::CONFIG_PREFIX, error:% = error; "store lost");
         }
-        let known = &self.site.known;
+        let known = &self.state.known;
         if known.has_config() && !self.is_outdated() {
-            let is_relied_on = self.site.duty.is_relied_on(known);
+            let is_relied_on = self.state.duty.is_relied_on(known);
             let limits = self.backoff.failed(is_relied_on);
             tokio::select! {
-                () = pause(self.site, error, limits) => {}
+                () = pause(self.state, error, limits) => {}
                 () = self.wait_outdated() => {}
             }
-        } else if !self.query_peers(self.site.newest_config()).await {
-            pause(self.site, error, self.backoff.failed(true)).await;
+        } else if !self.query_peers(self.state.newest_config()).await {
+            pause(self.state, error, self.backoff.failed(true)).await;
         }
     }
 
@@ -325,9 +325,9 @@
     ///
     /// They are drawn at random: if all instances queried the watcher, its link would be full for seconds.
     async fn query_peers(&self, version: u64) -> bool {
-        let peers = follow::peers(self.site);
+        let peers = target_sync::peers(self.state);
         for peer in peers.into_iter().take(PEERS_PER_ROUND) {
-            if query_peer(self.site, peer, version).await {
+            if query_peer(self.state, peer, version).await {
                 return true;
             }
         }
@@ -336,17 +336,17 @@
 
     /// Counts a read of the store and writes its line.
     fn record_fetch(&self, wanted: u64, error: Option<PlatformError>, begun: Instant) {
-        let site = self.site;
+        let state = self.state;
         let received = self.received.bytes();
         let took = begun.elapsed();
         if error.is_none() {
-            site.latencies.add(Latency::Store, took);
+            state.latencies.add(Latency::Store, took);
         }
-        count_fetch(site, error.is_none(), received);
+        count_fetch(state, error.is_none(), received);
         log::info!(
             source = "store",
             wanted,
-            known = site.known.version(),
+            known = state.known.version(),
             error = error.map(|error| error.to_string()),
             received,
             took_ms = took.as_millis() as u64;
@@ -356,17 +356,17 @@
 }
 
 /// Queries a peer for a configuration of at least this version; returns whether it sent one.
-async fn query_peer(site: &Site, peer: SocketAddr, version: u64) -> bool {
+async fn query_peer(state: &RelayState, peer: SocketAddr, version: u64) -> bool {
     let begun = Instant::now();
-    let sent = timeout(PEER_TIMEOUT, site.peers.bundle(peer, Revision(version))).await;
+    let sent = timeout(PEER_TIMEOUT, state.peers.bundle(peer, Revision(version))).await;
     let is_answered = matches!(sent, Ok(Ok(_)));
     let sent = sent.ok().and_then(Result::ok).flatten();
     let received = sent.as_ref().map_or(0, Vec::len);
-    count_fetch(site, sent.is_some(), received as u64);
+    count_fetch(state, sent.is_some(), received as u64);
     log::info!(
         source:% = peer,
         wanted = version,
-        known = site.known.version(),
+        known = state.known.version(),
         is_answered,
         received,
         took_ms = begun.elapsed().as_millis() as u64;
@@ -377,8 +377,8 @@
     };
     match decode::<Config>(&bytes) {
         Ok(config) => {
-            site.known.record_contact(begun);
-            site.known.apply(config, Source::Peer);
+            state.known.record_contact(begun);
+            state.known.apply(config, Source::Peer);
         }
         Err(error) => {
             log::warn!(peer:% = peer, error:% = error; "a peer's configuration cannot be read");
@@ -388,21 +388,21 @@
     true
 }
 
-fn count_fetch(site: &Site, is_complete: bool, received: u64) {
+fn count_fetch(state: &RelayState, is_complete: bool, received: u64) {
     let counter = match is_complete {
         true => Counter::ConfigFetches,
         false => Counter::ConfigFetchFailures,
     };
-    site.metrics.add(counter, 1);
-    site.metrics.add(Counter::ConfigBytes, received);
+    state.metrics.add(counter, 1);
+    state.metrics.add(Counter::ConfigBytes, received);
 }
 
-fn apply(site: &Site, key: &str, value: &[u8]) {
+fn apply(state: &RelayState, key: &str, value: &[u8]) {
     if key != store::CONFIG_KEY {
         return;
     }
     match config::decode(value) {
-        Ok(config) => site.known.apply(config, Source::Store),
+        Ok(config) => state.known.apply(config, Source::Store),
         Err(error) => log::error!(error:% = error; "the configuration cannot be read"),
     }
 }
--- a/daemon/src/relay/connections.rs
+++ b/daemon/src/relay/connections.rs
@@ -41,7 +41,7 @@
 }
 
 /// A kept connection that is used again.
-pub(super) struct Kept {
+pub(super) struct ReusedConnection {
     pub(super) sender: Sender,
     /// How long nothing went over it.
     pub(super) rested: Duration,
@@ -61,14 +61,14 @@
         address: SocketAddr,
         most: Option<Duration>,
         now: Instant,
-    ) -> Option<Kept> {
+    ) -> Option<ReusedConnection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let kept = idle.get_mut(&address)?;
         while let Some(connection) = kept.pop() {
             let rested = now.saturating_duration_since(connection.since);
             let is_stale = connection.until <= now || most.is_some_and(|most| rested > most);
             if !is_stale && connection.sender.is_ready() {
-                return Some(Kept {
+                return Some(ReusedConnection {
                     sender: connection.sender,
                     rested,
                 });
--- a/daemon/src/relay/board.rs
+++ b/daemon/src/relay/datagrams.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::{net::UdpSocket, time::Instant};
 
-use super::{fleet, follow, inbox::Inbox, site::Site};
+use super::{fleet, inbox::Inbox, state::RelayState, target_sync};
 
 /// How long changes are gathered before a list is sent. Streams begin and end in groups when
 /// engines are lost.
@@ -44,7 +44,7 @@
 }
 
 /// Sends and hears lists until the instance ends.
-pub(super) async fn run(site: Arc<Site>, socket: Arc<UdpSocket>) {
+pub(super) async fn run(state: Arc<RelayState>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; DATAGRAM];
     let mut lists = PlacementSchedule::new(Instant::now());
     let mut notes = PromptLocationSchedule::new(Instant::now());
@@ -53,66 +53,66 @@
     let mut has_news = false;
     let mut inbox = Inbox::new(Arc::clone(&socket));
     loop {
-        drain(&site, &mut inbox, &mut buffer);
-        let due = said + Watchers::notice_gap(site.fleet.load().told.len());
+        drain(&state, &mut inbox, &mut buffer);
+        let due = said + Watchers::notice_gap(state.fleet.load().told.len());
         tokio::select! {
-            () = site.ending.cancelled() => return,
+            () = state.ending.cancelled() => return,
             _ = socket.readable() => {}
-            () = site.placed.notified(), if !lists.has_changes => lists.has_changes = true,
-            () = tokio::time::sleep_until(lists.due(site.sharers())) => {
+            () = state.placed.notified(), if !lists.has_changes => lists.has_changes = true,
+            () = tokio::time::sleep_until(lists.due(state.sharers())) => {
                 tokio::time::sleep(GATHER).await;
-                tell(&site, &socket, &mut lists).await;
-                note(&site, &socket, &mut notes).await;
+                tell(&state, &socket, &mut lists).await;
+                note(&state, &socket, &mut notes).await;
             }
-            () = site.known.told.notified(), if !has_news => has_news = true,
+            () = state.known.told.notified(), if !has_news => has_news = true,
             () = tokio::time::sleep_until(due), if has_news => {
                 (said, has_news) = (Instant::now(), false);
-                say(&site, &socket).await;
+                say(&state, &socket).await;
             }
             _ = notice.tick() => {
-                fleet::refresh(&site);
+                fleet::refresh(&state);
                 (said, has_news) = (Instant::now(), false);
-                say(&site, &socket).await;
+                say(&state, &socket).await;
             }
         }
     }
 }
 
 /// Receives what has arrived.
-fn drain(site: &Arc<Site>, inbox: &mut Inbox, buffer: &mut [u8]) {
+fn drain(state: &Arc<RelayState>, inbox: &mut Inbox, buffer: &mut [u8]) {
     for _ in 0..MAX_BATCH {
         let Some((len, since)) = inbox.next(buffer) else {
             return;
         };
-        site.known.record_contact(since);
-        hear(site, &buffer[..len], since);
+        state.known.record_contact(since);
+        hear(state, &buffer[..len], since);
     }
 }
 
-fn hear(site: &Arc<Site>, bytes: &[u8], since: Instant) {
+fn hear(state: &Arc<RelayState>, bytes: &[u8], since: Instant) {
     match bincode::deserialize(bytes) {
         Ok(Datagram::Streams(mut list)) => {
             let sends = std::mem::take(&mut list.sends);
             let now = Instant::now();
             list.add_age(now.saturating_duration_since(since));
-            site.retries().merge(list.origin, sends, now);
-            site.known.targets().merge_placements(list, now);
+            state.retries().merge(list.origin, sends, now);
+            state.known.targets().merge_placements(list, now);
         }
-        Ok(Datagram::Notes(notes)) => site
+        Ok(Datagram::Notes(notes)) => state
             .known
             .targets()
             .merge_prompt_locations(&notes, Instant::now()),
-        Ok(Datagram::Notice(notice)) => receive_notice(site, notice, since),
-        Ok(Datagram::Stage(stage)) => site.rollouts.hear_stage(stage, since),
-        Ok(Datagram::Report(service, report)) => site.rollouts.hear_report(&service, report),
+        Ok(Datagram::Notice(notice)) => receive_notice(state, notice, since),
+        Ok(Datagram::Stage(stage)) => state.rollouts.hear_stage(stage, since),
+        Ok(Datagram::Report(service, report)) => state.rollouts.hear_report(&service, report),
         Err(error) => log::warn!(error:% = error; "a datagram of a peer cannot be read"),
     }
 }
 
-fn receive_notice(site: &Arc<Site>, notice: Notice, since: Instant) {
+fn receive_notice(state: &Arc<RelayState>, notice: Notice, since: Instant) {
     let now = Instant::now();
-    let known = &site.known;
-    site.duty.watchers().record(notice, now);
+    let known = &state.known;
+    state.duty.watchers().record(notice, now);
     if let Some(seen) = notice.observation(since) {
         known.observe(seen);
     }
@@ -124,59 +124,59 @@
     if notice.is_superseded {
         known.freshness().record_transfer(notice.config, now);
     }
-    if site.newest_config() > site.known.version() {
-        site.newer_config.notify_one();
+    if state.newest_config() > state.known.version() {
+        state.newer_config.notify_one();
     }
-    follow::request_targets(site);
+    target_sync::request_targets(state);
 }
 
-async fn tell(site: &Site, socket: &UdpSocket, lists: &mut PlacementSchedule) {
-    let sequence = site.sequence.fetch_add(1, Relaxed) + 1;
-    let fleet = site.fleet.load_full();
-    let since = lists.record_sent(site.sharers(), Instant::now());
-    let list = list(site, fleet.origin, sequence, since);
+async fn tell(state: &RelayState, socket: &UdpSocket, lists: &mut PlacementSchedule) {
+    let sequence = state.sequence.fetch_add(1, Relaxed) + 1;
+    let fleet = state.fleet.load_full();
+    let since = lists.record_sent(state.sharers(), Instant::now());
+    let list = list(state, fleet.origin, sequence, since);
     send(socket, &fleet.group, &Datagram::Streams(list)).await;
 }
 
 /// Tells those of other groups where prompts were sent.
-async fn note(site: &Site, socket: &UdpSocket, notes: &mut PromptLocationSchedule) {
-    let fleet = site.fleet.load_full();
+async fn note(state: &RelayState, socket: &UdpSocket, notes: &mut PromptLocationSchedule) {
+    let fleet = state.fleet.load_full();
     if !notes.take_due(fleet.strangers.len(), Instant::now()) {
         return;
     }
-    let taken = site.known.targets().take_prompt_locations();
+    let taken = state.known.targets().take_prompt_locations();
     if !taken.is_empty() {
         send(socket, &fleet.strangers, &Datagram::Notes(taken)).await;
     }
 }
 
-fn list(site: &Site, origin: u64, sequence: u64, since: Option<Instant>) -> Placements {
+fn list(state: &RelayState, origin: u64, sequence: u64, since: Option<Instant>) -> Placements {
     let now = Instant::now();
-    let mut targets = site.known.targets();
+    let mut targets = state.known.targets();
     if since.is_none() {
         targets.sweep(now);
     }
     let list = targets.placements(origin, sequence, since, now);
     drop(targets);
     Placements {
-        sends: site.retries().sends(now),
+        sends: state.retries().sends(now),
         ..list
     }
 }
 
 /// Says what is known of the store, if others are to hear it of this instance.
-async fn say(site: &Site, socket: &UdpSocket) {
-    let fleet = site.fleet.load_full();
+async fn say(state: &RelayState, socket: &UdpSocket) {
+    let fleet = state.fleet.load_full();
     if fleet.told.is_empty() {
         return;
     }
     let now = Instant::now();
     // What comes in force meanwhile must not be reported with the age of what was in force before, so ages go first.
-    let freshness = site.known.freshness().clone();
-    let targets_age = site.known.targets_freshness().age(now);
-    let (revision, config) = (site.known.revision(), site.known.version());
-    let heard = || site.duty.watchers().age(revision, config, now);
-    let Some(age) = site.duty.age(now).or_else(heard) else {
+    let freshness = state.known.freshness().clone();
+    let targets_age = state.known.targets_freshness().age(now);
+    let (revision, config) = (state.known.revision(), state.known.version());
+    let heard = || state.duty.watchers().age(revision, config, now);
+    let Some(age) = state.duty.age(now).or_else(heard) else {
         return;
     };
     let notice = Notice {
@@ -186,7 +186,7 @@
         config_revision: freshness.revision().unwrap_or_default(),
         config_age_ms: freshness.age(now).map(millis),
         targets_age_ms: targets_age.map(millis),
-        is_superseded: site.known.is_receiving.load(Relaxed),
+        is_superseded: state.known.is_receiving.load(Relaxed),
         age_ms: millis(age),
     };
     send(socket, &fleet.told, &Datagram::Notice(notice)).await;
--- a/daemon/src/relay/questions.rs
+++ b/daemon/src/relay/endpoints.rs
@@ -12,7 +12,7 @@
 use super::{
     members,
     reply::{whole, Reply},
-    site::Site,
+    state::RelayState,
 };
 use crate::listening;
 
@@ -25,18 +25,18 @@
 const IDLE: Duration = Duration::from_secs(10);
 
 /// Answers questions on a listener until the instance ends.
-pub(super) async fn run(site: Arc<Site>, listener: TcpListener) {
-    let ending = site.ending.clone();
-    listening::serve(listener, ending, |stream| serve(Arc::clone(&site), stream)).await;
+pub(super) async fn run(state: Arc<RelayState>, listener: TcpListener) {
+    let ending = state.ending.clone();
+    listening::serve(listener, ending, |stream| serve(Arc::clone(&state), stream)).await;
 }
 
-async fn serve(site: Arc<Site>, stream: tokio::net::TcpStream) {
+async fn serve(state: Arc<RelayState>, stream: tokio::net::TcpStream) {
     // Who has no address any more is gone as well.
     let Ok(caller) = stream.peer_addr() else {
         return;
     };
     let service = service_fn(move |request| {
-        let reply = answer(&site, &request, caller.ip());
+        let reply = answer(&state, &request, caller.ip());
         async { Ok::<Reply, Infallible>(reply) }
     });
     let connection = http1::Builder::new()
@@ -47,12 +47,12 @@
     let _ = connection.await;
 }
 
-fn answer(site: &Site, request: &Request<Incoming>, caller: IpAddr) -> Reply {
+fn answer(state: &RelayState, request: &Request<Incoming>, caller: IpAddr) -> Reply {
     match request.uri().path() {
-        directory::READY_PATH if site.is_ready() => plain(StatusCode::OK),
+        directory::READY_PATH if state.is_ready() => plain(StatusCode::OK),
         directory::READY_PATH => plain(StatusCode::SERVICE_UNAVAILABLE),
-        directory::DIRECTORY_PATH => addresses(site, caller),
-        METRICS_PATH => Response::new(whole(site.render_metrics())),
+        directory::DIRECTORY_PATH => addresses(state, caller),
+        METRICS_PATH => Response::new(whole(state.render_metrics())),
         _ => plain(StatusCode::NOT_FOUND),
     }
 }
@@ -64,13 +64,13 @@
 }
 
 /// An instance that knows nobody to name says so, and the caller asks another one.
-fn addresses(site: &Site, caller: IpAddr) -> Reply {
-    let found = members::addresses(site);
+fn addresses(state: &RelayState, caller: IpAddr) -> Reply {
+    let found = members::addresses(state);
     if found.is_empty() {
         return plain(StatusCode::SERVICE_UNAVAILABLE);
     }
     let found = directory_addresses(caller, found, directory::ADDRESSES_MOST);
-    let ttl = DIRECTORY_TTL.min(site.settings.load().bounds.directory_ttl);
+    let ttl = DIRECTORY_TTL.min(state.settings.load().bounds.directory_ttl);
     let mut reply = Response::new(whole(directory::encode(&found, ttl)));
     let json = HeaderValue::from_static("application/json");
     reply.headers_mut().insert(CONTENT_TYPE, json);
--- a/daemon/src/relay/control.rs
+++ b/daemon/src/relay/engine_calls.rs
@@ -7,10 +7,10 @@
 use http_body_util::{BodyExt as _, Full};
 use tokio::time::timeout;
 
-use super::site::Site;
+use super::state::RelayState;
 
 /// What an engine answered.
-pub(super) struct Answer {
+pub(super) struct EngineResponse {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
@@ -19,22 +19,22 @@
 /// Asks an engine on a new connection, which is closed with the answer; nothing when none comes
 /// within `limit`.
 pub(super) async fn ask(
-    site: &Site,
+    state: &RelayState,
     address: SocketAddr,
     method: Method,
     path: Uri,
     body: Vec<u8>,
     limit: Duration,
-) -> Option<Answer> {
+) -> Option<EngineResponse> {
     let exchange = async {
-        let mut sender = site.connections.connect(address).await.ok()?;
+        let mut sender = state.connections.connect(address).await.ok()?;
         let mut request = Request::new(Full::new(Bytes::from(body)));
         *request.method_mut() = method;
         *request.uri_mut() = path;
         sender.ready().await.ok()?;
         let response = sender.send_request(request).await.ok()?;
         let (parts, body) = response.into_parts();
-        Some(Answer {
+        Some(EngineResponse {
             status: parts.status,
             headers: parts.headers,
             body: body.collect().await.ok()?.to_bytes(),
--- a/daemon/src/relay/passage.rs
+++ b/daemon/src/relay/event_buffer.rs
@@ -7,7 +7,7 @@
 use hyper::body::Frame;
 
 /// The events of a stream between its engines and its caller: whole ones only, each once, in order.
-pub(super) struct Passage {
+pub(super) struct EventBuffer {
     events: EventSplitter,
     /// Whole events that the caller has not had yet.
     ready: VecDeque<Bytes>,
@@ -17,7 +17,7 @@
     passed: u64,
 }
 
-impl Passage {
+impl EventBuffer {
     /// Begins after the last event that the caller has.
     pub(super) fn after(last: Option<u64>) -> Self {
         Self {
--- a/daemon/src/relay/fleet.rs
+++ b/daemon/src/relay/fleet.rs
@@ -10,7 +10,7 @@
 use celerypond_types::InstanceName;
 use tokio::time::Instant;
 
-use super::site::Site;
+use super::state::RelayState;
 
 /// The most instances that tell each other where their streams run. Their lists take up to a sixth of a
 /// link of 10 Mbit/s.
@@ -35,13 +35,13 @@
 }
 
 /// Works out anew what this instance makes of the fleet.
-pub(super) fn refresh(site: &Site) {
-    let settings = site.settings.load();
+pub(super) fn refresh(state: &RelayState) {
+    let settings = state.settings.load();
     let own = &settings.instance;
-    let watches = site.duty.age(Instant::now()).is_some();
-    let gossip = site.gossip();
+    let watches = state.duty.age(Instant::now()).is_some();
+    let gossip = state.gossip();
     let live: Vec<&Member> = gossip.membership().in_state(MemberState::Live).collect();
-    let tree = tree(site, &gossip);
+    let tree = tree(state, &gossip);
     let told = tree.recipients_of(own, watches);
     let subset = Subset::with_group_limit(GROUP_MOST, own, &names(&live, own), &[]);
     let fleet = Fleet {
@@ -59,18 +59,18 @@
         .iter()
         .any(|(_, member)| member.state() != MemberState::Leaving);
     drop(gossip);
-    site.known.set_has_peers(has_peers);
-    site.duty.watchers().set_hops(hops);
-    if site.duty.is_chosen.swap(is_chosen, Relaxed) != is_chosen {
+    state.known.set_has_peers(has_peers);
+    state.duty.watchers().set_hops(hops);
+    if state.duty.is_chosen.swap(is_chosen, Relaxed) != is_chosen {
         log::info!(is_chosen, live = fleet.size; "watcher of the store");
     }
-    regroup(site, subset.group, subset.groups);
-    site.fleet.store(Arc::new(fleet));
+    regroup(state, subset.group, subset.groups);
+    state.fleet.store(Arc::new(fleet));
 }
 
-fn regroup(site: &Site, own: usize, count: usize) {
+fn regroup(state: &RelayState, own: usize, count: usize) {
     let group = Group { index: own, count };
-    let mut targets = site.known.targets();
+    let mut targets = state.known.targets();
     let before = std::mem::replace(&mut targets.group, group);
     drop(targets);
     if before.count != count {
@@ -82,16 +82,16 @@
 ///
 /// While instances disagree, two may drive. Each tells its stage, an end that was told stays, and
 /// the store takes the write of one of them.
-pub(super) fn driver(site: &Site) -> Option<SocketAddr> {
-    let gossip = site.gossip();
-    let tree = tree(site, &gossip);
+pub(super) fn driver(state: &RelayState) -> Option<SocketAddr> {
+    let gossip = state.gossip();
+    let tree = tree(state, &gossip);
     let driver = tree.watchers().first()?.name;
     let mut live = gossip.membership().in_state(MemberState::Live);
     address(live.find(|member| member.name == *driver)?)
 }
 
 /// Makes the tree of the instances that seem to live and are not stopping, this one included.
-fn tree<'a>(site: &Site, gossip: &'a Gossip) -> DistributionTree<'a> {
+fn tree<'a>(state: &RelayState, gossip: &'a Gossip) -> DistributionTree<'a> {
     let live = gossip.membership().in_state(MemberState::Live);
     let mut candidates: Vec<Candidate<'a>> = live
         .map(|member| Candidate {
@@ -99,7 +99,7 @@
             data_centre: &member.data_centre,
         })
         .collect();
-    if !site.stopping.is_cancelled() {
+    if !state.stopping.is_cancelled() {
         let identity = gossip.identity();
         candidates.push(Candidate {
             name: &identity.name,
--- a/daemon/src/relay/prompts.rs
+++ b/daemon/src/relay/held_prompts.rs
@@ -7,24 +7,24 @@
 use http::{Method, StatusCode};
 use tokio::time::Instant;
 
-use super::{control, site::Site};
+use super::{engine_calls, state::RelayState};
 
 /// How long an engine may take to tell what it holds. It takes a step or two.
 const LIMIT: Duration = Duration::from_millis(150);
 
 /// Asks an engine which prompt parts it holds.
-pub(super) async fn ask(site: Arc<Site>, key: TargetKey) {
-    let (Some(address), Ok(path)) = (site.known.address_of(key), engine::HELD_PATH.parse()) else {
+pub(super) async fn ask(state: Arc<RelayState>, key: TargetKey) {
+    let (Some(address), Ok(path)) = (state.known.address_of(key), engine::HELD_PATH.parse()) else {
         return;
     };
-    let answer = control::ask(&site, address, Method::GET, path, Vec::new(), LIMIT).await;
+    let answer = engine_calls::ask(&state, address, Method::GET, path, Vec::new(), LIMIT).await;
     let Some(answer) = answer.filter(|answer| answer.status == StatusCode::OK) else {
         log::info!(address:% = address; "an engine does not tell what it holds");
         return;
     };
     match engine::decode_held(&answer.body) {
         Ok(parts) => {
-            let mut targets = site.known.targets();
+            let mut targets = state.known.targets();
             targets.record_held_parts(key, &parts, Instant::now());
         }
         Err(error) => {
--- a/daemon/src/relay/lease.rs
+++ b/daemon/src/relay/lease.rs
@@ -7,11 +7,11 @@
 use celerypond_types::{TargetKey, TargetName, VersionName};
 use tokio::time::Instant;
 
-use super::site::Site;
+use super::state::RelayState;
 
 /// A request's place at a target, counted until it is dropped.
 pub(super) struct Lease {
-    site: Arc<Site>,
+    state: Arc<RelayState>,
     pub(super) key: TargetKey,
     pub(super) name: TargetName,
     pub(super) address: SocketAddr,
@@ -21,30 +21,30 @@
 
 impl Lease {
     /// Takes a place for a request; nothing when the target is gone.
-    pub(super) fn take(site: &Arc<Site>, key: TargetKey) -> Option<Self> {
-        Self::open(site, &mut site.known.targets(), key)
+    pub(super) fn take(state: &Arc<RelayState>, key: TargetKey) -> Option<Self> {
+        Self::open(state, &mut state.known.targets(), key)
     }
 
     /// Takes a place for a stream of so many tokens; nothing when the target is gone.
     pub(super) fn take_stream(
-        site: &Arc<Site>,
+        state: &Arc<RelayState>,
         key: TargetKey,
         part: u64,
         tokens: u64,
     ) -> Option<Self> {
-        let mut targets = site.known.targets();
-        let mut lease = Self::open(site, &mut targets, key)?;
+        let mut targets = state.known.targets();
+        let mut lease = Self::open(state, &mut targets, key)?;
         lease.stream = targets.add_stream(key, part, tokens, Instant::now());
         drop(targets);
-        site.placed.notify_one();
+        state.placed.notify_one();
         Some(lease)
     }
 
-    fn open(site: &Arc<Site>, targets: &mut Targets, key: TargetKey) -> Option<Self> {
+    fn open(state: &Arc<RelayState>, targets: &mut Targets, key: TargetKey) -> Option<Self> {
         let target = targets.get_mut(key)?;
         target.open_requests += 1;
         Some(Self {
-            site: Arc::clone(site),
+            state: Arc::clone(state),
             key,
             name: target.entry.name.clone(),
             address: target.entry.address,
@@ -55,20 +55,20 @@
 
     /// Takes in a sign of life.
     pub(super) fn answered(&mut self, load: Option<Load>) {
-        if let Some(target) = self.site.known.targets().get_mut(self.key) {
+        if let Some(target) = self.state.known.targets().get_mut(self.key) {
             target.record_response(load, Instant::now());
         }
     }
 
     /// Takes in the result of a request in one piece.
     pub(super) fn note_result(&self, is_good: bool, time: Duration) {
-        let mut targets = self.site.known.targets();
+        let mut targets = self.state.known.targets();
         targets.record_result(self.key, is_good, time, Instant::now());
     }
 
     /// Takes in that what was sent was reset at once, on a connection that had rested for so long.
     pub(super) fn connection_lost(&self, rested: Duration) {
-        let mut targets = self.site.known.targets();
+        let mut targets = self.state.known.targets();
         if !targets.record_idle_reset(self.key, rested, Instant::now()) {
             return;
         }
@@ -84,60 +84,60 @@
     /// Takes in that the prompt was read.
     pub(super) fn has_read(&mut self) {
         if let Some(stream) = self.stream {
-            self.site
+            self.state
                 .known
                 .targets()
                 .record_prompt_read(self.key, stream);
-            self.site.placed.notify_one();
+            self.state.placed.notify_one();
         }
     }
 
     /// Takes in how the attempt ended.
     pub(super) fn ended(&self, ended: AttemptFailure) {
-        note(&self.site, self.key, ended);
+        note(&self.state, self.key, ended);
         if ended.suggests_target_down() {
-            self.site.connections.drop_idle(self.address);
-            self.site.placed.notify_one();
+            self.state.connections.drop_idle(self.address);
+            self.state.placed.notify_one();
         }
         // A stream that breaks may be the sign of a dead engine, which others should know of.
         if ended == AttemptFailure::Broken && self.stream.is_some() {
-            let check = check(Arc::clone(&self.site), self.key, self.address);
-            self.site.tasks.spawn(check);
+            let check = check(Arc::clone(&self.state), self.key, self.address);
+            self.state.tasks.spawn(check);
         }
     }
 }
 
 /// Takes in how an attempt at a target ended, or that it was found dead.
-fn note(site: &Site, key: TargetKey, ended: AttemptFailure) {
-    let mut targets = site.known.targets();
+fn note(state: &RelayState, key: TargetKey, ended: AttemptFailure) {
+    let mut targets = state.known.targets();
     let Some(target) = targets.get_mut(key) else {
         return;
     };
     let was_dead = target.is_dead;
     target.record_failure(ended, Instant::now());
     if target.is_dead && !was_dead {
-        site.metrics.add(Counter::TargetsDead, 1);
+        state.metrics.add(Counter::TargetsDead, 1);
     }
 }
 
-async fn check(site: Arc<Site>, key: TargetKey, address: SocketAddr) {
-    if site.connections.is_alive(address).await {
+async fn check(state: Arc<RelayState>, key: TargetKey, address: SocketAddr) {
+    if state.connections.is_alive(address).await {
         return;
     }
-    note(&site, key, AttemptFailure::Dead);
+    note(&state, key, AttemptFailure::Dead);
     log::info!(address:% = address, reason = "no connection"; "target dead");
-    site.placed.notify_one();
+    state.placed.notify_one();
 }
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        let mut targets = self.site.known.targets();
+        let mut targets = self.state.known.targets();
         if let Some(target) = targets.get_mut(self.key) {
             target.open_requests = target.open_requests.saturating_sub(1);
         }
         if let Some(stream) = self.stream {
             targets.remove_stream(self.key, stream);
-            self.site.placed.notify_one();
+            self.state.placed.notify_one();
         }
     }
 }
--- a/daemon/src/relay/members.rs
+++ b/daemon/src/relay/members.rs
@@ -13,7 +13,7 @@
 use smol_str::format_smolstr;
 use tokio::time::Instant;
 
-use super::{fleet, site::Site};
+use super::{fleet, state::RelayState};
 
 /// The time between two rounds of gossip. After two failed exchanges a dead instance is no longer
 /// named to callers.
@@ -50,26 +50,26 @@
 
 /// Returns the addresses for callers of all instances that seem to live. All instances have the
 /// same ports.
-pub(super) fn addresses(site: &Site) -> Vec<SocketAddr> {
-    let settings = site.settings.load();
+pub(super) fn addresses(state: &RelayState) -> Vec<SocketAddr> {
+    let settings = state.settings.load();
     let Some(own) = settings.listen.callers else {
         return Vec::new();
     };
-    let gossip = site.gossip();
+    let gossip = state.gossip();
     let others = gossip.membership().in_state(MemberState::Live);
     let others = others.filter_map(|member| member.address.parse::<SocketAddr>().ok());
     let others = others.map(|address| SocketAddr::new(address.ip(), own.port()));
     let mut found: Vec<SocketAddr> = others.collect();
     // Where all stop at once, those that still take callers are all that there is.
-    if site.is_ready() || (found.is_empty() && site.takes_callers()) {
+    if state.is_ready() || (found.is_empty() && state.takes_callers()) {
         found.insert(0, own);
     }
     found
 }
 
 /// Returns what is known of the other instances.
-pub(super) fn others(site: &Site) -> PeerCounts {
-    let gossip = site.gossip();
+pub(super) fn others(state: &RelayState) -> PeerCounts {
+    let gossip = state.gossip();
     let count = |state| gossip.membership().in_state(state).count();
     PeerCounts {
         live: count(MemberState::Live),
@@ -78,42 +78,42 @@
 }
 
 /// Takes the turns of gossip until the instance ends.
-pub(super) async fn run(site: Arc<Site>) {
+pub(super) async fn run(state: Arc<RelayState>) {
     let mut round = Instant::now();
     loop {
         tokio::select! {
-            () = site.ending.cancelled() => return,
+            () = state.ending.cancelled() => return,
             () = tokio::time::sleep_until(round) => {}
         }
         let now = Instant::now();
         let sends = {
-            let mut gossip = site.gossip();
-            gossip.raise_acting_revision(Revision(site.known.version()));
+            let mut gossip = state.gossip();
+            gossip.raise_acting_revision(Revision(state.known.version()));
             round = now + gossip.round_interval(now);
             gossip.tick(now)
         };
-        deliver(&site, sends);
-        after(&site);
+        deliver(&state, sends);
+        after(&state);
         // Once a round, as many are met at once where a fleet starts.
-        if site.has_changed.swap(false, Relaxed) {
-            fleet::refresh(&site);
+        if state.has_changed.swap(false, Relaxed) {
+            fleet::refresh(&state);
         }
     }
 }
 
 /// Says to all instances that this one takes no new work.
-pub(super) fn leave(site: &Arc<Site>) {
-    site.gossip().announce_leaving();
-    after(site);
+pub(super) fn leave(state: &Arc<RelayState>) {
+    state.gossip().announce_leaving();
+    after(state);
 }
 
 /// Acts on what changed, and pushes what can't wait for the next round.
-pub(super) fn after(site: &Arc<Site>) {
+pub(super) fn after(state: &Arc<RelayState>) {
     let (events, sends) = {
-        let mut gossip = site.gossip();
+        let mut gossip = state.gossip();
         (gossip.take_events(), gossip.urgent_messages(Instant::now()))
     };
-    deliver(site, sends);
+    deliver(state, sends);
     let now = Instant::now();
     let mut has_changed = false;
     for event in events {
@@ -124,43 +124,43 @@
             }
             Event::Renumbered => has_changed = true,
             Event::Revision(revision) | Event::Ahead(revision) => {
-                site.known.report_config(revision.0, now);
-                site.newer_config.notify_one();
+                state.known.report_config(revision.0, now);
+                state.newer_config.notify_one();
             }
             Event::Brake(_) | Event::Changed(_) => {}
         }
     }
     if has_changed {
-        site.has_changed.store(true, Relaxed);
+        state.has_changed.store(true, Relaxed);
     }
 }
 
-fn deliver(site: &Arc<Site>, sends: Vec<Outgoing>) {
+fn deliver(state: &Arc<RelayState>, sends: Vec<Outgoing>) {
     for outgoing in sends {
-        site.tasks.spawn(send(Arc::clone(site), outgoing));
+        state.tasks.spawn(send(Arc::clone(state), outgoing));
     }
 }
 
-async fn send(site: Arc<Site>, outgoing: Outgoing) {
+async fn send(state: Arc<RelayState>, outgoing: Outgoing) {
     let Ok(to) = outgoing.to.parse::<SocketAddr>() else {
-        return site
+        return state
             .gossip()
             .handle_failure(outgoing.member, Instant::now());
     };
     let mut next = Some(outgoing.message);
     while let Some(message) = next.take() {
         let begun = Instant::now();
-        match site.peers.exchange(to, message).await {
+        match state.peers.exchange(to, message).await {
             Ok(answer) => {
-                site.known.record_contact(begun);
-                next = site
+                state.known.record_contact(begun);
+                next = state
                     .gossip()
                     .handle_response(outgoing.member, answer, Instant::now());
             }
-            Err(_) => site
+            Err(_) => state
                 .gossip()
                 .handle_failure(outgoing.member, Instant::now()),
         }
     }
-    after(&site);
+    after(&state);
 }
--- a/daemon/src/relay/order_store.rs
+++ b/daemon/src/relay/order_store.rs
@@ -6,10 +6,10 @@
 use celerypond_types::VersionName;
 use smol_str::SmolStr;
 
-use super::site::Site;
+use super::state::RelayState;
 
 /// An order in the store, with what was said of it.
-pub(super) struct Found {
+pub(super) struct StoredOrder {
     pub(super) key: SmolStr,
     /// The version of the order's object.
     pub(super) version: Version,
@@ -18,7 +18,7 @@
 }
 
 /// How far an order has come, where the store does not say so yet.
-pub(super) struct Unsaid {
+pub(super) struct StatusUpdate {
     /// The key of the order.
     pub(super) key: SmolStr,
     /// The version of the order's object that is known.
@@ -29,7 +29,7 @@
 }
 
 /// What came of a unsaid.
-pub(super) struct Written {
+pub(super) struct StatusWrite {
     /// The version of the order's object.
     pub(super) version: Version,
     /// What the store says now; nothing where that is not known.
@@ -37,8 +37,8 @@
 }
 
 /// Returns the orders that the store holds; nothing where it does not answer.
-pub(super) async fn find(site: &Site) -> Option<Vec<Found>> {
-    match site.store.list_stale(rollout::ORDERS_PREFIX).await {
+pub(super) async fn find(state: &RelayState) -> Option<Vec<StoredOrder>> {
+    match state.store.list_stale(rollout::ORDERS_PREFIX).await {
         Ok(listing) => Some(read(&listing)),
         Err(report) => {
             let error = report.current_context();
@@ -48,7 +48,7 @@
     }
 }
 
-fn read(listing: &Listing) -> Vec<Found> {
+fn read(listing: &Listing) -> Vec<StoredOrder> {
     let objects = listing.objects.iter();
     let specs = objects.filter(|object| !is_status(&object.key));
     specs
@@ -61,7 +61,7 @@
             let said = status.and_then(|status| rollout::decode_status(&status.value).ok());
             // What was said of an earlier order of the service says nothing of this one.
             let said = said.filter(|(version, _)| *version == order.version);
-            Some(Found {
+            Some(StoredOrder {
                 key: object.key.clone(),
                 version: object.version,
                 order,
@@ -79,23 +79,23 @@
 ///
 /// A write whose answer was lost may have been done; the next turn reads the object and writes the same
 /// words again, which changes nothing.
-pub(super) async fn say(site: &Site, unsaid: &Unsaid) -> Written {
+pub(super) async fn say(state: &RelayState, unsaid: &StatusUpdate) -> StatusWrite {
     let status = rollout::status_key(&unsaid.key);
     let value = rollout::encode_status(&unsaid.target, unsaid.phase);
-    match site
+    match state
         .store
         .update(&status, unsaid.before, value.into())
         .await
     {
-        Ok(version) => Written {
+        Ok(version) => StatusWrite {
             version,
             said: Some(unsaid.phase),
         },
         Err(report) => {
             let error = *report.current_context();
             log::warn!(key = unsaid.key.as_str(), phase:? = unsaid.phase, error:% = error; "order not reported");
-            Written {
-                version: current(site, unsaid, error).await,
+            StatusWrite {
+                version: current(state, unsaid, error).await,
                 said: None,
             }
         }
@@ -103,10 +103,10 @@
 }
 
 /// Returns the version of the order's object after a write that failed.
-async fn current(site: &Site, unsaid: &Unsaid, error: PlatformError) -> Version {
+async fn current(state: &RelayState, unsaid: &StatusUpdate, error: PlatformError) -> Version {
     match error {
         PlatformError::Conflict | PlatformError::Ambiguous => {
-            let found = site.store.get(&unsaid.key).await;
+            let found = state.store.get(&unsaid.key).await;
             found.map_or(unsaid.before, |object| object.version)
         }
         _ => unsaid.before,
--- a/daemon/src/relay/peer_service.rs
+++ b/daemon/src/relay/peer_service.rs
@@ -9,7 +9,7 @@
 use tarpc::context::Context;
 use tokio::{net::TcpListener, sync::Semaphore, time::Instant};
 
-use super::{members, site::Site};
+use super::{members, state::RelayState};
 use crate::listening;
 
 /// How many transfers of all targets or of a configuration go to other instances at a time.
@@ -22,12 +22,12 @@
 const LINK_BYTE: Duration = Duration::from_micros(1);
 
 /// Answers the calls of other instances until the instance ends.
-pub(super) async fn run(site: Arc<Site>, listener: TcpListener) {
-    let ending = site.ending.clone();
+pub(super) async fn run(state: Arc<RelayState>, listener: TcpListener) {
+    let ending = state.ending.clone();
     let transfers = Arc::new(Semaphore::new(TRANSFERS));
     listening::serve(listener, ending, |socket| {
         let server = Server {
-            site: Arc::clone(&site),
+            state: Arc::clone(&state),
             transfers: Arc::clone(&transfers),
         };
         async move {
@@ -42,7 +42,7 @@
 /// no keyed calls.
 #[derive(Clone)]
 struct Server {
-    site: Arc<Site>,
+    state: Arc<RelayState>,
     transfers: Arc<Semaphore>,
 }
 
@@ -52,7 +52,7 @@
         let turn = Arc::clone(&self.transfers).try_acquire_owned().ok()?;
         let bytes = encode(told);
         let time = LINK_BYTE.saturating_mul(u32::try_from(bytes.len()).unwrap_or(u32::MAX));
-        self.site.tasks.spawn(async move {
+        self.state.tasks.spawn(async move {
             tokio::time::sleep(time).await;
             drop(turn);
         });
@@ -62,8 +62,8 @@
 
 impl Peer for Server {
     async fn exchange_gossip(self, _: Context, message: Message) -> Message {
-        let answer = self.site.gossip().handle_request(message, Instant::now());
-        members::after(&self.site);
+        let answer = self.state.gossip().handle_request(message, Instant::now());
+        members::after(&self.state);
         answer
     }
 
@@ -80,12 +80,12 @@
     }
 
     async fn fetch_bundle(self, _: Context, revision: Revision) -> Option<Vec<u8>> {
-        let table = self.site.known.config_since(revision.0)?;
+        let table = self.state.known.config_since(revision.0)?;
         self.transfer(table.config())
     }
 
     async fn fetch_changes(self, _: Context, since: u64) -> Option<Vec<u8>> {
-        let news = self.site.known.news(since)?;
+        let news = self.state.known.news(since)?;
         match news.is_whole {
             true => self.transfer(&news),
             false => Some(encode(&news)),
--- a/daemon/src/relay/listen.rs
+++ b/daemon/src/relay/probed_wait.rs
@@ -6,17 +6,17 @@
 use celerypond_types::DataCentre;
 use tokio::{sync::watch, time::sleep};
 
-use super::{lease::Lease, site::Site};
+use super::{lease::Lease, state::RelayState};
 
 /// What came of waiting.
-pub(super) enum Heard<T> {
+pub(super) enum WaitOutcome<T> {
     /// What was waited for.
     Said(T),
     /// The engine takes no new connection.
     Dead,
 }
 
-impl<T> Heard<T> {
+impl<T> WaitOutcome<T> {
     /// Returns what was waited for.
     ///
     /// # Errors
@@ -32,24 +32,24 @@
 
 /// Waiting for an engine. Each time it was silent for a while, or another engine of its data centre
 /// was found dead, it is asked for a sign of life.
-pub(super) struct Listening {
-    site: Arc<Site>,
+pub(super) struct ProbedWait {
+    state: Arc<RelayState>,
     data_centre: Option<DataCentre>,
     alarm: watch::Receiver<Option<DataCentre>>,
     ask_after: Duration,
 }
 
-impl Listening {
+impl ProbedWait {
     pub(super) fn new(
-        site: &Arc<Site>,
+        state: &Arc<RelayState>,
         lease: &Lease,
         patience: SilenceLimits,
         is_first: bool,
     ) -> Self {
         Self {
-            site: Arc::clone(site),
-            data_centre: site.known.data_centre_of(lease.key),
-            alarm: site.alarm.subscribe(),
+            state: Arc::clone(state),
+            data_centre: state.known.data_centre_of(lease.key),
+            alarm: state.alarm.subscribe(),
             ask_after: match is_first {
                 true => patience.probe_first,
                 false => patience.probe_gap,
@@ -62,22 +62,22 @@
         mut self,
         address: SocketAddr,
         event: impl Future<Output = T>,
-    ) -> Heard<T> {
+    ) -> WaitOutcome<T> {
         let mut event = pin!(event);
         loop {
             tokio::select! {
                 biased;
-                said = &mut event => return Heard::Said(said),
+                said = &mut event => return WaitOutcome::Said(said),
                 () = sleep(self.ask_after) => {}
                 () = alarmed(&mut self.alarm, self.data_centre.as_ref()) => {}
             }
             tokio::select! {
                 biased;
-                said = &mut event => return Heard::Said(said),
-                is_alive = self.site.connections.is_alive(address) => {
+                said = &mut event => return WaitOutcome::Said(said),
+                is_alive = self.state.connections.is_alive(address) => {
                     if !is_alive {
                         self.raise_alarm();
-                        return Heard::Dead;
+                        return WaitOutcome::Dead;
                     }
                 }
             }
@@ -88,7 +88,7 @@
     /// do.
     fn raise_alarm(&self) {
         log::info!(data_centre = self.data_centre.as_ref().map(DataCentre::as_str); "engine silent");
-        self.site.alarm.send_replace(self.data_centre.clone());
+        self.state.alarm.send_replace(self.data_centre.clone());
     }
 }
 
--- a/daemon/src/relay/flow.rs
+++ b/daemon/src/relay/relayed_stream.rs
@@ -16,65 +16,65 @@
 use tokio::time::{timeout_at, Instant};
 
 use super::{
-    attempt::{send, Opened},
-    copies::{Copies, CopyAt, Source},
+    attempt::{send, OpenResponse},
+    event_buffer::EventBuffer,
     lease::Lease,
-    listen::{Heard, Listening},
-    passage::Passage,
+    probed_wait::{ProbedWait, WaitOutcome},
     relocation,
     reply::Broken,
-    run::Run,
+    routed_request::RoutedRequest,
+    run_copy::{CopiedRun, CopyLocation, RunCopy},
 };
 
 /// A stream on its way from engines to its caller.
-pub(super) struct Flow {
-    pub(super) run: Run,
-    pub(super) passage: Passage,
-    pub(super) at: Option<Position>,
+pub(super) struct RelayedStream {
+    pub(super) run: RoutedRequest,
+    pub(super) passage: EventBuffer,
+    pub(super) at: Option<CurrentEngine>,
     /// Whether the last engine that answered had a copy of the run's memory.
     pub(super) by_copy: bool,
     is_complete: bool,
 }
 
 /// The head that a caller gets: that of the first engine, also when the stream goes on elsewhere.
-pub(super) struct First {
+pub(super) struct ResponseHead {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) target: TargetName,
 }
 
 /// Where a stream runs.
-pub(super) struct Position {
+pub(super) struct CurrentEngine {
     pub(super) lease: Lease,
-    pub(super) opened: Opened,
+    pub(super) opened: OpenResponse,
     patience: SilenceLimits,
     /// The copy of the run's memory; nothing where engines make none.
-    pub(super) copies: Option<Copies>,
+    pub(super) copies: Option<RunCopy>,
     /// When it is next asked whether the stream runs well here.
     pub(super) look: Instant,
     pace: EventTimer,
 }
 
 /// An attempt that ended, and what is left of it.
-struct Lost {
+struct FailedAttempt {
     lease: Lease,
     ended: AttemptFailure,
 }
 
 /// No engine took the stream.
-struct Nobody {
+struct NoEngine {
     /// What follows.
     next: NextStep,
     /// Whether an engine may take it later.
     is_lack: bool,
 }
 
-impl Flow {
-    pub(super) fn new(run: Run) -> Self {
+impl RelayedStream {
+    pub(super) fn new(run: RoutedRequest) -> Self {
         let last = headers::read_caller(&run.asked.headers).last_event;
         Self {
             run,
-            passage: Passage::after(last),
+            passage: EventBuffer::after(last),
             at: None,
             by_copy: false,
             is_complete: false,
@@ -82,14 +82,14 @@
     }
 
     /// Asks engines until one has sent a first event, or its failure is to be passed on.
-    pub(super) async fn begin(&mut self) -> Result<First, NextStep> {
+    pub(super) async fn begin(&mut self) -> Result<ResponseHead, NextStep> {
         let begun = Instant::now();
         self.admit().await?;
         self.find(Vec::new(), true).await?;
-        let latencies = &self.run.site.latencies;
+        let latencies = &self.run.state.latencies;
         latencies.add(Latency::FirstEvent, begun.elapsed());
         let at = self.at.as_ref().ok_or(NextStep::Failed)?;
-        Ok(First {
+        Ok(ResponseHead {
             status: at.opened.status,
             headers: at.opened.headers.clone(),
             target: at.lease.name.clone(),
@@ -127,7 +127,7 @@
     /// budget when that is used up. Engines that hold a copy of the run's memory go first.
     pub(super) async fn find(
         &mut self,
-        mut copies: Vec<CopyAt>,
+        mut copies: Vec<CopyLocation>,
         may_ask: bool,
     ) -> Result<(), NextStep> {
         let begun = Instant::now();
@@ -166,7 +166,7 @@
     }
 
     /// Asks engines until one answers; first those that hold a copy of the run's memory.
-    async fn ask_all(&mut self, copies: Vec<CopyAt>) -> Result<(), Nobody> {
+    async fn ask_all(&mut self, copies: Vec<CopyLocation>) -> Result<(), NoEngine> {
         let mut copies = copies.into_iter();
         let mut is_again = self.passage.passed() > 0;
         loop {
@@ -180,7 +180,7 @@
                 None => (self.run.place(), None),
             };
             let Some(lease) = lease else {
-                return Err(Nobody {
+                return Err(NoEngine {
                     next: self.run.nowhere(),
                     is_lack: true,
                 });
@@ -194,12 +194,12 @@
             match self.run.ended(&lost.lease, lost.ended) {
                 NextStep::Elsewhere => {}
                 NextStep::Later => {
-                    return Err(Nobody {
+                    return Err(NoEngine {
                         next: NextStep::Failed,
                         is_lack: true,
                     });
                 }
-                next => return Err(Nobody { next, is_lack }),
+                next => return Err(NoEngine { next, is_lack }),
             }
         }
     }
@@ -207,22 +207,26 @@
     /// Takes a place at the next engine that holds a copy and takes new work.
     fn place_at_copy(
         &mut self,
-        copies: &mut impl Iterator<Item = CopyAt>,
-    ) -> Option<(Lease, CopyAt)> {
+        copies: &mut impl Iterator<Item = CopyLocation>,
+    ) -> Option<(Lease, CopyLocation)> {
         copies.find_map(|copy| Some((self.run.place_at_copy(copy.holder)?, copy)))
     }
 
     /// Asks one engine, and waits for its first event.
-    async fn ask(&mut self, mut lease: Lease, from: Option<CopyAt>) -> Result<(), Box<Lost>> {
+    async fn ask(
+        &mut self,
+        mut lease: Lease,
+        from: Option<CopyLocation>,
+    ) -> Result<(), Box<FailedAttempt>> {
         let begun = Instant::now();
         let backup = match self.will_move(lease.key, from.as_ref()) {
             true => None,
             false => self.backup(lease.key),
         };
-        let reading = self.run.site.known.targets().reading(lease.key, begun);
+        let reading = self.run.state.known.targets().reading(lease.key, begun);
         let sent = self.send(&mut lease, backup, from.as_ref()).await;
         let by_copy = from.is_some();
-        let lost = |lease, ended| Err(Box::new(Lost { lease, ended }));
+        let lost = |lease, ended| Err(Box::new(FailedAttempt { lease, ended }));
         let opened = match sent {
             Ok(opened) => opened,
             // An engine that dies while it reads has copied too little; nearly all holders refuse to go on.
@@ -233,7 +237,7 @@
         }
         let is_success = opened.status.is_success();
         let patience = self.patience(lease.key);
-        let mut at = Position {
+        let mut at = CurrentEngine {
             lease,
             opened,
             patience,
@@ -275,9 +279,9 @@
         &self,
         lease: &mut Lease,
         backup: Option<TargetKey>,
-        from: Option<&CopyAt>,
-    ) -> Result<Opened, AttemptFailure> {
-        let address = |key| self.run.site.known.address_of(key);
+        from: Option<&CopyLocation>,
+    ) -> Result<OpenResponse, AttemptFailure> {
+        let address = |key| self.run.state.known.address_of(key);
         let resume_from = from.and_then(|copy| match &copy.ordered {
             Some(ordered) => Some(CopyName {
                 address: ordered.from,
@@ -299,9 +303,9 @@
             resume_from,
         };
         let patience = self.patience(lease.key);
-        let listening = Listening::new(&self.run.site, lease, patience, true);
+        let listening = ProbedWait::new(&self.run.state, lease, patience, true);
         let (address, key) = (lease.address, lease.key);
-        let sending = send(&self.run.site, lease, &self.run.asked, &head, left);
+        let sending = send(&self.run.state, lease, &self.run.asked, &head, left);
         self.hear_first(key, listening.hear(address, sending))
             .await?
     }
@@ -310,7 +314,7 @@
     async fn hear_first<T>(
         &self,
         key: TargetKey,
-        heard: impl Future<Output = Heard<T>>,
+        heard: impl Future<Output = WaitOutcome<T>>,
     ) -> Result<T, AttemptFailure> {
         let mut heard = pin!(heard);
         let mut wait = FirstEventWait::new(Instant::now());
@@ -331,18 +335,18 @@
     /// millisecond, before they hear of each other. Two prompts then meet at one engine, and both take
     /// seconds. The wait is short beside a prompt's reading.
     async fn spread_out(&self) {
-        let most = PlacementSchedule::retry_spread(self.run.site.sharers());
+        let most = PlacementSchedule::retry_spread(self.run.state.sharers());
         let wait = rand::rng().random_range(Duration::ZERO..most);
         tokio::time::sleep(wait).await;
     }
 
     fn patience(&self, key: TargetKey) -> SilenceLimits {
-        let reading = self.run.site.known.targets().reading(key, Instant::now());
+        let reading = self.run.state.known.targets().reading(key, Instant::now());
         SilenceLimits::for_stream(reading, self.run.route.gap_aim)
     }
 
     fn backup(&self, main: TargetKey) -> Option<TargetKey> {
-        let table = self.run.site.known.table();
+        let table = self.run.state.known.table();
         let engine = table.service(&self.run.wish.service)?.engine.as_ref()?;
         if !engine.backups || !self.run.kind().may_repeat() {
             return None;
@@ -350,28 +354,28 @@
         self.run.backup_of(main)
     }
 
-    fn keep_copy(&self, lease: &Lease, first: Option<TargetKey>) -> Option<Copies> {
-        let table = self.run.site.known.table();
+    fn keep_copy(&self, lease: &Lease, first: Option<TargetKey>) -> Option<RunCopy> {
+        let table = self.run.state.known.table();
         let engine = table.service(&self.run.wish.service)?.engine.as_ref()?;
         if !engine.copies || !self.run.kind().may_repeat() {
-            return first.map(Copies::of_engine);
+            return first.map(RunCopy::of_engine);
         }
-        let source = Source {
+        let source = CopiedRun {
             request: self.run.asked.id.clone(),
             engine: lease.key,
             address: lease.address,
             wish: self.run.wish.clone(),
         };
-        Some(Copies::keep(&self.run.site, source, first))
+        Some(RunCopy::keep(&self.run.state, source, first))
     }
 
     /// Reads until there is a whole event to pass on or the stream has ended.
-    async fn read(&mut self, at: &mut Position, is_first: bool) -> Result<(), AttemptFailure> {
+    async fn read(&mut self, at: &mut CurrentEngine, is_first: bool) -> Result<(), AttemptFailure> {
         use http_body_util::BodyExt as _;
         let address = at.lease.address;
         let begun = Instant::now();
         while !self.passage.is_ready() && !self.is_complete {
-            let listening = Listening::new(&self.run.site, &at.lease, at.patience, is_first);
+            let listening = ProbedWait::new(&self.run.state, &at.lease, at.patience, is_first);
             let heard = listening.hear(address, at.opened.body.frame());
             let frame = match is_first {
                 true => self.hear_first(at.lease.key, heard).await?,
@@ -385,7 +389,7 @@
                 Some(Ok(frame)) => {
                     let events = self.passage.take_in(&frame)?;
                     if let Some(event_ms) = at.pace.record(events, Instant::now()) {
-                        let mut targets = self.run.site.known.targets();
+                        let mut targets = self.run.state.known.targets();
                         targets.record_event_time(at.lease.key, event_ms, Instant::now());
                     }
                 }
@@ -432,10 +436,10 @@
     /// Goes on at another engine; returns whether one was found.
     ///
     /// The connection to the lost engine is closed first: two engines must not work on one request.
-    async fn go_on(&mut self, at: Position, ended: AttemptFailure) -> bool {
+    async fn go_on(&mut self, at: CurrentEngine, ended: AttemptFailure) -> bool {
         let begun = Instant::now();
-        let copies = at.copies.as_ref().and_then(Copies::at);
-        let copies: Vec<CopyAt> = copies.into_iter().collect();
+        let copies = at.copies.as_ref().and_then(RunCopy::at);
+        let copies: Vec<CopyLocation> = copies.into_iter().collect();
         drop(at.opened);
         drop(at.copies);
         self.passage.drop_rest();
@@ -447,14 +451,14 @@
             next => Err(next),
         };
         let is_well = self.is_well();
-        let site = &self.run.site;
-        site.latencies.add(Latency::Resume, begun.elapsed());
+        let state = &self.run.state;
+        state.latencies.add(Latency::Resume, begun.elapsed());
         let counter = match (&found, self.by_copy) {
             (Ok(()), true) => Counter::ResumedByCopy,
             (Ok(()), false) => Counter::ResumedByReading,
             (Err(_), _) => Counter::StreamsBroken,
         };
-        site.metrics.add(counter, 1);
+        state.metrics.add(counter, 1);
         log::info!(
             request = self.run.asked.id.as_str(),
             by_copy = self.by_copy,
@@ -475,7 +479,7 @@
 
     fn finish(&mut self) {
         if let Some(at) = self.at.take() {
-            at.opened.keep(&self.run.site, &at.lease);
+            at.opened.keep(&self.run.state, &at.lease);
             if let Some(copies) = at.copies {
                 copies.finish();
             }
@@ -483,7 +487,7 @@
         if let Some(last) = self.passage.last() {
             self.run.note_length(last);
         }
-        self.run.site.metrics.add(Counter::StreamsComplete, 1);
+        self.run.state.metrics.add(Counter::StreamsComplete, 1);
         log::info!(
             request = self.run.asked.id.as_str(),
             events = self.passage.passed(),
@@ -493,15 +497,15 @@
     }
 
     /// Takes the response of the engine out, to be read by other means.
-    pub(super) fn take_opened(&mut self) -> Option<Opened> {
+    pub(super) fn take_opened(&mut self) -> Option<OpenResponse> {
         self.at.take().map(|at| at.opened)
     }
 }
 
-impl Drop for Flow {
+impl Drop for RelayedStream {
     fn drop(&mut self) {
         if let Some(at) = &self.at {
-            self.run.site.metrics.add(Counter::StreamsLeft, 1);
+            self.run.state.metrics.add(Counter::StreamsLeft, 1);
             log::info!(
                 request = self.run.asked.id.as_str(),
                 target = at.lease.name.as_str(),
--- a/daemon/src/relay/reload.rs
+++ b/daemon/src/relay/reload.rs
@@ -5,17 +5,17 @@
 use celerypond_adapter::settings;
 use tokio::signal::unix::Signal;
 
-use super::site::Site;
+use super::state::RelayState;
 
 /// The time between two looks at the file, which may change without a signal.
 const LOOK: Duration = Duration::from_secs(1);
 
 /// Takes in changes of the settings file until the instance ends.
-pub(super) async fn run(site: Arc<Site>, mut hangup: Signal) {
+pub(super) async fn run(state: Arc<RelayState>, mut hangup: Signal) {
     let mut text = read();
     loop {
         tokio::select! {
-            () = site.ending.cancelled() => return,
+            () = state.ending.cancelled() => return,
             _ = hangup.recv() => {}
             () = tokio::time::sleep(LOOK) => {}
         }
@@ -27,7 +27,7 @@
         match settings::parse(text.as_deref().unwrap_or_default()) {
             Ok(new) => {
                 log::info!("settings reloaded");
-                site.settings.store(Arc::new(new));
+                state.settings.store(Arc::new(new));
             }
             Err(faults) => {
                 for fault in faults {
--- a/daemon/src/relay/relocation.rs
+++ b/daemon/src/relay/relocation.rs
@@ -14,10 +14,10 @@
 use tokio::time::{timeout_at, Instant};
 
 use super::{
-    control,
-    copies::{CopyAt, Ordered},
-    flow::{Flow, Position},
-    site::Site,
+    engine_calls,
+    relayed_stream::{CurrentEngine, RelayedStream},
+    run_copy::{CopyLocation, OrderedCopy},
+    state::RelayState,
 };
 
 /// The time between two looks whether a stream runs well where it is. Prompts come to its engine at any
@@ -41,7 +41,7 @@
     Unknown,
 }
 
-impl Flow {
+impl RelayedStream {
     /// Moves the stream if it would be done sooner elsewhere; returns whether it still runs.
     pub(super) async fn relocate(&mut self) -> bool {
         let now = Instant::now();
@@ -80,30 +80,30 @@
 
     /// Returns whether a stream will leave an engine as soon as its prompt is read there, by what is known
     /// now. The copy that the engine would keep from the start is then made in vain.
-    pub(super) fn will_move(&self, at: TargetKey, copy: Option<&CopyAt>) -> bool {
+    pub(super) fn will_move(&self, at: TargetKey, copy: Option<&CopyLocation>) -> bool {
         copy.is_none() && self.run.may_move() && self.better_engine(at).is_some()
     }
 
     /// Returns the engine that the stream should move to.
     fn better_engine(&self, from: TargetKey) -> Option<BetterEngine> {
-        let table = self.run.site.known.table();
+        let table = self.run.state.known.table();
         let engine = table.service(&self.run.wish.service)?.engine.as_ref()?;
         if !engine.copies || !self.run.kind().may_repeat() {
             return None;
         }
         let want = self.run.wish.want(&[]);
         let ahead = self.run.ahead(self.passage.last().unwrap_or_default());
-        let targets = self.run.site.known.targets();
+        let targets = self.run.state.known.targets();
         targets.better_engine(from, &want, ahead, Instant::now())
     }
 
     async fn order(&self, from: TargetKey, better: &BetterEngine) -> Moved {
-        let known = &self.run.site.known;
+        let known = &self.run.state.known;
         let (Some(source), Some(target)) = (known.address_of(from), known.address_of(better.key))
         else {
             return Moved::Stays;
         };
-        let moved = order(&self.run.site, &self.run.asked.id, source, target).await;
+        let moved = order(&self.run.state, &self.run.asked.id, source, target).await;
         let how = match &moved {
             Moved::Stays => "refused",
             Moved::Stopped {
@@ -141,15 +141,15 @@
         if let Some(copies) = at.copies {
             copies.finish();
         }
-        let copies = holders.iter().map(|holder| CopyAt {
+        let copies = holders.iter().map(|holder| CopyLocation {
             holder: *holder,
-            ordered: Some(Ordered {
+            ordered: Some(OrderedCopy {
                 from,
                 handle: handle.clone(),
             }),
         });
         let found = self.find(copies.collect(), true).await;
-        self.run.site.metrics.add(Counter::StreamsMoved, 1);
+        self.run.state.metrics.add(Counter::StreamsMoved, 1);
         log::info!(
             request = self.run.asked.id.as_str(),
             from:% = from,
@@ -164,7 +164,7 @@
 
     /// Takes in the events that the engine made before it stopped the run. Its stream ends early, which
     /// is not the end of the answer.
-    async fn drain(&mut self, at: &mut Position) {
+    async fn drain(&mut self, at: &mut CurrentEngine) {
         use http_body_util::BodyExt as _;
         let until = Instant::now() + DRAIN;
         while let Ok(Some(Ok(frame))) = timeout_at(until, at.opened.body.frame()).await {
@@ -184,12 +184,12 @@
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-async fn order(site: &Site, request: &str, from: SocketAddr, to: SocketAddr) -> Moved {
+async fn order(state: &RelayState, request: &str, from: SocketAddr, to: SocketAddr) -> Moved {
     let Ok(path) = engine::COPY_PATH.parse() else {
         return Moved::Stays;
     };
     let body = engine::encode_move(request, to);
-    let Some(answer) = control::ask(site, from, Method::POST, path, body, ORDER).await else {
+    let Some(answer) = engine_calls::ask(state, from, Method::POST, path, body, ORDER).await else {
         return Moved::Unknown;
     };
     match engine::decode_copy(&answer.body) {
--- a/daemon/src/relay/reply.rs
+++ b/daemon/src/relay/reply.rs
@@ -13,7 +13,7 @@
 use http_body_util::{combinators::UnsyncBoxBody, BodyExt, Full};
 use thiserror::Error;
 
-use super::{run::Run, site::Outdated};
+use super::{routed_request::RoutedRequest, state::Outdated};
 
 /// A stream could not go on. The connection to the caller breaks, so that what it has does not look
 /// complete.
@@ -52,11 +52,11 @@
 }
 
 /// When a caller whose request has not run may come back, if nothing else is known.
-const COME_BACK: Duration = Duration::from_millis(300);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// How long after a target is asked again a caller may come back.
-const COME_BACK_SLACK: Duration = Duration::from_millis(100);
+const RETRY_AFTER_SLACK: Duration = Duration::from_millis(100);
 /// The part of its time that a caller waits at most before it comes back.
-const COME_BACK_SHARE: u32 = 3;
+const RETRY_AFTER_SHARE: u32 = 3;
 
 /// Makes the body of a whole response.
 pub(super) fn whole(bytes: impl Into<Bytes>) -> Body {
@@ -81,8 +81,8 @@
 
 /// Makes the answer to a request that has not run and never will, with when to come back.
 pub(super) fn not_run(id: &str, left: Duration, back: Option<Duration>, why: Reason) -> Reply {
-    let wait = back.map_or(COME_BACK, |back| back + COME_BACK_SLACK);
-    let wait = wait.min(left / COME_BACK_SHARE);
+    let wait = back.map_or(DEFAULT_RETRY_AFTER, |back| back + RETRY_AFTER_SLACK);
+    let wait = wait.min(left / RETRY_AFTER_SHARE);
     let mut reply = own(StatusCode::SERVICE_UNAVAILABLE, Some(id), why);
     let seconds = format!("{:.2}", wait.as_secs_f64());
     // Digits and a point can stand in a header.
@@ -93,7 +93,7 @@
 }
 
 /// Makes the final answer that follows the end of the last attempt.
-pub(super) fn after(next: NextStep, run: &Run) -> Reply {
+pub(super) fn after(next: NextStep, run: &RoutedRequest) -> Reply {
     let id = run.asked.id.as_str();
     match next {
         NextStep::NotRun | NextStep::Elsewhere => {
--- a/daemon/src/relay/request.rs
+++ b/daemon/src/relay/request.rs
@@ -23,11 +23,12 @@
 use tokio::time::Instant;
 
 use super::{
-    attempt::Asked,
-    members, plain,
+    attempt::CallerRequest,
+    members,
     reply::{self, Reason, Reply},
-    run::Run,
-    site::{Outdated, Site},
+    routed_request::RoutedRequest,
+    single_response,
+    state::{Outdated, RelayState},
     stream,
 };
 
@@ -50,7 +51,7 @@
 
 /// Answers a caller's request.
 pub(super) async fn answer(
-    site: Arc<Site>,
+    state: Arc<RelayState>,
     request: Request<Incoming>,
 ) -> Result<Reply, Infallible> {
     let start = Instant::now();
@@ -60,18 +61,18 @@
     let is_chunked = request.headers().contains_key(TRANSFER_ENCODING);
     let head = headers::read_caller(request.headers());
     let id = head.request.clone();
-    let _open = Open::new(&site);
-    let mut reply = route(&site, request, head, start).await;
-    if is_chunked || site.stopping.is_cancelled() {
+    let _open = OpenRequest::new(&state);
+    let mut reply = route(&state, request, head, start).await;
+    if is_chunked || state.stopping.is_cancelled() {
         reply::close_after(&mut reply);
     }
-    count(&site, &reply);
-    tell(&site, id.as_deref(), &reply, start);
+    count(&state, &reply);
+    tell(&state, id.as_deref(), &reply, start);
     Ok(reply)
 }
 
 /// Writes the line that tells how a request was answered, and by what state of the store.
-fn tell(site: &Site, request: Option<&str>, reply: &Reply, start: Instant) {
+fn tell(state: &RelayState, request: Option<&str>, reply: &Reply, start: Instant) {
     let status = reply.status().as_u16();
     let took_ms = start.elapsed().as_millis() as u64;
     match reply.extensions().get::<Reason>() {
@@ -82,10 +83,10 @@
             request,
             status,
             why = why.map(|why| format!("{why:?}")),
-            config = site.known.version(),
-            newest_config = site.newest_config(),
-            targets_revision = site.known.revision(),
-            store_lost = site.duty.is_lost(),
+            config = state.known.version(),
+            newest_config = state.newest_config(),
+            targets_revision = state.known.revision(),
+            store_lost = state.duty.is_lost(),
             took_ms;
             "answered"
         ),
@@ -93,24 +94,24 @@
 }
 
 /// Counts a request as open until it is dropped; a caller may leave at any time.
-struct Open(Arc<Site>);
+struct OpenRequest(Arc<RelayState>);
 
-impl Open {
-    fn new(site: &Arc<Site>) -> Self {
-        site.metrics.add(Counter::Routed, 1);
-        site.open.fetch_add(1, Relaxed);
-        Self(Arc::clone(site))
+impl OpenRequest {
+    fn new(state: &Arc<RelayState>) -> Self {
+        state.metrics.add(Counter::Routed, 1);
+        state.open.fetch_add(1, Relaxed);
+        Self(Arc::clone(state))
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Relaxed);
     }
 }
 
 /// Counts what became of a request; failures of targets that were passed on are the targets'.
-fn count(site: &Site, reply: &Reply) {
+fn count(state: &RelayState, reply: &Reply) {
     let counter = match reply.status() {
         StatusCode::NOT_FOUND | StatusCode::UNAUTHORIZED => Counter::RoutedDenied,
         StatusCode::SERVICE_UNAVAILABLE => Counter::RoutedRefused,
@@ -118,11 +119,11 @@
         StatusCode::GATEWAY_TIMEOUT => Counter::RoutedExpired,
         _ => return,
     };
-    site.metrics.add(counter, 1);
+    state.metrics.add(counter, 1);
 }
 
 async fn route(
-    site: &Arc<Site>,
+    state: &Arc<RelayState>,
     request: Request<Incoming>,
     head: CallerHead,
     start: Instant,
@@ -130,10 +131,10 @@
     let Some(id) = head.request.clone() else {
         return reply::own(StatusCode::BAD_REQUEST, None, Reason::BadRequest);
     };
-    site.known.wait_known(start + START_WAIT).await;
+    state.known.wait_known(start + START_WAIT).await;
     let wait = StaleWait::new(start, head.deadline.unwrap_or(DEFAULT_DEADLINE));
-    if let Some(outdated) = site.wait_current(&wait).await {
-        return refuse_stale(site, outdated, &id, &head, start);
+    if let Some(outdated) = state.wait_current(&wait).await {
+        return refuse_stale(state, outdated, &id, &head, start);
     }
     let host = request
         .headers()
@@ -141,7 +142,7 @@
         .and_then(|host| host.to_str().ok());
     let host = host.unwrap_or_default().to_owned();
     let path = request.uri().path().to_owned();
-    let Some(taken) = admit(site, &host, &path, &head) else {
+    let Some(taken) = admit(state, &host, &path, &head) else {
         return reply::not_run(
             &id,
             head.deadline
@@ -156,40 +157,40 @@
         Err(denied) => return deny(denied, &id),
     };
     let clock = RequestDeadline::new(start, head.deadline, route.timeout);
-    let limit = site.known.table().config().limits.body_bytes;
+    let limit = state.known.table().config().limits.body_bytes;
     let asked = match read(request, id.clone(), limit).await {
         Ok(asked) => asked,
         Err(status) => return reply::own(status, Some(&id), Reason::BadRequest),
     };
     let now = Instant::now();
-    let stop = site.stop.load_full();
+    let stop = state.stop.load_full();
     if let Some(stop) = stop.filter(|stop| !stop.admits(clock.remaining(now), now)) {
-        let back = stop.retry_after(members::others(site), route.aim, now);
+        let back = stop.retry_after(members::others(state), route.aim, now);
         return reply::not_run(&id, clock.remaining(now), back, Reason::Stopping);
     }
     let Some(service) = choose_service(&route) else {
         return reply::not_run(&id, clock.remaining(Instant::now()), None, Reason::NoTarget);
     };
-    let mut run = Run::new(site, asked, &route, service, account, clock);
+    let mut run = RoutedRequest::new(state, asked, &route, service, account, clock);
     run.take_prompt(head.prompt.as_ref());
     match route.kind {
         RouteKind::Stream { .. } => stream::relay(run).await,
         RouteKind::Safe | RouteKind::Unsafe => {
-            let reply = plain::relay(run).await;
-            site.latencies.add(Latency::Request, start.elapsed());
+            let reply = single_response::relay(run).await;
+            state.latencies.add(Latency::Request, start.elapsed());
             reply
         }
     }
 }
 
-type EngineUsage = Result<(Route, Option<AccountName>), Denied>;
+type Admission = Result<(Route, Option<AccountName>), Denied>;
 
 /// Finds the route and the account; nothing while no configuration is known.
-fn admit(site: &Site, host: &str, path: &str, head: &CallerHead) -> Option<EngineUsage> {
-    if !site.known.has_config() {
+fn admit(state: &RelayState, host: &str, path: &str, head: &CallerHead) -> Option<Admission> {
+    if !state.known.has_config() {
         return None;
     }
-    let table: arc_swap::Guard<Arc<RoutingTable>> = site.known.table();
+    let table: arc_swap::Guard<Arc<RoutingTable>> = state.known.table();
     let taken = table.resolve(host, path, head.key.as_deref());
     Some(taken.map(|(route, account)| {
         let account = account.map(|account| account.name.clone());
@@ -200,15 +201,15 @@
 /// Refuses a request that other instances serve by what is newer. Its caller goes there, and uses this
 /// connection no more.
 fn refuse_stale(
-    site: &Site,
+    state: &RelayState,
     outdated: Outdated,
     id: &SmolStr,
     head: &CallerHead,
     start: Instant,
 ) -> Reply {
-    site.metrics.add(Counter::RoutedStale, 1);
+    state.metrics.add(Counter::RoutedStale, 1);
     if matches!(outdated, Outdated::Targets(_)) {
-        site.metrics.add(Counter::RoutedStaleTargets, 1);
+        state.metrics.add(Counter::RoutedStaleTargets, 1);
     }
     let left = head.deadline.unwrap_or_default();
     let left = left.saturating_sub(start.elapsed());
@@ -225,14 +226,18 @@
     reply::own(status, Some(id), Reason::Denied(denied))
 }
 
-async fn read(request: Request<Incoming>, id: SmolStr, limit: usize) -> Result<Asked, StatusCode> {
+async fn read(
+    request: Request<Incoming>,
+    id: SmolStr,
+    limit: usize,
+) -> Result<CallerRequest, StatusCode> {
     let (parts, body) = request.into_parts();
     let body = Limited::new(body, limit).collect().await;
     let body = body.map_err(|error| match error.is::<LengthLimitError>() {
         true => StatusCode::PAYLOAD_TOO_LARGE,
         false => StatusCode::BAD_REQUEST,
     })?;
-    Ok(Asked {
+    Ok(CallerRequest {
         method: parts.method,
         uri: parts.uri,
         headers: parts.headers,
--- a/daemon/src/relay/revive.rs
+++ b/daemon/src/relay/restarted_engines.rs
@@ -10,7 +10,7 @@
 use http::{Method, StatusCode, Uri};
 use tokio::time::{sleep, Instant};
 
-use super::{control, site::Site};
+use super::{engine_calls, state::RelayState};
 
 /// The time between two looks at dead engines.
 const LOOK: Duration = Duration::from_millis(250);
@@ -26,42 +26,42 @@
 /// name, which only the store would tell, and each further crash leaves fewer engines for all the
 /// traffic. The engine itself says its name; that it is an engine of the same service is known when
 /// there is only one service with engines, and it reports their memory.
-pub(super) async fn run(site: Arc<Site>) {
+pub(super) async fn run(state: Arc<RelayState>) {
     loop {
         tokio::select! {
-            () = site.ending.cancelled() => return,
+            () = state.ending.cancelled() => return,
             () = sleep(LOOK) => {}
         }
-        if !site.duty.is_lost() {
+        if !state.duty.is_lost() {
             continue;
         }
-        let dead = site.known.targets().dead_engines(Instant::now(), STAGGER);
-        join_all(dead.into_iter().map(|dead| look(&site, dead))).await;
+        let dead = state.known.targets().dead_engines(Instant::now(), STAGGER);
+        join_all(dead.into_iter().map(|dead| look(&state, dead))).await;
     }
 }
 
-async fn look(site: &Site, dead: DeadEngine) {
-    let Some((path, tokens)) = may_adopt(site, &dead) else {
+async fn look(state: &RelayState, dead: DeadEngine) {
+    let Some((path, tokens)) = may_adopt(state, &dead) else {
         return;
     };
-    let Some(name) = ask(site, dead.address, path, tokens).await else {
+    let Some(name) = ask(state, dead.address, path, tokens).await else {
         return;
     };
-    let is_new = site
+    let is_new = state
         .known
         .targets()
         .add_restarted_engine(dead.name_hash, &name, Instant::now());
     if is_new {
-        site.metrics.add(Counter::TargetsFound, 1);
+        state.metrics.add(Counter::TargetsFound, 1);
         log::info!(target = name.as_str(), before = dead.name.as_str(), source = "engine"; "engine found again");
-        site.placed.notify_one();
+        state.placed.notify_one();
     }
 }
 
 /// Returns the path of the health check and the memory of the service's engines, if an engine at
 /// the address can only be of this service.
-fn may_adopt(site: &Site, dead: &DeadEngine) -> Option<(Uri, u64)> {
-    let table = site.known.table();
+fn may_adopt(state: &RelayState, dead: &DeadEngine) -> Option<(Uri, u64)> {
+    let table = state.known.table();
     let service = table.only_engine_service()?;
     if service.name != dead.service {
         return None;
@@ -70,8 +70,13 @@
     Some((service.health.parse().ok()?, tokens))
 }
 
-async fn ask(site: &Site, address: SocketAddr, health: Uri, tokens: u64) -> Option<TargetName> {
-    let get = |path| control::ask(site, address, Method::GET, path, Vec::new(), QUESTION);
+async fn ask(
+    state: &RelayState,
+    address: SocketAddr,
+    health: Uri,
+    tokens: u64,
+) -> Option<TargetName> {
+    let get = |path| engine_calls::ask(state, address, Method::GET, path, Vec::new(), QUESTION);
     let head = get(health)
         .await
         .filter(|answer| answer.status == StatusCode::OK)?;
--- a/daemon/src/relay/rollouts.rs
+++ b/daemon/src/relay/rollouts.rs
@@ -15,10 +15,10 @@
 use tokio::{net::UdpSocket, time::Instant};
 
 use super::{
-    board::{self, Datagram},
+    datagrams::{self, Datagram},
     fleet,
-    order_store::{self, is_said, Found, Unsaid},
-    site::Site,
+    order_store::{self, is_said, StatusUpdate, StoredOrder},
+    state::RelayState,
 };
 
 /// The time between two stages that the driver tells, and between two reports of the others. A bad
@@ -35,10 +35,10 @@
 pub(super) struct Rollouts {
     versions: Mutex<VersionRouting>,
     /// The orders that this instance drives; empty while it drives none.
-    driven: Mutex<HashMap<ServiceName, Driven>>,
+    driven: Mutex<HashMap<ServiceName, DrivenOrder>>,
 }
 
-struct Driven {
+struct DrivenOrder {
     rollout: Rollout,
     key: SmolStr,
     /// The version of the order's object in the store.
@@ -47,9 +47,9 @@
     said: Option<Phase>,
 }
 
-impl Driven {
-    fn unsaid(&self) -> Unsaid {
-        Unsaid {
+impl DrivenOrder {
+    fn unsaid(&self) -> StatusUpdate {
+        StatusUpdate {
             key: self.key.clone(),
             before: self.version,
             target: self.rollout.order.version.clone(),
@@ -81,7 +81,7 @@
     fn stages(&self) -> Vec<Stage> {
         let now = Instant::now();
         let driven = lock(&self.driven);
-        let stage = |driven: &Driven| Stage {
+        let stage = |driven: &DrivenOrder| Stage {
             order: driven.rollout.order.clone(),
             phase: driven.rollout.phase,
             age_ms: u32::try_from(driven.rollout.age(now).as_millis()).unwrap_or(u32::MAX),
@@ -91,47 +91,47 @@
 }
 
 /// Drives orders while it is this instance's turn, and reports to the one that does otherwise.
-pub(super) async fn run(site: Arc<Site>, socket: Arc<UdpSocket>) {
+pub(super) async fn run(state: Arc<RelayState>, socket: Arc<UdpSocket>) {
     let mut turn = tokio::time::interval(TURN);
     let mut looked: Option<Instant> = None;
     loop {
         tokio::select! {
-            () = site.ending.cancelled() => return,
+            () = state.ending.cancelled() => return,
             _ = turn.tick() => {}
         }
-        match fleet::driver(&site) {
+        match fleet::driver(&state) {
             Some(driver) => {
-                lock(&site.rollouts.driven).clear();
-                report(&site, &socket, driver).await;
+                lock(&state.rollouts.driven).clear();
+                report(&state, &socket, driver).await;
             }
             None => {
                 if looked.is_none_or(|at| at.elapsed() >= LOOK) {
                     looked = Some(Instant::now());
-                    if let Some(found) = order_store::find(&site).await {
-                        take_in(&site, found);
+                    if let Some(found) = order_store::find(&state).await {
+                        take_in(&state, found);
                     }
                 }
-                drive(&site, &socket).await;
+                drive(&state, &socket).await;
             }
         }
     }
 }
 
-async fn report(site: &Site, socket: &UdpSocket, driver: SocketAddr) {
-    let reports = site.rollouts.versions().reports(site.fleet.load().origin);
+async fn report(state: &RelayState, socket: &UdpSocket, driver: SocketAddr) {
+    let reports = state.rollouts.versions().reports(state.fleet.load().origin);
     for (service, report) in reports {
-        board::send(socket, &[driver], &Datagram::Report(service, report)).await;
+        datagrams::send(socket, &[driver], &Datagram::Report(service, report)).await;
     }
 }
 
-fn take_in(site: &Site, found: Vec<Found>) {
+fn take_in(state: &RelayState, found: Vec<StoredOrder>) {
     let now = Instant::now();
-    let known: Vec<Stage> = site.rollouts.versions().stages().cloned().collect();
-    let mut driven = lock(&site.rollouts.driven);
+    let known: Vec<Stage> = state.rollouts.versions().stages().cloned().collect();
+    let mut driven = lock(&state.rollouts.driven);
     driven.retain(|service, _| found.iter().any(|found| found.order.service == *service));
     for found in found {
         let service = found.order.service.clone();
-        let is_same = |driven: &Driven| driven.rollout.order == found.order;
+        let is_same = |driven: &DrivenOrder| driven.rollout.order == found.order;
         if driven.get(&service).is_some_and(is_same) {
             continue;
         }
@@ -150,7 +150,7 @@
             phase:? = rollout.phase;
             "order taken"
         );
-        let one = Driven {
+        let one = DrivenOrder {
             rollout,
             key: found.key,
             version: found.version,
@@ -161,39 +161,39 @@
 }
 
 /// Decides about all orders, tells the others, and then the store.
-async fn drive(site: &Site, socket: &UdpSocket) {
-    let reports = site.rollouts.versions().reports(site.fleet.load().origin);
+async fn drive(state: &RelayState, socket: &UdpSocket) {
+    let reports = state.rollouts.versions().reports(state.fleet.load().origin);
     for (service, report) in reports {
-        site.rollouts.hear_report(&service, report);
+        state.rollouts.hear_report(&service, report);
     }
-    let has_completed = decide(site);
-    tell(site, socket).await;
+    let has_completed = decide(state);
+    tell(state, socket).await;
     if has_completed {
         tokio::time::sleep(SETTLE).await;
     }
-    say(site).await;
+    say(state).await;
 }
 
 /// Tells all instances, this one included, how far the orders have come.
-async fn tell(site: &Site, socket: &UdpSocket) {
-    let stages = site.rollouts.stages();
+async fn tell(state: &RelayState, socket: &UdpSocket) {
+    let stages = state.rollouts.stages();
     if stages.is_empty() {
         return;
     }
-    let fleet = site.fleet.load_full();
+    let fleet = state.fleet.load_full();
     for stage in stages {
-        board::send(socket, &fleet.others, &Datagram::Stage(stage.clone())).await;
-        site.rollouts.hear_stage(stage, Instant::now());
+        datagrams::send(socket, &fleet.others, &Datagram::Stage(stage.clone())).await;
+        state.rollouts.hear_stage(stage, Instant::now());
     }
 }
 
 /// Decides how far each order has come; returns whether a version was found good.
-fn decide(site: &Site) -> bool {
-    let bounds = site.settings.load().bounds;
+fn decide(state: &RelayState) -> bool {
+    let bounds = state.settings.load().bounds;
     let mut has_completed = false;
-    for driven in lock(&site.rollouts.driven).values_mut() {
+    for driven in lock(&state.rollouts.driven).values_mut() {
         let rollout = &mut driven.rollout;
-        let fleet = fleet(site, &rollout.order);
+        let fleet = fleet(state, &rollout.order);
         let next = rollout.next_phase(&bounds, fleet, Instant::now());
         let before = std::mem::replace(&mut rollout.phase, next);
         if next.is_ended() && next != before {
@@ -210,15 +210,15 @@
             );
             has_completed |= next == Phase::Completed;
             if next == Phase::TakenBack {
-                site.metrics.add(Counter::Brakes, 1);
+                state.metrics.add(Counter::Brakes, 1);
             }
         }
     }
     has_completed
 }
 
-fn fleet(site: &Site, order: &Order) -> Fleet {
-    let targets = site.known.targets();
+fn fleet(state: &RelayState, order: &Order) -> Fleet {
+    let targets = state.known.targets();
     let usable = targets
         .iter()
         .filter(|(key, target)| target.entry.service == order.service && targets.is_usable(*key));
@@ -231,9 +231,9 @@
 }
 
 /// Says in the store how far each order has come, where the store does not say so yet.
-async fn say(site: &Site) {
-    let all: Vec<(ServiceName, Unsaid)> = {
-        let driven = lock(&site.rollouts.driven);
+async fn say(state: &RelayState) {
+    let all: Vec<(ServiceName, StatusUpdate)> = {
+        let driven = lock(&state.rollouts.driven);
         let unsaid = driven
             .iter()
             .filter(|(_, driven)| !is_said(driven.said, driven.rollout.phase));
@@ -241,8 +241,8 @@
         unsaid.collect()
     };
     for (service, unsaid) in all {
-        let written = order_store::say(site, &unsaid).await;
-        if let Some(driven) = lock(&site.rollouts.driven).get_mut(&service) {
+        let written = order_store::say(state, &unsaid).await;
+        if let Some(driven) = lock(&state.rollouts.driven).get_mut(&service) {
             driven.version = written.version;
             driven.said = written.said.or(driven.said);
         }
--- a/daemon/src/relay/run.rs
+++ b/daemon/src/relay/routed_request.rs
@@ -12,11 +12,11 @@
 use http::StatusCode;
 use tokio::time::Instant;
 
-use super::{attempt::Asked, lease::Lease, prompts, site::Site};
+use super::{attempt::CallerRequest, held_prompts, lease::Lease, state::RelayState};
 
 /// What a request wants of its targets.
 #[derive(Clone, Debug)]
-pub(super) struct Wish {
+pub(super) struct TargetRequirements {
     pub(super) service: ServiceName,
     affinity: Option<u64>,
     /// Tokens that it takes at most.
@@ -35,7 +35,7 @@
     lot: u64,
 }
 
-impl Wish {
+impl TargetRequirements {
     /// Returns what is wanted of a target besides those that were tried.
     pub(super) fn want<'a>(&'a self, tried: &'a [TargetKey]) -> TargetQuery<'a> {
         TargetQuery {
@@ -53,13 +53,13 @@
 }
 
 /// A request on its way through targets.
-pub(super) struct Run {
-    pub(super) site: Arc<Site>,
-    pub(super) asked: Asked,
+pub(super) struct RoutedRequest {
+    pub(super) state: Arc<RelayState>,
+    pub(super) asked: CallerRequest,
     pub(super) route: Route,
     pub(super) account: Option<AccountName>,
     pub(super) clock: RequestDeadline,
-    pub(super) wish: Wish,
+    pub(super) wish: TargetRequirements,
     tried: Vec<TargetKey>,
     /// Engines that the run has left, the last one at the end. They have read its prompt.
     left_at: Vec<TargetKey>,
@@ -70,19 +70,19 @@
     has_arrived: bool,
 }
 
-impl Run {
+impl RoutedRequest {
     pub(super) fn new(
-        site: &Arc<Site>,
-        asked: Asked,
+        state: &Arc<RelayState>,
+        asked: CallerRequest,
         route: &Route,
         service: ServiceName,
         account: Option<AccountName>,
         clock: RequestDeadline,
     ) -> Self {
-        site.retries().record_request(&service, Instant::now());
-        site.moves().record_request(&service, Instant::now());
-        let choice = site.rollouts.versions().choose(&service, Instant::now());
-        let wish = Wish {
+        state.retries().record_request(&service, Instant::now());
+        state.moves().record_request(&service, Instant::now());
+        let choice = state.rollouts.versions().choose(&service, Instant::now());
+        let wish = TargetRequirements {
             service,
             choice,
             affinity: None,
@@ -91,11 +91,11 @@
             part: None,
             capacity: None,
             backlog: None,
-            near: site.settings.load().data_centre.clone(),
+            near: state.settings.load().data_centre.clone(),
             lot: rand::random(),
         };
         Self {
-            site: Arc::clone(site),
+            state: Arc::clone(state),
             asked,
             route: route.clone(),
             account,
@@ -112,7 +112,7 @@
 
     /// Takes in the prompt of a request to an engine; plain services read none.
     pub(super) fn take_prompt(&mut self, prompt: Option<&Prompt>) {
-        let table = self.site.known.table();
+        let table = self.state.known.table();
         let engine = table.service(&self.wish.service);
         let engine = engine.and_then(|service| service.engine.as_ref());
         let (Some(prompt), Some(engine)) = (prompt, engine) else {
@@ -142,7 +142,7 @@
     /// Waits until targets can be chosen by the list of them, or that takes too long.
     pub(super) async fn wait_targets(&self) {
         let wait = StaleWait::new(Instant::now(), self.left());
-        self.site.wait_targets(&wait).await;
+        self.state.wait_targets(&wait).await;
     }
 
     /// Takes a place at the best target that was not tried yet.
@@ -152,12 +152,12 @@
             return Some(lease);
         }
         if !self.tried.is_empty() {
-            let versions = self.site.rollouts.versions();
+            let versions = self.state.rollouts.versions();
             self.wish.choice = versions.choose_for_retry(&self.wish.service);
         }
         let pick = self.pick(now)?;
         if self.wish.affinity.is_some() {
-            let targets = self.site.known.targets();
+            let targets = self.state.known.targets();
             let name = targets
                 .get(pick.key)
                 .map(|target| target.entry.name.as_str());
@@ -179,7 +179,7 @@
     /// need not be read there again.
     fn place_at_left(&mut self, now: Instant) -> Option<Lease> {
         while let Some(key) = self.left_at.pop() {
-            let targets = self.site.known.targets();
+            let targets = self.state.known.targets();
             let want = self.wish.want(&self.tried);
             let is_avoided = targets.get(key).is_none_or(|target| target.is_avoided(now));
             if is_avoided || !targets.is_usable(key) || targets.is_doubtful(key, &want, now) {
@@ -194,7 +194,7 @@
     /// Chooses a target of the versions that may run the request, or of others where those have none
     /// left and it is allowed.
     fn pick(&mut self, now: Instant) -> Option<Selection> {
-        let targets = self.site.known.targets();
+        let targets = self.state.known.targets();
         let pick = targets.select(&self.wish.want(&self.tried), now);
         if pick.is_some() {
             return pick;
@@ -209,14 +209,14 @@
     }
 
     fn note_version(&self, lease: &Lease, is_bad: bool, took: Duration) {
-        let mut versions = self.site.rollouts.versions();
+        let mut versions = self.state.rollouts.versions();
         let route = celerypond_route::hash(self.route.name.as_bytes());
         versions.record_response(&self.wish.service, &lease.version, route, is_bad, took);
     }
 
     /// Takes a place at the engine that holds a copy, unless it takes no new work any more.
     pub(super) fn place_at_copy(&mut self, key: TargetKey) -> Option<Lease> {
-        let is_usable = self.site.known.targets().is_usable(key);
+        let is_usable = self.state.known.targets().is_usable(key);
         let mut lease = is_usable.then(|| self.place_at(key)).flatten()?;
         // Nearly nothing is read there, so streams beside it need not give way.
         lease.has_read();
@@ -225,7 +225,7 @@
 
     /// Takes in that the answer is complete.
     pub(super) fn note_length(&self, events: u64) {
-        let mut targets = self.site.known.targets();
+        let mut targets = self.state.known.targets();
         targets
             .history
             .record_event_count(&self.wish.service, events);
@@ -233,7 +233,7 @@
 
     /// Takes in how long the prompt took at an engine that had so many tokens to read, this stream's among them.
     pub(super) fn note_reading(&self, reading: u64, took: Duration) {
-        let mut targets = self.site.known.targets();
+        let mut targets = self.state.known.targets();
         let history = &mut targets.history;
         let (service, took_ms) = (&self.wish.service, took.as_secs_f64() * 1_000.0);
         if reading <= self.wish.tokens {
@@ -248,7 +248,7 @@
 
     /// Returns whether an engine is known that holds the prompt.
     fn find_prompt(&self) -> bool {
-        let mut targets = self.site.known.targets();
+        let mut targets = self.state.known.targets();
         let part = self.wish.part;
         part.is_some_and(|part| targets.locate_part(part, Instant::now()))
     }
@@ -260,11 +260,11 @@
         }
         let now = Instant::now();
         let want = self.wish.want(&[]);
-        let keys = self.site.known.targets().engines_to_query(&want, now);
+        let keys = self.state.known.targets().engines_to_query(&want, now);
         let asked = keys.len();
         let asking = keys
             .into_iter()
-            .map(|key| prompts::ask(Arc::clone(&self.site), key));
+            .map(|key| held_prompts::ask(Arc::clone(&self.state), key));
         futures::future::join_all(asking).await;
         let is_found = self.find_prompt();
         log::info!(
@@ -283,7 +283,7 @@
             last_event: last,
             time_left: self.left(),
         };
-        let targets = self.site.known.targets();
+        let targets = self.state.known.targets();
         let needs = targets.time_needed(&self.wish.want(&[]), &asks, Instant::now())?;
         (!needs.fits_within(asks.time_left)).then_some(needs)
     }
@@ -293,7 +293,7 @@
     pub(super) fn backoff(&self) -> Option<Duration> {
         let now = Instant::now();
         let want = self.wish.want(&[]);
-        let targets = self.site.known.targets();
+        let targets = self.state.known.targets();
         let pick = targets.select(&want, now)?;
         let queueing = targets.estimate_queue(pick.key, &want, self.wish.prompt, now)?;
         let backoff = queueing.backoff(self.route.aim)?;
@@ -309,7 +309,7 @@
 
     /// Returns what the stream has ahead of it after its event `last`.
     pub(super) fn ahead(&self, last: u64) -> RemainingEvents {
-        let targets = self.site.known.targets();
+        let targets = self.state.known.targets();
         let left = targets
             .history
             .typical_events_left(&self.wish.service, last);
@@ -327,19 +327,19 @@
 
     /// Takes a place at a target; nothing while it may have left without this instance having heard of it.
     fn place_at(&mut self, key: TargetKey) -> Option<Lease> {
-        if let Some(stale) = self.site.stale_targets() {
-            self.site.metrics.add(Counter::PlacementsStale, 1);
+        if let Some(stale) = self.state.stale_targets() {
+            self.state.metrics.add(Counter::PlacementsStale, 1);
             log::info!(
                 request = self.asked.id.as_str(),
                 stale:? = stale,
-                revision = self.site.known.revision();
+                revision = self.state.known.revision();
                 "no target chosen by an outdated list"
             );
             return None;
         }
         let lease = match self.wish.affinity {
-            Some(part) => Lease::take_stream(&self.site, key, part, self.wish.tokens)?,
-            None => Lease::take(&self.site, key)?,
+            Some(part) => Lease::take_stream(&self.state, key, part, self.wish.tokens)?,
+            None => Lease::take(&self.state, key)?,
         };
         self.tried.push(key);
         self.runs += 1;
@@ -348,7 +348,7 @@
 
     /// Chooses the engine that holds a copy of a run's memory.
     pub(super) fn backup_of(&self, main: TargetKey) -> Option<TargetKey> {
-        self.site
+        self.state
             .known
             .targets()
             .select_backup(main, &self.wish.want(&self.tried), Instant::now())
@@ -357,7 +357,7 @@
     /// Returns when a caller whose request has not run may come back: when a target that failed a
     /// moment ago is asked again.
     pub(super) fn come_back(&self) -> Option<Duration> {
-        let targets = self.site.known.targets();
+        let targets = self.state.known.targets();
         targets.time_until_usable(&self.wish.service, Instant::now())
     }
 
@@ -383,21 +383,21 @@
 
     /// Returns whether the stream could be moved now, by the bound on moves.
     pub(super) fn may_move(&self) -> bool {
-        let instances = self.site.instances();
-        let mut moves = self.site.moves();
+        let instances = self.state.instances();
+        let mut moves = self.state.moves();
         moves.allows(&self.wish.service, instances, Instant::now())
     }
 
     /// Takes a move of the stream; returns whether the bound allows it.
     pub(super) fn take_move(&self) -> bool {
-        let instances = self.site.instances();
-        let mut moves = self.site.moves();
+        let instances = self.state.instances();
+        let mut moves = self.state.moves();
         moves.try_spend(&self.wish.service, instances, Instant::now())
     }
 
     fn may_send_again(&self) -> bool {
-        let instances = self.site.instances();
-        let mut retries = self.site.retries();
+        let instances = self.state.instances();
+        let mut retries = self.state.retries();
         retries.try_spend(&self.wish.service, instances, Instant::now())
     }
 
@@ -407,11 +407,11 @@
         if ended.blames_version() {
             self.note_version(lease, true, Duration::ZERO);
         }
-        self.site.metrics.add(Counter::AttemptsEnded, 1);
+        self.state.metrics.add(Counter::AttemptsEnded, 1);
         if ended.proves_not_run() {
             self.runs -= 1;
             if let Some(part) = self.wish.affinity {
-                let mut targets = self.site.known.targets();
+                let mut targets = self.state.known.targets();
                 targets.forget_prompt_location(lease.key, part);
             }
         }
--- a/daemon/src/relay/copies.rs
+++ b/daemon/src/relay/run_copy.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, Instant};
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-use super::{control, run::Wish, site::Site};
+use super::{engine_calls, routed_request::TargetRequirements, state::RelayState};
 
 /// The time between two looks whether the holder of a copy still lives.
 const LOOK: Duration = Duration::from_millis(200);
@@ -27,15 +27,15 @@
 
 /// Where a copy of a run's memory is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct CopyAt {
+pub(super) struct CopyLocation {
     /// The engine that holds it.
     pub(super) holder: TargetKey,
     /// Where it was ordered from and under which name; nothing for a copy that the engine keeps by
     /// itself since the run began.
-    pub(super) ordered: Option<Ordered>,
+    pub(super) ordered: Option<OrderedCopy>,
 }
 
-impl CopyAt {
+impl CopyLocation {
     /// Returns the copy that an engine keeps by itself.
     pub(super) const fn of_engine(holder: TargetKey) -> Self {
         Self {
@@ -47,43 +47,47 @@
 
 /// A copy that was ordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Ordered {
+pub(super) struct OrderedCopy {
     pub(super) from: SocketAddr,
     pub(super) handle: SmolStr,
 }
 
 /// The copy of one run, kept up while the run goes on.
-pub(super) struct Copies {
-    at: Arc<Mutex<Option<CopyAt>>>,
+pub(super) struct RunCopy {
+    at: Arc<Mutex<Option<CopyLocation>>>,
     /// The work that keeps it up, which ends when this is dropped.
-    work: Option<(Arc<Work>, DropGuard)>,
+    work: Option<(Arc<CopyTask>, DropGuard)>,
 }
 
 /// The run whose copy is kept up.
-pub(super) struct Source {
+pub(super) struct CopiedRun {
     pub(super) request: SmolStr,
     pub(super) engine: TargetKey,
     pub(super) address: SocketAddr,
-    pub(super) wish: Wish,
+    pub(super) wish: TargetRequirements,
 }
 
-impl Copies {
+impl RunCopy {
     /// Keeps up the copy of a run.
     ///
     /// The failure: engines of one data centre die, and with them the copies that they hold; seconds
     /// later those of another one die, whose runs then have no copy and are read anew. A run whose
     /// copy is lost gets another one by order.
-    pub(super) fn keep(site: &Arc<Site>, source: Source, first: Option<TargetKey>) -> Self {
-        let first = first.map(CopyAt::of_engine);
+    pub(super) fn keep(
+        state: &Arc<RelayState>,
+        source: CopiedRun,
+        first: Option<TargetKey>,
+    ) -> Self {
+        let first = first.map(CopyLocation::of_engine);
         let at = Arc::new(Mutex::new(first));
         let over = CancellationToken::new();
-        let work = Arc::new(Work {
-            site: Arc::clone(site),
+        let work = Arc::new(CopyTask {
+            state: Arc::clone(state),
             source,
             at: Arc::clone(&at),
             over: over.clone(),
         });
-        site.tasks.spawn(Arc::clone(&work).run());
+        state.tasks.spawn(Arc::clone(&work).run());
         Self {
             at,
             work: Some((work, over.drop_guard())),
@@ -92,7 +96,7 @@
 
     /// Only tells where the copy is that the engine keeps by itself; engines take no orders to copy.
     pub(super) fn of_engine(holder: TargetKey) -> Self {
-        let copy = CopyAt::of_engine(holder);
+        let copy = CopyLocation::of_engine(holder);
         Self {
             at: Arc::new(Mutex::new(Some(copy))),
             work: None,
@@ -102,25 +106,25 @@
     /// Gives the memory of an ordered copy back after the run has ended well.
     pub(super) fn finish(self) {
         if let Some((work, _guard)) = self.work {
-            let site = Arc::clone(&work.site);
-            site.tasks.spawn(async move { work.release().await });
+            let state = Arc::clone(&work.state);
+            state.tasks.spawn(async move { work.release().await });
         }
     }
 
     /// Returns where the copy is.
-    pub(super) fn at(&self) -> Option<CopyAt> {
+    pub(super) fn at(&self) -> Option<CopyLocation> {
         get(&self.at)
     }
 }
 
-struct Work {
-    site: Arc<Site>,
-    source: Source,
-    at: Arc<Mutex<Option<CopyAt>>>,
+struct CopyTask {
+    state: Arc<RelayState>,
+    source: CopiedRun,
+    at: Arc<Mutex<Option<CopyLocation>>>,
     over: CancellationToken,
 }
 
-impl Work {
+impl CopyTask {
     async fn run(self: Arc<Self>) {
         let mut refreshed = Instant::now();
         // A run without a copy needs one at once, one that moves at its first event does not.
@@ -131,7 +135,7 @@
         loop {
             tokio::select! {
                 () = self.over.cancelled() => return,
-                () = self.site.ending.cancelled() => return,
+                () = self.state.ending.cancelled() => return,
                 () = sleep(wait) => {}
             }
             wait = LOOK;
@@ -164,9 +168,9 @@
 
     /// Returns whether the holder of a copy is dead. Where engines of its data centre die, it is asked
     /// for a sign of life: nobody else may have found out.
-    async fn is_lost(&self, copy: &CopyAt) -> bool {
+    async fn is_lost(&self, copy: &CopyLocation) -> bool {
         let (is_lost, is_doubtful) = {
-            let targets = self.site.known.targets();
+            let targets = self.state.known.targets();
             let holder = targets.get(copy.holder);
             let is_dead = holder.is_none_or(|holder| holder.dead_since.is_some());
             let want = self.source.wish.want(&[]);
@@ -176,23 +180,23 @@
         if is_lost || !is_doubtful {
             return is_lost;
         }
-        match self.site.known.address_of(copy.holder) {
-            Some(address) => !self.site.connections.is_alive(address).await,
+        match self.state.known.address_of(copy.holder) {
+            Some(address) => !self.state.connections.is_alive(address).await,
             None => true,
         }
     }
 
     fn choose(&self) -> Option<TargetKey> {
         let want = self.source.wish.want(&[]);
-        let targets = self.site.known.targets();
+        let targets = self.state.known.targets();
         targets.select_backup(self.source.engine, &want, Instant::now())
     }
 
-    async fn order(&self, holder: TargetKey) -> Option<CopyAt> {
-        let target = self.site.known.address_of(holder)?;
+    async fn order(&self, holder: TargetKey) -> Option<CopyLocation> {
+        let target = self.state.known.address_of(holder)?;
         let body = engine::encode_copy(&self.source.request, target);
-        let answer = control::ask(
-            &self.site,
+        let answer = engine_calls::ask(
+            &self.state,
             self.source.address,
             Method::POST,
             engine::COPY_PATH.parse().ok()?,
@@ -204,9 +208,9 @@
             return None;
         }
         let handle = engine::decode_copy(&answer.body).ok()?;
-        Some(CopyAt {
+        Some(CopyLocation {
             holder,
-            ordered: Some(Ordered {
+            ordered: Some(OrderedCopy {
                 from: self.source.address,
                 handle,
             }),
@@ -220,10 +224,18 @@
             return;
         };
         let address = self.source.address;
-        control::ask(&self.site, address, Method::DELETE, path, Vec::new(), ORDER).await;
+        engine_calls::ask(
+            &self.state,
+            address,
+            Method::DELETE,
+            path,
+            Vec::new(),
+            ORDER,
+        )
+        .await;
     }
 }
 
-fn get(at: &Mutex<Option<CopyAt>>) -> Option<CopyAt> {
+fn get(at: &Mutex<Option<CopyLocation>>) -> Option<CopyLocation> {
     at.lock().unwrap_or_else(PoisonError::into_inner).clone()
 }
--- a/daemon/src/relay/plain.rs
+++ b/daemon/src/relay/single_response.rs
@@ -7,14 +7,14 @@
     attempt::{read_whole, send},
     lease::Lease,
     reply::{self, Reply},
-    run::Run,
+    routed_request::RoutedRequest,
 };
 
 /// Relays a request whose response is one piece.
 ///
 /// The response is read whole before its first byte goes out: one that breaks off can then be asked
 /// for again where that is allowed, and never looks complete.
-pub(super) async fn relay(mut run: Run) -> Reply {
+pub(super) async fn relay(mut run: RoutedRequest) -> Reply {
     let mut failed = None;
     loop {
         // Contact may have been lost since the request was admitted.
@@ -56,11 +56,11 @@
 }
 
 /// A failure of an idempotent request may be the target's alone, so another one is asked.
-fn is_final(run: &Run, reply: &Reply) -> bool {
+fn is_final(run: &RoutedRequest, reply: &Reply) -> bool {
     !(run.kind().may_repeat() && reply.status().is_server_error())
 }
 
-async fn attempt(run: &Run, lease: &mut Lease) -> Result<Reply, AttemptFailure> {
+async fn attempt(run: &RoutedRequest, lease: &mut Lease) -> Result<Reply, AttemptFailure> {
     let left = run.left();
     let head = TargetRequestHead {
         account: run.account.as_ref(),
@@ -71,10 +71,10 @@
         resume_from: None,
     };
     let limit = SilenceLimits::for_request(run.route.aim, left, run.may_ask_another());
-    let mut opened = send(&run.site, lease, &run.asked, &head, limit).await?;
+    let mut opened = send(&run.state, lease, &run.asked, &head, limit).await?;
     let body = read_whole(&mut opened.body, run.left()).await?;
     let (status, headers) = (opened.status, opened.headers.clone());
-    opened.keep(&run.site, lease);
+    opened.keep(&run.state, lease);
     if is_promise(status) {
         return Err(AttemptFailure::Failed(status.as_u16()));
     }
--- a/daemon/src/relay/start.rs
+++ b/daemon/src/relay/start.rs
@@ -13,10 +13,10 @@
 };
 
 use super::{
-    board, callers, config_sync, fleet, follow, members, peer_service, questions, reload, revive,
-    rollouts,
-    site::{Outdated, Site},
-    stop, watches,
+    callers, config_sync, datagrams, endpoints, fleet, members, peer_service, reload,
+    restarted_engines, rollouts,
+    state::{Outdated, RelayState},
+    stop, target_sync, target_watch,
 };
 
 /// The time between two looks at idle connections and at targets whose entries are missing.
@@ -49,8 +49,8 @@
     let hangup = signal(SignalKind::hangup()).change_context(RelayError::Signals)?;
     let mut terminate = signal(SignalKind::terminate()).change_context(RelayError::Signals)?;
     let instance = Instance::start(settings).await?;
-    let site = Arc::clone(&instance.site);
-    instance.site.tasks.spawn(reload::run(site, hangup));
+    let state = Arc::clone(&instance.state);
+    instance.state.tasks.spawn(reload::run(state, hangup));
     terminate.recv().await;
     instance.stop().await;
     Ok(())
@@ -58,7 +58,7 @@
 
 /// A running instance that relays routed requests.
 pub struct Instance {
-    site: Arc<Site>,
+    state: Arc<RelayState>,
 }
 
 impl Instance {
@@ -69,74 +69,81 @@
     /// A [`RelayError`] if an address cannot be listened on.
     pub async fn start(settings: Settings) -> Result<Self, Report<RelayError>> {
         let gossip = members::gossip(&settings, Instant::now());
-        let site = Arc::new(Site::new(settings, gossip));
-        fleet::refresh(&site);
-        listen(&site).await?;
-        let settings = site.settings.load_full();
+        let state = Arc::new(RelayState::new(settings, gossip));
+        fleet::refresh(&state);
+        listen(&state).await?;
+        let settings = state.settings.load_full();
         log::info!(
             instance = settings.instance.as_str(),
             data_centre = settings.data_centre.as_str(),
             version = env!("CARGO_PKG_VERSION");
             "started"
         );
-        site.tasks.spawn(config_sync::run(Arc::clone(&site)));
-        site.tasks.spawn(watches::run(Arc::clone(&site)));
-        site.tasks.spawn(members::run(Arc::clone(&site)));
-        site.tasks.spawn(follow::run(Arc::clone(&site)));
-        site.tasks.spawn(revive::run(Arc::clone(&site)));
-        site.tasks.spawn(sweep(Arc::clone(&site)));
-        Ok(Self { site })
+        state.tasks.spawn(config_sync::run(Arc::clone(&state)));
+        state.tasks.spawn(target_watch::run(Arc::clone(&state)));
+        state.tasks.spawn(members::run(Arc::clone(&state)));
+        state.tasks.spawn(target_sync::run(Arc::clone(&state)));
+        state
+            .tasks
+            .spawn(restarted_engines::run(Arc::clone(&state)));
+        state.tasks.spawn(sweep(Arc::clone(&state)));
+        Ok(Self { state })
     }
 
     /// Stops as planned: no new callers, and what runs ends within the grace.
     pub async fn stop(self) {
-        stop::run(&self.site).await;
-        join(&self.site).await;
+        stop::run(&self.state).await;
+        join(&self.state).await;
     }
 
     /// Ends at once, as by a kill: open connections are cut off.
     pub async fn kill(self) {
-        self.site.stopping.cancel();
-        self.site.closed.cancel();
-        self.site.killed.cancel();
-        self.site.ending.cancel();
-        join(&self.site).await;
+        self.state.stopping.cancel();
+        self.state.closed.cancel();
+        self.state.killed.cancel();
+        self.state.ending.cancel();
+        join(&self.state).await;
     }
 }
 
 /// Joins what was spawned. What callers still have open at the end of the grace is cut off with the
 /// process, so the wait is bounded.
-async fn join(site: &Site) {
-    site.tasks.close();
+async fn join(state: &RelayState) {
+    state.tasks.close();
     let joined = timeout(JOIN, async {
-        site.tasks.wait().await;
-        site.connections.close().await;
+        state.tasks.wait().await;
+        state.connections.close().await;
     });
     if joined.await.is_err() {
-        log::warn!(tasks = site.tasks.len(); "ends with open connections");
+        log::warn!(tasks = state.tasks.len(); "ends with open connections");
     }
 }
 
-async fn listen(site: &Arc<Site>) -> Result<(), Report<RelayError>> {
-    let settings = site.settings.load_full();
+async fn listen(state: &Arc<RelayState>) -> Result<(), Report<RelayError>> {
+    let settings = state.settings.load_full();
     let address = members::address(&settings);
     let peers = bind(address).await?;
-    site.tasks.spawn(peer_service::run(Arc::clone(site), peers));
+    state
+        .tasks
+        .spawn(peer_service::run(Arc::clone(state), peers));
     let lists = UdpSocket::bind(address).await;
     let lists = lists.change_context(RelayError::Listen(address))?;
     let lists = Arc::new(lists);
-    site.tasks
-        .spawn(rollouts::run(Arc::clone(site), Arc::clone(&lists)));
-    site.tasks.spawn(board::run(Arc::clone(site), lists));
+    state
+        .tasks
+        .spawn(rollouts::run(Arc::clone(state), Arc::clone(&lists)));
+    state.tasks.spawn(datagrams::run(Arc::clone(state), lists));
     let listen = settings.listen;
     let asked = [listen.ready, listen.directory, listen.metrics];
     for address in asked.into_iter().flatten() {
         let listener = bind(address).await?;
-        site.tasks.spawn(questions::run(Arc::clone(site), listener));
+        state
+            .tasks
+            .spawn(endpoints::run(Arc::clone(state), listener));
     }
     if let Some(address) = settings.listen.callers {
         let listener = bind(address).await?;
-        site.tasks.spawn(callers::run(Arc::clone(site), listener));
+        state.tasks.spawn(callers::run(Arc::clone(state), listener));
     }
     Ok(())
 }
@@ -155,43 +162,43 @@
     }
 }
 
-async fn sweep(site: Arc<Site>) {
+async fn sweep(state: Arc<RelayState>) {
     let mut was_stale = None;
     loop {
         tokio::select! {
-            () = site.ending.cancelled() => return,
+            () = state.ending.cancelled() => return,
             () = tokio::time::sleep(SWEEP) => {
-                site.connections.sweep(Instant::now());
-                site.known.drop_missing();
-                report_left_out(&site);
-                report_stale(&site, &mut was_stale);
+                state.connections.sweep(Instant::now());
+                state.known.drop_missing();
+                report_left_out(&state);
+                report_stale(&state, &mut was_stale);
             }
         }
     }
 }
 
-fn report_left_out(site: &Site) {
+fn report_left_out(state: &RelayState) {
     let count = super::LOG_VOLUME.left_out();
     if count > 0 {
-        site.metrics.add(Counter::LinesLeftOut, count);
+        state.metrics.add(Counter::LinesLeftOut, count);
         log::warn!(count; "lines left out, more than the bound");
     }
 }
 
 /// Writes a line when requests begin to be refused for the age of what is known, and when that ends.
-fn report_stale(site: &Site, was: &mut Option<Outdated>) {
-    let stale = site.stale();
+fn report_stale(state: &RelayState, was: &mut Option<Outdated>) {
+    let stale = state.stale();
     if std::mem::replace(was, stale) == stale {
         return;
     }
-    let age = site.known.freshness().age(Instant::now());
-    let targets_age = site.known.targets_freshness().age(Instant::now());
+    let age = state.known.freshness().age(Instant::now());
+    let targets_age = state.known.targets_freshness().age(Instant::now());
     log::warn!(
         stale = stale.map(|stale| format!("{stale:?}")),
-        targets_revision = site.known.revision(),
+        targets_revision = state.known.revision(),
         targets_age_ms = targets_age.map(|age| age.as_millis() as u64),
-        config = site.known.version(),
-        newest = site.newest_config(),
+        config = state.known.version(),
+        newest = state.newest_config(),
         age_ms = age.map(|age| age.as_millis() as u64);
         "staleness changed"
     );
--- a/daemon/src/relay/site.rs
+++ b/daemon/src/relay/state.rs
@@ -18,7 +18,7 @@
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
 use super::{
-    connections::Connections, fleet::Fleet, knowledge::Knowledge, rollouts::Rollouts,
+    connections::Connections, fleet::Fleet, rollouts::Rollouts, store_view::StoreView,
     watch_duty::WatchDuty,
 };
 use crate::peers::Peers;
@@ -43,9 +43,9 @@
 }
 
 /// What all tasks of a relaying instance share.
-pub(super) struct Site {
+pub(super) struct RelayState {
     pub(super) settings: ArcSwap<Settings>,
-    pub(super) known: Knowledge,
+    pub(super) known: StoreView,
     pub(super) duty: WatchDuty,
     pub(super) connections: Connections,
     pub(super) store: Client,
@@ -90,7 +90,7 @@
     pub(super) is_asking: AtomicBool,
 }
 
-impl Site {
+impl RelayState {
     pub(super) fn new(settings: Settings, gossip: Gossip) -> Self {
         let store = celerypond_platform::Settings {
             addresses: vec![settings.store.address],
@@ -103,7 +103,7 @@
             },
         };
         Self {
-            known: Knowledge::new(settings.bounds.missing_entry_grace()),
+            known: StoreView::new(settings.bounds.missing_entry_grace()),
             duty: WatchDuty::new(settings.bounds.watch_wait()),
             connections: Connections::default(),
             store: Client::speaking(&store, celerypond_adapter::store::DIALECT),
--- a/daemon/src/relay/store_backoff.rs
+++ b/daemon/src/relay/store_backoff.rs
@@ -6,7 +6,7 @@
 use rand::Rng as _;
 use tokio::time::sleep;
 
-use super::site::Site;
+use super::state::RelayState;
 
 /// The time between two checks whether this instance has to watch the store.
 pub(super) const WATCH_POLL: Duration = Duration::from_millis(100);
@@ -14,7 +14,11 @@
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Waits after a failed call of the store: its Retry-After, and a time drawn from these limits.
-pub(super) async fn pause(site: &Site, error: PlatformError, limits: RangeInclusive<Duration>) {
+pub(super) async fn pause(
+    state: &RelayState,
+    error: PlatformError,
+    limits: RangeInclusive<Duration>,
+) {
     let least = match error {
         PlatformError::RateLimited { retry_after } | PlatformError::OverBudget { retry_after } => {
             retry_after.min(MAX_RETRY_AFTER)
@@ -23,7 +27,7 @@
     };
     let drawn = rand::rng().random_range(limits);
     tokio::select! {
-        () = site.ending.cancelled() => {}
+        () = state.ending.cancelled() => {}
         () = sleep(least + drawn) => {}
     }
 }
--- a/daemon/src/relay/knowledge.rs
+++ b/daemon/src/relay/store_view.rs
@@ -32,7 +32,7 @@
 }
 
 /// What an instance knows of the store.
-pub(super) struct Knowledge {
+pub(super) struct StoreView {
     table: ArcSwap<RoutingTable>,
     freshness: Mutex<Freshness>,
     /// How recent the list of targets is, by revisions of the store.
@@ -52,7 +52,7 @@
     entries_back: Duration,
 }
 
-impl Knowledge {
+impl StoreView {
     /// Knows nothing; entries may be missing for so long after the store's return.
     pub(super) fn new(entries_back: Duration) -> Self {
         let mut targets = Targets::default();
--- a/daemon/src/relay/stream.rs
+++ b/daemon/src/relay/stream.rs
@@ -6,14 +6,14 @@
 
 use super::{
     attempt::read_whole,
-    flow::{First, Flow},
+    relayed_stream::{RelayedStream, ResponseHead},
     reply::{self, Body, Reply},
-    run::Run,
+    routed_request::RoutedRequest,
 };
 
 /// Relays a stream, which goes on at another engine when its engine is lost.
-pub(super) async fn relay(run: Run) -> Reply {
-    let mut flow = Flow::new(run);
+pub(super) async fn relay(run: RoutedRequest) -> Reply {
+    let mut flow = RelayedStream::new(run);
     match flow.begin().await {
         Ok(first) if first.status.is_success() => {
             reply::relayed(first.status, &first.headers, body(flow), &first.target)
@@ -24,7 +24,7 @@
 }
 
 /// Passes the failure of an engine on.
-async fn pass_failure(mut flow: Flow, first: &First) -> Reply {
+async fn pass_failure(mut flow: RelayedStream, first: &ResponseHead) -> Reply {
     let left = flow.run.left();
     let Some(mut opened) = flow.take_opened() else {
         return reply::after(NextStep::Failed, &flow.run);
@@ -42,7 +42,7 @@
 
 /// The body pulls its events out of the flow, so a caller that leaves drops the flow and with it
 /// the connection to the engine, which then stops working.
-fn body(flow: Flow) -> Body {
+fn body(flow: RelayedStream) -> Body {
     let frames = stream::unfold(Some(flow), |flow| async {
         let mut flow = flow?;
         let frame = flow.next().await?;
--- a/daemon/src/relay/follow.rs
+++ b/daemon/src/relay/target_sync.rs
@@ -11,7 +11,7 @@
 use rand::seq::SliceRandom as _;
 use tokio::time::{timeout, Instant};
 
-use super::{members, site::Site};
+use super::{members, state::RelayState};
 
 /// The time between two queries of peers while the store does not answer.
 const QUERY_INTERVAL: Duration = Duration::from_millis(300);
@@ -25,16 +25,16 @@
 const MAX_QUERIES: usize = 4;
 
 /// Queries peers for targets until the instance ends, while none are known and the store does not answer.
-pub(super) async fn run(site: Arc<Site>) {
+pub(super) async fn run(state: Arc<RelayState>) {
     let begun = Instant::now() + STORE_START;
     let mut turn = tokio::time::interval_at(begun, QUERY_INTERVAL);
     loop {
         tokio::select! {
-            () = site.ending.cancelled() => return,
+            () = state.ending.cancelled() => return,
             _ = turn.tick() => {}
         }
-        if !site.known.has_targets() && !store_answers(&site) {
-            query_peers(&site).await;
+        if !state.known.has_targets() && !store_answers(&state) {
+            query_peers(&state).await;
         }
     }
 }
@@ -43,61 +43,61 @@
 ///
 /// The failure: a large fleet starts at once. If each instance queries peers beside the store, their lists of targets
 /// take the links from the store's.
-fn store_answers(site: &Site) -> bool {
-    let wait = site.settings.load().bounds.watch_wait();
-    site.duty.store_answers_within(wait + STORE_START)
+fn store_answers(state: &RelayState) -> bool {
+    let wait = state.settings.load().bounds.watch_wait();
+    state.duty.store_answers_within(wait + STORE_START)
 }
 
-async fn query_peers(site: &Site) {
-    for peer in peers(site) {
-        if query_changes(site, peer, 0, LIST_TIMEOUT).await {
+async fn query_peers(state: &RelayState) {
+    for peer in peers(state) {
+        if query_changes(state, peer, 0, LIST_TIMEOUT).await {
             return;
         }
     }
 }
 
 /// Queries the instance with the newest targets, if these are newer than what is known here.
-pub(super) fn request_targets(site: &Arc<Site>) {
-    if site.is_asking.swap(true, Relaxed) {
+pub(super) fn request_targets(state: &Arc<RelayState>) {
+    if state.is_asking.swap(true, Relaxed) {
         return;
     }
-    site.tasks.spawn(sync_targets(Arc::clone(site)));
+    state.tasks.spawn(sync_targets(Arc::clone(state)));
 }
 
-async fn sync_targets(site: Arc<Site>) {
+async fn sync_targets(state: Arc<RelayState>) {
     for _ in 0..MAX_QUERIES {
-        let revision = site.known.revision();
-        let newer = site.duty.watchers().newer(revision, Instant::now());
+        let revision = state.known.revision();
+        let newer = state.duty.watchers().newer(revision, Instant::now());
         let Some(notice) = newer else {
             break;
         };
-        let is_sent = match address_of(&site, notice.origin) {
-            Some(peer) => query_changes(&site, peer, revision, CHANGES_TIMEOUT).await,
+        let is_sent = match address_of(&state, notice.origin) {
+            Some(peer) => query_changes(&state, peer, revision, CHANGES_TIMEOUT).await,
             None => false,
         };
         if !is_sent {
-            site.duty.watchers().forget(notice.origin);
+            state.duty.watchers().forget(notice.origin);
         }
     }
-    site.is_asking.store(false, Relaxed);
+    state.is_asking.store(false, Relaxed);
 }
 
-fn address_of(site: &Site, origin: u64) -> Option<SocketAddr> {
-    let gossip = site.gossip();
+fn address_of(state: &RelayState, origin: u64) -> Option<SocketAddr> {
+    let gossip = state.gossip();
     let member = gossip.membership().by_origin(Origin(origin))?;
     member.address.parse().ok()
 }
 
 /// Queries a peer for the changes of targets since a revision; returns whether it sent them.
-async fn query_changes(site: &Site, peer: SocketAddr, since: u64, limit: Duration) -> bool {
+async fn query_changes(state: &RelayState, peer: SocketAddr, since: u64, limit: Duration) -> bool {
     let begun = Instant::now();
-    let sent = timeout(limit, site.peers.changes(peer, since)).await;
+    let sent = timeout(limit, state.peers.changes(peer, since)).await;
     let Some(bytes) = sent.ok().and_then(Result::ok).flatten() else {
         log::info!(peer:% = peer, since; "a peer sent no targets");
         return false;
     };
     match decode::<TargetUpdate>(&bytes) {
-        Ok(news) => site.known.take_news(news, begun),
+        Ok(news) => state.known.take_news(news, begun),
         Err(error) => {
             log::warn!(peer:% = peer, error:% = error; "a peer's targets cannot be read");
             return false;
@@ -107,10 +107,10 @@
 }
 
 /// Returns where other instances listen: those that seem to live, in random order, and then the seeds.
-pub(super) fn peers(site: &Site) -> Vec<SocketAddr> {
-    let settings = site.settings.load();
+pub(super) fn peers(state: &RelayState) -> Vec<SocketAddr> {
+    let settings = state.settings.load();
     let own = members::address(&settings);
-    let mut peers = site.fleet.load().others.clone();
+    let mut peers = state.fleet.load().others.clone();
     peers.shuffle(&mut rand::rng());
     for seed in &settings.seeds {
         let seed = SocketAddr::new(seed.0, own.port());
--- a/daemon/src/relay/watches.rs
+++ b/daemon/src/relay/target_watch.rs
@@ -10,24 +10,24 @@
 use tokio::time::{sleep, Instant};
 
 use super::{
-    knowledge::Source,
-    site::Site,
+    state::RelayState,
     store_backoff::{pause, WATCH_POLL},
+    store_view::Source,
 };
 
 /// Watches the targets until the instance ends.
-pub(super) async fn run(site: Arc<Site>) {
-    let mut watch = Watch::new(&site);
+pub(super) async fn run(state: Arc<RelayState>) {
+    let mut watch = Watch::new(&state);
     loop {
         tokio::select! {
-            () = site.ending.cancelled() => return,
+            () = state.ending.cancelled() => return,
             () = watch.turn() => {}
         }
     }
 }
 
 struct Watch<'a> {
-    site: &'a Site,
+    state: &'a RelayState,
     store: Client,
     received: Received,
     /// The revision up to which the store reported changes to this instance.
@@ -41,10 +41,10 @@
 }
 
 impl<'a> Watch<'a> {
-    fn new(site: &'a Site) -> Self {
-        let (store, received) = site.store.counting();
+    fn new(state: &'a RelayState) -> Self {
+        let (store, received) = state.store.counting();
         Self {
-            site,
+            state,
             store,
             received,
             since: None,
@@ -56,12 +56,12 @@
     }
 
     async fn turn(&mut self) {
-        let site = self.site;
-        if site.known.is_complete() && !site.duty.must_watch() {
+        let state = self.state;
+        if state.known.is_complete() && !state.duty.must_watch() {
             // Watchers report changes; what they report is newer than what was seen here.
-            site.duty.set_targets_answer(None);
+            state.duty.set_targets_answer(None);
             self.is_lost = false;
-            site.duty.set_lost(false);
+            state.duty.set_lost(false);
             sleep(WATCH_POLL).await;
             return;
         }
@@ -78,7 +78,7 @@
     /// The failure: the watchers of a large fleet die, and all others watch for themselves. If each began with a list,
     /// all would fetch at once what they have.
     fn from(&self) -> Option<Version> {
-        let known = &self.site.known;
+        let known = &self.state.known;
         let cached = known.has_targets().then(|| Version(known.revision()));
         self.since.max(cached).filter(|_| !self.must_list)
     }
@@ -88,14 +88,14 @@
             let begun = Instant::now();
             let listing = self.store.list_all(store::TARGETS_PREFIX).await;
             let listing = listing.map_err(|report| *report.current_context())?;
-            self.site.latencies.add(Latency::Store, begun.elapsed());
+            self.state.latencies.add(Latency::Store, begun.elapsed());
             let revision = listing.revision;
-            list(self.site, &listing);
+            list(self.state, &listing);
             self.observe(revision, begun);
             return Ok(revision);
         };
         // Others rely on an answer of the store within this time.
-        let wait = self.site.settings.load().bounds.watch_wait();
+        let wait = self.state.settings.load().bounds.watch_wait();
         let wait = wait.saturating_sub(self.gathered);
         let begun = Instant::now();
         let changes = self.store.watch(store::TARGETS_PREFIX, since, wait).await;
@@ -107,13 +107,13 @@
             true => (begun + wait).min(Instant::now()),
             false => begun,
         };
-        change(self.site, changes);
+        change(self.state, changes);
         self.observe(revision, seen);
         Ok(revision)
     }
 
     fn observe(&self, revision: Version, at: Instant) {
-        self.site.known.observe_targets(Observation {
+        self.state.known.observe_targets(Observation {
             version: revision.0,
             revision: revision.0,
             at,
@@ -121,24 +121,24 @@
     }
 
     async fn answered(&mut self, revision: Version, begun: Instant) {
-        let site = self.site;
+        let state = self.state;
         self.must_list = false;
         self.backoff.answered();
         self.since = Some(revision);
-        site.duty.set_targets_answer(Some(Instant::now()));
-        site.known.record_contact(begun);
+        state.duty.set_targets_answer(Some(Instant::now()));
+        state.known.record_contact(begun);
         if std::mem::take(&mut self.is_lost) {
-            site.duty.set_lost(false);
+            state.duty.set_lost(false);
             log::info!(kind = store::TARGETS_PREFIX, revision = revision.0; "store regained");
         }
-        self.gathered = Watchers::notice_gap(site.fleet.load().told.len());
+        self.gathered = Watchers::notice_gap(state.fleet.load().told.len());
         // One call then reports all that changed meanwhile: when a data centre's engines restart, each of a hundred
         // changes would end a watch of its own.
         sleep(self.gathered).await;
     }
 
     async fn failed(&mut self, error: PlatformError, from: Option<Version>, begun: Instant) {
-        let site = self.site;
+        let state = self.state;
         // The store answers; only its history is too short, and a list makes that good.
         if error == PlatformError::Compacted {
             log::info!(kind = store::TARGETS_PREFIX; "history of a watch gone");
@@ -154,38 +154,40 @@
             "watch failed"
         );
         if !std::mem::replace(&mut self.is_lost, true) {
-            site.metrics.add(Counter::StoreLosses, 1);
-            site.duty.set_lost(true);
+            state.metrics.add(Counter::StoreLosses, 1);
+            state.duty.set_lost(true);
             log::warn!(kind = store::TARGETS_PREFIX, error:% = error; "store lost");
         }
         self.must_list |= error == PlatformError::Malformed;
-        let is_relied_on = site.duty.is_relied_on(&site.known);
-        pause(site, error, self.backoff.failed(is_relied_on)).await;
+        let is_relied_on = state.duty.is_relied_on(&state.known);
+        pause(state, error, self.backoff.failed(is_relied_on)).await;
     }
 }
 
-fn list(site: &Site, listing: &Listing) {
+fn list(state: &RelayState, listing: &Listing) {
     let objects = listing.objects.iter();
     let entries = objects.filter_map(|object| entry(&object.key, &object.value));
-    site.known
-        .list_targets(entries.collect(), listing.revision.0, source(site));
+    state
+        .known
+        .list_targets(entries.collect(), listing.revision.0, source(state));
 }
 
-fn change(site: &Site, changes: Changes) {
+fn change(state: &RelayState, changes: Changes) {
     let revision = changes.revision.0;
     let seen = changes.changes.into_iter().map(|change| {
         let told = change.value.and_then(|value| entry(&change.key, &value));
         let told = told.map_or_else(|| Change::Gone(name(&change.key)), Change::Is);
         (change.version.0, told)
     });
-    site.known
-        .change_targets(&seen.collect::<Vec<_>>(), revision, source(site));
+    state
+        .known
+        .change_targets(&seen.collect::<Vec<_>>(), revision, source(state));
 }
 
 /// Returns what the store is as a source: its first answer after a time without one may lack entries
 /// that lapsed meanwhile.
-fn source(site: &Site) -> Source {
-    match site.duty.is_lost() {
+fn source(state: &RelayState) -> Source {
+    match state.duty.is_lost() {
         true => Source::StoreRegained,
         false => Source::Store,
     }
--- a/daemon/src/relay/watch_duty.rs
+++ b/daemon/src/relay/watch_duty.rs
@@ -11,7 +11,7 @@
 use celerypond_relay::Watchers;
 use tokio::time::Instant;
 
-use super::knowledge::Knowledge;
+use super::store_view::StoreView;
 
 /// Whether this instance watches the store, and when the store last answered it.
 pub(super) struct WatchDuty {
@@ -70,7 +70,7 @@
     }
 
     /// Returns whether others, or this instance's own callers, depend on its calls of the store.
-    pub(super) fn is_relied_on(&self, known: &Knowledge) -> bool {
+    pub(super) fn is_relied_on(&self, known: &StoreView) -> bool {
         self.is_chosen.load(Relaxed) || !known.is_complete()
     }
 
