--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -18,7 +18,7 @@
 
 /// How soon a connection that was forgotten is reset after something was sent on it: a way there and back,
 /// and the wait for a processor share.
-const RESET_AT_ONCE: Duration = Duration::from_millis(30);
+const IDLE_RESET_WINDOW: Duration = Duration::from_millis(30);
 
 /// A caller's request, read whole.
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
 pub(super) struct OpenResponse {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
-    pub(super) answer: TargetResponseHead,
+    pub(super) head: TargetResponseHead,
     pub(super) body: Incoming,
     sender: Sender,
 }
@@ -44,7 +44,7 @@
 impl OpenResponse {
     /// Keeps the connection for further requests; the body must have been read to its end.
     pub(super) fn keep(self, state: &RelayState, lease: &Lease) {
-        let keep_alive = self.answer.keep_alive;
+        let keep_alive = self.head.keep_alive;
         state
             .connections
             .keep(lease.address, self.sender, keep_alive, Instant::now());
@@ -59,19 +59,22 @@
 pub(super) async fn send(
     state: &Arc<RelayState>,
     lease: &mut Lease,
-    asked: &CallerRequest,
+    caller_request: &CallerRequest,
     head: &TargetRequestHead<'_>,
     limit: Duration,
 ) -> Result<OpenResponse, AttemptFailure> {
     let until = Instant::now() + limit;
-    let mut request = make_request(asked, head);
+    let mut request = make_request(caller_request, head);
     loop {
-        let ReusedConnection { mut sender, rested } = connection(state, lease).await?;
+        let ReusedConnection {
+            mut sender,
+            idle_for,
+        } = acquire_connection(state, lease).await?;
         // The target may have left since it was chosen.
-        if !state.known.targets().is_usable(lease.key) {
+        if !state.view.targets().is_usable(lease.key) {
             return Err(AttemptFailure::Left);
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         let response = match tokio::time::timeout_at(until, sender.try_send_request(request)).await
         {
             Ok(Ok(response)) => response,
@@ -82,38 +85,47 @@
                     continue;
                 }
                 None => {
-                    if begun.elapsed() < RESET_AT_ONCE {
-                        lease.connection_lost(rested);
+                    if started.elapsed() < IDLE_RESET_WINDOW {
+                        lease.record_idle_reset(idle_for);
                     }
                     return Err(AttemptFailure::Broken);
                 }
             },
             Err(_) => return Err(AttemptFailure::Silent),
         };
-        return check(asked, lease, response, sender);
+        return validate_response(caller_request, lease, response, sender);
     }
 }
 
 /// Returns a connection to the target, a kept one if there is one.
-async fn connection(state: &RelayState, lease: &Lease) -> Result<ReusedConnection, AttemptFailure> {
+async fn acquire_connection(
+    state: &RelayState,
+    lease: &Lease,
+) -> Result<ReusedConnection, AttemptFailure> {
     let now = Instant::now();
-    let most = state.known.targets().idle_limit(lease.key, now);
-    if let Some(kept) = state.connections.take(lease.address, most, now) {
-        return Ok(kept);
+    let max_idle_time = state.view.targets().idle_limit(lease.key, now);
+    if let Some(reused) = state
+        .connections
+        .take_idle(lease.address, max_idle_time, now)
+    {
+        return Ok(reused);
     }
     let connected = state.connections.connect(lease.address).await;
     let sender = connected.map_err(|_| AttemptFailure::Unsent)?;
     Ok(ReusedConnection {
         sender,
-        rested: Duration::ZERO,
+        idle_for: Duration::ZERO,
     })
 }
 
-fn make_request(asked: &CallerRequest, head: &TargetRequestHead<'_>) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(asked.body.clone()));
-    *request.method_mut() = asked.method.clone();
-    *request.uri_mut() = asked.uri.clone();
-    *request.headers_mut() = headers::to_target(&asked.headers, head);
+fn make_request(
+    caller_request: &CallerRequest,
+    head: &TargetRequestHead<'_>,
+) -> Request<Full<Bytes>> {
+    let mut request = Request::new(Full::new(caller_request.body.clone()));
+    *request.method_mut() = caller_request.method.clone();
+    *request.uri_mut() = caller_request.uri.clone();
+    *request.headers_mut() = headers::to_target(&caller_request.headers, head);
     request
 }
 
@@ -121,32 +133,32 @@
 ///
 /// The failure: a target sends a second response, or one that belongs to a request whose caller has
 /// left, and it arrives where this request's is due. Its id tells; the connection is dropped.
-fn check(
-    asked: &CallerRequest,
+fn validate_response(
+    caller_request: &CallerRequest,
     lease: &mut Lease,
     response: Response<Incoming>,
     sender: Sender,
 ) -> Result<OpenResponse, AttemptFailure> {
     let (parts, body) = response.into_parts();
-    let answer = headers::read_answer(&parts.headers);
-    if answer.request.as_ref() != Some(&asked.id) {
+    let head = headers::read_answer(&parts.headers);
+    if head.request.as_ref() != Some(&caller_request.id) {
         return Err(AttemptFailure::Foreign);
     }
     if parts.status == StatusCode::MISDIRECTED_REQUEST {
         return Err(AttemptFailure::Misdirected);
     }
-    lease.answered(answer.load);
-    if answer.not_run {
+    lease.record_response(head.load);
+    if head.not_run {
         return Err(AttemptFailure::NotRun);
     }
-    let is_unsigned = parts.status.is_success() && !answer.signed;
-    if is_unsigned || answer.encoded {
+    let is_unsigned = parts.status.is_success() && !head.signed;
+    if is_unsigned || head.encoded {
         return Err(AttemptFailure::Foreign);
     }
     Ok(OpenResponse {
         status: parts.status,
         headers: parts.headers,
-        answer,
+        head,
         body,
         sender,
     })
@@ -157,13 +169,13 @@
 /// # Errors
 ///
 /// `Broken` when it ended early, `Silent` when it did not end in time.
-pub(super) async fn read_whole(
+pub(super) async fn read_body(
     body: &mut Incoming,
     limit: Duration,
 ) -> Result<Bytes, AttemptFailure> {
     use http_body_util::BodyExt as _;
     match timeout(limit, body.collect()).await {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
+        Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(_)) => Err(AttemptFailure::Broken),
         Err(_) => Err(AttemptFailure::Silent),
     }
--- a/daemon/src/relay/callers.rs
+++ b/daemon/src/relay/callers.rs
@@ -9,9 +9,9 @@
 use super::{request, state::RelayState};
 
 /// The least size of the buffer for a request's head that the library takes.
-const BUFFER_LEAST: usize = 8 << 10;
+const MIN_BUFFER: usize = 8 << 10;
 /// How long accepting rests after a failure, which is a lack of descriptors.
-const ACCEPT_REST: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Accepts callers until no more connections are taken.
 pub(super) async fn run(state: Arc<RelayState>, listener: TcpListener) {
@@ -22,11 +22,13 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                state.served.spawn(serve(Arc::clone(&state), stream));
+                state
+                    .caller_connections
+                    .spawn(serve(Arc::clone(&state), stream));
             }
             Err(error) => {
                 log::warn!(error:% = error; "a caller cannot be accepted");
-                tokio::time::sleep(ACCEPT_REST).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -37,12 +39,12 @@
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!(error:% = error; "a caller's socket keeps its delay");
     }
-    let limits = state.known.table().config().limits;
+    let limits = state.view.table().config().limits;
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_time.max(limits.head_time))
-        .max_buf_size(limits.head_bytes.max(BUFFER_LEAST));
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER));
     let was_stopping = state.stopping.is_cancelled();
     let service = {
         let state = Arc::clone(&state);
--- a/daemon/src/relay/config_sync.rs
+++ b/daemon/src/relay/config_sync.rs
@@ -51,7 +51,7 @@
     loop {
         tokio::select! {
             () = state.ending.cancelled() => return,
-            () = sync.turn() => {}
+            () = sync.poll_once() => {}
         }
     }
 }
@@ -63,7 +63,7 @@
     received: Received,
     backoff: StoreBackoff,
     /// Whether the history since the known revision is gone, so that a list is needed.
-    must_list: bool,
+    needs_list: bool,
     is_lost: bool,
 }
 
@@ -75,35 +75,35 @@
             store,
             received,
             backoff: StoreBackoff::default(),
-            must_list: false,
+            needs_list: false,
             is_lost: false,
         }
     }
 
-    async fn turn(&mut self) {
+    async fn poll_once(&mut self) {
         let state = self.state;
-        if state.known.has_config() && !state.duty.must_watch() {
-            return self.follow().await;
+        if state.view.has_config() && !state.watch_duty.must_watch() {
+            return self.sync_with_watchers().await;
         }
-        let revision = state.known.config_revision();
-        let answer = match revision.filter(|_| !self.must_list) {
+        let revision = state.view.config_revision();
+        let answer = match revision.filter(|_| !self.needs_list) {
             Some(revision) => self.watch(revision).await,
             None => self.list().await,
         };
         match answer {
-            Ok(Source::Store) => self.answered(),
+            Ok(Source::Store) => self.record_answer(),
             Ok(_) => {}
-            Err(error) => self.failed(error).await,
+            Err(error) => self.handle_failure(error).await,
         }
     }
 
     /// Waits until a newer version is known of, and fetches it.
-    async fn follow(&mut self) {
+    async fn sync_with_watchers(&mut self) {
         let state = self.state;
-        state.duty.set_config_answer(None);
+        state.watch_duty.set_config_answer(None);
         self.is_lost = false;
         // Watchers report a revision to watch from whose history is kept.
-        self.must_list = false;
+        self.needs_list = false;
         if !self.is_outdated() {
             tokio::select! {
                 () = state.newer_config.notified() => {}
@@ -111,9 +111,9 @@
             }
             return;
         }
-        let before = state.known.version();
+        let previous = state.view.version();
         match self.fetch().await {
-            Ok(_) if state.known.version() > before || !self.is_outdated() => {
+            Ok(_) if state.view.version() > previous || !self.is_outdated() => {
                 self.backoff.answered()
             }
             // The version that is known of cannot be fetched yet.
@@ -133,25 +133,25 @@
     }
 
     fn is_outdated(&self) -> bool {
-        self.state.newest_config() > self.state.known.version()
+        self.state.newest_config() > self.state.view.version()
     }
 
     async fn watch(&mut self, since: u64) -> Result<Source, PlatformError> {
         let wait = self.state.settings.load().bounds.watch_wait();
-        let begun = Instant::now();
-        let answered = OnceLock::new();
+        let started = Instant::now();
+        let answer_sent = OnceLock::new();
         // What the call before has received must not be taken for the beginning of this answer.
         self.received.reset();
         let changes = tokio::select! {
             changes = self.store.watch(store::CONFIG_PREFIX, Version(since), wait) => changes,
             () = self.wait_watch_lag() => return self.fetch().await,
-            never = self.report_transfer(since, begun, &answered) => match never {},
+            never = self.report_transfer(since, started, &answer_sent) => match never {},
         };
-        self.state.known.is_receiving.store(false, Relaxed);
+        self.state.view.is_receiving.store(false, Relaxed);
         let changes = changes.map_err(|report| *report.current_context())?;
         // Without a change the store has held the watch for the whole wait.
-        let held = (begun + wait).min(Instant::now());
-        self.take_changes(changes, answered.get().copied().unwrap_or(held));
+        let held_until = (started + wait).min(Instant::now());
+        self.apply_changes(changes, answer_sent.get().copied().unwrap_or(held_until));
         Ok(Source::Store)
     }
 
@@ -160,39 +160,41 @@
     async fn report_transfer(
         &self,
         since: u64,
-        begun: Instant,
-        answered: &OnceLock<Instant>,
+        started: Instant,
+        answer_sent: &OnceLock<Instant>,
     ) -> Infallible {
         let received = self.received.exceeds(EMPTY_ANSWER);
         let mut received = std::pin::pin!(received);
         // A process that was paused reads late what arrived meanwhile: the last moment without an answer counts, and
         // none at which the process had just been held up.
-        let (mut empty, mut polled) = (begun, Instant::now());
+        let (mut last_empty, mut last_poll) = (started, Instant::now());
         while timeout(ANSWER_POLL, received.as_mut()).await.is_err() {
             let now = Instant::now();
-            if now.saturating_duration_since(polled) < ANSWER_POLL * 2 {
-                empty = now;
+            if now.saturating_duration_since(last_poll) < ANSWER_POLL * 2 {
+                last_empty = now;
             }
-            polled = now;
+            last_poll = now;
         }
-        let sent = empty.checked_sub(ANSWER_DELAY);
-        let sent = sent.map_or(begun, |sent| sent.max(begun));
-        answered.get_or_init(|| sent);
-        let known = &self.state.known;
+        let sent_at = last_empty.checked_sub(ANSWER_DELAY);
+        let sent_at = sent_at.map_or(started, |sent_at| sent_at.max(started));
+        answer_sent.get_or_init(|| sent_at);
+        let view = &self.state.view;
         let now = Instant::now();
-        if empty.saturating_duration_since(begun) > WATCH_HELD {
+        if last_empty.saturating_duration_since(started) > WATCH_HELD {
             // The store had nothing to report until it sent this.
-            self.observe(Version(since), sent);
+            self.observe(Version(since), sent_at);
         }
-        let version = known.version();
-        known.freshness().record_transfer(version, now);
-        known.is_receiving.store(true, Relaxed);
-        known.told.notify_one();
+        let version = view.version();
+        view.freshness().record_transfer(version, now);
+        view.is_receiving.store(true, Relaxed);
+        view.unreported_change.notify_one();
         loop {
             // The store answers all the while, so that the others need not watch for themselves.
-            self.state.duty.set_config_answer(Some(Instant::now()));
+            self.state
+                .watch_duty
+                .set_config_answer(Some(Instant::now()));
             sleep(TRANSFER_POLL).await;
-            known.freshness().record_transfer(version, Instant::now());
+            view.freshness().record_transfer(version, Instant::now());
         }
     }
 
@@ -211,95 +213,97 @@
     }
 
     async fn list(&mut self) -> Result<Source, PlatformError> {
-        let begun = Instant::now();
-        let knows_none = !self.state.known.has_config();
+        let started = Instant::now();
+        let has_no_config = !self.state.view.has_config();
         let listing = tokio::select! {
             listing = self.store.list_all(store::CONFIG_PREFIX) => listing,
-            () = self.poll_peers(0), if knows_none => return Ok(Source::Peer),
+            () = self.poll_peers(0), if has_no_config => return Ok(Source::Peer),
         };
         let listing = listing.map_err(|report| *report.current_context());
-        self.record_fetch(0, listing.as_ref().err().copied(), begun);
-        self.take_listing(listing?, begun);
-        self.must_list = false;
+        self.record_fetch(0, listing.as_ref().err().copied(), started);
+        self.apply_listing(listing?, started);
+        self.needs_list = false;
         Ok(Source::Store)
     }
 
     /// Fetches the newest version that is known of, from the store or, where that does not send it, from a peer.
     async fn fetch(&mut self) -> Result<Source, PlatformError> {
-        let wanted = self.state.newest_config();
-        let begun = Instant::now();
+        let newest = self.state.newest_config();
+        let started = Instant::now();
         let object = tokio::select! {
             object = self.store.get(store::CONFIG_KEY) => object,
-            () = self.poll_peers(wanted) => return Ok(Source::Peer),
+            () = self.poll_peers(newest) => return Ok(Source::Peer),
         };
         let object = object.map_err(|report| *report.current_context());
-        self.record_fetch(wanted, object.as_ref().err().copied(), begun);
+        self.record_fetch(newest, object.as_ref().err().copied(), started);
         match object {
             Ok(object) => {
-                self.take_object(&object, begun);
+                self.apply_object(&object, started);
                 Ok(Source::Store)
             }
-            Err(_) if self.query_peers(wanted).await => Ok(Source::Peer),
+            Err(_) if self.query_peers(newest).await => Ok(Source::Peer),
             Err(error) => Err(error),
         }
     }
 
-    fn take_listing(&self, listing: Listing, begun: Instant) {
+    fn apply_listing(&self, listing: Listing, started: Instant) {
         for object in listing.objects {
-            apply(self.state, &object.key, &object.value);
+            apply_value(self.state, &object.key, &object.value);
         }
-        self.observe(listing.revision, begun);
-        self.state.known.freshness().confirm_read(begun);
+        self.observe(listing.revision, started);
+        self.state.view.freshness().confirm_read(started);
     }
 
-    fn take_changes(&self, changes: Changes, at: Instant) {
+    fn apply_changes(&self, changes: Changes, at: Instant) {
         for change in changes.changes {
             if let Some(value) = change.value {
-                apply(self.state, &change.key, &value);
+                apply_value(self.state, &change.key, &value);
             }
         }
         self.observe(changes.revision, at);
-        self.state.known.freshness().confirm_read(Instant::now());
+        self.state.view.freshness().confirm_read(Instant::now());
     }
 
-    fn take_object(&self, object: &Object, begun: Instant) {
-        apply(self.state, &object.key, &object.value);
-        self.observe(object.version, begun);
-        self.state.known.freshness().confirm_read(begun);
+    fn apply_object(&self, object: &Object, started: Instant) {
+        apply_value(self.state, &object.key, &object.value);
+        self.observe(object.version, started);
+        self.state.view.freshness().confirm_read(started);
     }
 
     /// Records that the version in force is the newest one that can be read at this revision of the store.
     fn observe(&self, revision: Version, at: Instant) {
-        self.state.known.observe(Observation {
-            version: self.state.known.version(),
+        self.state.view.observe(Observation {
+            version: self.state.view.version(),
             revision: revision.0,
             at,
         });
-        self.state.known.record_contact(at);
+        self.state.view.record_contact(at);
     }
 
-    fn answered(&mut self) {
+    fn record_answer(&mut self) {
         self.backoff.answered();
-        self.state.duty.set_config_answer(Some(Instant::now()));
+        self.state
+            .watch_duty
+            .set_config_answer(Some(Instant::now()));
         if std::mem::take(&mut self.is_lost) {
             log::info!(kind = store::CONFIG_PREFIX; "store regained");
         }
     }
 
-    async fn failed(&mut self, error: PlatformError) {
+    async fn handle_failure(&mut self, error: PlatformError) {
         // The store answers; only its history is too short, and a list makes that good.
         if error == PlatformError::Compacted {
             log::info!(kind = store::CONFIG_PREFIX; "history of a watch gone");
-            self.must_list = true;
+            self.needs_list = true;
             return;
         }
-        self.must_list |= error == PlatformError::Malformed;
+        self.needs_list |= error == PlatformError::Malformed;
         if !std::mem::replace(&mut self.is_lost, true) {
             log::warn!(kind = store::CONFIG_PREFIX, error:% = error; "store lost");
         }
-        let known = &self.state.known;
-        if known.has_config() && !self.is_outdated() {
-            let is_relied_on = self.state.duty.is_relied_on(known);
+        let view = &self.state.view;
+        if view.has_config() && !self.is_outdated() {
+            let is_relied_on = self.state.watch_duty.is_relied_on(view);
             let limits = self.backoff.failed(is_relied_on);
             tokio::select! {
                 () = pause(self.state, error, limits) => {}
@@ -335,21 +339,21 @@
     }
 
     /// Counts a read of the store and writes its line.
-    fn record_fetch(&self, wanted: u64, error: Option<PlatformError>, begun: Instant) {
+    fn record_fetch(&self, version: u64, error: Option<PlatformError>, started: Instant) {
         let state = self.state;
         let received = self.received.bytes();
-        let took = begun.elapsed();
+        let elapsed = started.elapsed();
         if error.is_none() {
-            state.latencies.add(Latency::Store, took);
+            state.latencies.add(Latency::Store, elapsed);
         }
         count_fetch(state, error.is_none(), received);
         log::info!(
             source = "store",
-            wanted,
-            known = state.known.version(),
+            wanted = version,
+            known = state.view.version(),
             error = error.map(|error| error.to_string()),
             received,
-            took_ms = took.as_millis() as u64;
+            took_ms = elapsed.as_millis() as u64;
             "configuration fetch ended"
         );
     }
@@ -357,28 +361,28 @@
 
 /// Queries a peer for a configuration of at least this version; returns whether it sent one.
 async fn query_peer(state: &RelayState, peer: SocketAddr, version: u64) -> bool {
-    let begun = Instant::now();
-    let sent = timeout(PEER_TIMEOUT, state.peers.bundle(peer, Revision(version))).await;
-    let is_answered = matches!(sent, Ok(Ok(_)));
-    let sent = sent.ok().and_then(Result::ok).flatten();
-    let received = sent.as_ref().map_or(0, Vec::len);
-    count_fetch(state, sent.is_some(), received as u64);
+    let started = Instant::now();
+    let response = timeout(PEER_TIMEOUT, state.peers.bundle(peer, Revision(version))).await;
+    let is_answered = matches!(response, Ok(Ok(_)));
+    let response = response.ok().and_then(Result::ok).flatten();
+    let received = response.as_ref().map_or(0, Vec::len);
+    count_fetch(state, response.is_some(), received as u64);
     log::info!(
         source:% = peer,
         wanted = version,
-        known = state.known.version(),
+        known = state.view.version(),
         is_answered,
         received,
-        took_ms = begun.elapsed().as_millis() as u64;
+        took_ms = started.elapsed().as_millis() as u64;
         "configuration fetch ended"
     );
-    let Some(bytes) = sent else {
+    let Some(bytes) = response else {
         return false;
     };
     match decode::<Config>(&bytes) {
         Ok(config) => {
-            state.known.record_contact(begun);
-            state.known.apply(config, Source::Peer);
+            state.view.record_contact(started);
+            state.view.apply(config, Source::Peer);
         }
         Err(error) => {
             log::warn!(peer:% = peer, error:% = error; "a peer's configuration cannot be read");
@@ -397,12 +401,12 @@
     state.metrics.add(Counter::ConfigBytes, received);
 }
 
-fn apply(state: &RelayState, key: &str, value: &[u8]) {
+fn apply_value(state: &RelayState, key: &str, value: &[u8]) {
     if key != store::CONFIG_KEY {
         return;
     }
     match config::decode(value) {
-        Ok(config) => state.known.apply(config, Source::Store),
+        Ok(config) => state.view.apply(config, Source::Store),
         Err(error) => log::error!(error:% = error; "the configuration cannot be read"),
     }
 }
--- a/daemon/src/relay/connections.rs
+++ b/daemon/src/relay/connections.rs
@@ -18,59 +18,60 @@
 
 /// How long a connection may take. Targets accept within a few milliseconds; one that does not is
 /// cut off or has lost its power, and says nothing.
-const CONNECT: Duration = Duration::from_millis(100);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// How long written bytes may stay unacknowledged.
 ///
 /// The failure: a target loses its power, or something on the way has lost track of a connection.
 /// Nothing comes back, and the request would wait until its deadline. The kernel then reports the
 /// connection as broken; acknowledgements come from the kernel, so a busy target is not hit.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(600);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long an idle connection is kept when the target does not say.
-const IDLE_DEFAULT: Duration = Duration::from_millis(2_500);
+const DEFAULT_IDLE_TIME: Duration = Duration::from_millis(2_500);
 /// How long before the target's own limit an idle connection is no longer used.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 /// The most idle connections to one target.
-const IDLE_MOST: usize = 8;
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
 pub(super) type Sender = SendRequest<Full<Bytes>>;
 
-struct Idle {
+struct IdleConnection {
     sender: Sender,
-    since: Instant,
-    until: Instant,
+    idle_since: Instant,
+    expires: Instant,
 }
 
 /// A kept connection that is used again.
 pub(super) struct ReusedConnection {
     pub(super) sender: Sender,
     /// How long nothing went over it.
-    pub(super) rested: Duration,
+    pub(super) idle_for: Duration,
 }
 
 /// Connections to targets, kept for further requests.
 #[derive(Default)]
 pub(super) struct Connections {
-    idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
-    drivers: TaskTracker,
+    idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
+    tasks: TaskTracker,
 }
 
 impl Connections {
     /// Takes an idle connection, the last one that was used, unless it has rested for longer than `most`.
-    pub(super) fn take(
+    pub(super) fn take_idle(
         &self,
         address: SocketAddr,
-        most: Option<Duration>,
+        max_idle_time: Option<Duration>,
         now: Instant,
     ) -> Option<ReusedConnection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = idle.get_mut(&address)?;
-        while let Some(connection) = kept.pop() {
-            let rested = now.saturating_duration_since(connection.since);
-            let is_stale = connection.until <= now || most.is_some_and(|most| rested > most);
+        let reusable = idle.get_mut(&address)?;
+        while let Some(connection) = reusable.pop() {
+            let idle_for = now.saturating_duration_since(connection.idle_since);
+            let is_stale = connection.expires <= now
+                || max_idle_time.is_some_and(|max_idle_time| idle_for > max_idle_time);
             if !is_stale && connection.sender.is_ready() {
                 return Some(ReusedConnection {
                     sender: connection.sender,
-                    rested,
+                    idle_for,
                 });
             }
         }
@@ -86,19 +87,21 @@
         keep_alive: Option<Duration>,
         now: Instant,
     ) {
-        let time = keep_alive.map_or(IDLE_DEFAULT, |time| time.saturating_sub(IDLE_MARGIN));
-        if sender.is_closed() || time.is_zero() {
+        let idle_time = keep_alive.map_or(DEFAULT_IDLE_TIME, |idle_time| {
+            idle_time.saturating_sub(IDLE_MARGIN)
+        });
+        if sender.is_closed() || idle_time.is_zero() {
             return;
         }
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = idle.entry(address).or_default();
-        if kept.len() == IDLE_MOST {
-            kept.remove(0);
+        let reusable = idle.entry(address).or_default();
+        if reusable.len() == MAX_IDLE_CONNECTIONS {
+            reusable.remove(0);
         }
-        kept.push(Idle {
+        reusable.push(IdleConnection {
             sender,
-            since: now,
-            until: now + time,
+            idle_since: now,
+            expires: now + idle_time,
         });
     }
 
@@ -112,11 +115,12 @@
     }
 
     /// Closes idle connections that are past their time.
-    pub(super) fn sweep(&self, now: Instant) {
+    pub(super) fn close_expired(&self, now: Instant) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.retain(|_, kept| {
-            kept.retain(|connection| connection.until > now && !connection.sender.is_closed());
-            !kept.is_empty()
+        idle.retain(|_, reusable| {
+            reusable
+                .retain(|connection| connection.expires > now && !connection.sender.is_closed());
+            !reusable.is_empty()
         });
     }
 
@@ -133,16 +137,16 @@
 
     /// Makes a connection.
     pub(super) async fn connect(&self, address: SocketAddr) -> io::Result<Sender> {
-        let stream = tokio::time::timeout(CONNECT, TcpStream::connect(address))
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         stream.set_nodelay(true)?;
-        SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+        SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
         let (sender, connection) = http1::Builder::new()
             .handshake(TokioIo::new(stream))
             .await
             .map_err(io::Error::other)?;
-        self.drivers.spawn(async move {
+        self.tasks.spawn(async move {
             // Whoever sends on the connection learns from its response how it ended.
             let _ = connection.await;
         });
@@ -155,7 +159,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clear();
-        self.drivers.close();
-        self.drivers.wait().await;
+        self.tasks.close();
+        self.tasks.wait().await;
     }
 }
--- a/daemon/src/relay/datagrams.rs
+++ b/daemon/src/relay/datagrams.rs
@@ -19,9 +19,9 @@
 
 /// How long changes are gathered before a list is sent. Streams begin and end in groups when
 /// engines are lost.
-const GATHER: Duration = Duration::from_micros(200);
+const COALESCE_DELAY: Duration = Duration::from_micros(200);
 /// The largest datagram that is read.
-const DATAGRAM: usize = 16 << 10;
+const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 /// How many datagrams are read before anything else has its turn.
 const MAX_BATCH: usize = 256;
 
@@ -45,138 +45,151 @@
 
 /// Sends and hears lists until the instance ends.
 pub(super) async fn run(state: Arc<RelayState>, socket: Arc<UdpSocket>) {
-    let mut buffer = vec![0; DATAGRAM];
-    let mut lists = PlacementSchedule::new(Instant::now());
-    let mut notes = PromptLocationSchedule::new(Instant::now());
-    let mut notice = tokio::time::interval(NOTICE_INTERVAL);
-    let mut said = Instant::now();
-    let mut has_news = false;
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+    let mut placement_schedule = PlacementSchedule::new(Instant::now());
+    let mut prompt_location_schedule = PromptLocationSchedule::new(Instant::now());
+    let mut notice_interval = tokio::time::interval(NOTICE_INTERVAL);
+    let mut last_notice = Instant::now();
+    let mut has_unreported = false;
     let mut inbox = Inbox::new(Arc::clone(&socket));
     loop {
-        drain(&state, &mut inbox, &mut buffer);
-        let due = said + Watchers::notice_gap(state.fleet.load().told.len());
+        receive_datagrams(&state, &mut inbox, &mut buffer);
+        let due = last_notice + Watchers::notice_gap(state.fleet.load().recipients.len());
         tokio::select! {
             () = state.ending.cancelled() => return,
             _ = socket.readable() => {}
-            () = state.placed.notified(), if !lists.has_changes => lists.has_changes = true,
-            () = tokio::time::sleep_until(lists.due(state.sharers())) => {
-                tokio::time::sleep(GATHER).await;
-                tell(&state, &socket, &mut lists).await;
-                note(&state, &socket, &mut notes).await;
+            () = state.placements_changed.notified(), if !placement_schedule.has_changes => placement_schedule.has_changes = true,
+            () = tokio::time::sleep_until(placement_schedule.due(state.sharers())) => {
+                tokio::time::sleep(COALESCE_DELAY).await;
+                send_placements(&state, &socket, &mut placement_schedule).await;
+                send_prompt_locations(&state, &socket, &mut prompt_location_schedule).await;
             }
-            () = state.known.told.notified(), if !has_news => has_news = true,
-            () = tokio::time::sleep_until(due), if has_news => {
-                (said, has_news) = (Instant::now(), false);
-                say(&state, &socket).await;
+            () = state.view.unreported_change.notified(), if !has_unreported => has_unreported = true,
+            () = tokio::time::sleep_until(due), if has_unreported => {
+                (last_notice, has_unreported) = (Instant::now(), false);
+                send_notice(&state, &socket).await;
             }
-            _ = notice.tick() => {
+            _ = notice_interval.tick() => {
                 fleet::refresh(&state);
-                (said, has_news) = (Instant::now(), false);
-                say(&state, &socket).await;
+                (last_notice, has_unreported) = (Instant::now(), false);
+                send_notice(&state, &socket).await;
             }
         }
     }
 }
 
 /// Receives what has arrived.
-fn drain(state: &Arc<RelayState>, inbox: &mut Inbox, buffer: &mut [u8]) {
+fn receive_datagrams(state: &Arc<RelayState>, inbox: &mut Inbox, buffer: &mut [u8]) {
     for _ in 0..MAX_BATCH {
-        let Some((len, since)) = inbox.next(buffer) else {
+        let Some((len, earliest_arrival)) = inbox.next(buffer) else {
             return;
         };
-        state.known.record_contact(since);
-        hear(state, &buffer[..len], since);
+        state.view.record_contact(earliest_arrival);
+        handle_datagram(state, &buffer[..len], earliest_arrival);
     }
 }
 
-fn hear(state: &Arc<RelayState>, bytes: &[u8], since: Instant) {
+fn handle_datagram(state: &Arc<RelayState>, bytes: &[u8], earliest_arrival: Instant) {
     match bincode::deserialize(bytes) {
-        Ok(Datagram::Streams(mut list)) => {
-            let sends = std::mem::take(&mut list.sends);
+        Ok(Datagram::Streams(mut placements)) => {
+            let sends = std::mem::take(&mut placements.sends);
             let now = Instant::now();
-            list.add_age(now.saturating_duration_since(since));
-            state.retries().merge(list.origin, sends, now);
-            state.known.targets().merge_placements(list, now);
+            placements.add_age(now.saturating_duration_since(earliest_arrival));
+            state.retries().merge(placements.origin, sends, now);
+            state.view.targets().merge_placements(placements, now);
         }
-        Ok(Datagram::Notes(notes)) => state
-            .known
+        Ok(Datagram::Notes(locations)) => state
+            .view
             .targets()
-            .merge_prompt_locations(&notes, Instant::now()),
-        Ok(Datagram::Notice(notice)) => receive_notice(state, notice, since),
-        Ok(Datagram::Stage(stage)) => state.rollouts.hear_stage(stage, since),
-        Ok(Datagram::Report(service, report)) => state.rollouts.hear_report(&service, report),
+            .merge_prompt_locations(&locations, Instant::now()),
+        Ok(Datagram::Notice(notice)) => receive_notice(state, notice, earliest_arrival),
+        Ok(Datagram::Stage(stage)) => state.rollouts.record_stage(stage, earliest_arrival),
+        Ok(Datagram::Report(service, report)) => state.rollouts.record_report(&service, report),
         Err(error) => log::warn!(error:% = error; "a datagram of a peer cannot be read"),
     }
 }
 
-fn receive_notice(state: &Arc<RelayState>, notice: Notice, since: Instant) {
+fn receive_notice(state: &Arc<RelayState>, notice: Notice, earliest_arrival: Instant) {
     let now = Instant::now();
-    let known = &state.known;
-    state.duty.watchers().record(notice, now);
-    if let Some(seen) = notice.observation(since) {
-        known.observe(seen);
+    let view = &state.view;
+    state.watch_duty.watchers().record(notice, now);
+    if let Some(seen) = notice.observation(earliest_arrival) {
+        view.observe(seen);
     }
-    if let Some(seen) = notice.targets_observation(since) {
-        known.observe_targets(seen);
+    if let Some(seen) = notice.targets_observation(earliest_arrival) {
+        view.observe_targets(seen);
     }
-    known.report_config(notice.config, now);
-    known.targets_freshness().report(notice.revision, now);
+    view.report_config(notice.config, now);
+    view.targets_freshness().report(notice.revision, now);
     if notice.is_superseded {
-        known.freshness().record_transfer(notice.config, now);
+        view.freshness().record_transfer(notice.config, now);
     }
-    if state.newest_config() > state.known.version() {
+    if state.newest_config() > state.view.version() {
         state.newer_config.notify_one();
     }
-    target_sync::request_targets(state);
+    target_sync::request_sync(state);
 }
 
-async fn tell(state: &RelayState, socket: &UdpSocket, lists: &mut PlacementSchedule) {
-    let sequence = state.sequence.fetch_add(1, Relaxed) + 1;
+async fn send_placements(
+    state: &RelayState,
+    socket: &UdpSocket,
+    placement_schedule: &mut PlacementSchedule,
+) {
+    let sequence = state.placement_sequence.fetch_add(1, Relaxed) + 1;
     let fleet = state.fleet.load_full();
-    let since = lists.record_sent(state.sharers(), Instant::now());
-    let list = list(state, fleet.origin, sequence, since);
-    send(socket, &fleet.group, &Datagram::Streams(list)).await;
+    let earliest_arrival = placement_schedule.record_sent(state.sharers(), Instant::now());
+    let placements = placements(state, fleet.origin, sequence, earliest_arrival);
+    send(socket, &fleet.group, &Datagram::Streams(placements)).await;
 }
 
 /// Tells those of other groups where prompts were sent.
-async fn note(state: &RelayState, socket: &UdpSocket, notes: &mut PromptLocationSchedule) {
+async fn send_prompt_locations(
+    state: &RelayState,
+    socket: &UdpSocket,
+    prompt_location_schedule: &mut PromptLocationSchedule,
+) {
     let fleet = state.fleet.load_full();
-    if !notes.take_due(fleet.strangers.len(), Instant::now()) {
+    if !prompt_location_schedule.take_due(fleet.strangers.len(), Instant::now()) {
         return;
     }
-    let taken = state.known.targets().take_prompt_locations();
-    if !taken.is_empty() {
-        send(socket, &fleet.strangers, &Datagram::Notes(taken)).await;
+    let locations = state.view.targets().take_prompt_locations();
+    if !locations.is_empty() {
+        send(socket, &fleet.strangers, &Datagram::Notes(locations)).await;
     }
 }
 
-fn list(state: &RelayState, origin: u64, sequence: u64, since: Option<Instant>) -> Placements {
+fn placements(
+    state: &RelayState,
+    origin: u64,
+    sequence: u64,
+    earliest_arrival: Option<Instant>,
+) -> Placements {
     let now = Instant::now();
-    let mut targets = state.known.targets();
-    if since.is_none() {
+    let mut targets = state.view.targets();
+    if earliest_arrival.is_none() {
         targets.sweep(now);
     }
-    let list = targets.placements(origin, sequence, since, now);
+    let placements = targets.placements(origin, sequence, earliest_arrival, now);
     drop(targets);
     Placements {
         sends: state.retries().sends(now),
-        ..list
+        ..placements
     }
 }
 
 /// Says what is known of the store, if others are to hear it of this instance.
-async fn say(state: &RelayState, socket: &UdpSocket) {
+async fn send_notice(state: &RelayState, socket: &UdpSocket) {
     let fleet = state.fleet.load_full();
-    if fleet.told.is_empty() {
+    if fleet.recipients.is_empty() {
         return;
     }
     let now = Instant::now();
     // What comes in force meanwhile must not be reported with the age of what was in force before, so ages go first.
-    let freshness = state.known.freshness().clone();
-    let targets_age = state.known.targets_freshness().age(now);
-    let (revision, config) = (state.known.revision(), state.known.version());
-    let heard = || state.duty.watchers().age(revision, config, now);
-    let Some(age) = state.duty.age(now).or_else(heard) else {
+    let freshness = state.view.freshness().clone();
+    let targets_age = state.view.targets_freshness().age(now);
+    let (revision, config) = (state.view.revision(), state.view.version());
+    let watchers_age = || state.watch_duty.watchers().age(revision, config, now);
+    let Some(age) = state.watch_duty.age(now).or_else(watchers_age) else {
         return;
     };
     let notice = Notice {
@@ -186,10 +199,10 @@
         config_revision: freshness.revision().unwrap_or_default(),
         config_age_ms: freshness.age(now).map(millis),
         targets_age_ms: targets_age.map(millis),
-        is_superseded: state.known.is_receiving.load(Relaxed),
+        is_superseded: state.view.is_receiving.load(Relaxed),
         age_ms: millis(age),
     };
-    send(socket, &fleet.told, &Datagram::Notice(notice)).await;
+    send(socket, &fleet.recipients, &Datagram::Notice(notice)).await;
 }
 
 fn millis(time: Duration) -> u32 {
@@ -199,7 +212,7 @@
 /// What cannot be sent is left out: the next datagram says the same and more.
 pub(super) async fn send(socket: &UdpSocket, peers: &[SocketAddr], datagram: &Datagram) {
     match bincode::serialize(datagram) {
-        Ok(bytes) if bytes.len() <= DATAGRAM => {
+        Ok(bytes) if bytes.len() <= MAX_DATAGRAM_BYTES => {
             for peer in peers {
                 let _ = socket.send_to(&bytes, peer).await;
             }
--- a/daemon/src/relay/endpoints.rs
+++ b/daemon/src/relay/endpoints.rs
@@ -11,7 +11,7 @@
 
 use super::{
     members,
-    reply::{whole, Reply},
+    reply::{full_body, Reply},
     state::RelayState,
 };
 use crate::listening;
@@ -22,7 +22,7 @@
 /// The path of counters and latencies.
 const METRICS_PATH: &str = "/metrics";
 /// How long a connection may stay without a question.
-const IDLE: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Answers questions on a listener until the instance ends.
 pub(super) async fn run(state: Arc<RelayState>, listener: TcpListener) {
@@ -36,42 +36,42 @@
         return;
     };
     let service = service_fn(move |request| {
-        let reply = answer(&state, &request, caller.ip());
+        let reply = respond(&state, &request, caller.ip());
         async { Ok::<Reply, Infallible>(reply) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(IDLE)
+        .header_read_timeout(IDLE_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     // Whoever asks may leave in any way.
     let _ = connection.await;
 }
 
-fn answer(state: &RelayState, request: &Request<Incoming>, caller: IpAddr) -> Reply {
+fn respond(state: &RelayState, request: &Request<Incoming>, caller: IpAddr) -> Reply {
     match request.uri().path() {
-        directory::READY_PATH if state.is_ready() => plain(StatusCode::OK),
-        directory::READY_PATH => plain(StatusCode::SERVICE_UNAVAILABLE),
-        directory::DIRECTORY_PATH => addresses(state, caller),
-        METRICS_PATH => Response::new(whole(state.render_metrics())),
-        _ => plain(StatusCode::NOT_FOUND),
+        directory::READY_PATH if state.is_ready() => empty_response(StatusCode::OK),
+        directory::READY_PATH => empty_response(StatusCode::SERVICE_UNAVAILABLE),
+        directory::DIRECTORY_PATH => directory_response(state, caller),
+        METRICS_PATH => Response::new(full_body(state.render_metrics())),
+        _ => empty_response(StatusCode::NOT_FOUND),
     }
 }
 
-fn plain(status: StatusCode) -> Reply {
-    let mut reply = Response::new(whole(""));
+fn empty_response(status: StatusCode) -> Reply {
+    let mut reply = Response::new(full_body(""));
     *reply.status_mut() = status;
     reply
 }
 
 /// An instance that knows nobody to name says so, and the caller asks another one.
-fn addresses(state: &RelayState, caller: IpAddr) -> Reply {
-    let found = members::addresses(state);
-    if found.is_empty() {
-        return plain(StatusCode::SERVICE_UNAVAILABLE);
+fn directory_response(state: &RelayState, caller: IpAddr) -> Reply {
+    let addresses = members::caller_addresses(state);
+    if addresses.is_empty() {
+        return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let found = directory_addresses(caller, found, directory::ADDRESSES_MOST);
+    let addresses = directory_addresses(caller, addresses, directory::ADDRESSES_MOST);
     let ttl = DIRECTORY_TTL.min(state.settings.load().bounds.directory_ttl);
-    let mut reply = Response::new(whole(directory::encode(&found, ttl)));
+    let mut reply = Response::new(full_body(directory::encode(&addresses, ttl)));
     let json = HeaderValue::from_static("application/json");
     reply.headers_mut().insert(CONTENT_TYPE, json);
     reply
--- a/daemon/src/relay/engine_calls.rs
+++ b/daemon/src/relay/engine_calls.rs
@@ -18,7 +18,7 @@
 
 /// Asks an engine on a new connection, which is closed with the answer; nothing when none comes
 /// within `limit`.
-pub(super) async fn ask(
+pub(super) async fn call(
     state: &RelayState,
     address: SocketAddr,
     method: Method,
--- a/daemon/src/relay/fleet.rs
+++ b/daemon/src/relay/fleet.rs
@@ -14,7 +14,7 @@
 
 /// The most instances that tell each other where their streams run. Their lists take up to a sixth of a
 /// link of 10 Mbit/s.
-const GROUP_MOST: usize = 96;
+const MAX_GROUP: usize = 96;
 
 /// What this instance makes of the fleet: whom it tells what. Worked out anew when members come or go, as
 /// each datagram asks for it.
@@ -31,46 +31,46 @@
     /// Where those are that share none.
     pub(super) strangers: Vec<SocketAddr>,
     /// Where those are whom this one tells what the store says.
-    pub(super) told: Vec<SocketAddr>,
+    pub(super) recipients: Vec<SocketAddr>,
 }
 
 /// Works out anew what this instance makes of the fleet.
 pub(super) fn refresh(state: &RelayState) {
     let settings = state.settings.load();
     let own = &settings.instance;
-    let watches = state.duty.age(Instant::now()).is_some();
+    let watches = state.watch_duty.age(Instant::now()).is_some();
     let gossip = state.gossip();
     let live: Vec<&Member> = gossip.membership().in_state(MemberState::Live).collect();
-    let tree = tree(state, &gossip);
-    let told = tree.recipients_of(own, watches);
-    let subset = Subset::with_group_limit(GROUP_MOST, own, &names(&live, own), &[]);
+    let tree = distribution_tree(state, &gossip);
+    let recipients = tree.recipients_of(own, watches);
+    let subset = Subset::with_group_limit(MAX_GROUP, own, &live_names(&live, own), &[]);
     let fleet = Fleet {
         origin: gossip.origin().0,
         size: live.len() + 1,
         others: live.iter().filter_map(|member| address(member)).collect(),
         group: addresses(&live, |name| subset.peers.contains(name)),
         strangers: addresses(&live, |name| !subset.peers.contains(name)),
-        told: addresses(&live, |name| told.contains(&name)),
+        recipients: addresses(&live, |name| recipients.contains(&name)),
     };
-    let is_chosen = tree.watchers().iter().any(|one| one.name == own);
+    let is_chosen = tree.watchers().iter().any(|watcher| watcher.name == own);
     let hops = tree.hops();
     let has_peers = gossip
         .membership()
         .iter()
         .any(|(_, member)| member.state() != MemberState::Leaving);
     drop(gossip);
-    state.known.set_has_peers(has_peers);
-    state.duty.watchers().set_hops(hops);
-    if state.duty.is_chosen.swap(is_chosen, Relaxed) != is_chosen {
+    state.view.set_has_peers(has_peers);
+    state.watch_duty.watchers().set_hops(hops);
+    if state.watch_duty.is_chosen.swap(is_chosen, Relaxed) != is_chosen {
         log::info!(is_chosen, live = fleet.size; "watcher of the store");
     }
-    regroup(state, subset.group, subset.groups);
+    update_group(state, subset.group, subset.groups);
     state.fleet.store(Arc::new(fleet));
 }
 
-fn regroup(state: &RelayState, own: usize, count: usize) {
+fn update_group(state: &RelayState, own: usize, count: usize) {
     let group = Group { index: own, count };
-    let mut targets = state.known.targets();
+    let mut targets = state.view.targets();
     let before = std::mem::replace(&mut targets.group, group);
     drop(targets);
     if before.count != count {
@@ -84,14 +84,14 @@
 /// the store takes the write of one of them.
 pub(super) fn driver(state: &RelayState) -> Option<SocketAddr> {
     let gossip = state.gossip();
-    let tree = tree(state, &gossip);
+    let tree = distribution_tree(state, &gossip);
     let driver = tree.watchers().first()?.name;
     let mut live = gossip.membership().in_state(MemberState::Live);
     address(live.find(|member| member.name == *driver)?)
 }
 
 /// Makes the tree of the instances that seem to live and are not stopping, this one included.
-fn tree<'a>(state: &RelayState, gossip: &'a Gossip) -> DistributionTree<'a> {
+fn distribution_tree<'a>(state: &RelayState, gossip: &'a Gossip) -> DistributionTree<'a> {
     let live = gossip.membership().in_state(MemberState::Live);
     let mut candidates: Vec<Candidate<'a>> = live
         .map(|member| Candidate {
@@ -109,14 +109,14 @@
     DistributionTree::new(candidates)
 }
 
-fn names(live: &[&Member], own: &InstanceName) -> Vec<InstanceName> {
+fn live_names(live: &[&Member], own: &InstanceName) -> Vec<InstanceName> {
     let others = live.iter().map(|member| member.name.clone());
     others.chain([own.clone()]).collect()
 }
 
-fn addresses(live: &[&Member], is_meant: impl Fn(&InstanceName) -> bool) -> Vec<SocketAddr> {
-    let meant = live.iter().filter(|member| is_meant(&member.name));
-    meant.filter_map(|member| address(member)).collect()
+fn addresses(live: &[&Member], is_included: impl Fn(&InstanceName) -> bool) -> Vec<SocketAddr> {
+    let included = live.iter().filter(|member| is_included(&member.name));
+    included.filter_map(|member| address(member)).collect()
 }
 
 fn address(member: &Member) -> Option<SocketAddr> {
--- a/daemon/src/relay/held_prompts.rs
+++ b/daemon/src/relay/held_prompts.rs
@@ -10,21 +10,29 @@
 use super::{engine_calls, state::RelayState};
 
 /// How long an engine may take to tell what it holds. It takes a step or two.
-const LIMIT: Duration = Duration::from_millis(150);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Asks an engine which prompt parts it holds.
-pub(super) async fn ask(state: Arc<RelayState>, key: TargetKey) {
-    let (Some(address), Ok(path)) = (state.known.address_of(key), engine::HELD_PATH.parse()) else {
+pub(super) async fn query(state: Arc<RelayState>, key: TargetKey) {
+    let (Some(address), Ok(path)) = (state.view.address_of(key), engine::HELD_PATH.parse()) else {
         return;
     };
-    let answer = engine_calls::ask(&state, address, Method::GET, path, Vec::new(), LIMIT).await;
+    let answer = engine_calls::call(
+        &state,
+        address,
+        Method::GET,
+        path,
+        Vec::new(),
+        QUERY_TIMEOUT,
+    )
+    .await;
     let Some(answer) = answer.filter(|answer| answer.status == StatusCode::OK) else {
         log::info!(address:% = address; "an engine does not tell what it holds");
         return;
     };
     match engine::decode_held(&answer.body) {
         Ok(parts) => {
-            let mut targets = state.known.targets();
+            let mut targets = state.view.targets();
             targets.record_held_parts(key, &parts, Instant::now());
         }
         Err(error) => {
--- a/daemon/src/relay/lease.rs
+++ b/daemon/src/relay/lease.rs
@@ -21,26 +21,26 @@
 
 impl Lease {
     /// Takes a place for a request; nothing when the target is gone.
-    pub(super) fn take(state: &Arc<RelayState>, key: TargetKey) -> Option<Self> {
-        Self::open(state, &mut state.known.targets(), key)
+    pub(super) fn for_request(state: &Arc<RelayState>, key: TargetKey) -> Option<Self> {
+        Self::new(state, &mut state.view.targets(), key)
     }
 
     /// Takes a place for a stream of so many tokens; nothing when the target is gone.
-    pub(super) fn take_stream(
+    pub(super) fn for_stream(
         state: &Arc<RelayState>,
         key: TargetKey,
         part: u64,
         tokens: u64,
     ) -> Option<Self> {
-        let mut targets = state.known.targets();
-        let mut lease = Self::open(state, &mut targets, key)?;
+        let mut targets = state.view.targets();
+        let mut lease = Self::new(state, &mut targets, key)?;
         lease.stream = targets.add_stream(key, part, tokens, Instant::now());
         drop(targets);
-        state.placed.notify_one();
+        state.placements_changed.notify_one();
         Some(lease)
     }
 
-    fn open(state: &Arc<RelayState>, targets: &mut Targets, key: TargetKey) -> Option<Self> {
+    fn new(state: &Arc<RelayState>, targets: &mut Targets, key: TargetKey) -> Option<Self> {
         let target = targets.get_mut(key)?;
         target.open_requests += 1;
         Some(Self {
@@ -54,90 +54,90 @@
     }
 
     /// Takes in a sign of life.
-    pub(super) fn answered(&mut self, load: Option<Load>) {
-        if let Some(target) = self.state.known.targets().get_mut(self.key) {
+    pub(super) fn record_response(&mut self, load: Option<Load>) {
+        if let Some(target) = self.state.view.targets().get_mut(self.key) {
             target.record_response(load, Instant::now());
         }
     }
 
     /// Takes in the result of a request in one piece.
-    pub(super) fn note_result(&self, is_good: bool, time: Duration) {
-        let mut targets = self.state.known.targets();
+    pub(super) fn record_result(&self, is_good: bool, time: Duration) {
+        let mut targets = self.state.view.targets();
         targets.record_result(self.key, is_good, time, Instant::now());
     }
 
     /// Takes in that what was sent was reset at once, on a connection that had rested for so long.
-    pub(super) fn connection_lost(&self, rested: Duration) {
-        let mut targets = self.state.known.targets();
-        if !targets.record_idle_reset(self.key, rested, Instant::now()) {
+    pub(super) fn record_idle_reset(&self, idle_for: Duration) {
+        let mut targets = self.state.view.targets();
+        if !targets.record_idle_reset(self.key, idle_for, Instant::now()) {
             return;
         }
-        let most = targets.idle_limit(self.key, Instant::now());
+        let idle_limit = targets.idle_limit(self.key, Instant::now());
         log::info!(
             target = self.name.as_str(),
-            rested_ms = rested.as_millis() as u64,
-            most_ms = most.map(|most| most.as_millis() as u64);
+            rested_ms = idle_for.as_millis() as u64,
+            most_ms = idle_limit.map(|idle_limit| idle_limit.as_millis() as u64);
             "connections rest for less"
         );
     }
 
     /// Takes in that the prompt was read.
-    pub(super) fn has_read(&mut self) {
+    pub(super) fn record_prompt_read(&mut self) {
         if let Some(stream) = self.stream {
             self.state
-                .known
+                .view
                 .targets()
                 .record_prompt_read(self.key, stream);
-            self.state.placed.notify_one();
+            self.state.placements_changed.notify_one();
         }
     }
 
     /// Takes in how the attempt ended.
-    pub(super) fn ended(&self, ended: AttemptFailure) {
-        note(&self.state, self.key, ended);
-        if ended.suggests_target_down() {
+    pub(super) fn record_failure(&self, failure: AttemptFailure) {
+        record_target_failure(&self.state, self.key, failure);
+        if failure.suggests_target_down() {
             self.state.connections.drop_idle(self.address);
-            self.state.placed.notify_one();
+            self.state.placements_changed.notify_one();
         }
         // A stream that breaks may be the sign of a dead engine, which others should know of.
-        if ended == AttemptFailure::Broken && self.stream.is_some() {
-            let check = check(Arc::clone(&self.state), self.key, self.address);
+        if failure == AttemptFailure::Broken && self.stream.is_some() {
+            let check = check_alive(Arc::clone(&self.state), self.key, self.address);
             self.state.tasks.spawn(check);
         }
     }
 }
 
 /// Takes in how an attempt at a target ended, or that it was found dead.
-fn note(state: &RelayState, key: TargetKey, ended: AttemptFailure) {
-    let mut targets = state.known.targets();
+fn record_target_failure(state: &RelayState, key: TargetKey, failure: AttemptFailure) {
+    let mut targets = state.view.targets();
     let Some(target) = targets.get_mut(key) else {
         return;
     };
     let was_dead = target.is_dead;
-    target.record_failure(ended, Instant::now());
+    target.record_failure(failure, Instant::now());
     if target.is_dead && !was_dead {
         state.metrics.add(Counter::TargetsDead, 1);
     }
 }
 
-async fn check(state: Arc<RelayState>, key: TargetKey, address: SocketAddr) {
+async fn check_alive(state: Arc<RelayState>, key: TargetKey, address: SocketAddr) {
     if state.connections.is_alive(address).await {
         return;
     }
-    note(&state, key, AttemptFailure::Dead);
+    record_target_failure(&state, key, AttemptFailure::Dead);
     log::info!(address:% = address, reason = "no connection"; "target dead");
-    state.placed.notify_one();
+    state.placements_changed.notify_one();
 }
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        let mut targets = self.state.known.targets();
+        let mut targets = self.state.view.targets();
         if let Some(target) = targets.get_mut(self.key) {
             target.open_requests = target.open_requests.saturating_sub(1);
         }
         if let Some(stream) = self.stream {
             targets.remove_stream(self.key, stream);
-            self.state.placed.notify_one();
+            self.state.placements_changed.notify_one();
         }
     }
 }
--- a/daemon/src/relay/members.rs
+++ b/daemon/src/relay/members.rs
@@ -17,7 +17,7 @@
 
 /// The time between two rounds of gossip. After two failed exchanges a dead instance is no longer
 /// named to callers.
-const ROUND: Duration = Duration::from_millis(500);
+const ROUND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Makes the gossip of this instance.
 pub(super) fn gossip(settings: &Settings, now: Instant) -> Gossip {
@@ -36,7 +36,7 @@
         .filter(|seed| seed.0 != settings.ip)
         .map(|seed| format_smolstr!("{}", SocketAddr::new(seed.0, port)));
     let settings = celerypond_fleet::GossipSettings {
-        round_interval: ROUND,
+        round_interval: ROUND_INTERVAL,
         seeds: seeds.collect(),
         ..celerypond_fleet::GossipSettings::default()
     };
@@ -50,25 +50,25 @@
 
 /// Returns the addresses for callers of all instances that seem to live. All instances have the
 /// same ports.
-pub(super) fn addresses(state: &RelayState) -> Vec<SocketAddr> {
+pub(super) fn caller_addresses(state: &RelayState) -> Vec<SocketAddr> {
     let settings = state.settings.load();
-    let Some(own) = settings.listen.callers else {
+    let Some(own_address) = settings.listen.callers else {
         return Vec::new();
     };
     let gossip = state.gossip();
     let others = gossip.membership().in_state(MemberState::Live);
     let others = others.filter_map(|member| member.address.parse::<SocketAddr>().ok());
-    let others = others.map(|address| SocketAddr::new(address.ip(), own.port()));
-    let mut found: Vec<SocketAddr> = others.collect();
+    let others = others.map(|address| SocketAddr::new(address.ip(), own_address.port()));
+    let mut addresses: Vec<SocketAddr> = others.collect();
     // Where all stop at once, those that still take callers are all that there is.
-    if state.is_ready() || (found.is_empty() && state.takes_callers()) {
-        found.insert(0, own);
+    if state.is_ready() || (addresses.is_empty() && state.takes_callers()) {
+        addresses.insert(0, own_address);
     }
-    found
+    addresses
 }
 
 /// Returns what is known of the other instances.
-pub(super) fn others(state: &RelayState) -> PeerCounts {
+pub(super) fn peer_counts(state: &RelayState) -> PeerCounts {
     let gossip = state.gossip();
     let count = |state| gossip.membership().in_state(state).count();
     PeerCounts {
@@ -79,41 +79,41 @@
 
 /// Takes the turns of gossip until the instance ends.
 pub(super) async fn run(state: Arc<RelayState>) {
-    let mut round = Instant::now();
+    let mut next_round = Instant::now();
     loop {
         tokio::select! {
             () = state.ending.cancelled() => return,
-            () = tokio::time::sleep_until(round) => {}
+            () = tokio::time::sleep_until(next_round) => {}
         }
         let now = Instant::now();
-        let sends = {
+        let messages = {
             let mut gossip = state.gossip();
-            gossip.raise_acting_revision(Revision(state.known.version()));
-            round = now + gossip.round_interval(now);
+            gossip.raise_acting_revision(Revision(state.view.version()));
+            next_round = now + gossip.round_interval(now);
             gossip.tick(now)
         };
-        deliver(&state, sends);
-        after(&state);
+        spawn_sends(&state, messages);
+        process_events(&state);
         // Once a round, as many are met at once where a fleet starts.
-        if state.has_changed.swap(false, Relaxed) {
+        if state.membership_changed.swap(false, Relaxed) {
             fleet::refresh(&state);
         }
     }
 }
 
 /// Says to all instances that this one takes no new work.
-pub(super) fn leave(state: &Arc<RelayState>) {
+pub(super) fn announce_leaving(state: &Arc<RelayState>) {
     state.gossip().announce_leaving();
-    after(state);
+    process_events(state);
 }
 
 /// Acts on what changed, and pushes what can't wait for the next round.
-pub(super) fn after(state: &Arc<RelayState>) {
-    let (events, sends) = {
+pub(super) fn process_events(state: &Arc<RelayState>) {
+    let (events, messages) = {
         let mut gossip = state.gossip();
         (gossip.take_events(), gossip.urgent_messages(Instant::now()))
     };
-    deliver(state, sends);
+    spawn_sends(state, messages);
     let now = Instant::now();
     let mut has_changed = false;
     for event in events {
@@ -124,19 +124,19 @@
             }
             Event::Renumbered => has_changed = true,
             Event::Revision(revision) | Event::Ahead(revision) => {
-                state.known.report_config(revision.0, now);
+                state.view.report_config(revision.0, now);
                 state.newer_config.notify_one();
             }
             Event::Brake(_) | Event::Changed(_) => {}
         }
     }
     if has_changed {
-        state.has_changed.store(true, Relaxed);
+        state.membership_changed.store(true, Relaxed);
     }
 }
 
-fn deliver(state: &Arc<RelayState>, sends: Vec<Outgoing>) {
-    for outgoing in sends {
+fn spawn_sends(state: &Arc<RelayState>, messages: Vec<Outgoing>) {
+    for outgoing in messages {
         state.tasks.spawn(send(Arc::clone(state), outgoing));
     }
 }
@@ -149,10 +149,10 @@
     };
     let mut next = Some(outgoing.message);
     while let Some(message) = next.take() {
-        let begun = Instant::now();
+        let started = Instant::now();
         match state.peers.exchange(to, message).await {
             Ok(answer) => {
-                state.known.record_contact(begun);
+                state.view.record_contact(started);
                 next = state
                     .gossip()
                     .handle_response(outgoing.member, answer, Instant::now());
@@ -162,5 +162,5 @@
                 .handle_failure(outgoing.member, Instant::now()),
         }
     }
-    after(&state);
+    process_events(&state);
 }
--- a/daemon/src/relay/peer_service.rs
+++ b/daemon/src/relay/peer_service.rs
@@ -17,14 +17,14 @@
 /// The failure: many ask one instance at once, and each answer takes a part of a second of a narrow link. Several at
 /// once are all too late for those who asked, who then ask the next one, and all links are full of answers that nobody
 /// waits for.
-const TRANSFERS: usize = 2;
+const MAX_TRANSFERS: usize = 2;
 /// How long a byte of a transfer takes a link of about 8 Mbit/s; by that its turn is over.
-const LINK_BYTE: Duration = Duration::from_micros(1);
+const LINK_TIME_PER_BYTE: Duration = Duration::from_micros(1);
 
 /// Answers the calls of other instances until the instance ends.
 pub(super) async fn run(state: Arc<RelayState>, listener: TcpListener) {
     let ending = state.ending.clone();
-    let transfers = Arc::new(Semaphore::new(TRANSFERS));
+    let transfers = Arc::new(Semaphore::new(MAX_TRANSFERS));
     listening::serve(listener, ending, |socket| {
         let server = Server {
             state: Arc::clone(&state),
@@ -48,13 +48,14 @@
 
 impl Server {
     /// Packs a large answer, unless as many as the link carries are under way.
-    fn transfer<T: Serialize>(&self, told: &T) -> Option<Vec<u8>> {
-        let turn = Arc::clone(&self.transfers).try_acquire_owned().ok()?;
-        let bytes = encode(told);
-        let time = LINK_BYTE.saturating_mul(u32::try_from(bytes.len()).unwrap_or(u32::MAX));
+    fn transfer<T: Serialize>(&self, value: &T) -> Option<Vec<u8>> {
+        let permit = Arc::clone(&self.transfers).try_acquire_owned().ok()?;
+        let bytes = encode(value);
+        let time =
+            LINK_TIME_PER_BYTE.saturating_mul(u32::try_from(bytes.len()).unwrap_or(u32::MAX));
         self.state.tasks.spawn(async move {
             tokio::time::sleep(time).await;
-            drop(turn);
+            drop(permit);
         });
         Some(bytes)
     }
@@ -63,7 +64,7 @@
 impl Peer for Server {
     async fn exchange_gossip(self, _: Context, message: Message) -> Message {
         let answer = self.state.gossip().handle_request(message, Instant::now());
-        members::after(&self.state);
+        members::process_events(&self.state);
         answer
     }
 
@@ -80,15 +81,15 @@
     }
 
     async fn fetch_bundle(self, _: Context, revision: Revision) -> Option<Vec<u8>> {
-        let table = self.state.known.config_since(revision.0)?;
+        let table = self.state.view.config_since(revision.0)?;
         self.transfer(table.config())
     }
 
     async fn fetch_changes(self, _: Context, since: u64) -> Option<Vec<u8>> {
-        let news = self.state.known.news(since)?;
-        match news.is_whole {
-            true => self.transfer(&news),
-            false => Some(encode(&news)),
+        let update = self.state.view.update_since(since)?;
+        match update.is_whole {
+            true => self.transfer(&update),
+            false => Some(encode(&update)),
         }
     }
 
--- a/daemon/src/relay/probed_wait.rs
+++ b/daemon/src/relay/probed_wait.rs
@@ -11,7 +11,7 @@
 /// What came of waiting.
 pub(super) enum WaitOutcome<T> {
     /// What was waited for.
-    Said(T),
+    Completed(T),
     /// The engine takes no new connection.
     Dead,
 }
@@ -22,9 +22,9 @@
     /// # Errors
     ///
     /// `DeadEngine` when it did not come.
-    pub(super) fn said(self) -> Result<T, AttemptFailure> {
+    pub(super) fn into_result(self) -> Result<T, AttemptFailure> {
         match self {
-            Self::Said(said) => Ok(said),
+            Self::Completed(output) => Ok(output),
             Self::Dead => Err(AttemptFailure::Dead),
         }
     }
@@ -35,30 +35,30 @@
 pub(super) struct ProbedWait {
     state: Arc<RelayState>,
     data_centre: Option<DataCentre>,
-    alarm: watch::Receiver<Option<DataCentre>>,
-    ask_after: Duration,
+    silence_reports: watch::Receiver<Option<DataCentre>>,
+    probe_after: Duration,
 }
 
 impl ProbedWait {
     pub(super) fn new(
         state: &Arc<RelayState>,
         lease: &Lease,
-        patience: SilenceLimits,
+        silence_limits: SilenceLimits,
         is_first: bool,
     ) -> Self {
         Self {
             state: Arc::clone(state),
-            data_centre: state.known.data_centre_of(lease.key),
-            alarm: state.alarm.subscribe(),
-            ask_after: match is_first {
-                true => patience.probe_first,
-                false => patience.probe_gap,
+            data_centre: state.view.data_centre_of(lease.key),
+            silence_reports: state.silent_data_centre.subscribe(),
+            probe_after: match is_first {
+                true => silence_limits.probe_first,
+                false => silence_limits.probe_gap,
             },
         }
     }
 
     /// Waits for `event` from the engine at `address` as long as the engine lives.
-    pub(super) async fn hear<T>(
+    pub(super) async fn run<T>(
         mut self,
         address: SocketAddr,
         event: impl Future<Output = T>,
@@ -67,16 +67,16 @@
         loop {
             tokio::select! {
                 biased;
-                said = &mut event => return WaitOutcome::Said(said),
-                () = sleep(self.ask_after) => {}
-                () = alarmed(&mut self.alarm, self.data_centre.as_ref()) => {}
+                output = &mut event => return WaitOutcome::Completed(output),
+                () = sleep(self.probe_after) => {}
+                () = wait_for_silence_report(&mut self.silence_reports, self.data_centre.as_ref()) => {}
             }
             tokio::select! {
                 biased;
-                said = &mut event => return WaitOutcome::Said(said),
+                output = &mut event => return WaitOutcome::Completed(output),
                 is_alive = self.state.connections.is_alive(address) => {
                     if !is_alive {
-                        self.raise_alarm();
+                        self.report_silence();
                         return WaitOutcome::Dead;
                     }
                 }
@@ -86,18 +86,23 @@
 
     /// Lets all who wait for engines of the data centre ask at once: where one falls silent, most
     /// do.
-    fn raise_alarm(&self) {
+    fn report_silence(&self) {
         log::info!(data_centre = self.data_centre.as_ref().map(DataCentre::as_str); "engine silent");
-        self.state.alarm.send_replace(self.data_centre.clone());
+        self.state
+            .silent_data_centre
+            .send_replace(self.data_centre.clone());
     }
 }
 
-async fn alarmed(alarm: &mut watch::Receiver<Option<DataCentre>>, home: Option<&DataCentre>) {
+async fn wait_for_silence_report(
+    silence_reports: &mut watch::Receiver<Option<DataCentre>>,
+    data_centre: Option<&DataCentre>,
+) {
     loop {
-        if alarm.changed().await.is_err() {
+        if silence_reports.changed().await.is_err() {
             return std::future::pending().await;
         }
-        if alarm.borrow_and_update().as_ref() == home {
+        if silence_reports.borrow_and_update().as_ref() == data_centre {
             return;
         }
     }
--- a/daemon/src/relay/relayed_stream.rs
+++ b/daemon/src/relay/relayed_stream.rs
@@ -28,11 +28,11 @@
 
 /// A stream on its way from engines to its caller.
 pub(super) struct RelayedStream {
-    pub(super) run: RoutedRequest,
-    pub(super) passage: EventBuffer,
-    pub(super) at: Option<CurrentEngine>,
+    pub(super) request: RoutedRequest,
+    pub(super) events: EventBuffer,
+    pub(super) current: Option<CurrentEngine>,
     /// Whether the last engine that answered had a copy of the run's memory.
-    pub(super) by_copy: bool,
+    pub(super) from_copy: bool,
     is_complete: bool,
 }
 
@@ -46,19 +46,19 @@
 /// Where a stream runs.
 pub(super) struct CurrentEngine {
     pub(super) lease: Lease,
-    pub(super) opened: OpenResponse,
-    patience: SilenceLimits,
+    pub(super) response: OpenResponse,
+    silence_limits: SilenceLimits,
     /// The copy of the run's memory; nothing where engines make none.
-    pub(super) copies: Option<RunCopy>,
+    pub(super) run_copy: Option<RunCopy>,
     /// When it is next asked whether the stream runs well here.
-    pub(super) look: Instant,
-    pace: EventTimer,
+    pub(super) next_check: Instant,
+    event_timer: EventTimer,
 }
 
 /// An attempt that ended, and what is left of it.
 struct FailedAttempt {
     lease: Lease,
-    ended: AttemptFailure,
+    failure: AttemptFailure,
 }
 
 /// No engine took the stream.
@@ -66,33 +66,33 @@
     /// What follows.
     next: NextStep,
     /// Whether an engine may take it later.
-    is_lack: bool,
+    is_temporary: bool,
 }
 
 impl RelayedStream {
-    pub(super) fn new(run: RoutedRequest) -> Self {
-        let last = headers::read_caller(&run.asked.headers).last_event;
+    pub(super) fn new(request: RoutedRequest) -> Self {
+        let last = headers::read_caller(&request.caller_request.headers).last_event;
         Self {
-            run,
-            passage: EventBuffer::after(last),
-            at: None,
-            by_copy: false,
+            request,
+            events: EventBuffer::resume_after(last),
+            current: None,
+            from_copy: false,
             is_complete: false,
         }
     }
 
     /// Asks engines until one has sent a first event, or its failure is to be passed on.
-    pub(super) async fn begin(&mut self) -> Result<ResponseHead, NextStep> {
-        let begun = Instant::now();
-        self.admit().await?;
-        self.find(Vec::new(), true).await?;
-        let latencies = &self.run.state.latencies;
-        latencies.add(Latency::FirstEvent, begun.elapsed());
-        let at = self.at.as_ref().ok_or(NextStep::Failed)?;
+    pub(super) async fn start(&mut self) -> Result<ResponseHead, NextStep> {
+        let started = Instant::now();
+        self.check_time().await?;
+        self.find_engine(Vec::new(), true).await?;
+        let latencies = &self.request.state.latencies;
+        latencies.add(Latency::FirstEvent, started.elapsed());
+        let current = self.current.as_ref().ok_or(NextStep::Failed)?;
         Ok(ResponseHead {
-            status: at.opened.status,
-            headers: at.opened.headers.clone(),
-            target: at.lease.name.clone(),
+            status: current.response.status,
+            headers: current.response.headers.clone(),
+            target: current.lease.name.clone(),
         })
     }
 
@@ -102,22 +102,24 @@
     /// # Errors
     ///
     /// `TooLate` or `Overloaded` where it cannot.
-    async fn admit(&self) -> Result<(), NextStep> {
-        let last = self.passage.last().unwrap_or_default();
+    async fn check_time(&self) -> Result<(), NextStep> {
+        let last = self.events.last_id().unwrap_or_default();
         // Who has a part of the answer comes back after its instance was lost, or many were.
-        if last > 0 || self.run.lacks_time(last).is_some() {
-            self.run.look_for_prompt().await;
+        if last > 0 || self.request.lacking_time(last).is_some() {
+            self.request.query_prompt_location().await;
         }
-        let Some(needs) = self.run.lacks_time(last) else {
-            let backoff = (last == 0).then(|| self.run.backoff()).flatten();
-            return backoff.map_or(Ok(()), |back| Err(NextStep::Overloaded(back)));
+        let Some(needed) = self.request.lacking_time(last) else {
+            let backoff = (last == 0)
+                .then(|| self.request.overload_backoff())
+                .flatten();
+            return backoff.map_or(Ok(()), |retry_after| Err(NextStep::Overloaded(retry_after)));
         };
         log::info!(
-            request = self.run.asked.id.as_str(),
+            request = self.request.caller_request.id.as_str(),
             last,
-            read_ms = needs.read.as_millis() as u64,
-            run_ms = needs.run.as_millis() as u64,
-            left_ms = self.run.left().as_millis() as u64;
+            read_ms = needed.read.as_millis() as u64,
+            run_ms = needed.run.as_millis() as u64,
+            left_ms = self.request.time_left().as_millis() as u64;
             "too late to be served"
         );
         Err(NextStep::TooLate)
@@ -125,21 +127,21 @@
 
     /// Asks engines until one answers, and waits for one to return when none takes the stream, or for
     /// budget when that is used up. Engines that hold a copy of the run's memory go first.
-    pub(super) async fn find(
+    pub(super) async fn find_engine(
         &mut self,
         mut copies: Vec<CopyLocation>,
-        may_ask: bool,
+        may_ask_now: bool,
     ) -> Result<(), NextStep> {
-        let begun = Instant::now();
-        let mut lack = (!may_ask).then_some(NextStep::Failed);
+        let started = Instant::now();
+        let mut next_step = (!may_ask_now).then_some(NextStep::Failed);
         loop {
-            if let Some(next) = lack.take() {
-                self.wait_to_ask(begun, next).await?;
+            if let Some(next) = next_step.take() {
+                self.wait_for_retry(started, next).await?;
             }
-            match self.ask_all(std::mem::take(&mut copies)).await {
+            match self.try_engines(std::mem::take(&mut copies)).await {
                 Ok(()) => return Ok(()),
-                Err(none) if !none.is_lack => return Err(none.next),
-                Err(none) => lack = Some(none.next),
+                Err(no_engine) if !no_engine.is_temporary => return Err(no_engine.next),
+                Err(no_engine) => next_step = Some(no_engine.next),
             }
         }
     }
@@ -149,129 +151,141 @@
     /// # Errors
     ///
     /// What follows when the stream has waited for as long as it may.
-    async fn wait_to_ask(&mut self, begun: Instant, next: NextStep) -> Result<(), NextStep> {
-        let wait = EngineWait::for_route(self.run.route.aim);
-        let has_begun = self.passage.passed() > 0;
+    async fn wait_for_retry(&mut self, started: Instant, next: NextStep) -> Result<(), NextStep> {
+        let wait = EngineWait::for_route(self.request.route.aim);
+        let has_begun = self.events.forwarded() > 0;
         loop {
-            if !wait.may_continue(begun.elapsed(), has_begun)
-                || self.run.left() < wait.poll_interval * 2
+            if !wait.may_continue(started.elapsed(), has_begun)
+                || self.request.time_left() < wait.poll_interval * 2
             {
                 return Err(next);
             }
             tokio::time::sleep(wait.poll_interval).await;
-            if self.run.begin_again() {
+            if self.request.start_retry_round() {
                 return Ok(());
             }
         }
     }
 
     /// Asks engines until one answers; first those that hold a copy of the run's memory.
-    async fn ask_all(&mut self, copies: Vec<CopyLocation>) -> Result<(), NoEngine> {
+    async fn try_engines(&mut self, copies: Vec<CopyLocation>) -> Result<(), NoEngine> {
         let mut copies = copies.into_iter();
-        let mut is_again = self.passage.passed() > 0;
+        let mut is_retry = self.events.forwarded() > 0;
         loop {
-            let at_copy = self.place_at_copy(&mut copies);
-            if is_again && at_copy.is_none() {
-                self.spread_out().await;
+            let copy_holder = self.lease_copy_holder(&mut copies);
+            if is_retry && copy_holder.is_none() {
+                self.wait_retry_spread().await;
             }
-            is_again = true;
-            let (lease, from) = match at_copy {
+            is_retry = true;
+            let (lease, from) = match copy_holder {
                 Some((lease, copy)) => (Some(lease), Some(copy)),
-                None => (self.run.place(), None),
+                None => (self.request.lease_target(), None),
             };
             let Some(lease) = lease else {
                 return Err(NoEngine {
-                    next: self.run.nowhere(),
-                    is_lack: true,
+                    next: self.request.step_without_target(),
+                    is_temporary: true,
                 });
             };
-            let lost = match self.ask(lease, from).await {
+            let failed_attempt = match self.try_engine(lease, from).await {
                 Ok(()) => return Ok(()),
-                Err(lost) => lost,
+                Err(failed_attempt) => failed_attempt,
             };
-            self.passage.drop_rest();
-            let is_lack = lost.ended.proves_not_run();
-            match self.run.ended(&lost.lease, lost.ended) {
+            self.events.discard_partial();
+            let is_temporary = failed_attempt.failure.proves_not_run();
+            match self
+                .request
+                .record_failure(&failed_attempt.lease, failed_attempt.failure)
+            {
                 NextStep::Elsewhere => {}
                 NextStep::Later => {
                     return Err(NoEngine {
                         next: NextStep::Failed,
-                        is_lack: true,
+                        is_temporary: true,
                     });
                 }
-                next => return Err(NoEngine { next, is_lack }),
+                next => return Err(NoEngine { next, is_temporary }),
             }
         }
     }
 
     /// Takes a place at the next engine that holds a copy and takes new work.
-    fn place_at_copy(
+    fn lease_copy_holder(
         &mut self,
         copies: &mut impl Iterator<Item = CopyLocation>,
     ) -> Option<(Lease, CopyLocation)> {
-        copies.find_map(|copy| Some((self.run.place_at_copy(copy.holder)?, copy)))
+        copies.find_map(|copy| Some((self.request.lease_copy_holder(copy.holder)?, copy)))
     }
 
     /// Asks one engine, and waits for its first event.
-    async fn ask(
+    async fn try_engine(
         &mut self,
         mut lease: Lease,
         from: Option<CopyLocation>,
     ) -> Result<(), Box<FailedAttempt>> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let backup = match self.will_move(lease.key, from.as_ref()) {
             true => None,
-            false => self.backup(lease.key),
+            false => self.choose_backup_engine(lease.key),
         };
-        let reading = self.run.state.known.targets().reading(lease.key, begun);
-        let sent = self.send(&mut lease, backup, from.as_ref()).await;
-        let by_copy = from.is_some();
-        let lost = |lease, ended| Err(Box::new(FailedAttempt { lease, ended }));
-        let opened = match sent {
-            Ok(opened) => opened,
+        let reading = self
+            .request
+            .state
+            .view
+            .targets()
+            .reading(lease.key, started);
+        let result = self.send(&mut lease, backup, from.as_ref()).await;
+        let from_copy = from.is_some();
+        let failed_attempt = |lease, failure| Err(Box::new(FailedAttempt { lease, failure }));
+        let response = match result {
+            Ok(response) => response,
             // An engine that dies while it reads has copied too little; nearly all holders refuse to go on.
-            Err(ended) => return lost(lease, ended),
+            Err(failure) => return failed_attempt(lease, failure),
         };
-        if opened.status.is_server_error() && self.run.kind().may_repeat() {
-            return lost(lease, AttemptFailure::Failed(opened.status.as_u16()));
+        if response.status.is_server_error() && self.request.kind().may_repeat() {
+            return failed_attempt(lease, AttemptFailure::Failed(response.status.as_u16()));
         }
-        let is_success = opened.status.is_success();
-        let patience = self.patience(lease.key);
-        let mut at = CurrentEngine {
+        let is_success = response.status.is_success();
+        let silence_limits = self.silence_limits(lease.key);
+        let mut current = CurrentEngine {
             lease,
-            opened,
-            patience,
-            copies: None,
-            look: match by_copy {
-                true => Instant::now() + relocation::REST,
+            response,
+            silence_limits,
+            run_copy: None,
+            next_check: match from_copy {
+                true => Instant::now() + relocation::MOVE_INTERVAL,
                 false => Instant::now(),
             },
-            pace: EventTimer::new(Instant::now()),
+            event_timer: EventTimer::new(Instant::now()),
         };
         if is_success {
-            if let Err(ended) = self.read(&mut at, true).await {
-                return lost(at.lease, ended);
+            if let Err(failure) = self.read_events(&mut current, true).await {
+                return failed_attempt(current.lease, failure);
             }
-            at.lease.has_read();
-            if !by_copy {
-                self.run.note_reading(reading, begun.elapsed());
+            current.lease.record_prompt_read();
+            if !from_copy {
+                self.request.record_reading_time(reading, started.elapsed());
             }
-            at.pace = EventTimer::new(Instant::now());
-            self.run.note(&at.lease, at.opened.status, begun.elapsed());
-            at.copies = self.keep_copy(&at.lease, backup);
+            current.event_timer = EventTimer::new(Instant::now());
+            self.request.record_response(
+                &current.lease,
+                current.response.status,
+                started.elapsed(),
+            );
+            current.run_copy = self.start_copy(&current.lease, backup);
         }
         log::info!(
-            request = self.run.asked.id.as_str(),
-            target = at.lease.name.as_str(),
-            status = at.opened.status.as_u16(),
+            request = self.request.caller_request.id.as_str(),
+            target = current.lease.name.as_str(),
+            status = current.response.status.as_u16(),
             reading,
-            with_copy = by_copy,
-            last = self.passage.last(),
-            took_ms = begun.elapsed().as_millis() as u64;
+            with_copy = from_copy,
+            last = self.events.last_id(),
+            took_ms = started.elapsed().as_millis() as u64;
             "engine began"
         );
-        self.at = Some(at);
-        self.by_copy = by_copy;
+        self.current = Some(current);
+        self.from_copy = from_copy;
         Ok(())
     }
 
@@ -281,7 +295,7 @@
         backup: Option<TargetKey>,
         from: Option<&CopyLocation>,
     ) -> Result<OpenResponse, AttemptFailure> {
-        let address = |key| self.run.state.known.address_of(key);
+        let address = |key| self.request.state.view.address_of(key);
         let resume_from = from.and_then(|copy| match &copy.ordered {
             Some(ordered) => Some(CopyName {
                 address: ordered.from,
@@ -293,38 +307,46 @@
             }),
         });
         let target = lease.name.clone();
-        let left = self.run.left();
+        let time_left = self.request.time_left();
         let head = TargetRequestHead {
-            account: self.run.account.as_ref(),
-            time_left: left,
+            account: self.request.account.as_ref(),
+            time_left,
             target: &target,
-            last_event: self.passage.last(),
+            last_event: self.events.last_id(),
             backup: backup.and_then(address),
             resume_from,
         };
-        let patience = self.patience(lease.key);
-        let listening = ProbedWait::new(&self.run.state, lease, patience, true);
+        let silence_limits = self.silence_limits(lease.key);
+        let probed_wait = ProbedWait::new(&self.request.state, lease, silence_limits, true);
         let (address, key) = (lease.address, lease.key);
-        let sending = send(&self.run.state, lease, &self.run.asked, &head, left);
-        self.hear_first(key, listening.hear(address, sending))
+        let sending = send(
+            &self.request.state,
+            lease,
+            &self.request.caller_request,
+            &head,
+            time_left,
+        );
+        self.wait_first_event(key, probed_wait.run(address, sending))
             .await?
     }
 
     /// Waits for what an engine says first, for as long as it may need for all that it reads.
-    async fn hear_first<T>(
+    async fn wait_first_event<T>(
         &self,
         key: TargetKey,
-        heard: impl Future<Output = WaitOutcome<T>>,
+        waiting: impl Future<Output = WaitOutcome<T>>,
     ) -> Result<T, AttemptFailure> {
-        let mut heard = pin!(heard);
+        let mut waiting = pin!(waiting);
         let mut wait = FirstEventWait::new(Instant::now());
         loop {
             let now = Instant::now();
-            let end = now + self.run.left();
-            let look = wait.update(self.patience(key).first, now);
-            let look = look.filter(|_| now < end).ok_or(AttemptFailure::Silent)?;
-            if let Ok(heard) = timeout_at(look.min(end), heard.as_mut()).await {
-                return heard.said();
+            let end = now + self.request.time_left();
+            let next_check = wait.update(self.silence_limits(key).first, now);
+            let next_check = next_check
+                .filter(|_| now < end)
+                .ok_or(AttemptFailure::Silent)?;
+            if let Ok(outcome) = timeout_at(next_check.min(end), waiting.as_mut()).await {
+                return outcome.into_result();
             }
         }
     }
@@ -334,81 +356,101 @@
     /// The failure: engines die, and several instances place the streams of each again within the same
     /// millisecond, before they hear of each other. Two prompts then meet at one engine, and both take
     /// seconds. The wait is short beside a prompt's reading.
-    async fn spread_out(&self) {
-        let most = PlacementSchedule::retry_spread(self.run.state.sharers());
-        let wait = rand::rng().random_range(Duration::ZERO..most);
+    async fn wait_retry_spread(&self) {
+        let max_wait = PlacementSchedule::retry_spread(self.request.state.sharers());
+        let wait = rand::rng().random_range(Duration::ZERO..max_wait);
         tokio::time::sleep(wait).await;
     }
 
-    fn patience(&self, key: TargetKey) -> SilenceLimits {
-        let reading = self.run.state.known.targets().reading(key, Instant::now());
-        SilenceLimits::for_stream(reading, self.run.route.gap_aim)
+    fn silence_limits(&self, key: TargetKey) -> SilenceLimits {
+        let reading = self
+            .request
+            .state
+            .view
+            .targets()
+            .reading(key, Instant::now());
+        SilenceLimits::for_stream(reading, self.request.route.gap_aim)
     }
 
-    fn backup(&self, main: TargetKey) -> Option<TargetKey> {
-        let table = self.run.state.known.table();
-        let engine = table.service(&self.run.wish.service)?.engine.as_ref()?;
-        if !engine.backups || !self.run.kind().may_repeat() {
+    fn choose_backup_engine(&self, main: TargetKey) -> Option<TargetKey> {
+        let table = self.request.state.view.table();
+        let engine = table
+            .service(&self.request.requirements.service)?
+            .engine
+            .as_ref()?;
+        if !engine.backups || !self.request.kind().may_repeat() {
             return None;
         }
-        self.run.backup_of(main)
+        self.request.select_backup(main)
     }
 
-    fn keep_copy(&self, lease: &Lease, first: Option<TargetKey>) -> Option<RunCopy> {
-        let table = self.run.state.known.table();
-        let engine = table.service(&self.run.wish.service)?.engine.as_ref()?;
-        if !engine.copies || !self.run.kind().may_repeat() {
+    fn start_copy(&self, lease: &Lease, first: Option<TargetKey>) -> Option<RunCopy> {
+        let table = self.request.state.view.table();
+        let engine = table
+            .service(&self.request.requirements.service)?
+            .engine
+            .as_ref()?;
+        if !engine.copies || !self.request.kind().may_repeat() {
             return first.map(RunCopy::of_engine);
         }
         let source = CopiedRun {
-            request: self.run.asked.id.clone(),
+            request: self.request.caller_request.id.clone(),
             engine: lease.key,
             address: lease.address,
-            wish: self.run.wish.clone(),
+            requirements: self.request.requirements.clone(),
         };
-        Some(RunCopy::keep(&self.run.state, source, first))
+        Some(RunCopy::start(&self.request.state, source, first))
     }
 
     /// Reads until there is a whole event to pass on or the stream has ended.
-    async fn read(&mut self, at: &mut CurrentEngine, is_first: bool) -> Result<(), AttemptFailure> {
+    async fn read_events(
+        &mut self,
+        current: &mut CurrentEngine,
+        is_first: bool,
+    ) -> Result<(), AttemptFailure> {
         use http_body_util::BodyExt as _;
-        let address = at.lease.address;
-        let begun = Instant::now();
-        while !self.passage.is_ready() && !self.is_complete {
-            let listening = ProbedWait::new(&self.run.state, &at.lease, at.patience, is_first);
-            let heard = listening.hear(address, at.opened.body.frame());
+        let address = current.lease.address;
+        let started = Instant::now();
+        while !self.events.has_pending() && !self.is_complete {
+            let probed_wait = ProbedWait::new(
+                &self.request.state,
+                &current.lease,
+                current.silence_limits,
+                is_first,
+            );
+            let waiting = probed_wait.run(address, current.response.body.frame());
             let frame = match is_first {
-                true => self.hear_first(at.lease.key, heard).await?,
+                true => self.wait_first_event(current.lease.key, waiting).await?,
                 false => {
-                    let until = begun + at.patience.gap.min(self.clock_left(begun));
-                    let heard = timeout_at(until, heard).await;
-                    heard.map_err(|_| AttemptFailure::Silent)?.said()?
+                    let until = started + current.silence_limits.gap.min(self.time_left(started));
+                    let outcome = timeout_at(until, waiting).await;
+                    outcome.map_err(|_| AttemptFailure::Silent)?.into_result()?
                 }
             };
             match frame {
                 Some(Ok(frame)) => {
-                    let events = self.passage.take_in(&frame)?;
-                    if let Some(event_ms) = at.pace.record(events, Instant::now()) {
-                        let mut targets = self.run.state.known.targets();
-                        targets.record_event_time(at.lease.key, event_ms, Instant::now());
+                    let events = self.events.push(&frame)?;
+                    if let Some(event_ms) = current.event_timer.record(events, Instant::now()) {
+                        let mut targets = self.request.state.view.targets();
+                        targets.record_event_time(current.lease.key, event_ms, Instant::now());
                     }
                 }
                 Some(Err(_)) => return Err(AttemptFailure::Broken),
-                None if self.passage.has_rest() => return Err(AttemptFailure::Broken),
+                None if self.events.has_partial() => return Err(AttemptFailure::Broken),
                 None => self.is_complete = true,
             }
         }
         Ok(())
     }
 
-    fn clock_left(&self, since: Instant) -> Duration {
-        self.run.clock.remaining(since)
+    fn time_left(&self, since: Instant) -> Duration {
+        self.request.deadline.remaining(since)
     }
 
     /// Returns the next bytes for the caller; nothing at the end.
-    pub(super) async fn next(&mut self) -> Option<Result<Frame<Bytes>, Broken>> {
+    pub(super) async fn next_frame(&mut self) -> Option<Result<Frame<Bytes>, Broken>> {
         loop {
-            if let Some(bytes) = self.passage.next() {
+            if let Some(bytes) = self.events.take_pending() {
                 return Some(Ok(Frame::data(bytes)));
             }
             if self.is_complete {
@@ -418,14 +460,14 @@
             if !self.relocate().await {
                 return Some(Err(Broken));
             }
-            if self.passage.is_ready() {
+            if self.events.has_pending() {
                 continue;
             }
-            let mut at = self.at.take()?;
-            match self.read(&mut at, false).await {
-                Ok(()) => self.at = Some(at),
-                Err(ended) => {
-                    if !self.go_on(at, ended).await {
+            let mut current = self.current.take()?;
+            match self.read_events(&mut current, false).await {
+                Ok(()) => self.current = Some(current),
+                Err(failure) => {
+                    if !self.resume(current, failure).await {
                         return Some(Err(Broken));
                     }
                 }
@@ -436,80 +478,80 @@
     /// Goes on at another engine; returns whether one was found.
     ///
     /// The connection to the lost engine is closed first: two engines must not work on one request.
-    async fn go_on(&mut self, at: CurrentEngine, ended: AttemptFailure) -> bool {
-        let begun = Instant::now();
-        let copies = at.copies.as_ref().and_then(RunCopy::at);
+    async fn resume(&mut self, current: CurrentEngine, failure: AttemptFailure) -> bool {
+        let started = Instant::now();
+        let copies = current.run_copy.as_ref().and_then(RunCopy::location);
         let copies: Vec<CopyLocation> = copies.into_iter().collect();
-        drop(at.opened);
-        drop(at.copies);
-        self.passage.drop_rest();
-        let next = self.run.ended(&at.lease, ended);
-        drop(at.lease);
-        let found = match next {
-            NextStep::Elsewhere => self.find(copies, true).await,
-            NextStep::Later => self.find(copies, false).await,
+        drop(current.response);
+        drop(current.run_copy);
+        self.events.discard_partial();
+        let next = self.request.record_failure(&current.lease, failure);
+        drop(current.lease);
+        let result = match next {
+            NextStep::Elsewhere => self.find_engine(copies, true).await,
+            NextStep::Later => self.find_engine(copies, false).await,
             next => Err(next),
         };
-        let is_well = self.is_well();
-        let state = &self.run.state;
-        state.latencies.add(Latency::Resume, begun.elapsed());
-        let counter = match (&found, self.by_copy) {
+        let has_succeeded = self.has_success_status();
+        let state = &self.request.state;
+        state.latencies.add(Latency::Resume, started.elapsed());
+        let counter = match (&result, self.from_copy) {
             (Ok(()), true) => Counter::ResumedByCopy,
             (Ok(()), false) => Counter::ResumedByReading,
             (Err(_), _) => Counter::StreamsBroken,
         };
         state.metrics.add(counter, 1);
         log::info!(
-            request = self.run.asked.id.as_str(),
-            by_copy = self.by_copy,
-            last = self.passage.last(),
-            is_well,
-            failed:? = found.err(),
-            took_ms = begun.elapsed().as_millis() as u64;
+            request = self.request.caller_request.id.as_str(),
+            by_copy = self.from_copy,
+            last = self.events.last_id(),
+            is_well = has_succeeded,
+            failed:? = result.err(),
+            took_ms = started.elapsed().as_millis() as u64;
             "stream goes on"
         );
-        found.is_ok() && is_well
+        result.is_ok() && has_succeeded
     }
 
     /// Returns whether the engine at which the stream runs answered with success.
-    pub(super) fn is_well(&self) -> bool {
-        let at = self.at.as_ref();
-        at.is_some_and(|at| at.opened.status.is_success())
+    pub(super) fn has_success_status(&self) -> bool {
+        let current = self.current.as_ref();
+        current.is_some_and(|current| current.response.status.is_success())
     }
 
     fn finish(&mut self) {
-        if let Some(at) = self.at.take() {
-            at.opened.keep(&self.run.state, &at.lease);
-            if let Some(copies) = at.copies {
+        if let Some(current) = self.current.take() {
+            current.response.keep(&self.request.state, &current.lease);
+            if let Some(copies) = current.run_copy {
                 copies.finish();
             }
         }
-        if let Some(last) = self.passage.last() {
-            self.run.note_length(last);
+        if let Some(last) = self.events.last_id() {
+            self.request.record_event_count(last);
         }
-        self.run.state.metrics.add(Counter::StreamsComplete, 1);
+        self.request.state.metrics.add(Counter::StreamsComplete, 1);
         log::info!(
-            request = self.run.asked.id.as_str(),
-            events = self.passage.passed(),
-            last = self.passage.last();
+            request = self.request.caller_request.id.as_str(),
+            events = self.events.forwarded(),
+            last = self.events.last_id();
             "stream complete"
         );
     }
 
     /// Takes the response of the engine out, to be read by other means.
-    pub(super) fn take_opened(&mut self) -> Option<OpenResponse> {
-        self.at.take().map(|at| at.opened)
+    pub(super) fn take_response(&mut self) -> Option<OpenResponse> {
+        self.current.take().map(|current| current.response)
     }
 }
 
 impl Drop for RelayedStream {
     fn drop(&mut self) {
-        if let Some(at) = &self.at {
-            self.run.state.metrics.add(Counter::StreamsLeft, 1);
+        if let Some(current) = &self.current {
+            self.request.state.metrics.add(Counter::StreamsLeft, 1);
             log::info!(
-                request = self.run.asked.id.as_str(),
-                target = at.lease.name.as_str(),
-                events = self.passage.passed();
+                request = self.request.caller_request.id.as_str(),
+                target = current.lease.name.as_str(),
+                events = self.events.forwarded();
                 "caller left its stream"
             );
         }
--- a/daemon/src/relay/reload.rs
+++ b/daemon/src/relay/reload.rs
@@ -8,22 +8,22 @@
 use super::state::RelayState;
 
 /// The time between two looks at the file, which may change without a signal.
-const LOOK: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Takes in changes of the settings file until the instance ends.
 pub(super) async fn run(state: Arc<RelayState>, mut hangup: Signal) {
-    let mut text = read();
+    let mut text = read_settings();
     loop {
         tokio::select! {
             () = state.ending.cancelled() => return,
             _ = hangup.recv() => {}
-            () = tokio::time::sleep(LOOK) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
         }
-        let now = read();
-        if now == text {
+        let new_text = read_settings();
+        if new_text == text {
             continue;
         }
-        text = now;
+        text = new_text;
         match settings::parse(text.as_deref().unwrap_or_default()) {
             Ok(new) => {
                 log::info!("settings reloaded");
@@ -38,6 +38,6 @@
     }
 }
 
-fn read() -> Option<String> {
+fn read_settings() -> Option<String> {
     std::fs::read_to_string(settings::path()).ok()
 }
--- a/daemon/src/relay/relocation.rs
+++ b/daemon/src/relay/relocation.rs
@@ -22,17 +22,17 @@
 
 /// The time between two looks whether a stream runs well where it is. Prompts come to its engine at any
 /// time.
-const LOOK: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a stream stays where it went on, or after a move that did not come about.
-pub(super) const REST: Duration = Duration::from_secs(1);
+pub(super) const MOVE_INTERVAL: Duration = Duration::from_secs(1);
 /// How long an order to move may take. Memory is copied within some ten milliseconds; the events wait
 /// meanwhile.
-const ORDER: Duration = Duration::from_millis(250);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long the events that were made before the stop may be on their way.
-const DRAIN: Duration = Duration::from_millis(60);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// What came of an order to move a run.
-enum Moved {
+enum MoveResult {
     /// The run goes on where it was.
     Stays,
     /// The run has stopped; its memory is at the other engine, or still only where it ran.
@@ -45,33 +45,37 @@
     /// Moves the stream if it would be done sooner elsewhere; returns whether it still runs.
     pub(super) async fn relocate(&mut self) -> bool {
         let now = Instant::now();
-        let Some(at) = self.at.as_mut().filter(|at| at.look <= now) else {
+        let Some(current) = self
+            .current
+            .as_mut()
+            .filter(|current| current.next_check <= now)
+        else {
             return true;
         };
-        at.look = now + LOOK;
-        let from = at.lease.key;
-        if !is_framed(&at.opened.headers) {
+        current.next_check = now + CHECK_INTERVAL;
+        let from = current.lease.key;
+        if !is_framed(&current.response.headers) {
             return true;
         }
         let Some(better) = self.better_engine(from) else {
             return true;
         };
-        if !self.run.take_move() {
+        if !self.request.try_spend_move() {
             return true;
         }
         let to = better.key;
-        match self.order(from, &better).await {
-            Moved::Stopped { handle, is_copied } => {
+        match self.order_move(from, &better).await {
+            MoveResult::Stopped { handle, is_copied } => {
                 let holders = if is_copied {
                     vec![to, from]
                 } else {
                     vec![from]
                 };
-                self.go_to(&holders, &handle, now).await
+                self.resume_at(&holders, &handle, now).await
             }
-            Moved::Stays | Moved::Unknown => {
-                if let Some(at) = self.at.as_mut() {
-                    at.look = now + REST;
+            MoveResult::Stays | MoveResult::Unknown => {
+                if let Some(current) = self.current.as_mut() {
+                    current.next_check = now + MOVE_INTERVAL;
                 }
                 true
             }
@@ -80,43 +84,55 @@
 
     /// Returns whether a stream will leave an engine as soon as its prompt is read there, by what is known
     /// now. The copy that the engine would keep from the start is then made in vain.
-    pub(super) fn will_move(&self, at: TargetKey, copy: Option<&CopyLocation>) -> bool {
-        copy.is_none() && self.run.may_move() && self.better_engine(at).is_some()
+    pub(super) fn will_move(&self, current: TargetKey, copy: Option<&CopyLocation>) -> bool {
+        copy.is_none() && self.request.may_move() && self.better_engine(current).is_some()
     }
 
     /// Returns the engine that the stream should move to.
     fn better_engine(&self, from: TargetKey) -> Option<BetterEngine> {
-        let table = self.run.state.known.table();
-        let engine = table.service(&self.run.wish.service)?.engine.as_ref()?;
-        if !engine.copies || !self.run.kind().may_repeat() {
+        let table = self.request.state.view.table();
+        let engine = table
+            .service(&self.request.requirements.service)?
+            .engine
+            .as_ref()?;
+        if !engine.copies || !self.request.kind().may_repeat() {
             return None;
         }
-        let want = self.run.wish.want(&[]);
-        let ahead = self.run.ahead(self.passage.last().unwrap_or_default());
-        let targets = self.run.state.known.targets();
-        targets.better_engine(from, &want, ahead, Instant::now())
+        let query = self.request.requirements.query(&[]);
+        let remaining = self
+            .request
+            .remaining_events(self.events.last_id().unwrap_or_default());
+        let targets = self.request.state.view.targets();
+        targets.better_engine(from, &query, remaining, Instant::now())
     }
 
-    async fn order(&self, from: TargetKey, better: &BetterEngine) -> Moved {
-        let known = &self.run.state.known;
-        let (Some(source), Some(target)) = (known.address_of(from), known.address_of(better.key))
+    async fn order_move(&self, from: TargetKey, better: &BetterEngine) -> MoveResult {
+        let view = &self.request.state.view;
+        let (Some(from_address), Some(to_address)) =
+            (view.address_of(from), view.address_of(better.key))
         else {
-            return Moved::Stays;
+            return MoveResult::Stays;
         };
-        let moved = order(&self.run.state, &self.run.asked.id, source, target).await;
-        let how = match &moved {
-            Moved::Stays => "refused",
-            Moved::Stopped {
+        let result = request_move(
+            &self.request.state,
+            &self.request.caller_request.id,
+            from_address,
+            to_address,
+        )
+        .await;
+        let how = match &result {
+            MoveResult::Stays => "refused",
+            MoveResult::Stopped {
                 is_copied: true, ..
             } => "moved",
-            Moved::Stopped { .. } => "stopped",
-            Moved::Unknown => "no answer",
+            MoveResult::Stopped { .. } => "stopped",
+            MoveResult::Unknown => "no answer",
         };
         log::info!(
-            request = self.run.asked.id.as_str(),
-            from:% = source,
-            to:% = target,
-            last = self.passage.last(),
+            request = self.request.caller_request.id.as_str(),
+            from:% = from_address,
+            to:% = to_address,
+            last = self.events.last_id(),
             here_ms = better.here_ms as u64,
             there_ms = better.there_ms as u64,
             reading = better.reading_tokens,
@@ -124,21 +140,26 @@
             how;
             "stream ordered to move"
         );
-        moved
+        result
     }
 
     /// Goes on at the first of the engines that have the run's memory; returns whether the stream runs.
-    async fn go_to(&mut self, holders: &[TargetKey], handle: &SmolStr, begun: Instant) -> bool {
-        let Some(mut at) = self.at.take() else {
+    async fn resume_at(
+        &mut self,
+        holders: &[TargetKey],
+        handle: &SmolStr,
+        started: Instant,
+    ) -> bool {
+        let Some(mut current) = self.current.take() else {
             return false;
         };
-        self.drain(&mut at).await;
-        let from = at.lease.address;
-        drop(at.opened);
-        self.run.moves(at.lease.key);
-        drop(at.lease);
+        self.drain(&mut current).await;
+        let from = current.lease.address;
+        drop(current.response);
+        self.request.record_move(current.lease.key);
+        drop(current.lease);
         // The copy that was kept where it ran is worth nothing any more.
-        if let Some(copies) = at.copies {
+        if let Some(copies) = current.run_copy {
             copies.finish();
         }
         let copies = holders.iter().map(|holder| CopyLocation {
@@ -148,31 +169,31 @@
                 handle: handle.clone(),
             }),
         });
-        let found = self.find(copies.collect(), true).await;
-        self.run.state.metrics.add(Counter::StreamsMoved, 1);
+        let result = self.find_engine(copies.collect(), true).await;
+        self.request.state.metrics.add(Counter::StreamsMoved, 1);
         log::info!(
-            request = self.run.asked.id.as_str(),
+            request = self.request.caller_request.id.as_str(),
             from:% = from,
-            by_copy = self.by_copy,
-            last = self.passage.last(),
-            failed:? = found.as_ref().err(),
-            took_ms = begun.elapsed().as_millis() as u64;
+            by_copy = self.from_copy,
+            last = self.events.last_id(),
+            failed:? = result.as_ref().err(),
+            took_ms = started.elapsed().as_millis() as u64;
             "stream moved"
         );
-        found.is_ok() && self.is_well()
+        result.is_ok() && self.has_success_status()
     }
 
     /// Takes in the events that the engine made before it stopped the run. Its stream ends early, which
     /// is not the end of the answer.
-    async fn drain(&mut self, at: &mut CurrentEngine) {
+    async fn drain(&mut self, current: &mut CurrentEngine) {
         use http_body_util::BodyExt as _;
-        let until = Instant::now() + DRAIN;
-        while let Ok(Some(Ok(frame))) = timeout_at(until, at.opened.body.frame()).await {
-            if self.passage.take_in(&frame).is_err() {
+        let until = Instant::now() + DRAIN_TIMEOUT;
+        while let Ok(Some(Ok(frame))) = timeout_at(until, current.response.body.frame()).await {
+            if self.events.push(&frame).is_err() {
                 break;
             }
         }
-        self.passage.drop_rest();
+        self.events.discard_partial();
     }
 }
 
@@ -184,19 +205,26 @@
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-async fn order(state: &RelayState, request: &str, from: SocketAddr, to: SocketAddr) -> Moved {
+async fn request_move(
+    state: &RelayState,
+    request: &str,
+    from: SocketAddr,
+    to: SocketAddr,
+) -> MoveResult {
     let Ok(path) = engine::COPY_PATH.parse() else {
-        return Moved::Stays;
+        return MoveResult::Stays;
     };
     let body = engine::encode_move(request, to);
-    let Some(answer) = engine_calls::ask(state, from, Method::POST, path, body, ORDER).await else {
-        return Moved::Unknown;
+    let Some(answer) =
+        engine_calls::call(state, from, Method::POST, path, body, ORDER_TIMEOUT).await
+    else {
+        return MoveResult::Unknown;
     };
     match engine::decode_copy(&answer.body) {
-        Ok(handle) => Moved::Stopped {
+        Ok(handle) => MoveResult::Stopped {
             handle,
             is_copied: answer.status == StatusCode::OK,
         },
-        Err(_) => Moved::Stays,
+        Err(_) => MoveResult::Stays,
     }
 }
--- a/daemon/src/relay/reply.rs
+++ b/daemon/src/relay/reply.rs
@@ -59,31 +59,38 @@
 const RETRY_AFTER_SHARE: u32 = 3;
 
 /// Makes the body of a whole response.
-pub(super) fn whole(bytes: impl Into<Bytes>) -> Body {
+pub(super) fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
 }
 
 /// Makes a response that the instance gives itself.
-pub(super) fn own(status: StatusCode, id: Option<&str>, why: Reason) -> Reply {
-    let reason = status.canonical_reason().unwrap_or_default();
-    let mut reply = Response::new(whole(format!("{reason}\n")));
+pub(super) fn local(status: StatusCode, id: Option<&str>, reason: Reason) -> Reply {
+    let phrase = status.canonical_reason().unwrap_or_default();
+    let mut reply = Response::new(full_body(format!("{phrase}\n")));
     *reply.status_mut() = status;
     let headers = reply.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     if let Some(id) = id {
         headers::set_request(headers, id);
     }
-    reply.extensions_mut().insert(why);
+    reply.extensions_mut().insert(reason);
     reply
 }
 
 /// Makes the answer to a request that has not run and never will, with when to come back.
-pub(super) fn not_run(id: &str, left: Duration, back: Option<Duration>, why: Reason) -> Reply {
-    let wait = back.map_or(DEFAULT_RETRY_AFTER, |back| back + RETRY_AFTER_SLACK);
-    let wait = wait.min(left / RETRY_AFTER_SHARE);
-    let mut reply = own(StatusCode::SERVICE_UNAVAILABLE, Some(id), why);
+pub(super) fn not_run(
+    id: &str,
+    time_left: Duration,
+    retry_after: Option<Duration>,
+    reason: Reason,
+) -> Reply {
+    let wait = retry_after.map_or(DEFAULT_RETRY_AFTER, |retry_after| {
+        retry_after + RETRY_AFTER_SLACK
+    });
+    let wait = wait.min(time_left / RETRY_AFTER_SHARE);
+    let mut reply = local(StatusCode::SERVICE_UNAVAILABLE, Some(id), reason);
     let seconds = format!("{:.2}", wait.as_secs_f64());
     // Digits and a point can stand in a header.
     if let Ok(value) = HeaderValue::from_str(&seconds) {
@@ -93,18 +100,26 @@
 }
 
 /// Makes the final answer that follows the end of the last attempt.
-pub(super) fn after(next: NextStep, run: &RoutedRequest) -> Reply {
-    let id = run.asked.id.as_str();
+pub(super) fn final_reply(next: NextStep, request: &RoutedRequest) -> Reply {
+    let id = request.caller_request.id.as_str();
     match next {
-        NextStep::NotRun | NextStep::Elsewhere => {
-            not_run(id, run.left(), run.come_back(), Reason::NoTarget)
-        }
-        NextStep::Overloaded(back) => not_run(id, run.left(), Some(back), Reason::Overloaded),
-        NextStep::TooLate => own(StatusCode::SERVICE_UNAVAILABLE, Some(id), Reason::TooLate),
+        NextStep::NotRun | NextStep::Elsewhere => not_run(
+            id,
+            request.time_left(),
+            request.retry_after(),
+            Reason::NoTarget,
+        ),
+        NextStep::Overloaded(retry_after) => not_run(
+            id,
+            request.time_left(),
+            Some(retry_after),
+            Reason::Overloaded,
+        ),
+        NextStep::TooLate => local(StatusCode::SERVICE_UNAVAILABLE, Some(id), Reason::TooLate),
         NextStep::Failed | NextStep::Later => {
-            own(StatusCode::BAD_GATEWAY, Some(id), Reason::Failed)
+            local(StatusCode::BAD_GATEWAY, Some(id), Reason::Failed)
         }
-        NextStep::Expired => own(StatusCode::GATEWAY_TIMEOUT, Some(id), Reason::TimeOver),
+        NextStep::Expired => local(StatusCode::GATEWAY_TIMEOUT, Some(id), Reason::TimeOver),
     }
 }
 
@@ -116,8 +131,8 @@
     target: &TargetName,
 ) -> Reply {
     let mut reply = Response::new(body);
-    let why = Reason::Relayed(target.clone());
-    reply.extensions_mut().insert(why);
+    let reason = Reason::Relayed(target.clone());
+    reply.extensions_mut().insert(reason);
     *reply.status_mut() = status;
     *reply.headers_mut() = headers::to_caller(headers);
     reply
--- a/daemon/src/relay/request.rs
+++ b/daemon/src/relay/request.rs
@@ -37,7 +37,7 @@
 /// The failure: an instance restarts, callers connect within milliseconds, and are told to come back
 /// though the store's answer is under way. It takes some milliseconds, or a peer's answer some
 /// hundred where the store is away.
-const START_WAIT: Duration = Duration::from_millis(500);
+const STARTUP_WAIT: Duration = Duration::from_millis(500);
 
 /// How long a caller that names no deadline is taken to wait.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(2);
@@ -47,46 +47,46 @@
 /// The failure: all instances start anew while the store is away, so nobody can tell them anything. Callers come
 /// back after a third of a second, most of them once only, and are refused for good; outages last seconds. A
 /// draft that is read from then on still begins within some four seconds.
-const START_BACK: Duration = Duration::from_secs(2);
+const STARTUP_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Answers a caller's request.
 pub(super) async fn answer(
     state: Arc<RelayState>,
     request: Request<Incoming>,
 ) -> Result<Reply, Infallible> {
-    let start = Instant::now();
+    let started = Instant::now();
     // A body without a length is read by its chunks. A request that also names a length may be read
     // differently by whoever stands before us, and what follows it would be a request that no
     // caller sent; so nothing after such a body is read.
     let is_chunked = request.headers().contains_key(TRANSFER_ENCODING);
     let head = headers::read_caller(request.headers());
     let id = head.request.clone();
-    let _open = OpenRequest::new(&state);
-    let mut reply = route(&state, request, head, start).await;
+    let _open_request = OpenRequest::new(&state);
+    let mut reply = route_request(&state, request, head, started).await;
     if is_chunked || state.stopping.is_cancelled() {
         reply::close_after(&mut reply);
     }
-    count(&state, &reply);
-    tell(&state, id.as_deref(), &reply, start);
+    count_reply(&state, &reply);
+    log_reply(&state, id.as_deref(), &reply, started);
     Ok(reply)
 }
 
 /// Writes the line that tells how a request was answered, and by what state of the store.
-fn tell(state: &RelayState, request: Option<&str>, reply: &Reply, start: Instant) {
+fn log_reply(state: &RelayState, request: Option<&str>, reply: &Reply, started: Instant) {
     let status = reply.status().as_u16();
-    let took_ms = start.elapsed().as_millis() as u64;
+    let took_ms = started.elapsed().as_millis() as u64;
     match reply.extensions().get::<Reason>() {
         Some(Reason::Relayed(target)) => {
             log::info!(request, status, target = target.as_str(), took_ms; "answered");
         }
-        why => log::warn!(
+        reason => log::warn!(
             request,
             status,
-            why = why.map(|why| format!("{why:?}")),
-            config = state.known.version(),
+            why = reason.map(|reason| format!("{reason:?}")),
+            config = state.view.version(),
             newest_config = state.newest_config(),
-            targets_revision = state.known.revision(),
-            store_lost = state.duty.is_lost(),
+            targets_revision = state.view.revision(),
+            store_lost = state.watch_duty.is_lost(),
             took_ms;
             "answered"
         ),
@@ -99,19 +99,19 @@
 impl OpenRequest {
     fn new(state: &Arc<RelayState>) -> Self {
         state.metrics.add(Counter::Routed, 1);
-        state.open.fetch_add(1, Relaxed);
+        state.open_requests.fetch_add(1, Relaxed);
         Self(Arc::clone(state))
     }
 }
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Relaxed);
+        self.0.open_requests.fetch_sub(1, Relaxed);
     }
 }
 
 /// Counts what became of a request; failures of targets that were passed on are the targets'.
-fn count(state: &RelayState, reply: &Reply) {
+fn count_reply(state: &RelayState, reply: &Reply) {
     let counter = match reply.status() {
         StatusCode::NOT_FOUND | StatusCode::UNAUTHORIZED => Counter::RoutedDenied,
         StatusCode::SERVICE_UNAVAILABLE => Counter::RoutedRefused,
@@ -122,19 +122,19 @@
     state.metrics.add(counter, 1);
 }
 
-async fn route(
+async fn route_request(
     state: &Arc<RelayState>,
     request: Request<Incoming>,
     head: CallerHead,
-    start: Instant,
+    started: Instant,
 ) -> Reply {
     let Some(id) = head.request.clone() else {
-        return reply::own(StatusCode::BAD_REQUEST, None, Reason::BadRequest);
+        return reply::local(StatusCode::BAD_REQUEST, None, Reason::BadRequest);
     };
-    state.known.wait_known(start + START_WAIT).await;
-    let wait = StaleWait::new(start, head.deadline.unwrap_or(DEFAULT_DEADLINE));
+    state.view.wait_known(started + STARTUP_WAIT).await;
+    let wait = StaleWait::new(started, head.deadline.unwrap_or(DEFAULT_DEADLINE));
     if let Some(outdated) = state.wait_current(&wait).await {
-        return refuse_stale(state, outdated, &id, &head, start);
+        return refuse_stale(state, outdated, &id, &head, started);
     }
     let host = request
         .headers()
@@ -142,42 +142,49 @@
         .and_then(|host| host.to_str().ok());
     let host = host.unwrap_or_default().to_owned();
     let path = request.uri().path().to_owned();
-    let Some(taken) = admit(state, &host, &path, &head) else {
+    let Some(admission) = admit(state, &host, &path, &head) else {
         return reply::not_run(
             &id,
             head.deadline
                 .unwrap_or_default()
-                .saturating_sub(start.elapsed()),
-            Some(START_BACK),
+                .saturating_sub(started.elapsed()),
+            Some(STARTUP_RETRY_AFTER),
             Reason::NoConfig,
         );
     };
-    let (route, account) = match taken {
-        Ok(taken) => taken,
-        Err(denied) => return deny(denied, &id),
+    let (route, account) = match admission {
+        Ok(admission) => admission,
+        Err(denied) => return denial(denied, &id),
     };
-    let clock = RequestDeadline::new(start, head.deadline, route.timeout);
-    let limit = state.known.table().config().limits.body_bytes;
-    let asked = match read(request, id.clone(), limit).await {
-        Ok(asked) => asked,
-        Err(status) => return reply::own(status, Some(&id), Reason::BadRequest),
+    let deadline = RequestDeadline::new(started, head.deadline, route.timeout);
+    let limit = state.view.table().config().limits.body_bytes;
+    let caller_request = match read_body(request, id.clone(), limit).await {
+        Ok(caller_request) => caller_request,
+        Err(status) => return reply::local(status, Some(&id), Reason::BadRequest),
     };
     let now = Instant::now();
-    let stop = state.stop.load_full();
-    if let Some(stop) = stop.filter(|stop| !stop.admits(clock.remaining(now), now)) {
-        let back = stop.retry_after(members::others(state), route.aim, now);
-        return reply::not_run(&id, clock.remaining(now), back, Reason::Stopping);
+    let planned_stop = state.planned_stop.load_full();
+    if let Some(planned_stop) =
+        planned_stop.filter(|planned_stop| !planned_stop.admits(deadline.remaining(now), now))
+    {
+        let retry_after = planned_stop.retry_after(members::peer_counts(state), route.aim, now);
+        return reply::not_run(&id, deadline.remaining(now), retry_after, Reason::Stopping);
     }
     let Some(service) = choose_service(&route) else {
-        return reply::not_run(&id, clock.remaining(Instant::now()), None, Reason::NoTarget);
+        return reply::not_run(
+            &id,
+            deadline.remaining(Instant::now()),
+            None,
+            Reason::NoTarget,
+        );
     };
-    let mut run = RoutedRequest::new(state, asked, &route, service, account, clock);
-    run.take_prompt(head.prompt.as_ref());
+    let mut routed = RoutedRequest::new(state, caller_request, &route, service, account, deadline);
+    routed.set_prompt(head.prompt.as_ref());
     match route.kind {
-        RouteKind::Stream { .. } => stream::relay(run).await,
+        RouteKind::Stream { .. } => stream::relay(routed).await,
         RouteKind::Safe | RouteKind::Unsafe => {
-            let reply = single_response::relay(run).await;
-            state.latencies.add(Latency::Request, start.elapsed());
+            let reply = single_response::relay(routed).await;
+            state.latencies.add(Latency::Request, started.elapsed());
             reply
         }
     }
@@ -187,12 +194,12 @@
 
 /// Finds the route and the account; nothing while no configuration is known.
 fn admit(state: &RelayState, host: &str, path: &str, head: &CallerHead) -> Option<Admission> {
-    if !state.known.has_config() {
+    if !state.view.has_config() {
         return None;
     }
-    let table: arc_swap::Guard<Arc<RoutingTable>> = state.known.table();
-    let taken = table.resolve(host, path, head.key.as_deref());
-    Some(taken.map(|(route, account)| {
+    let table: arc_swap::Guard<Arc<RoutingTable>> = state.view.table();
+    let admission = table.resolve(host, path, head.key.as_deref());
+    Some(admission.map(|(route, account)| {
         let account = account.map(|account| account.name.clone());
         (route.clone(), account)
     }))
@@ -205,28 +212,33 @@
     outdated: Outdated,
     id: &SmolStr,
     head: &CallerHead,
-    start: Instant,
+    started: Instant,
 ) -> Reply {
     state.metrics.add(Counter::RoutedStale, 1);
     if matches!(outdated, Outdated::Targets(_)) {
         state.metrics.add(Counter::RoutedStaleTargets, 1);
     }
-    let left = head.deadline.unwrap_or_default();
-    let left = left.saturating_sub(start.elapsed());
-    let mut reply = reply::not_run(id, left, Some(Duration::ZERO), Reason::Outdated(outdated));
+    let time_left = head.deadline.unwrap_or_default();
+    let time_left = time_left.saturating_sub(started.elapsed());
+    let mut reply = reply::not_run(
+        id,
+        time_left,
+        Some(Duration::ZERO),
+        Reason::Outdated(outdated),
+    );
     reply::close_after(&mut reply);
     reply
 }
 
-fn deny(denied: Denied, id: &SmolStr) -> Reply {
+fn denial(denied: Denied, id: &SmolStr) -> Reply {
     let status = match denied {
         Denied::NoRoute => StatusCode::NOT_FOUND,
         Denied::UnknownKey => StatusCode::UNAUTHORIZED,
     };
-    reply::own(status, Some(id), Reason::Denied(denied))
+    reply::local(status, Some(id), Reason::Denied(denied))
 }
 
-async fn read(
+async fn read_body(
     request: Request<Incoming>,
     id: SmolStr,
     limit: usize,
@@ -252,12 +264,12 @@
     if total == 0 {
         return None;
     }
-    let mut drawn = rand::rng().random_range(0..total);
+    let mut remaining_weight = rand::rng().random_range(0..total);
     for backend in &route.backends {
-        if drawn < backend.weight {
+        if remaining_weight < backend.weight {
             return Some(backend.service.clone());
         }
-        drawn -= backend.weight;
+        remaining_weight -= backend.weight;
     }
     None
 }
--- a/daemon/src/relay/restarted_engines.rs
+++ b/daemon/src/relay/restarted_engines.rs
@@ -13,12 +13,12 @@
 use super::{engine_calls, state::RelayState};
 
 /// The time between two looks at dead engines.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// The most by which an instance waits so that another one looks first. The first one that finds an
 /// engine tells the others, so each engine is asked by about one of them.
-const STAGGER: Duration = Duration::from_millis(400);
+const MAX_STAGGER: Duration = Duration::from_millis(400);
 /// How long one question may take.
-const QUESTION: Duration = Duration::from_millis(150);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Looks for engines that started again, until the instance ends.
 ///
@@ -30,38 +30,41 @@
     loop {
         tokio::select! {
             () = state.ending.cancelled() => return,
-            () = sleep(LOOK) => {}
+            () = sleep(CHECK_INTERVAL) => {}
         }
-        if !state.duty.is_lost() {
+        if !state.watch_duty.is_lost() {
             continue;
         }
-        let dead = state.known.targets().dead_engines(Instant::now(), STAGGER);
-        join_all(dead.into_iter().map(|dead| look(&state, dead))).await;
+        let dead = state
+            .view
+            .targets()
+            .dead_engines(Instant::now(), MAX_STAGGER);
+        join_all(dead.into_iter().map(|dead| check_engine(&state, dead))).await;
     }
 }
 
-async fn look(state: &RelayState, dead: DeadEngine) {
-    let Some((path, tokens)) = may_adopt(state, &dead) else {
+async fn check_engine(state: &RelayState, dead: DeadEngine) {
+    let Some((path, tokens)) = adoption_criteria(state, &dead) else {
         return;
     };
-    let Some(name) = ask(state, dead.address, path, tokens).await else {
+    let Some(name) = query_name(state, dead.address, path, tokens).await else {
         return;
     };
     let is_new = state
-        .known
+        .view
         .targets()
         .add_restarted_engine(dead.name_hash, &name, Instant::now());
     if is_new {
         state.metrics.add(Counter::TargetsFound, 1);
         log::info!(target = name.as_str(), before = dead.name.as_str(), source = "engine"; "engine found again");
-        state.placed.notify_one();
+        state.placements_changed.notify_one();
     }
 }
 
 /// Returns the path of the health check and the memory of the service's engines, if an engine at
 /// the address can only be of this service.
-fn may_adopt(state: &RelayState, dead: &DeadEngine) -> Option<(Uri, u64)> {
-    let table = state.known.table();
+fn adoption_criteria(state: &RelayState, dead: &DeadEngine) -> Option<(Uri, u64)> {
+    let table = state.view.table();
     let service = table.only_engine_service()?;
     if service.name != dead.service {
         return None;
@@ -70,17 +73,18 @@
     Some((service.health.parse().ok()?, tokens))
 }
 
-async fn ask(
+async fn query_name(
     state: &RelayState,
     address: SocketAddr,
     health: Uri,
     tokens: u64,
 ) -> Option<TargetName> {
-    let get = |path| engine_calls::ask(state, address, Method::GET, path, Vec::new(), QUESTION);
-    let head = get(health)
+    let get =
+        |path| engine_calls::call(state, address, Method::GET, path, Vec::new(), QUERY_TIMEOUT);
+    let health_response = get(health)
         .await
         .filter(|answer| answer.status == StatusCode::OK)?;
-    let name = headers::read_target(&head.headers)?;
+    let name = headers::read_target(&health_response.headers)?;
     let report = get(Uri::from_static(engine::REPORT_PATH)).await?;
     let report = engine::decode_report(&report.body).ok()?;
     let is_of_service = report.models > 0 && report.tokens == tokens;
--- a/daemon/src/relay/rollouts.rs
+++ b/daemon/src/relay/rollouts.rs
@@ -17,18 +17,18 @@
 use super::{
     datagrams::{self, Datagram},
     fleet,
-    order_store::{self, is_said, StatusUpdate, StoredOrder},
+    order_store::{self, is_stored, StatusUpdate, StoredOrder},
     state::RelayState,
 };
 
 /// The time between two stages that the driver tells, and between two reports of the others. A bad
 /// version must be found out and left within seconds.
-const TURN: Duration = Duration::from_millis(250);
+const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 /// The time between two looks for orders; they may run for ten seconds in all.
-const LOOK: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// How long all requests go to a version before it is said to be good. The targets of the others stop at
 /// that word, and what is still under way there is lost; calls take some 60 ms.
-const SETTLE: Duration = Duration::from_millis(300);
+const SETTLE_DELAY: Duration = Duration::from_millis(300);
 
 /// This instance's side in rollouts.
 #[derive(Default)]
@@ -44,15 +44,15 @@
     /// The version of the order's object in the store.
     version: Version,
     /// What the store is known to say of it.
-    said: Option<Phase>,
+    stored_phase: Option<Phase>,
 }
 
 impl DrivenOrder {
-    fn unsaid(&self) -> StatusUpdate {
+    fn status_update(&self) -> StatusUpdate {
         StatusUpdate {
             key: self.key.clone(),
-            before: self.version,
-            target: self.rollout.order.version.clone(),
+            known_version: self.version,
+            version_name: self.rollout.order.version.clone(),
             phase: self.rollout.phase,
         }
     }
@@ -65,12 +65,12 @@
     }
 
     /// Takes in how far an order had come at a moment, from the instance that drives it.
-    pub(super) fn hear_stage(&self, stage: Stage, at: Instant) {
+    pub(super) fn record_stage(&self, stage: Stage, at: Instant) {
         self.versions().update(stage, at);
     }
 
     /// Takes in what another instance saw, if this one drives the order.
-    pub(super) fn hear_report(&self, service: &ServiceName, report: EvidenceReport) {
+    pub(super) fn record_report(&self, service: &ServiceName, report: EvidenceReport) {
         let mut driven = lock(&self.driven);
         let rollout = driven.get_mut(service).map(|driven| &mut driven.rollout);
         if let Some(rollout) = rollout.filter(|rollout| rollout.order.version == report.version) {
@@ -92,23 +92,23 @@
 
 /// Drives orders while it is this instance's turn, and reports to the one that does otherwise.
 pub(super) async fn run(state: Arc<RelayState>, socket: Arc<UdpSocket>) {
-    let mut turn = tokio::time::interval(TURN);
-    let mut looked: Option<Instant> = None;
+    let mut round = tokio::time::interval(ROUND_INTERVAL);
+    let mut last_poll: Option<Instant> = None;
     loop {
         tokio::select! {
             () = state.ending.cancelled() => return,
-            _ = turn.tick() => {}
+            _ = round.tick() => {}
         }
         match fleet::driver(&state) {
             Some(driver) => {
                 lock(&state.rollouts.driven).clear();
-                report(&state, &socket, driver).await;
+                send_reports(&state, &socket, driver).await;
             }
             None => {
-                if looked.is_none_or(|at| at.elapsed() >= LOOK) {
-                    looked = Some(Instant::now());
-                    if let Some(found) = order_store::find(&state).await {
-                        take_in(&state, found);
+                if last_poll.is_none_or(|at| at.elapsed() >= POLL_INTERVAL) {
+                    last_poll = Some(Instant::now());
+                    if let Some(found) = order_store::fetch_orders(&state).await {
+                        update_driven_orders(&state, found);
                     }
                 }
                 drive(&state, &socket).await;
@@ -117,16 +117,16 @@
     }
 }
 
-async fn report(state: &RelayState, socket: &UdpSocket, driver: SocketAddr) {
+async fn send_reports(state: &RelayState, socket: &UdpSocket, driver: SocketAddr) {
     let reports = state.rollouts.versions().reports(state.fleet.load().origin);
     for (service, report) in reports {
         datagrams::send(socket, &[driver], &Datagram::Report(service, report)).await;
     }
 }
 
-fn take_in(state: &RelayState, found: Vec<StoredOrder>) {
+fn update_driven_orders(state: &RelayState, found: Vec<StoredOrder>) {
     let now = Instant::now();
-    let known: Vec<Stage> = state.rollouts.versions().stages().cloned().collect();
+    let stages: Vec<Stage> = state.rollouts.versions().stages().cloned().collect();
     let mut driven = lock(&state.rollouts.driven);
     driven.retain(|service, _| found.iter().any(|found| found.order.service == *service));
     for found in found {
@@ -136,12 +136,14 @@
             continue;
         }
         // The instance that drove the order before told how long it runs.
-        let before = known.iter().find(|stage| stage.order == found.order);
-        let age = before.map_or(0, |stage| stage.age_ms);
+        let known_stage = stages.iter().find(|stage| stage.order == found.order);
+        let age = known_stage.map_or(0, |stage| stage.age_ms);
         let mut rollout = Rollout::new(found.order, Duration::from_millis(age.into()), now);
-        let ended = before.map(|stage| stage.phase).into_iter();
-        let ended = ended.chain(found.said).find(|phase| phase.is_ended());
-        rollout.phase = ended.unwrap_or(rollout.phase);
+        let ended_phase = known_stage.map(|stage| stage.phase).into_iter();
+        let ended_phase = ended_phase
+            .chain(found.stored_phase)
+            .find(|phase| phase.is_ended());
+        rollout.phase = ended_phase.unwrap_or(rollout.phase);
         log::info!(
             service = service.as_str(),
             version = rollout.order.version.as_str(),
@@ -150,13 +152,13 @@
             phase:? = rollout.phase;
             "order taken"
         );
-        let one = DrivenOrder {
+        let driven_order = DrivenOrder {
             rollout,
             key: found.key,
             version: found.version,
-            said: found.said,
+            stored_phase: found.stored_phase,
         };
-        driven.insert(service, one);
+        driven.insert(service, driven_order);
     }
 }
 
@@ -164,18 +166,18 @@
 async fn drive(state: &RelayState, socket: &UdpSocket) {
     let reports = state.rollouts.versions().reports(state.fleet.load().origin);
     for (service, report) in reports {
-        state.rollouts.hear_report(&service, report);
+        state.rollouts.record_report(&service, report);
     }
-    let has_completed = decide(state);
-    tell(state, socket).await;
-    if has_completed {
-        tokio::time::sleep(SETTLE).await;
+    let has_any_completed = advance_phases(state);
+    send_stages(state, socket).await;
+    if has_any_completed {
+        tokio::time::sleep(SETTLE_DELAY).await;
     }
-    say(state).await;
+    store_phases(state).await;
 }
 
 /// Tells all instances, this one included, how far the orders have come.
-async fn tell(state: &RelayState, socket: &UdpSocket) {
+async fn send_stages(state: &RelayState, socket: &UdpSocket) {
     let stages = state.rollouts.stages();
     if stages.is_empty() {
         return;
@@ -183,42 +185,42 @@
     let fleet = state.fleet.load_full();
     for stage in stages {
         datagrams::send(socket, &fleet.others, &Datagram::Stage(stage.clone())).await;
-        state.rollouts.hear_stage(stage, Instant::now());
+        state.rollouts.record_stage(stage, Instant::now());
     }
 }
 
 /// Decides how far each order has come; returns whether a version was found good.
-fn decide(state: &RelayState) -> bool {
+fn advance_phases(state: &RelayState) -> bool {
     let bounds = state.settings.load().bounds;
-    let mut has_completed = false;
+    let mut has_any_completed = false;
     for driven in lock(&state.rollouts.driven).values_mut() {
         let rollout = &mut driven.rollout;
-        let fleet = fleet(state, &rollout.order);
-        let next = rollout.next_phase(&bounds, fleet, Instant::now());
-        let before = std::mem::replace(&mut rollout.phase, next);
-        if next.is_ended() && next != before {
-            let seen = rollout.evidence.total();
+        let fleet = target_counts(state, &rollout.order);
+        let next_phase = rollout.next_phase(&bounds, fleet, Instant::now());
+        let previous = std::mem::replace(&mut rollout.phase, next_phase);
+        if next_phase.is_ended() && next_phase != previous {
+            let evidence = rollout.evidence.total();
             log::info!(
                 service = rollout.order.service.as_str(),
                 version = rollout.order.version.as_str(),
-                phase:? = next,
+                phase:? = next_phase,
                 age_ms = rollout.age(Instant::now()).as_millis() as u64,
-                new:? = seen.new,
-                old:? = seen.old,
+                new:? = evidence.new,
+                old:? = evidence.old,
                 targets:? = fleet;
                 "order decided"
             );
-            has_completed |= next == Phase::Completed;
-            if next == Phase::TakenBack {
+            has_any_completed |= next_phase == Phase::Completed;
+            if next_phase == Phase::TakenBack {
                 state.metrics.add(Counter::Brakes, 1);
             }
         }
     }
-    has_completed
+    has_any_completed
 }
 
-fn fleet(state: &RelayState, order: &Order) -> Fleet {
-    let targets = state.known.targets();
+fn target_counts(state: &RelayState, order: &Order) -> Fleet {
+    let targets = state.view.targets();
     let usable = targets
         .iter()
         .filter(|(key, target)| target.entry.service == order.service && targets.is_usable(*key));
@@ -231,20 +233,21 @@
 }
 
 /// Says in the store how far each order has come, where the store does not say so yet.
-async fn say(state: &RelayState) {
-    let all: Vec<(ServiceName, StatusUpdate)> = {
+async fn store_phases(state: &RelayState) {
+    let updates: Vec<(ServiceName, StatusUpdate)> = {
         let driven = lock(&state.rollouts.driven);
-        let unsaid = driven
+        let status_updates = driven
             .iter()
-            .filter(|(_, driven)| !is_said(driven.said, driven.rollout.phase));
-        let unsaid = unsaid.map(|(service, driven)| (service.clone(), driven.unsaid()));
-        unsaid.collect()
+            .filter(|(_, driven)| !is_stored(driven.stored_phase, driven.rollout.phase));
+        let status_updates =
+            status_updates.map(|(service, driven)| (service.clone(), driven.status_update()));
+        status_updates.collect()
     };
-    for (service, unsaid) in all {
-        let written = order_store::say(state, &unsaid).await;
+    for (service, status_update) in updates {
+        let write = order_store::store_phase(state, &status_update).await;
         if let Some(driven) = lock(&state.rollouts.driven).get_mut(&service) {
-            driven.version = written.version;
-            driven.said = written.said.or(driven.said);
+            driven.version = write.version;
+            driven.stored_phase = write.stored_phase.or(driven.stored_phase);
         }
     }
 }
--- a/daemon/src/relay/run_copy.rs
+++ b/daemon/src/relay/run_copy.rs
@@ -16,14 +16,14 @@
 use super::{engine_calls, routed_request::TargetRequirements, state::RelayState};
 
 /// The time between two looks whether the holder of a copy still lives.
-const LOOK: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a run may be without any copy before the first one is ordered.
-const FIRST_ORDER: Duration = Duration::from_millis(50);
+const FIRST_ORDER_DELAY: Duration = Duration::from_millis(50);
 /// The time between two orders to copy what is new. What is generated meanwhile, some 25 tokens, is
 /// read anew in a few milliseconds.
-const REFRESH: Duration = Duration::from_millis(800);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(800);
 /// How long an order to copy may take: a whole prompt takes some ten milliseconds, behind others.
-const ORDER: Duration = Duration::from_millis(500);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Where a copy of a run's memory is.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -54,9 +54,9 @@
 
 /// The copy of one run, kept up while the run goes on.
 pub(super) struct RunCopy {
-    at: Arc<Mutex<Option<CopyLocation>>>,
+    location: Arc<Mutex<Option<CopyLocation>>>,
     /// The work that keeps it up, which ends when this is dropped.
-    work: Option<(Arc<CopyTask>, DropGuard)>,
+    task: Option<(Arc<CopyTask>, DropGuard)>,
 }
 
 /// The run whose copy is kept up.
@@ -64,7 +64,7 @@
     pub(super) request: SmolStr,
     pub(super) engine: TargetKey,
     pub(super) address: SocketAddr,
-    pub(super) wish: TargetRequirements,
+    pub(super) requirements: TargetRequirements,
 }
 
 impl RunCopy {
@@ -73,24 +73,20 @@
     /// The failure: engines of one data centre die, and with them the copies that they hold; seconds
     /// later those of another one die, whose runs then have no copy and are read anew. A run whose
     /// copy is lost gets another one by order.
-    pub(super) fn keep(
-        state: &Arc<RelayState>,
-        source: CopiedRun,
-        first: Option<TargetKey>,
-    ) -> Self {
+    pub(super) fn start(state: &Arc<RelayState>, run: CopiedRun, first: Option<TargetKey>) -> Self {
         let first = first.map(CopyLocation::of_engine);
-        let at = Arc::new(Mutex::new(first));
-        let over = CancellationToken::new();
-        let work = Arc::new(CopyTask {
+        let location = Arc::new(Mutex::new(first));
+        let cancellation = CancellationToken::new();
+        let task = Arc::new(CopyTask {
             state: Arc::clone(state),
-            source,
-            at: Arc::clone(&at),
-            over: over.clone(),
+            run,
+            location: Arc::clone(&location),
+            cancellation: cancellation.clone(),
         });
-        state.tasks.spawn(Arc::clone(&work).run());
+        state.tasks.spawn(Arc::clone(&task).run());
         Self {
-            at,
-            work: Some((work, over.drop_guard())),
+            location,
+            task: Some((task, cancellation.drop_guard())),
         }
     }
 
@@ -98,70 +94,70 @@
     pub(super) fn of_engine(holder: TargetKey) -> Self {
         let copy = CopyLocation::of_engine(holder);
         Self {
-            at: Arc::new(Mutex::new(Some(copy))),
-            work: None,
+            location: Arc::new(Mutex::new(Some(copy))),
+            task: None,
         }
     }
 
     /// Gives the memory of an ordered copy back after the run has ended well.
     pub(super) fn finish(self) {
-        if let Some((work, _guard)) = self.work {
-            let state = Arc::clone(&work.state);
-            state.tasks.spawn(async move { work.release().await });
+        if let Some((task, _guard)) = self.task {
+            let state = Arc::clone(&task.state);
+            state.tasks.spawn(async move { task.release().await });
         }
     }
 
     /// Returns where the copy is.
-    pub(super) fn at(&self) -> Option<CopyLocation> {
-        get(&self.at)
+    pub(super) fn location(&self) -> Option<CopyLocation> {
+        current_location(&self.location)
     }
 }
 
 struct CopyTask {
     state: Arc<RelayState>,
-    source: CopiedRun,
-    at: Arc<Mutex<Option<CopyLocation>>>,
-    over: CancellationToken,
+    run: CopiedRun,
+    location: Arc<Mutex<Option<CopyLocation>>>,
+    cancellation: CancellationToken,
 }
 
 impl CopyTask {
     async fn run(self: Arc<Self>) {
         let mut refreshed = Instant::now();
         // A run without a copy needs one at once, one that moves at its first event does not.
-        let mut wait = match get(&self.at) {
-            Some(_) => LOOK,
-            None => FIRST_ORDER,
+        let mut wait = match current_location(&self.location) {
+            Some(_) => CHECK_INTERVAL,
+            None => FIRST_ORDER_DELAY,
         };
         loop {
             tokio::select! {
-                () = self.over.cancelled() => return,
+                () = self.cancellation.cancelled() => return,
                 () = self.state.ending.cancelled() => return,
                 () = sleep(wait) => {}
             }
-            wait = LOOK;
-            let copy = get(&self.at);
+            wait = CHECK_INTERVAL;
+            let copy = current_location(&self.location);
             let is_lost = match &copy {
                 Some(copy) => self.is_lost(copy).await,
                 None => true,
             };
             let is_ordered = copy.as_ref().is_some_and(|copy| copy.ordered.is_some());
-            let is_old = is_ordered && refreshed.elapsed() >= REFRESH;
+            let is_old = is_ordered && refreshed.elapsed() >= REFRESH_INTERVAL;
             if !is_lost && !is_old {
                 continue;
             }
             let holder = copy.filter(|_| !is_lost).map(|copy| copy.holder);
-            let Some(holder) = holder.or_else(|| self.choose()) else {
+            let Some(holder) = holder.or_else(|| self.choose_holder()) else {
                 continue;
             };
-            let ordered = self.order(holder).await;
+            let ordered = self.order_copy(holder).await;
             if is_lost {
                 log::info!(
-                    request = self.source.request.as_str(),
+                    request = self.run.request.as_str(),
                     is_copied = ordered.is_some();
                     "copy lost, another one ordered"
                 );
             }
-            *self.at.lock().unwrap_or_else(PoisonError::into_inner) = ordered;
+            *self.location.lock().unwrap_or_else(PoisonError::into_inner) = ordered;
             refreshed = Instant::now();
         }
     }
@@ -170,38 +166,38 @@
     /// for a sign of life: nobody else may have found out.
     async fn is_lost(&self, copy: &CopyLocation) -> bool {
         let (is_lost, is_doubtful) = {
-            let targets = self.state.known.targets();
+            let targets = self.state.view.targets();
             let holder = targets.get(copy.holder);
             let is_dead = holder.is_none_or(|holder| holder.dead_since.is_some());
-            let want = self.source.wish.want(&[]);
-            let is_doubtful = targets.is_doubtful(copy.holder, &want, Instant::now());
+            let query = self.run.requirements.query(&[]);
+            let is_doubtful = targets.is_doubtful(copy.holder, &query, Instant::now());
             (is_dead || !targets.is_usable(copy.holder), is_doubtful)
         };
         if is_lost || !is_doubtful {
             return is_lost;
         }
-        match self.state.known.address_of(copy.holder) {
+        match self.state.view.address_of(copy.holder) {
             Some(address) => !self.state.connections.is_alive(address).await,
             None => true,
         }
     }
 
-    fn choose(&self) -> Option<TargetKey> {
-        let want = self.source.wish.want(&[]);
-        let targets = self.state.known.targets();
-        targets.select_backup(self.source.engine, &want, Instant::now())
+    fn choose_holder(&self) -> Option<TargetKey> {
+        let query = self.run.requirements.query(&[]);
+        let targets = self.state.view.targets();
+        targets.select_backup(self.run.engine, &query, Instant::now())
     }
 
-    async fn order(&self, holder: TargetKey) -> Option<CopyLocation> {
-        let target = self.state.known.address_of(holder)?;
-        let body = engine::encode_copy(&self.source.request, target);
-        let answer = engine_calls::ask(
+    async fn order_copy(&self, holder: TargetKey) -> Option<CopyLocation> {
+        let target = self.state.view.address_of(holder)?;
+        let body = engine::encode_copy(&self.run.request, target);
+        let answer = engine_calls::call(
             &self.state,
-            self.source.address,
+            self.run.address,
             Method::POST,
             engine::COPY_PATH.parse().ok()?,
             body,
-            ORDER,
+            ORDER_TIMEOUT,
         )
         .await?;
         if answer.status != StatusCode::OK {
@@ -211,31 +207,34 @@
         Some(CopyLocation {
             holder,
             ordered: Some(OrderedCopy {
-                from: self.source.address,
+                from: self.run.address,
                 handle,
             }),
         })
     }
 
     async fn release(&self) {
-        let ordered = get(&self.at).and_then(|copy| copy.ordered);
+        let ordered = current_location(&self.location).and_then(|copy| copy.ordered);
         let path = ordered.map(|copy| engine::release_path(&copy.handle));
         let Some(Ok(path)) = path.map(|path| path.parse()) else {
             return;
         };
-        let address = self.source.address;
-        engine_calls::ask(
+        let address = self.run.address;
+        engine_calls::call(
             &self.state,
             address,
             Method::DELETE,
             path,
             Vec::new(),
-            ORDER,
+            ORDER_TIMEOUT,
         )
         .await;
     }
 }
 
-fn get(at: &Mutex<Option<CopyLocation>>) -> Option<CopyLocation> {
-    at.lock().unwrap_or_else(PoisonError::into_inner).clone()
+fn current_location(location: &Mutex<Option<CopyLocation>>) -> Option<CopyLocation> {
+    location
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .clone()
 }
--- a/daemon/src/relay/single_response.rs
+++ b/daemon/src/relay/single_response.rs
@@ -4,7 +4,7 @@
 use tokio::time::Instant;
 
 use super::{
-    attempt::{read_whole, send},
+    attempt::{read_body, send},
     lease::Lease,
     reply::{self, Reply},
     routed_request::RoutedRequest,
@@ -14,80 +14,81 @@
 ///
 /// The response is read whole before its first byte goes out: one that breaks off can then be asked
 /// for again where that is allowed, and never looks complete.
-pub(super) async fn relay(mut run: RoutedRequest) -> Reply {
-    let mut failed = None;
+pub(super) async fn relay(mut request: RoutedRequest) -> Reply {
+    let mut failed_reply = None;
     loop {
         // Contact may have been lost since the request was admitted.
-        run.wait_targets().await;
-        let Some(mut lease) = run.place() else {
+        request.wait_targets().await;
+        let Some(mut lease) = request.lease_target() else {
             // Targets that took it may have run it, though none is left to ask.
-            return failed.unwrap_or_else(|| reply::after(run.nowhere(), &run));
+            return failed_reply
+                .unwrap_or_else(|| reply::final_reply(request.step_without_target(), &request));
         };
-        let begun = Instant::now();
-        let result = attempt(&run, &mut lease).await;
-        note(&lease, &result, begun);
-        let ended = match result {
-            Ok(reply) if is_final(&run, &reply) => {
-                run.note(&lease, reply.status(), begun.elapsed());
+        let started = Instant::now();
+        let result = try_target(&request, &mut lease).await;
+        record_result(&lease, &result, started);
+        let failure = match result {
+            Ok(reply) if is_final(&request, &reply) => {
+                request.record_response(&lease, reply.status(), started.elapsed());
                 return reply;
             }
             Ok(reply) => {
                 let status = reply.status().as_u16();
-                failed = Some(reply);
+                failed_reply = Some(reply);
                 AttemptFailure::Failed(status)
             }
-            Err(ended) => ended,
+            Err(failure) => failure,
         };
-        let next = run.ended(&lease, ended);
+        let next = request.record_failure(&lease, failure);
         if next != NextStep::Elsewhere {
-            return failed.unwrap_or_else(|| reply::after(next, &run));
+            return failed_reply.unwrap_or_else(|| reply::final_reply(next, &request));
         }
     }
 }
 
 /// Takes in how well the target did. What it refused says nothing of that.
-fn note(lease: &Lease, result: &Result<Reply, AttemptFailure>, begun: Instant) {
+fn record_result(lease: &Lease, result: &Result<Reply, AttemptFailure>, started: Instant) {
     let is_good = match result {
         Ok(reply) => !reply.status().is_server_error(),
-        Err(ended) if ended.proves_not_run() => return,
+        Err(failure) if failure.proves_not_run() => return,
         Err(_) => false,
     };
-    lease.note_result(is_good, begun.elapsed());
+    lease.record_result(is_good, started.elapsed());
 }
 
 /// A failure of an idempotent request may be the target's alone, so another one is asked.
-fn is_final(run: &RoutedRequest, reply: &Reply) -> bool {
-    !(run.kind().may_repeat() && reply.status().is_server_error())
+fn is_final(request: &RoutedRequest, reply: &Reply) -> bool {
+    !(request.kind().may_repeat() && reply.status().is_server_error())
 }
 
-async fn attempt(run: &RoutedRequest, lease: &mut Lease) -> Result<Reply, AttemptFailure> {
-    let left = run.left();
+async fn try_target(request: &RoutedRequest, lease: &mut Lease) -> Result<Reply, AttemptFailure> {
+    let time_left = request.time_left();
     let head = TargetRequestHead {
-        account: run.account.as_ref(),
-        time_left: left,
+        account: request.account.as_ref(),
+        time_left,
         target: &lease.name.clone(),
         last_event: None,
         backup: None,
         resume_from: None,
     };
-    let limit = SilenceLimits::for_request(run.route.aim, left, run.may_ask_another());
-    let mut opened = send(&run.state, lease, &run.asked, &head, limit).await?;
-    let body = read_whole(&mut opened.body, run.left()).await?;
-    let (status, headers) = (opened.status, opened.headers.clone());
-    opened.keep(&run.state, lease);
-    if is_promise(status) {
+    let limit = SilenceLimits::for_request(request.route.aim, time_left, request.may_ask_another());
+    let mut response = send(&request.state, lease, &request.caller_request, &head, limit).await?;
+    let body = read_body(&mut response.body, request.time_left()).await?;
+    let (status, headers) = (response.status, response.headers.clone());
+    response.keep(&request.state, lease);
+    if implies_not_run(status) {
         return Err(AttemptFailure::Failed(status.as_u16()));
     }
     Ok(reply::relayed(
         status,
         &headers,
-        reply::whole(body),
+        reply::full_body(body),
         &lease.name,
     ))
 }
 
 /// Statuses by which callers understand that the request has not run; a target that does not say so
 /// itself may have run it.
-fn is_promise(status: http::StatusCode) -> bool {
+fn implies_not_run(status: http::StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
--- a/daemon/src/relay/start.rs
+++ b/daemon/src/relay/start.rs
@@ -20,14 +20,14 @@
 };
 
 /// The time between two looks at idle connections and at targets whose entries are missing.
-const SWEEP: Duration = Duration::from_millis(200);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a port is tried that a process before this one may still hold.
-const BIND_TRIES: usize = 20;
+const MAX_BIND_RETRIES: usize = 20;
 /// The time between two tries of a port.
-const BIND_REST: Duration = Duration::from_millis(50);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long background work may take to end.
-const JOIN: Duration = Duration::from_millis(100);
+const JOIN_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The ways in which a relaying instance cannot start.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
@@ -86,14 +86,14 @@
         state
             .tasks
             .spawn(restarted_engines::run(Arc::clone(&state)));
-        state.tasks.spawn(sweep(Arc::clone(&state)));
+        state.tasks.spawn(run_maintenance(Arc::clone(&state)));
         Ok(Self { state })
     }
 
     /// Stops as planned: no new callers, and what runs ends within the grace.
     pub async fn stop(self) {
         stop::run(&self.state).await;
-        join(&self.state).await;
+        join_tasks(&self.state).await;
     }
 
     /// Ends at once, as by a kill: open connections are cut off.
@@ -102,15 +102,15 @@
         self.state.closed.cancel();
         self.state.killed.cancel();
         self.state.ending.cancel();
-        join(&self.state).await;
+        join_tasks(&self.state).await;
     }
 }
 
 /// Joins what was spawned. What callers still have open at the end of the grace is cut off with the
 /// process, so the wait is bounded.
-async fn join(state: &RelayState) {
+async fn join_tasks(state: &RelayState) {
     state.tasks.close();
-    let joined = timeout(JOIN, async {
+    let joined = timeout(JOIN_TIMEOUT, async {
         state.tasks.wait().await;
         state.connections.close().await;
     });
@@ -122,20 +122,23 @@
 async fn listen(state: &Arc<RelayState>) -> Result<(), Report<RelayError>> {
     let settings = state.settings.load_full();
     let address = members::address(&settings);
-    let peers = bind(address).await?;
+    let peer_listener = bind(address).await?;
     state
         .tasks
-        .spawn(peer_service::run(Arc::clone(state), peers));
-    let lists = UdpSocket::bind(address).await;
-    let lists = lists.change_context(RelayError::Listen(address))?;
-    let lists = Arc::new(lists);
+        .spawn(peer_service::run(Arc::clone(state), peer_listener));
+    let datagram_socket = UdpSocket::bind(address).await;
+    let datagram_socket = datagram_socket.change_context(RelayError::Listen(address))?;
+    let datagram_socket = Arc::new(datagram_socket);
+    state.tasks.spawn(rollouts::run(
+        Arc::clone(state),
+        Arc::clone(&datagram_socket),
+    ));
     state
         .tasks
-        .spawn(rollouts::run(Arc::clone(state), Arc::clone(&lists)));
-    state.tasks.spawn(datagrams::run(Arc::clone(state), lists));
+        .spawn(datagrams::run(Arc::clone(state), datagram_socket));
     let listen = settings.listen;
-    let asked = [listen.ready, listen.directory, listen.metrics];
-    for address in asked.into_iter().flatten() {
+    let endpoint_addresses = [listen.ready, listen.directory, listen.metrics];
+    for address in endpoint_addresses.into_iter().flatten() {
         let listener = bind(address).await?;
         state
             .tasks
@@ -149,35 +152,35 @@
 }
 
 async fn bind(address: SocketAddr) -> Result<TcpListener, Report<RelayError>> {
-    let mut tries = 0;
+    let mut retries = 0;
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return Ok(listener),
-            Err(error) if tries == BIND_TRIES => {
+            Err(error) if retries == MAX_BIND_RETRIES => {
                 return Err(Report::new(error).change_context(RelayError::Listen(address)));
             }
-            Err(_) => tries += 1,
+            Err(_) => retries += 1,
         }
-        tokio::time::sleep(BIND_REST).await;
+        tokio::time::sleep(BIND_RETRY_INTERVAL).await;
     }
 }
 
-async fn sweep(state: Arc<RelayState>) {
-    let mut was_stale = None;
+async fn run_maintenance(state: Arc<RelayState>) {
+    let mut previous = None;
     loop {
         tokio::select! {
             () = state.ending.cancelled() => return,
-            () = tokio::time::sleep(SWEEP) => {
-                state.connections.sweep(Instant::now());
-                state.known.drop_missing();
-                report_left_out(&state);
-                report_stale(&state, &mut was_stale);
+            () = tokio::time::sleep(SWEEP_INTERVAL) => {
+                state.connections.close_expired(Instant::now());
+                state.view.drop_missing();
+                report_dropped_lines(&state);
+                report_staleness(&state, &mut previous);
             }
         }
     }
 }
 
-fn report_left_out(state: &RelayState) {
+fn report_dropped_lines(state: &RelayState) {
     let count = super::LOG_VOLUME.left_out();
     if count > 0 {
         state.metrics.add(Counter::LinesLeftOut, count);
@@ -186,18 +189,18 @@
 }
 
 /// Writes a line when requests begin to be refused for the age of what is known, and when that ends.
-fn report_stale(state: &RelayState, was: &mut Option<Outdated>) {
+fn report_staleness(state: &RelayState, previous: &mut Option<Outdated>) {
     let stale = state.stale();
-    if std::mem::replace(was, stale) == stale {
+    if std::mem::replace(previous, stale) == stale {
         return;
     }
-    let age = state.known.freshness().age(Instant::now());
-    let targets_age = state.known.targets_freshness().age(Instant::now());
+    let age = state.view.freshness().age(Instant::now());
+    let targets_age = state.view.targets_freshness().age(Instant::now());
     log::warn!(
         stale = stale.map(|stale| format!("{stale:?}")),
-        targets_revision = state.known.revision(),
+        targets_revision = state.view.revision(),
         targets_age_ms = targets_age.map(|age| age.as_millis() as u64),
-        config = state.known.version(),
+        config = state.view.version(),
         newest = state.newest_config(),
         age_ms = age.map(|age| age.as_millis() as u64);
         "staleness changed"
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -45,8 +45,8 @@
 /// What all tasks of a relaying instance share.
 pub(super) struct RelayState {
     pub(super) settings: ArcSwap<Settings>,
-    pub(super) known: StoreView,
-    pub(super) duty: WatchDuty,
+    pub(super) view: StoreView,
+    pub(super) watch_duty: WatchDuty,
     pub(super) connections: Connections,
     pub(super) store: Client,
     retries: Mutex<RetryBudget>,
@@ -59,17 +59,17 @@
     pub(super) metrics: Metrics,
     pub(super) latencies: Histograms,
     /// Requests that are being answered.
-    pub(super) open: AtomicU64,
+    pub(super) open_requests: AtomicU64,
     /// Tells that streams of this instance began, were read or ended.
-    pub(super) placed: Notify,
+    pub(super) placements_changed: Notify,
     /// Counts the lists of streams that were sent.
-    pub(super) sequence: AtomicU64,
+    pub(super) placement_sequence: AtomicU64,
     /// Tells of a data centre in which an engine fell silent.
-    pub(super) alarm: watch::Sender<Option<DataCentre>>,
+    pub(super) silent_data_centre: watch::Sender<Option<DataCentre>>,
     /// No more callers are wanted.
     pub(super) stopping: CancellationToken,
     /// The planned stop, if one is under way.
-    pub(super) stop: ArcSwapOption<PlannedStop>,
+    pub(super) planned_stop: ArcSwapOption<PlannedStop>,
     /// No new connections are taken.
     pub(super) closed: CancellationToken,
     /// Connections of callers are cut off.
@@ -78,16 +78,16 @@
     pub(super) ending: CancellationToken,
     pub(super) tasks: TaskTracker,
     /// Connections of callers.
-    pub(super) served: TaskTracker,
+    pub(super) caller_connections: TaskTracker,
     gossip: Mutex<Gossip>,
     /// What this instance makes of the fleet.
     pub(super) fleet: ArcSwap<Fleet>,
     /// Notifies that other instances have a newer configuration.
     pub(super) newer_config: Notify,
     /// Whether members came or went since the fleet was worked out.
-    pub(super) has_changed: AtomicBool,
+    pub(super) membership_changed: AtomicBool,
     /// Whether a peer is being asked for news.
-    pub(super) is_asking: AtomicBool,
+    pub(super) is_syncing_targets: AtomicBool,
 }
 
 impl RelayState {
@@ -103,8 +103,8 @@
             },
         };
         Self {
-            known: StoreView::new(settings.bounds.missing_entry_grace()),
-            duty: WatchDuty::new(settings.bounds.watch_wait()),
+            view: StoreView::new(settings.bounds.missing_entry_grace()),
+            watch_duty: WatchDuty::new(settings.bounds.watch_wait()),
             connections: Connections::default(),
             store: Client::speaking(&store, celerypond_adapter::store::DIALECT),
             retries: Mutex::new(RetryBudget::new(&settings.bounds)),
@@ -113,22 +113,22 @@
             rollouts: Rollouts::default(),
             metrics: Metrics::local(),
             latencies: Histograms::default(),
-            open: AtomicU64::new(0),
-            placed: Notify::new(),
-            sequence: AtomicU64::new(0),
-            alarm: watch::Sender::default(),
+            open_requests: AtomicU64::new(0),
+            placements_changed: Notify::new(),
+            placement_sequence: AtomicU64::new(0),
+            silent_data_centre: watch::Sender::default(),
             stopping: CancellationToken::new(),
-            stop: ArcSwapOption::empty(),
+            planned_stop: ArcSwapOption::empty(),
             closed: CancellationToken::new(),
             killed: CancellationToken::new(),
             ending: CancellationToken::new(),
             tasks: TaskTracker::new(),
-            served: TaskTracker::new(),
+            caller_connections: TaskTracker::new(),
             gossip: Mutex::new(gossip),
             fleet: ArcSwap::default(),
             newer_config: Notify::new(),
-            has_changed: AtomicBool::new(false),
-            is_asking: AtomicBool::new(false),
+            membership_changed: AtomicBool::new(false),
+            is_syncing_targets: AtomicBool::new(false),
             settings: ArcSwap::from_pointee(settings),
         }
     }
@@ -139,13 +139,13 @@
 
     /// Returns whether requests can be served.
     pub(super) fn is_ready(&self) -> bool {
-        self.known.is_complete() && !self.stopping.is_cancelled() && self.stale().is_none()
+        self.view.is_complete() && !self.stopping.is_cancelled() && self.stale().is_none()
     }
 
     /// Returns what is known too long ago for requests to be served by it.
     pub(super) fn stale(&self) -> Option<Outdated> {
         let limit = self.settings.load().bounds.stale_limit();
-        let stale = self.known.freshness().stale(limit, Instant::now());
+        let stale = self.view.freshness().stale(limit, Instant::now());
         let config = stale.map(Outdated::Config);
         config.or_else(|| self.stale_targets().map(Outdated::Targets))
     }
@@ -167,7 +167,7 @@
         wait: &StaleWait,
     ) -> Option<Outdated> {
         loop {
-            let changed = self.known.changed();
+            let changed = self.view.changed();
             let outdated = stale()?;
             let Some(until) = self.wait_end(outdated, wait) else {
                 return Some(outdated);
@@ -183,11 +183,11 @@
         let bounds = &self.settings.load().bounds;
         match outdated {
             Outdated::Config(stale) => {
-                let freshness = self.known.freshness();
+                let freshness = self.view.freshness();
                 wait.for_config(stale, freshness.current_at(bounds.stale_limit(), now), now)
             }
             Outdated::Targets(stale) => {
-                let freshness = self.known.targets_freshness();
+                let freshness = self.view.targets_freshness();
                 let current = freshness.current_at(bounds.targets_stale_limit(), now);
                 wait.for_targets(stale, current, now)
             }
@@ -197,13 +197,13 @@
     /// Returns why requests cannot be sent by the list of targets.
     pub(super) fn stale_targets(&self) -> Option<Stale> {
         let limit = self.settings.load().bounds.targets_stale_limit();
-        let freshness = self.known.targets_freshness();
+        let freshness = self.view.targets_freshness();
         freshness.stale(limit, Instant::now())
     }
 
     /// Returns whether connections of callers are taken, as they are for a while when it stops.
     pub(super) fn takes_callers(&self) -> bool {
-        self.known.is_complete() && !self.closed.is_cancelled()
+        self.view.is_complete() && !self.closed.is_cancelled()
     }
 
     /// Returns how many instances seem to live, this one included.
@@ -218,8 +218,8 @@
 
     /// Returns the newest version of the configuration that this instance knows of.
     pub(super) fn newest_config(&self) -> u64 {
-        let newest = self.known.freshness().newest(Instant::now());
-        newest.max(self.known.version())
+        let newest = self.view.freshness().newest(Instant::now());
+        newest.max(self.view.version())
     }
 
     pub(super) fn retries(&self) -> MutexGuard<'_, RetryBudget> {
@@ -234,18 +234,18 @@
     /// Renders counters, levels and latencies as text.
     pub(super) fn render_metrics(&self) -> String {
         let levels = [
-            (Gauge::ConfigVersion, self.known.version()),
+            (Gauge::ConfigVersion, self.view.version()),
             (Gauge::ConfigNewest, self.newest_config()),
-            (Gauge::RoutedTargets, self.known.targets().len() as u64),
-            (Gauge::OpenRequests, self.open.load(Relaxed)),
-            (Gauge::Connections, self.served.len() as u64),
+            (Gauge::RoutedTargets, self.view.targets().len() as u64),
+            (Gauge::OpenRequests, self.open_requests.load(Relaxed)),
+            (Gauge::Connections, self.caller_connections.len() as u64),
             (Gauge::LiveInstances, self.instances() as u64),
         ];
-        if let Some(age) = self.duty.age(Instant::now()) {
+        if let Some(age) = self.watch_duty.age(Instant::now()) {
             let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
             self.metrics.set(Gauge::TargetsAge, age);
         }
-        if let Some(age) = self.known.freshness().age(Instant::now()) {
+        if let Some(age) = self.view.freshness().age(Instant::now()) {
             let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
             self.metrics.set(Gauge::ConfigAge, age);
         }
--- a/daemon/src/relay/stop.rs
+++ b/daemon/src/relay/stop.rs
@@ -8,43 +8,45 @@
 use super::{members, state::RelayState};
 
 /// The time between two looks whether others take callers.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Stops the instance: it takes no new callers as soon as others do, and what runs ends within the grace.
 pub(super) async fn run(state: &Arc<RelayState>) {
     let grace = state.settings.load().bounds.grace;
     let stop = PlannedStop::new(Instant::now(), grace);
-    log::info!(grace_ms = grace.as_millis() as u64, open = state.served.len(); "stopping");
-    state.stop.store(Some(Arc::new(stop)));
+    log::info!(grace_ms = grace.as_millis() as u64, open = state.caller_connections.len(); "stopping");
+    state.planned_stop.store(Some(Arc::new(stop)));
     state.stopping.cancel();
-    members::leave(state);
-    take_callers(state, &stop).await;
+    members::announce_leaving(state);
+    accept_until_closed(state, &stop).await;
     state.closed.cancel();
-    state.served.close();
-    let is_done = timeout_at(stop.cutoff(), state.served.wait()).await.is_ok();
-    log::info!(is_done, open = state.served.len(); "stopped");
+    state.caller_connections.close();
+    let is_done = timeout_at(stop.cutoff(), state.caller_connections.wait())
+        .await
+        .is_ok();
+    log::info!(is_done, open = state.caller_connections.len(); "stopped");
     state.killed.cancel();
     state.ending.cancel();
 }
 
 /// Waits until no more callers are taken: at first all are, and then as long as others are too few and
 /// something is still served. An instance that has nothing left to do starts anew the sooner.
-async fn take_callers(state: &RelayState, stop: &PlannedStop) {
-    let mut is_alone = false;
+async fn accept_until_closed(state: &RelayState, stop: &PlannedStop) {
+    let mut is_waiting_for_peers = false;
     loop {
         let now = Instant::now();
-        let others = members::others(state);
-        let has_work = !state.served.is_empty();
+        let others = members::peer_counts(state);
+        let has_work = !state.caller_connections.is_empty();
         let is_needed = has_work && stop.accepts_callers(others, now);
-        let is_over = !stop.accepts_all(now);
-        if is_over && !is_needed {
+        let has_accept_time_ended = !stop.accepts_all(now);
+        if has_accept_time_ended && !is_needed {
             log::info!(live = others.live, leaving = others.leaving, has_work; "no more callers");
             return;
         }
-        if is_over && !is_alone {
-            is_alone = true;
+        if has_accept_time_ended && !is_waiting_for_peers {
+            is_waiting_for_peers = true;
             log::info!(live = others.live, leaving = others.leaving; "too few others take callers");
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/daemon/src/relay/store_backoff.rs
+++ b/daemon/src/relay/store_backoff.rs
@@ -19,15 +19,15 @@
     error: PlatformError,
     limits: RangeInclusive<Duration>,
 ) {
-    let least = match error {
+    let min_wait = match error {
         PlatformError::RateLimited { retry_after } | PlatformError::OverBudget { retry_after } => {
             retry_after.min(MAX_RETRY_AFTER)
         }
         _ => Duration::ZERO,
     };
-    let drawn = rand::rng().random_range(limits);
+    let jitter = rand::rng().random_range(limits);
     tokio::select! {
         () = state.ending.cancelled() => {}
-        () = sleep(least + drawn) => {}
+        () = sleep(min_wait + jitter) => {}
     }
 }
--- a/daemon/src/relay/store_view.rs
+++ b/daemon/src/relay/store_view.rs
@@ -47,14 +47,14 @@
     /// Tells that something is known that was not before.
     changed: Notify,
     /// Tells that other instances have to be told of something new.
-    pub(super) told: Notify,
+    pub(super) unreported_change: Notify,
     /// How long entries may be missing after the store's return.
-    entries_back: Duration,
+    missing_entry_grace: Duration,
 }
 
 impl StoreView {
     /// Knows nothing; entries may be missing for so long after the store's return.
-    pub(super) fn new(entries_back: Duration) -> Self {
+    pub(super) fn new(missing_entry_grace: Duration) -> Self {
         let mut targets = Targets::default();
         targets.lateness = rand::rng().random();
         Self {
@@ -67,8 +67,8 @@
             has_targets: AtomicBool::new(false),
             revision: Mutex::default(),
             changed: Notify::new(),
-            told: Notify::new(),
-            entries_back,
+            unreported_change: Notify::new(),
+            missing_entry_grace,
         }
     }
 
@@ -97,18 +97,18 @@
     }
 
     /// Records which configuration the store was seen to hold.
-    pub(super) fn observe(&self, seen: Observation) {
-        self.freshness().observe(seen);
+    pub(super) fn observe(&self, observation: Observation) {
+        self.freshness().observe(observation);
         self.changed.notify_waiters();
     }
 
     /// Records which revision of the targets the store was seen to hold.
-    pub(super) fn observe_targets(&self, seen: Observation) {
+    pub(super) fn observe_targets(&self, observation: Observation) {
         let mut freshness = self.targets_freshness();
-        freshness.observe(seen);
-        let verified = freshness.verified_at();
+        freshness.observe(observation);
+        let verified_at = freshness.verified_at();
         drop(freshness);
-        if let Some(at) = verified {
+        if let Some(at) = verified_at {
             for name in self.targets().verify(at) {
                 log::info!(target = name.as_str(), reason = "not listed by the store"; "target gone");
             }
@@ -168,7 +168,7 @@
 
     /// Returns the store's revision up to which the targets are known.
     pub(super) fn revision(&self) -> u64 {
-        *self.known_revision()
+        *self.lock_revision()
     }
 
     /// Returns whether the targets are known.
@@ -181,70 +181,70 @@
     /// The failure: a store that answers from the past, or a peer that is behind, tells of an older
     /// version. A caller would see a removed key or route come back. Versions only rise here.
     pub(super) fn apply(&self, config: Config, source: Source) {
-        let before = self.table.load();
-        let known = before.config().version;
-        if self.has_config() && config.version <= known {
+        let previous = self.table.load();
+        let previous_version = previous.config().version;
+        if self.has_config() && config.version <= previous_version {
             return;
         }
         let version = config.version;
         self.table.store(Arc::new(RoutingTable::new(config)));
         self.freshness().set_current(version);
         self.has_config.store(true, Relaxed);
-        self.told.notify_one();
-        log::info!(version, before = known, source:? = source; "configuration in force");
+        self.unreported_change.notify_one();
+        log::info!(version, before = previous_version, source:? = source; "configuration in force");
         self.changed.notify_waiters();
     }
 
     /// Takes in a whole list of targets of the store's revision, unless a later one is known; returns whether it did.
-    pub(super) fn list_targets(
+    pub(super) fn replace_targets(
         &self,
         entries: Vec<TargetEntry>,
         revision: u64,
         source: Source,
     ) -> bool {
-        let mut known = self.known_revision();
-        let is_old = match source {
-            Source::Peer => revision <= *known,
-            _ => revision < *known,
+        let mut revision_guard = self.lock_revision();
+        let is_outdated = match source {
+            Source::Peer => revision <= *revision_guard,
+            _ => revision < *revision_guard,
         };
-        if self.has_targets() && is_old {
+        if self.has_targets() && is_outdated {
             return false;
         }
-        *known = revision;
+        *revision_guard = revision;
         self.targets_freshness().set_current(revision);
         let now = Instant::now();
         let mut targets = self.targets();
         if source == Source::StoreRegained {
-            targets.await_entries(self.entries_back, now);
+            targets.await_entries(self.missing_entry_grace, now);
         }
         // When the store had the list is observed apart.
         let changes = targets.replace_unverified(entries, now);
         targets.record_full_list(revision);
         drop(targets);
-        drop(known);
+        drop(revision_guard);
         let is_first = !self.has_targets.swap(true, Relaxed);
         log::info!(revision, source:? = source, is_first, changed = changes.len(); "targets listed");
         // All are news to an instance that starts, and thousands of lines would hold it up.
         for change in changes.iter().filter(|_| !is_first) {
             log::info!(revision, source:? = source, change:? = change; "target changed");
         }
-        self.told.notify_one();
+        self.unreported_change.notify_one();
         self.changed.notify_waiters();
         true
     }
 
     /// Takes in what a watch saw up to a revision of the store, unless a later one is known.
-    pub(super) fn change_targets(&self, changes: &[(u64, Change)], revision: u64, source: Source) {
-        let mut known = self.known_revision();
-        if revision <= *known {
+    pub(super) fn apply_changes(&self, changes: &[(u64, Change)], revision: u64, source: Source) {
+        let mut revision_guard = self.lock_revision();
+        if revision <= *revision_guard {
             return;
         }
-        *known = revision;
+        *revision_guard = revision;
         self.targets_freshness().set_current(revision);
         let now = Instant::now();
         let mut targets = self.targets();
         if source == Source::StoreRegained {
-            targets.await_entries(self.entries_back, now);
+            targets.await_entries(self.missing_entry_grace, now);
         }
         for (at, change) in changes {
             targets.record_change(*at, change.name());
@@ -253,32 +253,33 @@
             }
         }
         drop(targets);
-        drop(known);
-        self.told.notify_one();
+        drop(revision_guard);
+        self.unreported_change.notify_one();
         self.changed.notify_waiters();
     }
 
     /// Takes in what another instance tells of the targets.
-    pub(super) fn take_news(&self, news: TargetUpdate, begun: Instant) {
-        let age = news.age_ms.map(|age| Duration::from_millis(age.into()));
-        let revision = news.revision;
-        if news.is_whole {
-            if self.list_targets(news.targets, news.revision, Source::Peer) {
-                self.targets().set_unlisted(&dated(news.observed, begun));
+    pub(super) fn apply_update(&self, update: TargetUpdate, received_after: Instant) {
+        let age = update.age_ms.map(|age| Duration::from_millis(age.into()));
+        let revision = update.revision;
+        if update.is_whole {
+            if self.replace_targets(update.targets, update.revision, Source::Peer) {
+                self.targets()
+                    .set_unlisted(&to_instants(update.observed, received_after));
             }
         } else {
-            let there = news.targets.into_iter().map(Change::Is);
-            let gone = news.gone.into_iter().map(Change::Gone);
-            let changes: Vec<(u64, Change)> = there
+            let present = update.targets.into_iter().map(Change::Is);
+            let gone = update.gone.into_iter().map(Change::Gone);
+            let changes: Vec<(u64, Change)> = present
                 .chain(gone)
-                .map(|change| (news.revision, change))
+                .map(|change| (update.revision, change))
                 .collect();
-            self.change_targets(&changes, news.revision, Source::Peer);
+            self.apply_changes(&changes, update.revision, Source::Peer);
         }
         let mut targets = self.targets();
-        targets.mark_all_missing(&news.missing, self.entries_back, Instant::now());
+        targets.mark_all_missing(&update.missing, self.missing_entry_grace, Instant::now());
         drop(targets);
-        if let Some(at) = age.and_then(|age| begun.checked_sub(age)) {
+        if let Some(at) = age.and_then(|age| received_after.checked_sub(age)) {
             self.observe_targets(Observation {
                 version: revision,
                 revision,
@@ -288,11 +289,11 @@
     }
 
     /// Returns what another instance that knows the targets up to a revision has to be told.
-    pub(super) fn news(&self, since: u64) -> Option<TargetUpdate> {
+    pub(super) fn update_since(&self, since: u64) -> Option<TargetUpdate> {
         if !self.has_targets() {
             return None;
         }
-        let known = self.known_revision();
+        let revision_guard = self.lock_revision();
         let now = Instant::now();
         let age = self.targets_freshness().age(now);
         let age_ms = age.and_then(|age| u32::try_from(age.as_millis()).ok());
@@ -300,7 +301,7 @@
         Some(TargetUpdate {
             age_ms,
             observed: targets.unlisted_targets(now),
-            ..targets.update_since(since, *known)
+            ..targets.update_since(since, *revision_guard)
         })
     }
 
@@ -310,7 +311,7 @@
         table.filter(|table| table.config().version >= version)
     }
 
-    fn known_revision(&self) -> MutexGuard<'_, u64> {
+    fn lock_revision(&self) -> MutexGuard<'_, u64> {
         self.revision.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -338,10 +339,13 @@
 }
 
 /// Returns when each of these targets last answered, by the ages that a peer sent after a moment.
-fn dated(observed: Vec<(TargetName, u32)>, begun: Instant) -> Vec<(TargetName, Instant)> {
-    let seen = |age: u32| begun.checked_sub(Duration::from_millis(age.into()));
+fn to_instants(
+    observed: Vec<(TargetName, u32)>,
+    received_after: Instant,
+) -> Vec<(TargetName, Instant)> {
+    let seen_at = |age: u32| received_after.checked_sub(Duration::from_millis(age.into()));
     let observed = observed.into_iter();
     observed
-        .filter_map(|(name, age)| Some((name, seen(age)?)))
+        .filter_map(|(name, age)| Some((name, seen_at(age)?)))
         .collect()
 }
--- a/daemon/src/relay/stream.rs
+++ b/daemon/src/relay/stream.rs
@@ -5,49 +5,52 @@
 use http_body_util::{BodyExt, StreamBody};
 
 use super::{
-    attempt::read_whole,
+    attempt::read_body,
     relayed_stream::{RelayedStream, ResponseHead},
     reply::{self, Body, Reply},
     routed_request::RoutedRequest,
 };
 
 /// Relays a stream, which goes on at another engine when its engine is lost.
-pub(super) async fn relay(run: RoutedRequest) -> Reply {
-    let mut flow = RelayedStream::new(run);
-    match flow.begin().await {
-        Ok(first) if first.status.is_success() => {
-            reply::relayed(first.status, &first.headers, body(flow), &first.target)
-        }
-        Ok(first) => pass_failure(flow, &first).await,
-        Err(next) => reply::after(next, &flow.run),
+pub(super) async fn relay(request: RoutedRequest) -> Reply {
+    let mut relayed = RelayedStream::new(request);
+    match relayed.start().await {
+        Ok(head) if head.status.is_success() => reply::relayed(
+            head.status,
+            &head.headers,
+            event_body(relayed),
+            &head.target,
+        ),
+        Ok(head) => relay_failure(relayed, &head).await,
+        Err(next) => reply::final_reply(next, &relayed.request),
     }
 }
 
 /// Passes the failure of an engine on.
-async fn pass_failure(mut flow: RelayedStream, first: &ResponseHead) -> Reply {
-    let left = flow.run.left();
-    let Some(mut opened) = flow.take_opened() else {
-        return reply::after(NextStep::Failed, &flow.run);
+async fn relay_failure(mut relayed: RelayedStream, head: &ResponseHead) -> Reply {
+    let time_left = relayed.request.time_left();
+    let Some(mut response) = relayed.take_response() else {
+        return reply::final_reply(NextStep::Failed, &relayed.request);
     };
-    match read_whole(&mut opened.body, left).await {
+    match read_body(&mut response.body, time_left).await {
         Ok(body) => reply::relayed(
-            first.status,
-            &first.headers,
-            reply::whole(body),
-            &first.target,
+            head.status,
+            &head.headers,
+            reply::full_body(body),
+            &head.target,
         ),
-        Err(_) => reply::after(NextStep::Failed, &flow.run),
+        Err(_) => reply::final_reply(NextStep::Failed, &relayed.request),
     }
 }
 
 /// The body pulls its events out of the flow, so a caller that leaves drops the flow and with it
 /// the connection to the engine, which then stops working.
-fn body(flow: RelayedStream) -> Body {
-    let frames = stream::unfold(Some(flow), |flow| async {
-        let mut flow = flow?;
-        let frame = flow.next().await?;
-        let rest = frame.is_ok().then_some(flow);
-        Some((frame, rest))
+fn event_body(relayed: RelayedStream) -> Body {
+    let frames = stream::unfold(Some(relayed), |relayed| async {
+        let mut relayed = relayed?;
+        let frame = relayed.next_frame().await?;
+        let next_state = frame.is_ok().then_some(relayed);
+        Some((frame, next_state))
     });
     BodyExt::boxed_unsync(StreamBody::new(frames))
 }
--- a/daemon/src/relay/target_sync.rs
+++ b/daemon/src/relay/target_sync.rs
@@ -26,14 +26,14 @@
 
 /// Queries peers for targets until the instance ends, while none are known and the store does not answer.
 pub(super) async fn run(state: Arc<RelayState>) {
-    let begun = Instant::now() + STORE_START;
-    let mut turn = tokio::time::interval_at(begun, QUERY_INTERVAL);
+    let started = Instant::now() + STORE_START;
+    let mut interval = tokio::time::interval_at(started, QUERY_INTERVAL);
     loop {
         tokio::select! {
             () = state.ending.cancelled() => return,
-            _ = turn.tick() => {}
+            _ = interval.tick() => {}
         }
-        if !state.known.has_targets() && !store_answers(&state) {
+        if !state.view.has_targets() && !is_store_answering(&state) {
             query_peers(&state).await;
         }
     }
@@ -43,9 +43,9 @@
 ///
 /// The failure: a large fleet starts at once. If each instance queries peers beside the store, their lists of targets
 /// take the links from the store's.
-fn store_answers(state: &RelayState) -> bool {
+fn is_store_answering(state: &RelayState) -> bool {
     let wait = state.settings.load().bounds.watch_wait();
-    state.duty.store_answers_within(wait + STORE_START)
+    state.watch_duty.store_answers_within(wait + STORE_START)
 }
 
 async fn query_peers(state: &RelayState) {
@@ -57,32 +57,32 @@
 }
 
 /// Queries the instance with the newest targets, if these are newer than what is known here.
-pub(super) fn request_targets(state: &Arc<RelayState>) {
-    if state.is_asking.swap(true, Relaxed) {
+pub(super) fn request_sync(state: &Arc<RelayState>) {
+    if state.is_syncing_targets.swap(true, Relaxed) {
         return;
     }
-    state.tasks.spawn(sync_targets(Arc::clone(state)));
+    state.tasks.spawn(sync(Arc::clone(state)));
 }
 
-async fn sync_targets(state: Arc<RelayState>) {
+async fn sync(state: Arc<RelayState>) {
     for _ in 0..MAX_QUERIES {
-        let revision = state.known.revision();
-        let newer = state.duty.watchers().newer(revision, Instant::now());
+        let revision = state.view.revision();
+        let newer = state.watch_duty.watchers().newer(revision, Instant::now());
         let Some(notice) = newer else {
             break;
         };
-        let is_sent = match address_of(&state, notice.origin) {
+        let is_sent = match peer_address(&state, notice.origin) {
             Some(peer) => query_changes(&state, peer, revision, CHANGES_TIMEOUT).await,
             None => false,
         };
         if !is_sent {
-            state.duty.watchers().forget(notice.origin);
+            state.watch_duty.watchers().forget(notice.origin);
         }
     }
-    state.is_asking.store(false, Relaxed);
+    state.is_syncing_targets.store(false, Relaxed);
 }
 
-fn address_of(state: &RelayState, origin: u64) -> Option<SocketAddr> {
+fn peer_address(state: &RelayState, origin: u64) -> Option<SocketAddr> {
     let gossip = state.gossip();
     let member = gossip.membership().by_origin(Origin(origin))?;
     member.address.parse().ok()
@@ -90,14 +90,14 @@
 
 /// Queries a peer for the changes of targets since a revision; returns whether it sent them.
 async fn query_changes(state: &RelayState, peer: SocketAddr, since: u64, limit: Duration) -> bool {
-    let begun = Instant::now();
+    let started = Instant::now();
     let sent = timeout(limit, state.peers.changes(peer, since)).await;
     let Some(bytes) = sent.ok().and_then(Result::ok).flatten() else {
         log::info!(peer:% = peer, since; "a peer sent no targets");
         return false;
     };
     match decode::<TargetUpdate>(&bytes) {
-        Ok(news) => state.known.take_news(news, begun),
+        Ok(update) => state.view.apply_update(update, started),
         Err(error) => {
             log::warn!(peer:% = peer, error:% = error; "a peer's targets cannot be read");
             return false;
