--- a/daemon/src/relay/watch_duty.rs
+++ b/daemon/src/relay/watch_duty.rs
@@ -70,8 +70,8 @@
     }
 
     /// Returns whether others, or this instance's own callers, depend on its calls of the store.
-    pub(super) fn is_relied_on(&self, known: &StoreView) -> bool {
-        self.is_chosen.load(Relaxed) || !known.is_complete()
+    pub(super) fn is_relied_on(&self, view: &StoreView) -> bool {
+        self.is_chosen.load(Relaxed) || !view.is_complete()
     }
 
     /// Returns whether the store answered about the configuration within this time.
