--- a/daemon/src/relay/fleet.rs
+++ b/daemon/src/relay/fleet.rs
@@ -10,11 +10,11 @@
 use celerypond_types::InstanceName;
 use tokio::time::Instant;
 
-use super::site::Site;
+use super::state::RelayState;
 
 /// The most instances that tell each other where their streams run. Their lists take up to a sixth of a
 /// link of 10 Mbit/s.
-const GROUP_MOST: usize = 96;
+const MAX_GROUP: usize = 96;
 
 /// What this instance makes of the fleet: whom it tells what. Worked out anew when members come or go, as
 /// each datagram asks for it.
@@ -31,46 +31,46 @@
     /// Where those are that share none.
     pub(super) strangers: Vec<SocketAddr>,
     /// Where those are whom this one tells what the store says.
-    pub(super) told: Vec<SocketAddr>,
+    pub(super) recipients: Vec<SocketAddr>,
 }
 
 /// Works out anew what this instance makes of the fleet.
-pub(super) fn refresh(site: &Site) {
-    let settings = site.settings.load();
+pub(super) fn refresh(state: &RelayState) {
+    let settings = state.settings.load();
     let own = &settings.instance;
-    let watches = site.duty.age(Instant::now()).is_some();
-    let gossip = site.gossip();
+    let watches = state.watch_duty.age(Instant::now()).is_some();
+    let gossip = state.gossip();
     let live: Vec<&Member> = gossip.membership().in_state(MemberState::Live).collect();
-    let tree = tree(site, &gossip);
-    let told = tree.recipients_of(own, watches);
-    let subset = Subset::with_group_limit(GROUP_MOST, own, &names(&live, own), &[]);
+    let tree = distribution_tree(state, &gossip);
+    let recipients = tree.recipients_of(own, watches);
+    let subset = Subset::with_group_limit(MAX_GROUP, own, &live_names(&live, own), &[]);
     let fleet = Fleet {
         origin: gossip.origin().0,
         size: live.len() + 1,
         others: live.iter().filter_map(|member| address(member)).collect(),
         group: addresses(&live, |name| subset.peers.contains(name)),
         strangers: addresses(&live, |name| !subset.peers.contains(name)),
-        told: addresses(&live, |name| told.contains(&name)),
+        recipients: addresses(&live, |name| recipients.contains(&name)),
     };
-    let is_chosen = tree.watchers().iter().any(|one| one.name == own);
+    let is_chosen = tree.watchers().iter().any(|watcher| watcher.name == own);
     let hops = tree.hops();
     let has_peers = gossip
         .membership()
         .iter()
         .any(|(_, member)| member.state() != MemberState::Leaving);
     drop(gossip);
-    site.known.set_has_peers(has_peers);
-    site.duty.watchers().set_hops(hops);
-    if site.duty.is_chosen.swap(is_chosen, Relaxed) != is_chosen {
+    state.view.set_has_peers(has_peers);
+    state.watch_duty.watchers().set_hops(hops);
+    if state.watch_duty.is_chosen.swap(is_chosen, Relaxed) != is_chosen {
         log::info!(is_chosen, live = fleet.size; "watcher of the store");
     }
-    regroup(site, subset.group, subset.groups);
-    site.fleet.store(Arc::new(fleet));
+    update_group(state, subset.group, subset.groups);
+    state.fleet.store(Arc::new(fleet));
 }
 
-fn regroup(site: &Site, own: usize, count: usize) {
+fn update_group(state: &RelayState, own: usize, count: usize) {
     let group = Group { index: own, count };
-    let mut targets = site.known.targets();
+    let mut targets = state.view.targets();
     let before = std::mem::replace(&mut targets.group, group);
     drop(targets);
     if before.count != count {
@@ -82,16 +82,16 @@
 ///
 /// While instances disagree, two may drive. Each tells its stage, an end that was told stays, and
 /// the store takes the write of one of them.
-pub(super) fn driver(site: &Site) -> Option<SocketAddr> {
-    let gossip = site.gossip();
-    let tree = tree(site, &gossip);
+pub(super) fn driver(state: &RelayState) -> Option<SocketAddr> {
+    let gossip = state.gossip();
+    let tree = distribution_tree(state, &gossip);
     let driver = tree.watchers().first()?.name;
     let mut live = gossip.membership().in_state(MemberState::Live);
     address(live.find(|member| member.name == *driver)?)
 }
 
 /// Makes the tree of the instances that seem to live and are not stopping, this one included.
-fn tree<'a>(site: &Site, gossip: &'a Gossip) -> DistributionTree<'a> {
+fn distribution_tree<'a>(state: &RelayState, gossip: &'a Gossip) -> DistributionTree<'a> {
     let live = gossip.membership().in_state(MemberState::Live);
     let mut candidates: Vec<Candidate<'a>> = live
         .map(|member| Candidate {
@@ -99,7 +99,7 @@
             data_centre: &member.data_centre,
         })
         .collect();
-    if !site.stopping.is_cancelled() {
+    if !state.stopping.is_cancelled() {
         let identity = gossip.identity();
         candidates.push(Candidate {
             name: &identity.name,
@@ -109,14 +109,14 @@
     DistributionTree::new(candidates)
 }
 
-fn names(live: &[&Member], own: &InstanceName) -> Vec<InstanceName> {
+fn live_names(live: &[&Member], own: &InstanceName) -> Vec<InstanceName> {
     let others = live.iter().map(|member| member.name.clone());
     others.chain([own.clone()]).collect()
 }
 
-fn addresses(live: &[&Member], is_meant: impl Fn(&InstanceName) -> bool) -> Vec<SocketAddr> {
-    let meant = live.iter().filter(|member| is_meant(&member.name));
-    meant.filter_map(|member| address(member)).collect()
+fn addresses(live: &[&Member], is_included: impl Fn(&InstanceName) -> bool) -> Vec<SocketAddr> {
+    let included = live.iter().filter(|member| is_included(&member.name));
+    included.filter_map(|member| address(member)).collect()
 }
 
 fn address(member: &Member) -> Option<SocketAddr> {
--- /dev/null
+++ b/daemon/src/relay/relayed_stream.rs
@@ -0,0 +1,559 @@
+//! A stream on its way from engines to its caller.
+
+use std::{pin::pin, time::Duration};
+
+use bytes::Bytes;
+use celerypond_adapter::headers;
+use celerypond_relay::{
+    AttemptFailure, CopyName, EngineWait, EventTimer, FirstEventWait, NextStep, PlacementSchedule,
+    SilenceLimits, TargetRequestHead,
+};
+use celerypond_telemetry::{Counter, Latency};
+use celerypond_types::{TargetKey, TargetName};
+use http::{HeaderMap, StatusCode};
+use hyper::body::Frame;
+use rand::Rng as _;
+use tokio::time::{timeout_at, Instant};
+
+use super::{
+    attempt::{send, OpenResponse},
+    event_buffer::EventBuffer,
+    lease::Lease,
+    probed_wait::{ProbedWait, WaitOutcome},
+    relocation,
+    reply::Broken,
+    routed_request::RoutedRequest,
+    run_copy::{CopiedRun, CopyLocation, RunCopy},
+};
+
+/// A stream on its way from engines to its caller.
+pub(super) struct RelayedStream {
+    pub(super) request: RoutedRequest,
+    pub(super) events: EventBuffer,
+    pub(super) current: Option<CurrentEngine>,
+    /// Whether the last engine that answered had a copy of the run's memory.
+    pub(super) from_copy: bool,
+    is_complete: bool,
+}
+
+/// The head that a caller gets: that of the first engine, also when the stream goes on elsewhere.
+pub(super) struct ResponseHead {
+    pub(super) status: StatusCode,
+    pub(super) headers: HeaderMap,
+    pub(super) target: TargetName,
+}
+
+/// Where a stream runs.
+pub(super) struct CurrentEngine {
+    pub(super) lease: Lease,
+    pub(super) response: OpenResponse,
+    silence_limits: SilenceLimits,
+    /// The copy of the run's memory; nothing where engines make none.
+    pub(super) run_copy: Option<RunCopy>,
+    /// When it is next asked whether the stream runs well here.
+    pub(super) next_check: Instant,
+    event_timer: EventTimer,
+}
+
+/// An attempt that ended, and what is left of it.
+struct FailedAttempt {
+    lease: Lease,
+    failure: AttemptFailure,
+}
+
+/// No engine took the stream.
+struct NoEngine {
+    /// What follows.
+    next: NextStep,
+    /// Whether an engine may take it later.
+    is_temporary: bool,
+}
+
+impl RelayedStream {
+    pub(super) fn new(request: RoutedRequest) -> Self {
+        let last = headers::read_caller(&request.caller_request.headers).last_event;
+        Self {
+            request,
+            events: EventBuffer::resume_after(last),
+            current: None,
+            from_copy: false,
+            is_complete: false,
+        }
+    }
+
+    /// Asks engines until one has sent a first event, or its failure is to be passed on.
+    pub(super) async fn start(&mut self) -> Result<ResponseHead, NextStep> {
+        let started = Instant::now();
+        self.check_time().await?;
+        self.find_engine(Vec::new(), true).await?;
+        let latencies = &self.request.state.latencies;
+        latencies.add(Latency::FirstEvent, started.elapsed());
+        let current = self.current.as_ref().ok_or(NextStep::Failed)?;
+        Ok(ResponseHead {
+            status: current.response.status,
+            headers: current.response.headers.clone(),
+            target: current.lease.name.clone(),
+        })
+    }
+
+    /// Decides whether the stream can still be whole, and on time if it has not begun; engines that hold its prompt need not
+    /// read it.
+    ///
+    /// # Errors
+    ///
+    /// `TooLate` or `Overloaded` where it cannot.
+    async fn check_time(&self) -> Result<(), NextStep> {
+        let last = self.events.last_id().unwrap_or_default();
+        // Who has a part of the answer comes back after its instance was lost, or many were.
+        if last > 0 || self.request.lacking_time(last).is_some() {
+            self.request.query_prompt_location().await;
+        }
+        let Some(needed) = self.request.lacking_time(last) else {
+            let backoff = (last == 0)
+                .then(|| self.request.overload_backoff())
+                .flatten();
+            return backoff.map_or(Ok(()), |retry_after| Err(NextStep::Overloaded(retry_after)));
+        };
+        log::info!(
+            request = self.request.caller_request.id.as_str(),
+            last,
+            read_ms = needed.read.as_millis() as u64,
+            run_ms = needed.run.as_millis() as u64,
+            left_ms = self.request.time_left().as_millis() as u64;
+            "too late to be served"
+        );
+        Err(NextStep::TooLate)
+    }
+
+    /// Asks engines until one answers, and waits for one to return when none takes the stream, or for
+    /// budget when that is used up. Engines that hold a copy of the run's memory go first.
+    pub(super) async fn find_engine(
+        &mut self,
+        mut copies: Vec<CopyLocation>,
+        may_ask_now: bool,
+    ) -> Result<(), NextStep> {
+        let started = Instant::now();
+        let mut next_step = (!may_ask_now).then_some(NextStep::Failed);
+        loop {
+            if let Some(next) = next_step.take() {
+                self.wait_for_retry(started, next).await?;
+            }
+            match self.try_engines(std::mem::take(&mut copies)).await {
+                Ok(()) => return Ok(()),
+                Err(no_engine) if !no_engine.is_temporary => return Err(no_engine.next),
+                Err(no_engine) => next_step = Some(no_engine.next),
+            }
+        }
+    }
+
+    /// Waits until engines may be asked again.
+    ///
+    /// # Errors
+    ///
+    /// What follows when the stream has waited for as long as it may.
+    async fn wait_for_retry(&mut self, started: Instant, next: NextStep) -> Result<(), NextStep> {
+        let wait = EngineWait::for_route(self.request.route.aim);
+        let has_begun = self.events.forwarded() > 0;
+        loop {
+            if !wait.may_continue(started.elapsed(), has_begun)
+                || self.request.time_left() < wait.poll_interval * 2
+            {
+                return Err(next);
+            }
+            tokio::time::sleep(wait.poll_interval).await;
+            if self.request.start_retry_round() {
+                return Ok(());
+            }
+        }
+    }
+
+    /// Asks engines until one answers; first those that hold a copy of the run's memory.
+    async fn try_engines(&mut self, copies: Vec<CopyLocation>) -> Result<(), NoEngine> {
+        let mut copies = copies.into_iter();
+        let mut is_retry = self.events.forwarded() > 0;
+        loop {
+            let copy_holder = self.lease_copy_holder(&mut copies);
+            if is_retry && copy_holder.is_none() {
+                self.wait_retry_spread().await;
+            }
+            is_retry = true;
+            let (lease, from) = match copy_holder {
+                Some((lease, copy)) => (Some(lease), Some(copy)),
+                None => (self.request.lease_target(), None),
+            };
+            let Some(lease) = lease else {
+                return Err(NoEngine {
+                    next: self.request.step_without_target(),
+                    is_temporary: true,
+                });
+            };
+            let failed_attempt = match self.try_engine(lease, from).await {
+                Ok(()) => return Ok(()),
+                Err(failed_attempt) => failed_attempt,
+            };
+            self.events.discard_partial();
+            let is_temporary = failed_attempt.failure.proves_not_run();
+            match self
+                .request
+                .record_failure(&failed_attempt.lease, failed_attempt.failure)
+            {
+                NextStep::Elsewhere => {}
+                NextStep::Later => {
+                    return Err(NoEngine {
+                        next: NextStep::Failed,
+                        is_temporary: true,
+                    });
+                }
+                next => return Err(NoEngine { next, is_temporary }),
+            }
+        }
+    }
+
+    /// Takes a place at the next engine that holds a copy and takes new work.
+    fn lease_copy_holder(
+        &mut self,
+        copies: &mut impl Iterator<Item = CopyLocation>,
+    ) -> Option<(Lease, CopyLocation)> {
+        copies.find_map(|copy| Some((self.request.lease_copy_holder(copy.holder)?, copy)))
+    }
+
+    /// Asks one engine, and waits for its first event.
+    async fn try_engine(
+        &mut self,
+        mut lease: Lease,
+        from: Option<CopyLocation>,
+    ) -> Result<(), Box<FailedAttempt>> {
+        let started = Instant::now();
+        let backup = match self.will_move(lease.key, from.as_ref()) {
+            true => None,
+            false => self.choose_backup_engine(lease.key),
+        };
+        let reading = self
+            .request
+            .state
+            .view
+            .targets()
+            .reading(lease.key, started);
+        let result = self.send(&mut lease, backup, from.as_ref()).await;
+        let from_copy = from.is_some();
+        let failed_attempt = |lease, failure| Err(Box::new(FailedAttempt { lease, failure }));
+        let response = match result {
+            Ok(response) => response,
+            // An engine that dies while it reads has copied too little; nearly all holders refuse to go on.
+            Err(failure) => return failed_attempt(lease, failure),
+        };
+        if response.status.is_server_error() && self.request.kind().may_repeat() {
+            return failed_attempt(lease, AttemptFailure::Failed(response.status.as_u16()));
+        }
+        let is_success = response.status.is_success();
+        let silence_limits = self.silence_limits(lease.key);
+        let mut current = CurrentEngine {
+            lease,
+            response,
+            silence_limits,
+            run_copy: None,
+            next_check: match from_copy {
+                true => Instant::now() + relocation::MOVE_INTERVAL,
+                false => Instant::now(),
+            },
+            event_timer: EventTimer::new(Instant::now()),
+        };
+        if is_success {
+            if let Err(failure) = self.read_events(&mut current, true).await {
+                return failed_attempt(current.lease, failure);
+            }
+            current.lease.record_prompt_read();
+            if !from_copy {
+                self.request.record_reading_time(reading, started.elapsed());
+            }
+            current.event_timer = EventTimer::new(Instant::now());
+            self.request.record_response(
+                &current.lease,
+                current.response.status,
+                started.elapsed(),
+            );
+            current.run_copy = self.start_copy(&current.lease, backup);
+        }
+        log::info!(
+            request = self.request.caller_request.id.as_str(),
+            target = current.lease.name.as_str(),
+            status = current.response.status.as_u16(),
+            reading,
+            with_copy = from_copy,
+            last = self.events.last_id(),
+            took_ms = started.elapsed().as_millis() as u64;
+            "engine began"
+        );
+        self.current = Some(current);
+        self.from_copy = from_copy;
+        Ok(())
+    }
+
+    async fn send(
+        &self,
+        lease: &mut Lease,
+        backup: Option<TargetKey>,
+        from: Option<&CopyLocation>,
+    ) -> Result<OpenResponse, AttemptFailure> {
+        let address = |key| self.request.state.view.address_of(key);
+        let resume_from = from.and_then(|copy| match &copy.ordered {
+            Some(ordered) => Some(CopyName {
+                address: ordered.from,
+                handle: Some(&ordered.handle),
+            }),
+            None => address(copy.holder).map(|address| CopyName {
+                address,
+                handle: None,
+            }),
+        });
+        let target = lease.name.clone();
+        let time_left = self.request.time_left();
+        let head = TargetRequestHead {
+            account: self.request.account.as_ref(),
+            time_left,
+            target: &target,
+            last_event: self.events.last_id(),
+            backup: backup.and_then(address),
+            resume_from,
+        };
+        let silence_limits = self.silence_limits(lease.key);
+        let probed_wait = ProbedWait::new(&self.request.state, lease, silence_limits, true);
+        let (address, key) = (lease.address, lease.key);
+        let sending = send(
+            &self.request.state,
+            lease,
+            &self.request.caller_request,
+            &head,
+            time_left,
+        );
+        self.wait_first_event(key, probed_wait.run(address, sending))
+            .await?
+    }
+
+    /// Waits for what an engine says first, for as long as it may need for all that it reads.
+    async fn wait_first_event<T>(
+        &self,
+        key: TargetKey,
+        waiting: impl Future<Output = WaitOutcome<T>>,
+    ) -> Result<T, AttemptFailure> {
+        let mut waiting = pin!(waiting);
+        let mut wait = FirstEventWait::new(Instant::now());
+        loop {
+            let now = Instant::now();
+            let end = now + self.request.time_left();
+            let next_check = wait.update(self.silence_limits(key).first, now);
+            let next_check = next_check
+                .filter(|_| now < end)
+                .ok_or(AttemptFailure::Silent)?;
+            if let Ok(outcome) = timeout_at(next_check.min(end), waiting.as_mut()).await {
+                return outcome.into_result();
+            }
+        }
+    }
+
+    /// Waits for a moment that differs from stream to stream.
+    ///
+    /// The failure: engines die, and several instances place the streams of each again within the same
+    /// millisecond, before they hear of each other. Two prompts then meet at one engine, and both take
+    /// seconds. The wait is short beside a prompt's reading.
+    async fn wait_retry_spread(&self) {
+        let max_wait = PlacementSchedule::retry_spread(self.request.state.sharers());
+        let wait = rand::rng().random_range(Duration::ZERO..max_wait);
+        tokio::time::sleep(wait).await;
+    }
+
+    fn silence_limits(&self, key: TargetKey) -> SilenceLimits {
+        let reading = self
+            .request
+            .state
+            .view
+            .targets()
+            .reading(key, Instant::now());
+        SilenceLimits::for_stream(reading, self.request.route.gap_aim)
+    }
+
+    fn choose_backup_engine(&self, main: TargetKey) -> Option<TargetKey> {
+        let table = self.request.state.view.table();
+        let engine = table
+            .service(&self.request.requirements.service)?
+            .engine
+            .as_ref()?;
+        if !engine.backups || !self.request.kind().may_repeat() {
+            return None;
+        }
+        self.request.select_backup(main)
+    }
+
+    fn start_copy(&self, lease: &Lease, first: Option<TargetKey>) -> Option<RunCopy> {
+        let table = self.request.state.view.table();
+        let engine = table
+            .service(&self.request.requirements.service)?
+            .engine
+            .as_ref()?;
+        if !engine.copies || !self.request.kind().may_repeat() {
+            return first.map(RunCopy::of_engine);
+        }
+        let source = CopiedRun {
+            request: self.request.caller_request.id.clone(),
+            engine: lease.key,
+            address: lease.address,
+            requirements: self.request.requirements.clone(),
+        };
+        Some(RunCopy::start(&self.request.state, source, first))
+    }
+
+    /// Reads until there is a whole event to pass on or the stream has ended.
+    async fn read_events(
+        &mut self,
+        current: &mut CurrentEngine,
+        is_first: bool,
+    ) -> Result<(), AttemptFailure> {
+        use http_body_util::BodyExt as _;
+        let address = current.lease.address;
+        let started = Instant::now();
+        while !self.events.has_pending() && !self.is_complete {
+            let probed_wait = ProbedWait::new(
+                &self.request.state,
+                &current.lease,
+                current.silence_limits,
+                is_first,
+            );
+            let waiting = probed_wait.run(address, current.response.body.frame());
+            let frame = match is_first {
+                true => self.wait_first_event(current.lease.key, waiting).await?,
+                false => {
+                    let until = started + current.silence_limits.gap.min(self.time_left(started));
+                    let outcome = timeout_at(until, waiting).await;
+                    outcome.map_err(|_| AttemptFailure::Silent)?.into_result()?
+                }
+            };
+            match frame {
+                Some(Ok(frame)) => {
+                    let events = self.events.push(&frame)?;
+                    if let Some(event_ms) = current.event_timer.record(events, Instant::now()) {
+                        let mut targets = self.request.state.view.targets();
+                        targets.record_event_time(current.lease.key, event_ms, Instant::now());
+                    }
+                }
+                Some(Err(_)) => return Err(AttemptFailure::Broken),
+                None if self.events.has_partial() => return Err(AttemptFailure::Broken),
+                None => self.is_complete = true,
+            }
+        }
+        Ok(())
+    }
+
+    fn time_left(&self, since: Instant) -> Duration {
+        self.request.deadline.remaining(since)
+    }
+
+    /// Returns the next bytes for the caller; nothing at the end.
+    pub(super) async fn next_frame(&mut self) -> Option<Result<Frame<Bytes>, Broken>> {
+        loop {
+            if let Some(bytes) = self.events.take_pending() {
+                return Some(Ok(Frame::data(bytes)));
+            }
+            if self.is_complete {
+                self.finish();
+                return None;
+            }
+            if !self.relocate().await {
+                return Some(Err(Broken));
+            }
+            if self.events.has_pending() {
+                continue;
+            }
+            let mut current = self.current.take()?;
+            match self.read_events(&mut current, false).await {
+                Ok(()) => self.current = Some(current),
+                Err(failure) => {
+                    if !self.resume(current, failure).await {
+                        return Some(Err(Broken));
+                    }
+                }
+            }
+        }
+    }
+
+    /// Goes on at another engine; returns whether one was found.
+    ///
+    /// The connection to the lost engine is closed first: two engines must not work on one request.
+    async fn resume(&mut self, current: CurrentEngine, failure: AttemptFailure) -> bool {
+        let started = Instant::now();
+        let copies = current.run_copy.as_ref().and_then(RunCopy::location);
+        let copies: Vec<CopyLocation> = copies.into_iter().collect();
+        drop(current.response);
+        drop(current.run_copy);
+        self.events.discard_partial();
+        let next = self.request.record_failure(&current.lease, failure);
+        drop(current.lease);
+        let result = match next {
+            NextStep::Elsewhere => self.find_engine(copies, true).await,
+            NextStep::Later => self.find_engine(copies, false).await,
+            next => Err(next),
+        };
+        let has_succeeded = self.has_success_status();
+        let state = &self.request.state;
+        state.latencies.add(Latency::Resume, started.elapsed());
+        let counter = match (&result, self.from_copy) {
+            (Ok(()), true) => Counter::ResumedByCopy,
+            (Ok(()), false) => Counter::ResumedByReading,
+            (Err(_), _) => Counter::StreamsBroken,
+        };
+        state.metrics.add(counter, 1);
+        log::info!(
+            request = self.request.caller_request.id.as_str(),
+            by_copy = self.from_copy,
+            last = self.events.last_id(),
+            is_well = has_succeeded,
+            failed:? = result.err(),
+            took_ms = started.elapsed().as_millis() as u64;
+            "stream goes on"
+        );
+        result.is_ok() && has_succeeded
+    }
+
+    /// Returns whether the engine at which the stream runs answered with success.
+    pub(super) fn has_success_status(&self) -> bool {
+        let current = self.current.as_ref();
+        current.is_some_and(|current| current.response.status.is_success())
+    }
+
+    fn finish(&mut self) {
+        if let Some(current) = self.current.take() {
+            current.response.keep(&self.request.state, &current.lease);
+            if let Some(copies) = current.run_copy {
+                copies.finish();
+            }
+        }
+        if let Some(last) = self.events.last_id() {
+            self.request.record_event_count(last);
+        }
+        self.request.state.metrics.add(Counter::StreamsComplete, 1);
+        log::info!(
+            request = self.request.caller_request.id.as_str(),
+            events = self.events.forwarded(),
+            last = self.events.last_id();
+            "stream complete"
+        );
+    }
+
+    /// Takes the response of the engine out, to be read by other means.
+    pub(super) fn take_response(&mut self) -> Option<OpenResponse> {
+        self.current.take().map(|current| current.response)
+    }
+}
+
+impl Drop for RelayedStream {
+    fn drop(&mut self) {
+        if let Some(current) = &self.current {
+            self.request.state.metrics.add(Counter::StreamsLeft, 1);
+            log::info!(
+                request = self.request.caller_request.id.as_str(),
+                target = current.lease.name.as_str(),
+                events = self.events.forwarded();
+                "caller left its stream"
+            );
+        }
+    }
+}
--- /dev/null
+++ b/daemon/src/relay/routed_request.rs
@@ -0,0 +1,459 @@
+//! A request on its way through targets.
+
+use std::{sync::Arc, time::Duration};
+
+use celerypond_relay::{
+    AttemptFailure, AttemptState, NextStep, Prompt, PromptPart, RemainingEvents, RequestDeadline,
+    Route, RouteKind, Selection, SilenceLimits, StaleWait, StreamRequest, TargetQuery, TimeNeeded,
+    VersionChoice,
+};
+use celerypond_telemetry::Counter;
+use celerypond_types::{AccountName, DataCentre, ServiceName, TargetKey};
+use http::StatusCode;
+use tokio::time::Instant;
+
+use super::{attempt::CallerRequest, held_prompts, lease::Lease, state::RelayState};
+
+/// What a request wants of its targets.
+#[derive(Clone, Debug)]
+pub(super) struct TargetRequirements {
+    pub(super) service: ServiceName,
+    affinity: Option<u64>,
+    /// Tokens that it takes at most.
+    tokens: u64,
+    /// Tokens of its prompt.
+    prompt_tokens: u64,
+    /// The prompt part that belongs to the request alone.
+    prompt_part: Option<PromptPart>,
+    /// The memory of one engine, in tokens.
+    capacity: Option<u64>,
+    /// The most tokens of other prompts that an engine may have to read first.
+    max_backlog: Option<u64>,
+    /// The versions that may run it.
+    version_choice: VersionChoice,
+    local_data_centre: DataCentre,
+    tie_breaker: u64,
+}
+
+impl TargetRequirements {
+    /// Returns what is wanted of a target besides those that were tried.
+    pub(super) fn query<'a>(&'a self, tried: &'a [TargetKey]) -> TargetQuery<'a> {
+        TargetQuery {
+            service: &self.service,
+            choice: &self.version_choice,
+            local_data_centre: &self.local_data_centre,
+            tried,
+            affinity: self.affinity,
+            tie_breaker: self.tie_breaker,
+            tokens: self.tokens,
+            capacity: self.capacity,
+            max_backlog: self.max_backlog,
+        }
+    }
+}
+
+/// A request on its way through targets.
+pub(super) struct RoutedRequest {
+    pub(super) state: Arc<RelayState>,
+    pub(super) caller_request: CallerRequest,
+    pub(super) route: Route,
+    pub(super) account: Option<AccountName>,
+    pub(super) deadline: RequestDeadline,
+    pub(super) requirements: TargetRequirements,
+    tried: Vec<TargetKey>,
+    /// Engines that the run has left, the last one at the end. They have read its prompt.
+    previous_engines: Vec<TargetKey>,
+    runs: u32,
+    refusals: u32,
+    unreached: u32,
+    /// Whether it has reached a target.
+    has_reached_target: bool,
+}
+
+impl RoutedRequest {
+    pub(super) fn new(
+        state: &Arc<RelayState>,
+        caller_request: CallerRequest,
+        route: &Route,
+        service: ServiceName,
+        account: Option<AccountName>,
+        deadline: RequestDeadline,
+    ) -> Self {
+        state.retries().record_request(&service, Instant::now());
+        state.moves().record_request(&service, Instant::now());
+        let version_choice = state.rollouts.versions().choose(&service, Instant::now());
+        let requirements = TargetRequirements {
+            service,
+            version_choice,
+            affinity: None,
+            tokens: 0,
+            prompt_tokens: 0,
+            prompt_part: None,
+            capacity: None,
+            max_backlog: None,
+            local_data_centre: state.settings.load().data_centre.clone(),
+            tie_breaker: rand::random(),
+        };
+        Self {
+            state: Arc::clone(state),
+            caller_request,
+            route: route.clone(),
+            account,
+            deadline,
+            requirements,
+            tried: Vec::new(),
+            previous_engines: Vec::new(),
+            runs: 0,
+            refusals: 0,
+            unreached: 0,
+            has_reached_target: false,
+        }
+    }
+
+    /// Takes in the prompt of a request to an engine; plain services read none.
+    pub(super) fn set_prompt(&mut self, prompt: Option<&Prompt>) {
+        let table = self.state.view.table();
+        let engine = table.service(&self.requirements.service);
+        let engine = engine.and_then(|service| service.engine.as_ref());
+        let (Some(prompt), Some(engine)) = (prompt, engine) else {
+            return;
+        };
+        self.requirements.prompt_part = prompt.parts.last().copied();
+        self.requirements.affinity = self.requirements.prompt_part.map(|part| part.id);
+        self.requirements.prompt_tokens = prompt.prompt_tokens;
+        self.requirements.tokens = prompt.prompt_tokens + prompt.max_output_tokens;
+        self.requirements.capacity = Some(engine.tokens);
+        self.requirements.max_backlog = Some(SilenceLimits::max_backlog(self.route.aim));
+    }
+
+    pub(super) fn time_left(&self) -> Duration {
+        self.deadline.remaining(Instant::now())
+    }
+
+    /// Returns whether another target may be asked if the one that is asked now does not answer.
+    pub(super) const fn may_ask_another(&self) -> bool {
+        self.route.kind.may_repeat() && self.runs < self.route.attempts
+    }
+
+    pub(super) const fn kind(&self) -> RouteKind {
+        self.route.kind
+    }
+
+    /// Waits until targets can be chosen by the list of them, or that takes too long.
+    pub(super) async fn wait_targets(&self) {
+        let wait = StaleWait::new(Instant::now(), self.time_left());
+        self.state.wait_targets(&wait).await;
+    }
+
+    /// Takes a place at the best target that was not tried yet.
+    pub(super) fn lease_target(&mut self) -> Option<Lease> {
+        let now = Instant::now();
+        if let Some(lease) = self.lease_previous_engine(now) {
+            return Some(lease);
+        }
+        if !self.tried.is_empty() {
+            let versions = self.state.rollouts.versions();
+            self.requirements.version_choice =
+                versions.choose_for_retry(&self.requirements.service);
+        }
+        let selection = self.select(now)?;
+        if self.requirements.affinity.is_some() {
+            let targets = self.state.view.targets();
+            let name = targets
+                .get(selection.key)
+                .map(|target| target.entry.name.as_str());
+            log::info!(
+                request = self.caller_request.id.as_str(),
+                target = name,
+                reading = targets.reading(selection.key, now),
+                tokens = self.requirements.tokens,
+                part = self.requirements.affinity,
+                is_doubtful = selection.is_doubtful,
+                tried = self.tried.len();
+                "engine chosen"
+            );
+        }
+        self.acquire_lease(selection.key)
+    }
+
+    /// Takes a place at an engine that the run has left and that is not likely to be dead. The prompt
+    /// need not be read there again.
+    fn lease_previous_engine(&mut self, now: Instant) -> Option<Lease> {
+        while let Some(key) = self.previous_engines.pop() {
+            let targets = self.state.view.targets();
+            let query = self.requirements.query(&self.tried);
+            let is_avoided = targets.get(key).is_none_or(|target| target.is_avoided(now));
+            if is_avoided || !targets.is_usable(key) || targets.is_doubtful(key, &query, now) {
+                continue;
+            }
+            drop(targets);
+            return self.acquire_lease(key);
+        }
+        None
+    }
+
+    /// Chooses a target of the versions that may run the request, or of others where those have none
+    /// left and it is allowed.
+    fn select(&mut self, now: Instant) -> Option<Selection> {
+        let targets = self.state.view.targets();
+        let selection = targets.select(&self.requirements.query(&self.tried), now);
+        if selection.is_some() {
+            return selection;
+        }
+        self.requirements.version_choice = self.requirements.version_choice.fallback()?;
+        targets.select(&self.requirements.query(&self.tried), now)
+    }
+
+    /// Takes in that a target gave the answer that its caller gets.
+    pub(super) fn record_response(&self, lease: &Lease, status: StatusCode, elapsed: Duration) {
+        self.record_version_result(lease, status.is_server_error(), elapsed);
+    }
+
+    fn record_version_result(&self, lease: &Lease, is_bad: bool, elapsed: Duration) {
+        let mut versions = self.state.rollouts.versions();
+        let route = celerypond_route::hash(self.route.name.as_bytes());
+        versions.record_response(
+            &self.requirements.service,
+            &lease.version,
+            route,
+            is_bad,
+            elapsed,
+        );
+    }
+
+    /// Takes a place at the engine that holds a copy, unless it takes no new work any more.
+    pub(super) fn lease_copy_holder(&mut self, key: TargetKey) -> Option<Lease> {
+        let is_usable = self.state.view.targets().is_usable(key);
+        let mut lease = is_usable.then(|| self.acquire_lease(key)).flatten()?;
+        // Nearly nothing is read there, so streams beside it need not give way.
+        lease.record_prompt_read();
+        Some(lease)
+    }
+
+    /// Takes in that the answer is complete.
+    pub(super) fn record_event_count(&self, events: u64) {
+        let mut targets = self.state.view.targets();
+        targets
+            .history
+            .record_event_count(&self.requirements.service, events);
+    }
+
+    /// Takes in how long the prompt took at an engine that had so many tokens to read, this stream's among them.
+    pub(super) fn record_reading_time(&self, reading: u64, elapsed: Duration) {
+        let mut targets = self.state.view.targets();
+        let history = &mut targets.history;
+        let (service, took_ms) = (&self.requirements.service, elapsed.as_secs_f64() * 1_000.0);
+        if reading <= self.requirements.tokens {
+            history.record_reading(service, self.requirements.prompt_tokens, took_ms);
+            return;
+        }
+        // What is read counts with its answer at full length.
+        let prompt_share =
+            self.requirements.prompt_tokens as f64 / self.requirements.tokens.max(1) as f64;
+        let tokens = (reading as f64 * prompt_share) as u64;
+        history.record_queued_reading(service, tokens, took_ms);
+    }
+
+    /// Returns whether an engine is known that holds the prompt.
+    fn locate_prompt(&self) -> bool {
+        let mut targets = self.state.view.targets();
+        let part = self.requirements.prompt_part;
+        part.is_some_and(|part| targets.locate_part(part, Instant::now()))
+    }
+
+    /// Asks engines whether they hold the prompt; instances that started a while ago do not know it.
+    pub(super) async fn query_prompt_location(&self) {
+        if self.locate_prompt() {
+            return;
+        }
+        let now = Instant::now();
+        let query = self.requirements.query(&[]);
+        let keys = self.state.view.targets().engines_to_query(&query, now);
+        let queried = keys.len();
+        let queries = keys
+            .into_iter()
+            .map(|key| held_prompts::query(Arc::clone(&self.state), key));
+        futures::future::join_all(queries).await;
+        let is_found = self.locate_prompt();
+        log::info!(
+            request = self.caller_request.id.as_str(),
+            asked = queried,
+            is_found,
+            took_ms = now.elapsed().as_millis() as u64;
+            "engines asked for a prompt"
+        );
+    }
+
+    /// Returns the least time that the stream needs after the event `last`, if that is more than is left.
+    pub(super) fn lacking_time(&self, last: u64) -> Option<TimeNeeded> {
+        let stream_request = StreamRequest {
+            prompt_tokens: self.requirements.prompt_tokens,
+            last_event: last,
+            time_left: self.time_left(),
+        };
+        let targets = self.state.view.targets();
+        let needed = targets.time_needed(
+            &self.requirements.query(&[]),
+            &stream_request,
+            Instant::now(),
+        )?;
+        (!needed.fits_within(stream_request.time_left)).then_some(needed)
+    }
+
+    /// Returns when the caller of a stream that has not begun may come back if engines have too much to read for it to be on
+    /// time; nothing where it is to be placed.
+    pub(super) fn overload_backoff(&self) -> Option<Duration> {
+        let now = Instant::now();
+        let query = self.requirements.query(&[]);
+        let targets = self.state.view.targets();
+        let selection = targets.select(&query, now)?;
+        let queueing =
+            targets.estimate_queue(selection.key, &query, self.requirements.prompt_tokens, now)?;
+        let backoff = queueing.backoff(self.route.aim)?;
+        log::info!(
+            request = self.caller_request.id.as_str(),
+            wait_ms = queueing.wait.as_millis() as u64,
+            read_ms = queueing.read.as_millis() as u64,
+            backoff_ms = backoff.as_millis() as u64;
+            "engines have too much to read"
+        );
+        Some(backoff)
+    }
+
+    /// Returns what the stream has ahead of it after its event `last`.
+    pub(super) fn remaining_events(&self, last: u64) -> RemainingEvents {
+        let targets = self.state.view.targets();
+        let events_left = targets
+            .history
+            .typical_events_left(&self.requirements.service, last);
+        events_left.map_or_else(RemainingEvents::default, |events| RemainingEvents {
+            events,
+        })
+    }
+
+    /// Takes in that the run leaves a target for another one, at which it is the same run.
+    pub(super) fn record_move(&mut self, from: TargetKey) {
+        self.runs = self.runs.saturating_sub(1);
+        self.tried.retain(|key| *key != from);
+        self.previous_engines.push(from);
+    }
+
+    /// Takes a place at a target; nothing while it may have left without this instance having heard of it.
+    fn acquire_lease(&mut self, key: TargetKey) -> Option<Lease> {
+        if let Some(stale) = self.state.stale_targets() {
+            self.state.metrics.add(Counter::PlacementsStale, 1);
+            log::info!(
+                request = self.caller_request.id.as_str(),
+                stale:? = stale,
+                revision = self.state.view.revision();
+                "no target chosen by an outdated list"
+            );
+            return None;
+        }
+        let lease = match self.requirements.affinity {
+            Some(part) => Lease::for_stream(&self.state, key, part, self.requirements.tokens)?,
+            None => Lease::for_request(&self.state, key)?,
+        };
+        self.tried.push(key);
+        self.runs += 1;
+        Some(lease)
+    }
+
+    /// Chooses the engine that holds a copy of a run's memory.
+    pub(super) fn select_backup(&self, main: TargetKey) -> Option<TargetKey> {
+        self.state.view.targets().select_backup(
+            main,
+            &self.requirements.query(&self.tried),
+            Instant::now(),
+        )
+    }
+
+    /// Returns when a caller whose request has not run may come back: when a target that failed a
+    /// moment ago is asked again.
+    pub(super) fn retry_after(&self) -> Option<Duration> {
+        let targets = self.state.view.targets();
+        targets.time_until_usable(&self.requirements.service, Instant::now())
+    }
+
+    /// Allows targets to be asked once more, after a wait; returns whether the budget has it. What has
+    /// reached no target so far needs none.
+    pub(super) fn start_retry_round(&mut self) -> bool {
+        if self.has_reached_target && !self.try_spend_retry() {
+            return false;
+        }
+        self.tried.clear();
+        self.refusals = 0;
+        self.unreached = 0;
+        true
+    }
+
+    /// Returns what follows when no target is left.
+    pub(super) const fn step_without_target(&self) -> NextStep {
+        match self.runs {
+            0 => NextStep::NotRun,
+            _ => NextStep::Failed,
+        }
+    }
+
+    /// Returns whether the stream could be moved now, by the bound on moves.
+    pub(super) fn may_move(&self) -> bool {
+        let instances = self.state.instances();
+        let mut moves = self.state.moves();
+        moves.allows(&self.requirements.service, instances, Instant::now())
+    }
+
+    /// Takes a move of the stream; returns whether the bound allows it.
+    pub(super) fn try_spend_move(&self) -> bool {
+        let instances = self.state.instances();
+        let mut moves = self.state.moves();
+        moves.try_spend(&self.requirements.service, instances, Instant::now())
+    }
+
+    fn try_spend_retry(&self) -> bool {
+        let instances = self.state.instances();
+        let mut retries = self.state.retries();
+        retries.try_spend(&self.requirements.service, instances, Instant::now())
+    }
+
+    /// Takes in how an attempt ended and decides what follows.
+    pub(super) fn record_failure(&mut self, lease: &Lease, failure: AttemptFailure) -> NextStep {
+        lease.record_failure(failure);
+        if failure.blames_version() {
+            self.record_version_result(lease, true, Duration::ZERO);
+        }
+        self.state.metrics.add(Counter::AttemptsEnded, 1);
+        if failure.proves_not_run() {
+            self.runs -= 1;
+            if let Some(part) = self.requirements.affinity {
+                let mut targets = self.state.view.targets();
+                targets.forget_prompt_location(lease.key, part);
+            }
+        }
+        self.has_reached_target |= !failure.proves_unsent();
+        match failure {
+            _ if failure.proves_unsent() => self.unreached += 1,
+            _ => self.refusals += u32::from(failure.proves_not_run()),
+        }
+        let attempt_state = AttemptState {
+            kind: self.route.kind,
+            runs: self.runs,
+            attempts: self.route.attempts,
+            refusals: self.refusals,
+            unreached: self.unreached,
+            time_left: self.time_left(),
+        };
+        let next = attempt_state.next_step(failure, || self.try_spend_retry());
+        log::info!(
+            request = self.caller_request.id.as_str(),
+            target = lease.name.as_str(),
+            ended:? = failure,
+            runs = self.runs,
+            refusals = self.refusals,
+            unreached = self.unreached,
+            left_ms = self.time_left().as_millis() as u64,
+            next:? = next;
+            "attempt ended"
+        );
+        next
+    }
+}
--- a/daemon/src/relay/store_backoff.rs
+++ b/daemon/src/relay/store_backoff.rs
@@ -6,7 +6,7 @@
 use rand::Rng as _;
 use tokio::time::sleep;
 
-use super::site::Site;
+use super::state::RelayState;
 
 /// The time between two checks whether this instance has to watch the store.
 pub(super) const WATCH_POLL: Duration = Duration::from_millis(100);
@@ -14,16 +14,20 @@
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Waits after a failed call of the store: its Retry-After, and a time drawn from these limits.
-pub(super) async fn pause(site: &Site, error: PlatformError, limits: RangeInclusive<Duration>) {
-    let least = match error {
+pub(super) async fn pause(
+    state: &RelayState,
+    error: PlatformError,
+    limits: RangeInclusive<Duration>,
+) {
+    let min_wait = match error {
         PlatformError::RateLimited { retry_after } | PlatformError::OverBudget { retry_after } => {
             retry_after.min(MAX_RETRY_AFTER)
         }
         _ => Duration::ZERO,
     };
-    let drawn = rand::rng().random_range(limits);
+    let jitter = rand::rng().random_range(limits);
     tokio::select! {
-        () = site.ending.cancelled() => {}
-        () = sleep(least + drawn) => {}
+        () = state.ending.cancelled() => {}
+        () = sleep(min_wait + jitter) => {}
     }
 }
--- a/daemon/src/relay/watch_duty.rs
+++ b/daemon/src/relay/watch_duty.rs
@@ -11,7 +11,7 @@
 use celerypond_relay::Watchers;
 use tokio::time::Instant;
 
-use super::knowledge::Knowledge;
+use super::store_view::StoreView;
 
 /// Whether this instance watches the store, and when the store last answered it.
 pub(super) struct WatchDuty {
@@ -70,8 +70,8 @@
     }
 
     /// Returns whether others, or this instance's own callers, depend on its calls of the store.
-    pub(super) fn is_relied_on(&self, known: &Knowledge) -> bool {
-        self.is_chosen.load(Relaxed) || !known.is_complete()
+    pub(super) fn is_relied_on(&self, view: &StoreView) -> bool {
+        self.is_chosen.load(Relaxed) || !view.is_complete()
     }
 
     /// Returns whether the store answered about the configuration within this time.
