--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -16,10 +16,10 @@
 use tokio::time::Instant;
 
 use crate::{
-    dialect::{Answer, Call, Dialect},
-    own::OWN,
+    native::NATIVE,
     path::escape,
     pool::{Limits, Lost, Pool},
+    protocol::{Call, Protocol, Response},
     Budget, CallKind, Changes, InstanceList, Listing, Object, PlatformError, Rates, Received,
     Settled, Version,
 };
@@ -61,18 +61,18 @@
     timeout: Duration,
     pool: Pool,
     budget: Arc<Mutex<Budget>>,
-    dialect: Dialect,
+    protocol: Protocol,
     received: Received,
 }
 
 impl Client {
     /// Makes a client of the project's own store; connects when the first call is made.
     pub fn new(settings: &Settings) -> Self {
-        Self::speaking(settings, OWN)
+        Self::with_protocol(settings, NATIVE)
     }
 
-    /// Makes a client of a store that speaks `dialect`; connects when the first call is made.
-    pub fn speaking(settings: &Settings, dialect: Dialect) -> Self {
+    /// Makes a client of a store that speaks `protocol`; connects when the first call is made.
+    pub fn with_protocol(settings: &Settings, protocol: Protocol) -> Self {
         let budget = Budget::new(settings.rates, Instant::now());
         Self {
             addresses: settings.addresses.as_slice().into(),
@@ -80,7 +80,7 @@
             timeout: settings.timeout,
             pool: Pool::new(settings.connect),
             budget: Arc::new(Mutex::new(budget)),
-            dialect,
+            protocol,
             received: Received::default(),
         }
     }
@@ -110,7 +110,7 @@
     /// `Missing`, or a failure of the call.
     pub async fn get(&self, key: &str) -> Result<Object> {
         let answer = self.object_call(&Call::Get(key), Bytes::new()).await?;
-        let (version, value) = (self.dialect.object)(key, &answer)?;
+        let (version, value) = (self.protocol.object)(key, &answer)?;
         Ok(Object {
             key: key.into(),
             version,
@@ -178,7 +178,7 @@
             limit,
         };
         let answer = self.object_call(&call, Bytes::new()).await?;
-        Ok((self.dialect.listing)(prefix, &answer.body)?)
+        Ok((self.protocol.listing)(prefix, &answer.body)?)
     }
 
     /// Lists all objects under `prefix`, page by page.
@@ -214,7 +214,7 @@
     pub async fn list_stale(&self, prefix: &str) -> Result<Listing> {
         let call = Call::ListStale(prefix);
         let answer = self.object_call(&call, Bytes::new()).await?;
-        Ok((self.dialect.listing)(prefix, &answer.body)?)
+        Ok((self.protocol.listing)(prefix, &answer.body)?)
     }
 
     /// Waits up to `wait` for a change under `prefix` after the revision `since`.
@@ -229,7 +229,7 @@
             wait,
         };
         let answer = self.object_call(&call, Bytes::new()).await?;
-        Ok((self.dialect.changes)(prefix, &answer.body)?)
+        Ok((self.protocol.changes)(prefix, &answer.body)?)
     }
 
     /// Reads the list of instances and targets.
@@ -282,13 +282,13 @@
             return Err(Report::new(PlatformError::TooLarge));
         }
         let answer = self.object_call(call, value).await?;
-        let (version, _) = (self.dialect.object)(key, &answer)?;
+        let (version, _) = (self.protocol.object)(key, &answer)?;
         Ok(version)
     }
 
     /// Makes a call on objects; a watch has its wait on top of the timeout.
-    async fn object_call(&self, call: &Call<'_>, value: Bytes) -> Result<Answer> {
-        let encoded = (self.dialect.encode)(call, value);
+    async fn object_call(&self, call: &Call<'_>, value: Bytes) -> Result<Response> {
+        let encoded = (self.protocol.encode)(call, value);
         let mut request = self.request(encoded.method, &encoded.path);
         if let Some((name, condition)) = encoded.condition {
             request = request.header(name, condition);
@@ -298,7 +298,7 @@
         self.exchange(kind, request, encoded.body, limit).await
     }
 
-    async fn send(&self, kind: CallKind, request: Builder, body: Bytes) -> Result<Answer> {
+    async fn send(&self, kind: CallKind, request: Builder, body: Bytes) -> Result<Response> {
         self.exchange(kind, request, body, self.timeout).await
     }
 
@@ -308,7 +308,7 @@
         request: Builder,
         body: Bytes,
         limit: Duration,
-    ) -> Result<Answer> {
+    ) -> Result<Response> {
         self.take(kind)?;
         let request = request
             .body(Full::new(body))
@@ -358,7 +358,7 @@
     }
 }
 
-impl Answer {
+impl Response {
     fn retry_after(&self) -> Duration {
         let header = self.headers.get(RETRY_AFTER);
         header
--- a/crates/platform/src/own.rs
+++ b/crates/platform/src/native.rs
@@ -7,20 +7,20 @@
 };
 
 use crate::{
-    dialect::{Answer, Call, Dialect, Encoded, Held},
     path::escape,
+    protocol::{Call, EncodedCall, Protocol, Response, VersionedValue},
     PlatformError, Version,
 };
 
 /// The form of the project's own store.
-pub(crate) const OWN: Dialect = Dialect {
+pub(crate) const NATIVE: Protocol = Protocol {
     encode,
     object,
     listing: |_, body| decode(body),
     changes: |_, body| decode(body),
 };
 
-fn encode(call: &Call<'_>, body: Bytes) -> Encoded {
+fn encode(call: &Call<'_>, body: Bytes) -> EncodedCall {
     let (method, path, condition) = match *call {
         Call::Get(key) => (Method::GET, object_path(key), None),
         Call::List {
@@ -52,7 +52,7 @@
         Call::Update(key, before) => (Method::PUT, object_path(key), Some(matching(before))),
         Call::Delete(key, before) => (Method::DELETE, object_path(key), Some(matching(before))),
     };
-    Encoded {
+    EncodedCall {
         method,
         path,
         condition,
@@ -68,7 +68,7 @@
     (IF_MATCH, format!("\"{before}\""))
 }
 
-fn object(_: &str, answer: &Answer) -> Result<Held, PlatformError> {
+fn object(_: &str, answer: &Response) -> Result<VersionedValue, PlatformError> {
     let tag = answer.headers.get(ETAG).and_then(|tag| tag.to_str().ok());
     tag.and_then(|tag| tag.trim_matches('"').parse().ok())
         .map(|version| (Version(version), answer.body.clone()))
--- a/crates/platform/src/pool.rs
+++ b/crates/platform/src/pool.rs
@@ -13,7 +13,7 @@
 };
 use tokio::time::timeout;
 
-use crate::{dialect::Answer, Received};
+use crate::{protocol::Response, Received};
 
 type Connections = legacy::Client<HttpConnector, Full<Bytes>>;
 
@@ -74,7 +74,7 @@
         request: Request<Full<Bytes>>,
         limits: Limits,
         received: &Received,
-    ) -> Result<Answer, Lost> {
+    ) -> Result<Response, Lost> {
         let connections = self.current.load_full();
         let answer = exchange(&connections, request, limits, received).await;
         if matches!(answer, Err(Lost::Silent)) {
@@ -95,12 +95,12 @@
     request: Request<Full<Bytes>>,
     limits: Limits,
     received: &Received,
-) -> Result<Answer, Lost> {
+) -> Result<Response, Lost> {
     let response = timeout(limits.head, connections.request(request)).await;
     let response = response.map_err(|_| Lost::Silent)?;
     let (parts, body) = response.map_err(|error| lost(&error))?.into_parts();
     let body = timeout(limits.body, collect(body, limits.pause, received)).await;
-    Ok(Answer {
+    Ok(Response {
         status: parts.status,
         headers: parts.headers,
         body: body.map_err(|_| Lost::Silent)??,
--- a/crates/platform/src/dialect.rs
+++ b/crates/platform/src/protocol.rs
@@ -43,7 +43,7 @@
 
 /// A call as it is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Encoded {
+pub struct EncodedCall {
     /// The method.
     pub method: Method,
     /// The path with its query.
@@ -56,7 +56,7 @@
 
 /// An answer of the store, read to its end.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -66,17 +66,17 @@
 }
 
 /// The version and the value of an object.
-pub type Held = (Version, Bytes);
+pub type VersionedValue = (Version, Bytes);
 
 /// The form in which a store speaks; the client keeps to budgets, timeouts and failures, which are
 /// the same for all.
 #[derive(Clone, Copy, Debug)]
-pub struct Dialect {
+pub struct Protocol {
     /// Puts a call with its value into HTTP.
-    pub encode: fn(&Call<'_>, Bytes) -> Encoded,
+    pub encode: fn(&Call<'_>, Bytes) -> EncodedCall,
     /// Reads the version of an object or of a write, and the value of an object that was asked for
     /// by this key.
-    pub object: fn(&str, &Answer) -> Result<Held, PlatformError>,
+    pub object: fn(&str, &Response) -> Result<VersionedValue, PlatformError>,
     /// Reads a page of a list under a prefix.
     pub listing: fn(&str, &[u8]) -> Result<Listing, PlatformError>,
     /// Reads what a watch under a prefix saw.
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -106,7 +106,7 @@
             view: StoreView::new(settings.bounds.missing_entry_grace()),
             watch_duty: WatchDuty::new(settings.bounds.watch_wait()),
             connections: Connections::default(),
-            store: Client::speaking(&store, celerypond_adapter::store::DIALECT),
+            store: Client::with_protocol(&store, celerypond_adapter::store::PROTOCOL),
             retries: Mutex::new(RetryBudget::new(&settings.bounds)),
             moves: Mutex::new(RetryBudget::new(&settings.bounds)),
             peers: Peers::default(),
