--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -21,7 +21,7 @@
     pool::{Limits, Lost, Pool},
     protocol::{Call, Protocol, Response},
     Budget, CallKind, Changes, InstanceList, Listing, Object, PlatformError, Rates, Received,
-    Settled, Version,
+    Version, WriteOutcome,
 };
 
 /// The largest value of an object, in bytes.
@@ -147,23 +147,23 @@
         Ok(())
     }
 
-    /// Reads back a write that ended with `Ambiguous`; see [`Settled::of`].
+    /// Reads back a write that ended with `Ambiguous`; see [`WriteOutcome::from_read_back`].
     ///
     /// # Errors
     ///
     /// A failure of the read; the write stays ambiguous.
-    pub async fn settle(
+    pub async fn resolve_write(
         &self,
         key: &str,
         before: Option<Version>,
         value: &[u8],
-    ) -> Result<Settled> {
+    ) -> Result<WriteOutcome> {
         let found = match self.get(key).await {
             Ok(object) => Some(object),
             Err(report) if *report.current_context() == PlatformError::Missing => None,
             Err(report) => return Err(report),
         };
-        Ok(Settled::of(before, value, found))
+        Ok(WriteOutcome::from_read_back(before, value, found))
     }
 
     /// Lists up to `limit` objects under `prefix` whose keys are greater than `after`.
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -14,7 +14,7 @@
 mod pool;
 mod protocol;
 mod received;
-mod settled;
+mod write_outcome;
 
 pub use budget::{Budget, CallKind, Rates};
 pub use client::{Client, Settings};
@@ -23,4 +23,4 @@
 pub use object::{Change, Changes, Listing, Object, Version};
 pub use protocol::{Call, EncodedCall, Protocol, Response, VersionedValue};
 pub use received::Received;
-pub use settled::Settled;
+pub use write_outcome::WriteOutcome;
--- a/crates/platform/src/settled.rs
+++ b/crates/platform/src/write_outcome.rs
@@ -4,9 +4,9 @@
 
 /// What a read-back tells about a write that may have taken effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum WriteOutcome {
     /// The write took effect.
-    Ours(Version),
+    Applied(Version),
     /// The write has not taken effect so far, and still may: its request can be under way.
     /// Repeating it under the same condition is safe.
     Pending,
@@ -14,7 +14,7 @@
     Other(Object),
 }
 
-impl Settled {
+impl WriteOutcome {
     /// Compares what was read back with what was written under the condition `before`, the version
     /// of the object, or `None` for a create.
     ///
@@ -24,16 +24,16 @@
     /// # Examples
     ///
     /// ```
-    /// use celerypond_platform::{Object, Settled, Version};
+    /// use celerypond_platform::{Object, WriteOutcome, Version};
     ///
     /// let found = Object { key: "a".into(), version: Version(7), value: "writer-1".into() };
-    /// let settled = Settled::of(None, b"writer-1", Some(found));
-    /// assert_eq!(settled, Settled::Ours(Version(7)));
-    /// assert_eq!(Settled::of(None, b"writer-1", None), Settled::Pending);
+    /// let outcome = WriteOutcome::from_read_back(None, b"writer-1", Some(found));
+    /// assert_eq!(outcome, WriteOutcome::Applied(Version(7)));
+    /// assert_eq!(WriteOutcome::from_read_back(None, b"writer-1", None), WriteOutcome::Pending);
     /// ```
-    pub fn of(before: Option<Version>, written: &[u8], found: Option<Object>) -> Self {
+    pub fn from_read_back(before: Option<Version>, written: &[u8], found: Option<Object>) -> Self {
         match found {
-            Some(object) if object.value == written => Self::Ours(object.version),
+            Some(object) if object.value == written => Self::Applied(object.version),
             Some(object) if Some(object.version) != before => Self::Other(object),
             Some(_) | None => Self::Pending,
         }
--- a/crates/platform/tests/test_calls.rs
+++ b/crates/platform/tests/test_calls.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use celerypond_platform::{Change, Object, PlatformError, Settled, Version};
+use celerypond_platform::{Change, Object, PlatformError, Version, WriteOutcome};
 use rstest::rstest;
 
 use crate::server::{client, reply, Reply, Server, PLENTY, TIMEOUT};
@@ -197,16 +197,19 @@
 // The writer of an update whose reply was lost reads back. A value of another writer does not tell
 // whether its own was there before, so only its own value or the old version settle it.
 #[rstest]
-#[case::ours(Some((9, "nonce-1")), Settled::Ours(Version(9)))]
-#[case::not_yet(Some((5, "old")), Settled::Pending)]
-#[case::other(Some((9, "nonce-2")), Settled::Other(object(9, "nonce-2")))]
-#[case::deleted(None, Settled::Pending)]
+#[case::ours(Some((9, "nonce-1")), WriteOutcome::Applied(Version(9)))]
+#[case::not_yet(Some((5, "old")), WriteOutcome::Pending)]
+#[case::other(Some((9, "nonce-2")), WriteOutcome::Other(object(9, "nonce-2")))]
+#[case::deleted(None, WriteOutcome::Pending)]
 fn a_lost_reply_is_settled_by_reading_back(
     #[case] found: Option<(u64, &'static str)>,
-    #[case] settled: Settled,
+    #[case] outcome: WriteOutcome,
 ) {
     let found = found.map(|(version, value)| object(version, value));
-    assert_eq!(Settled::of(Some(Version(5)), b"nonce-1", found), settled);
+    assert_eq!(
+        WriteOutcome::from_read_back(Some(Version(5)), b"nonce-1", found),
+        outcome
+    );
 }
 
 fn object(version: u64, value: &'static str) -> Object {
