--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -20,8 +20,8 @@
     path::escape,
     pool::{Limits, Lost, Pool},
     protocol::{Call, Protocol, Response},
-    Budget, CallKind, Changes, InstanceList, Listing, Object, PlatformError, Rates, Received,
-    Version, WriteOutcome,
+    Budget, CallKind, Changes, InstanceList, Listing, Object, PlatformError, Rates,
+    TransferProgress, Version, WriteOutcome,
 };
 
 /// The largest value of an object, in bytes.
@@ -62,7 +62,7 @@
     pool: Pool,
     budget: Arc<Mutex<Budget>>,
     protocol: Protocol,
-    received: Received,
+    progress: TransferProgress,
 }
 
 impl Client {
@@ -81,20 +81,20 @@
             pool: Pool::new(settings.connect),
             budget: Arc::new(Mutex::new(budget)),
             protocol,
-            received: Received::default(),
+            progress: TransferProgress::default(),
         }
     }
 
     /// Returns a client with the same connections and budget that counts for itself what arrives.
     ///
     /// The count begins anew with each call, so one call is made at a time.
-    pub fn counting(&self) -> (Self, Received) {
-        let received = Received::default();
+    pub fn with_progress(&self) -> (Self, TransferProgress) {
+        let progress = TransferProgress::default();
         let client = Self {
-            received: received.clone(),
+            progress: progress.clone(),
             ..self.clone()
         };
-        (client, received)
+        (client, progress)
     }
 
     /// Changes the share of this instance.
@@ -319,8 +319,8 @@
             pause: self.timeout,
             body: self.timeout * BODY_TIMEOUTS,
         };
-        self.received.reset();
-        let answer = self.pool.call(request, limits, &self.received).await;
+        self.progress.reset();
+        let answer = self.pool.call(request, limits, &self.progress).await;
         let is_down =
             matches!(&answer, Ok(answer) if answer.status == StatusCode::SERVICE_UNAVAILABLE);
         if answer.is_err() || is_down {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -13,7 +13,7 @@
 mod path;
 mod pool;
 mod protocol;
-mod received;
+mod transfer_progress;
 mod write_outcome;
 
 pub use budget::{Budget, CallKind, Rates};
@@ -22,5 +22,5 @@
 pub use instances::{Instance, InstanceList, Presence, Target};
 pub use object::{Change, Changes, Listing, Object, Version};
 pub use protocol::{Call, EncodedCall, Protocol, Response, VersionedValue};
-pub use received::Received;
+pub use transfer_progress::TransferProgress;
 pub use write_outcome::WriteOutcome;
--- a/crates/platform/src/pool.rs
+++ b/crates/platform/src/pool.rs
@@ -13,7 +13,7 @@
 };
 use tokio::time::timeout;
 
-use crate::{protocol::Response, Received};
+use crate::{protocol::Response, TransferProgress};
 
 type Connections = legacy::Client<HttpConnector, Full<Bytes>>;
 
@@ -68,15 +68,15 @@
         }
     }
 
-    /// Sends `request` and reads its answer; `received` counts what arrives.
+    /// Sends `request` and reads its answer; `progress` counts what arrives.
     pub(crate) async fn call(
         &self,
         request: Request<Full<Bytes>>,
         limits: Limits,
-        received: &Received,
+        progress: &TransferProgress,
     ) -> Result<Response, Lost> {
         let connections = self.current.load_full();
-        let answer = exchange(&connections, request, limits, received).await;
+        let answer = exchange(&connections, request, limits, progress).await;
         if matches!(answer, Err(Lost::Silent)) {
             self.replace(&connections);
         }
@@ -94,12 +94,12 @@
     connections: &Connections,
     request: Request<Full<Bytes>>,
     limits: Limits,
-    received: &Received,
+    progress: &TransferProgress,
 ) -> Result<Response, Lost> {
     let response = timeout(limits.head, connections.request(request)).await;
     let response = response.map_err(|_| Lost::Silent)?;
     let (parts, body) = response.map_err(|error| lost(&error))?.into_parts();
-    let body = timeout(limits.body, collect(body, limits.pause, received)).await;
+    let body = timeout(limits.body, collect(body, limits.pause, progress)).await;
     Ok(Response {
         status: parts.status,
         headers: parts.headers,
@@ -111,7 +111,11 @@
 ///
 /// The limit is on the pause between two parts: a limit on the whole body would end each transfer that is larger
 /// than the link carries within it, and the next call would begin again from the first byte.
-async fn collect(body: Incoming, pause: Duration, received: &Received) -> Result<Bytes, Lost> {
+async fn collect(
+    body: Incoming,
+    pause: Duration,
+    progress: &TransferProgress,
+) -> Result<Bytes, Lost> {
     let mut body = Limited::new(body, ANSWER_BYTES);
     let mut bytes = BytesMut::new();
     loop {
@@ -124,7 +128,7 @@
             false => Lost::Broken,
         })?;
         if let Some(data) = frame.data_ref() {
-            received.add(data.len());
+            progress.add(data.len());
             bytes.extend_from_slice(data);
         }
     }
--- a/crates/platform/src/received.rs
+++ b/crates/platform/src/transfer_progress.rs
@@ -9,20 +9,20 @@
 
 /// The bytes of the answer to the call under way, or to the last one; clones share the count.
 ///
-/// It distinguishes a slow transfer from one that never began; see [`Client::counting`].
+/// It distinguishes a slow transfer from one that never began; see [`Client::with_progress`].
 ///
 /// # Examples
 ///
 /// ```
-/// use celerypond_platform::Received;
+/// use celerypond_platform::TransferProgress;
 ///
-/// let received = Received::default();
-/// assert_eq!(received.bytes(), 0);
+/// let progress = TransferProgress::default();
+/// assert_eq!(progress.bytes(), 0);
 /// ```
 ///
-/// [`Client::counting`]: crate::Client::counting
+/// [`Client::with_progress`]: crate::Client::with_progress
 #[derive(Clone, Debug, Default)]
-pub struct Received(Arc<Count>);
+pub struct TransferProgress(Arc<Count>);
 
 #[derive(Debug, Default)]
 struct Count {
@@ -30,14 +30,14 @@
     added: Notify,
 }
 
-impl Received {
+impl TransferProgress {
     /// Returns the bytes of the body that have arrived.
     pub fn bytes(&self) -> u64 {
         self.0.bytes.load(Relaxed)
     }
 
     /// Waits until more than so many bytes of the body have arrived.
-    pub async fn exceeds(&self, bytes: u64) {
+    pub async fn wait_until_above(&self, bytes: u64) {
         loop {
             let added = self.0.added.notified();
             if self.bytes() > bytes {
--- a/crates/platform/tests/test_connections.rs
+++ b/crates/platform/tests/test_connections.rs
@@ -82,9 +82,9 @@
     let pause = TIMEOUT / 3;
     let server = Server::start(move |_, _, _| trickle(pause, 9)).await;
     let platform = client(server.address, PLENTY);
-    let (counting, received) = platform.counting();
+    let (counting, progress) = platform.with_progress();
     let object = counting.get("k").await.unwrap();
-    assert_eq!((object.value.len(), received.bytes()), (9, 9));
+    assert_eq!((object.value.len(), progress.bytes()), (9, 9));
 }
 
 // Guards against a connection that delivers a byte now and then and holds up its caller for good.
--- a/daemon/src/relay/config_sync.rs
+++ b/daemon/src/relay/config_sync.rs
@@ -11,7 +11,9 @@
 };
 
 use celerypond_adapter::{config, store};
-use celerypond_platform::{Changes, Client, Listing, Object, PlatformError, Received, Version};
+use celerypond_platform::{
+    Changes, Client, Listing, Object, PlatformError, TransferProgress, Version,
+};
 use celerypond_relay::{decode, Config, Observation, StoreBackoff};
 use celerypond_telemetry::{Counter, Latency};
 use celerypond_types::Revision;
@@ -60,7 +62,7 @@
     state: &'a RelayState,
     store: Client,
     /// What has arrived of the store's answer to the call under way.
-    received: Received,
+    received: TransferProgress,
     backoff: StoreBackoff,
     /// Whether the history since the known revision is gone, so that a list is needed.
     needs_list: bool,
@@ -69,7 +71,7 @@
 
 impl<'a> ConfigSync<'a> {
     fn new(state: &'a RelayState) -> Self {
-        let (store, received) = state.store.counting();
+        let (store, received) = state.store.with_progress();
         Self {
             state,
             store,
@@ -163,7 +165,7 @@
         started: Instant,
         answer_sent: &OnceLock<Instant>,
     ) -> Infallible {
-        let received = self.received.exceeds(EMPTY_ANSWER);
+        let received = self.received.wait_until_above(EMPTY_ANSWER);
         let mut received = std::pin::pin!(received);
         // A process that was paused reads late what arrived meanwhile: the last moment without an answer counts, and
         // none at which the process had just been held up.
--- a/daemon/src/relay/target_watch.rs
+++ b/daemon/src/relay/target_watch.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use celerypond_adapter::{store, target};
-use celerypond_platform::{Changes, Client, Listing, PlatformError, Received, Version};
+use celerypond_platform::{Changes, Client, Listing, PlatformError, TransferProgress, Version};
 use celerypond_relay::{Change, Observation, StoreBackoff, TargetEntry, Watchers};
 use celerypond_telemetry::{Counter, Latency};
 use celerypond_types::TargetName;
@@ -29,7 +29,7 @@
 struct TargetWatch<'a> {
     state: &'a RelayState,
     store: Client,
-    received: Received,
+    received: TransferProgress,
     /// The revision up to which the store reported changes to this instance.
     since: Option<Version>,
     /// Whether the history of a watch is gone.
@@ -42,7 +42,7 @@
 
 impl<'a> TargetWatch<'a> {
     fn new(state: &'a RelayState) -> Self {
-        let (store, received) = state.store.counting();
+        let (store, received) = state.store.with_progress();
         Self {
             state,
             store,
