--- a/crates/ledger/src/effect.rs
+++ b/crates/ledger/src/effect.rs
@@ -142,7 +142,7 @@
             Ok(version) => Self::Written(version),
             Err(PlatformError::Conflict) => Self::Conflict,
             Err(
-                PlatformError::OverBudget { retry_after }
+                PlatformError::BudgetExhausted { retry_after }
                 | PlatformError::RateLimited { retry_after },
             ) => Self::RateLimited { retry_after },
             Err(error) if error.no_effect() => Self::NotApplied,
--- a/crates/ledger/tests/test_replies.rs
+++ b/crates/ledger/tests/test_replies.rs
@@ -20,7 +20,7 @@
 #[case(Err(PlatformError::Status(500)), WriteReply::Ambiguous)]
 #[case(Err(PlatformError::Ambiguous), WriteReply::Ambiguous)]
 #[case(Err(PlatformError::Malformed), WriteReply::Ambiguous)]
-#[case(Err(PlatformError::OverBudget { retry_after: WAIT }), WriteReply::RateLimited { retry_after: WAIT })]
+#[case(Err(PlatformError::BudgetExhausted { retry_after: WAIT }), WriteReply::RateLimited { retry_after: WAIT })]
 #[case(Err(PlatformError::RateLimited { retry_after: WAIT }), WriteReply::RateLimited { retry_after: WAIT })]
 fn write_error_becomes_not_applied_only_if_it_proves_it(
     #[case] result: Result<Version, PlatformError>,
--- a/crates/platform/src/budget.rs
+++ b/crates/platform/src/call_budget.rs
@@ -46,18 +46,18 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use celerypond_platform::{Budget, CallKind, Rates};
+/// use celerypond_platform::{CallBudget, CallKind, Rates};
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
 /// let rates = Rates { reads: 10.0, writes: 2.0, burst: Duration::from_secs(1) };
-/// let mut budget = Budget::new(rates, now);
+/// let mut budget = CallBudget::new(rates, now);
 /// assert!(budget.take(CallKind::Write, now).is_ok());
 /// assert!(budget.take(CallKind::Write, now).is_ok());
 /// assert_eq!(budget.take(CallKind::Write, now), Err(Duration::from_millis(500)));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct CallBudget {
     rates: Rates,
     reads: Bucket,
     writes: Bucket,
@@ -69,7 +69,7 @@
     filled: Instant,
 }
 
-impl Budget {
+impl CallBudget {
     /// Makes a full budget.
     pub fn new(rates: Rates, now: Instant) -> Self {
         let bucket = |rate| Bucket {
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -20,7 +20,7 @@
     path::escape,
     pool::{Limits, Lost, Pool},
     protocol::{Call, Protocol, Response},
-    Budget, CallKind, Changes, InstanceList, Listing, Object, PlatformError, Rates,
+    CallBudget, CallKind, Changes, InstanceList, Listing, Object, PlatformError, Rates,
     TransferProgress, Version, WriteOutcome,
 };
 
@@ -60,7 +60,7 @@
     turn: Arc<AtomicUsize>,
     timeout: Duration,
     pool: Pool,
-    budget: Arc<Mutex<Budget>>,
+    budget: Arc<Mutex<CallBudget>>,
     protocol: Protocol,
     progress: TransferProgress,
 }
@@ -73,7 +73,7 @@
 
     /// Makes a client of a store that speaks `protocol`; connects when the first call is made.
     pub fn with_protocol(settings: &Settings, protocol: Protocol) -> Self {
-        let budget = Budget::new(settings.rates, Instant::now());
+        let budget = CallBudget::new(settings.rates, Instant::now());
         Self {
             addresses: settings.addresses.as_slice().into(),
             turn: Arc::default(),
@@ -336,7 +336,7 @@
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
         budget
             .take(kind, Instant::now())
-            .map_err(|retry_after| Report::new(PlatformError::OverBudget { retry_after }))
+            .map_err(|retry_after| Report::new(PlatformError::BudgetExhausted { retry_after }))
     }
 }
 
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -33,7 +33,7 @@
     },
     /// The share of calls of this instance is used up; nothing was sent.
     #[error("the call budget is used up, retry in {retry_after:?}")]
-    OverBudget {
+    BudgetExhausted {
         /// When the budget allows the next call.
         retry_after: Duration,
     },
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -4,7 +4,7 @@
 //! `docs/design/wire.md`. Decision crates do not depend on the client: they
 //! give effects such as "create this object", and the daemon carries them out with it.
 
-mod budget;
+mod call_budget;
 mod client;
 mod error;
 mod instances;
@@ -16,7 +16,7 @@
 mod transfer_progress;
 mod write_outcome;
 
-pub use budget::{Budget, CallKind, Rates};
+pub use call_budget::{CallBudget, CallKind, Rates};
 pub use client::{Client, Settings};
 pub use error::PlatformError;
 pub use instances::{Instance, InstanceList, Presence, Target};
--- a/crates/platform/tests/runner.rs
+++ b/crates/platform/tests/runner.rs
@@ -1,6 +1,6 @@
 //! The integration tests of the crate, in one binary.
 
 mod server;
-mod test_budget;
+mod test_call_budget;
 mod test_calls;
 mod test_connections;
--- a/crates/platform/tests/test_budget.rs
+++ b/crates/platform/tests/test_call_budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_platform::{Budget, CallKind, PlatformError, Rates};
+use celerypond_platform::{CallBudget, CallKind, PlatformError, Rates};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use rstest::rstest;
 use tokio::time::Instant;
@@ -19,7 +19,7 @@
 fn any_stretch_of_time_stays_within_rate_and_burst(#[values(1, 2, 3, 4)] seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let start = Instant::now();
-    let mut budget = Budget::new(RATES, start);
+    let mut budget = CallBudget::new(RATES, start);
     let mut now = start;
     let mut taken = Vec::new();
     for _ in 0..2000 {
@@ -42,7 +42,7 @@
 #[test]
 fn a_smaller_share_holds_from_the_moment_it_is_set() {
     let start = Instant::now();
-    let mut budget = Budget::new(RATES, start);
+    let mut budget = CallBudget::new(RATES, start);
     budget.set_rates(RATES.share(7), start);
     let taken = (0..10).filter(|_| budget.take(CallKind::Write, start).is_ok());
     assert_eq!(taken.count(), 1);
@@ -64,7 +64,7 @@
     let platform = client(server.address, rates);
     platform.create("a", "".into()).await.unwrap();
     let error = platform.create("b", "".into()).await.unwrap_err();
-    let PlatformError::OverBudget { retry_after } = error.current_context() else {
+    let PlatformError::BudgetExhausted { retry_after } = error.current_context() else {
         panic!("{error:?}");
     };
     assert!(*retry_after > Duration::from_millis(1500));
--- a/daemon/src/relay/store_backoff.rs
+++ b/daemon/src/relay/store_backoff.rs
@@ -20,9 +20,8 @@
     limits: RangeInclusive<Duration>,
 ) {
     let min_wait = match error {
-        PlatformError::RateLimited { retry_after } | PlatformError::OverBudget { retry_after } => {
-            retry_after.min(MAX_RETRY_AFTER)
-        }
+        PlatformError::RateLimited { retry_after }
+        | PlatformError::BudgetExhausted { retry_after } => retry_after.min(MAX_RETRY_AFTER),
         _ => Duration::ZERO,
     };
     let jitter = rand::rng().random_range(limits);
