--- a/bench/src/path/stand.rs
+++ b/bench/src/path/stand.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use celerypond_bundle::{Bundle, Fault, Settings};
+use celerypond_bundle::{Bundle, Settings, ValidationError};
 use celerypond_cli::Client;
 use celerypond_daemon::{engine, server};
 use celerypond_testutils::{
@@ -187,7 +187,7 @@
         .change_context(PathError::Start)
 }
 
-fn faulty(faults: Vec<Fault>) -> Report<PathError> {
+fn faulty(faults: Vec<ValidationError>) -> Report<PathError> {
     Report::new(PathError::Start).attach(format!("{faults:?}"))
 }
 
--- a/cli/src/documents.rs
+++ b/cli/src/documents.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, path::Path};
 
-use celerypond_bundle::{Bundle, Fault, Settings};
+use celerypond_bundle::{Bundle, Settings, ValidationError};
 use celerypond_types::Digest;
 use http::Method;
 
@@ -77,7 +77,7 @@
         .map_err(|_| Failure::Client(celerypond_cli::ClientError::Malformed))
 }
 
-fn report(context: &Context, path: &Path, faults: &[Fault]) -> Result<(), Failure> {
+fn report(context: &Context, path: &Path, faults: &[ValidationError]) -> Result<(), Failure> {
     if context.json {
         context.print(&faults);
     } else {
--- a/crates/bundle/src/check.rs
+++ b/crates/bundle/src/check.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     document::{optional, Document},
-    fault::{quoted, Expected, Fault, Faults, Kind},
+    validation_error::{quoted, EntryKind, Expected, ValidationError, ValidationErrors},
     Account, Bundle, Model, Service, Target, TargetKind, FORMAT,
 };
 
@@ -33,7 +33,7 @@
     /// let faults = Bundle::parse(text).unwrap_err();
     /// assert_eq!(faults[0].to_string(), "colour: found a field, expected no field `colour`");
     /// ```
-    pub fn parse(text: &str) -> Result<Self, Vec<Fault>> {
+    pub fn parse(text: &str) -> Result<Self, Vec<ValidationError>> {
         let mut document = Document::read::<Self>(text)?;
         let targets: Vec<(usize, Target)> = document.entries("targets");
         let models: Vec<(usize, Model)> = document.entries("models");
@@ -82,14 +82,14 @@
     names.map(move |(index, name)| (format!("{list}[{index}].name"), name))
 }
 
-fn check_format(faults: &mut Faults, value: Option<&Value>) {
+fn check_format(faults: &mut ValidationErrors, value: Option<&Value>) {
     let format: Option<u32> = optional(value);
     if let Some(format) = format.filter(|format| *format != FORMAT) {
         faults.add("format", format.to_string(), Expected::Format(FORMAT));
     }
 }
 
-fn check_targets(faults: &mut Faults, targets: &[(usize, Target)]) {
+fn check_targets(faults: &mut ValidationErrors, targets: &[(usize, Target)]) {
     for (index, target) in targets {
         let path = format!("targets[{index}]");
         faults.name(&format!("{path}.name"), target.name.as_str());
@@ -112,7 +112,7 @@
     faults.unique(addresses);
 }
 
-fn check_model(faults: &mut Faults, path: &str, model: &Model, kinds: &Kinds) {
+fn check_model(faults: &mut ValidationErrors, path: &str, model: &Model, kinds: &Kinds) {
     faults.name(&format!("{path}.name"), model.name.as_str());
     faults.range(&format!("{path}.deadline_ms"), model.deadline_ms, 1, DAY_MS);
     let transition = format!("{path}.complete_within_s");
@@ -142,10 +142,10 @@
     check_shares(faults, path, model);
 }
 
-fn check_shares(faults: &mut Faults, path: &str, model: &Model) {
+fn check_shares(faults: &mut ValidationErrors, path: &str, model: &Model) {
     let known: BTreeSet<_> = model.versions.iter().map(|version| &version.name).collect();
     if !known.contains(&model.base) {
-        let expected = Expected::Known(Kind::Version);
+        let expected = Expected::NameOf(EntryKind::Version);
         faults.add(
             format!("{path}.base"),
             quoted(model.base.as_str()),
@@ -162,7 +162,7 @@
             faults.add(
                 format!("{path}.version"),
                 found,
-                Expected::Known(Kind::Version),
+                Expected::NameOf(EntryKind::Version),
             );
         }
     }
@@ -174,11 +174,15 @@
         .map(|share| u64::from(share.percent))
         .sum();
     if sum > 100 {
-        faults.add(format!("{path}.shares"), sum.to_string(), Expected::Sum);
+        faults.add(
+            format!("{path}.shares"),
+            sum.to_string(),
+            Expected::ShareSum,
+        );
     }
 }
 
-fn check_service(faults: &mut Faults, path: &str, service: &Service, kinds: &Kinds) {
+fn check_service(faults: &mut ValidationErrors, path: &str, service: &Service, kinds: &Kinds) {
     faults.name(&format!("{path}.name"), service.name.as_str());
     faults.range(
         &format!("{path}.deadline_ms"),
@@ -215,14 +219,14 @@
 }
 
 fn check_used<'a>(
-    faults: &mut Faults,
+    faults: &mut ValidationErrors,
     path: &str,
     names: impl Iterator<Item = &'a str> + Clone,
     kinds: &Kinds,
     kind: TargetKind,
 ) {
     if names.clone().next().is_none() {
-        faults.add(path, "[]", Expected::Entry);
+        faults.add(path, "[]", Expected::NonEmptyList);
     }
     for (index, name) in names.clone().enumerate() {
         let fits = kinds
@@ -230,13 +234,13 @@
             .is_some_and(|known| known.is_none_or(|known| known == kind));
         if !fits {
             let known = match kind {
-                TargetKind::Engine => Kind::Engine,
-                TargetKind::Service => Kind::ServiceTarget,
+                TargetKind::Engine => EntryKind::Engine,
+                TargetKind::Service => EntryKind::ServiceTarget,
             };
             faults.add(
                 format!("{path}[{index}]"),
                 quoted(name),
-                Expected::Known(known),
+                Expected::NameOf(known),
             );
         }
     }
@@ -247,7 +251,7 @@
     );
 }
 
-fn check_accounts(faults: &mut Faults, accounts: &[(usize, Account)]) {
+fn check_accounts(faults: &mut ValidationErrors, accounts: &[(usize, Account)]) {
     const MOST: u64 = 100_000_000;
 
     for (index, account) in accounts {
--- a/crates/bundle/src/document.rs
+++ b/crates/bundle/src/document.rs
@@ -5,30 +5,30 @@
 
 use jsonschema::{
     error::{TypeKind, ValidationErrorKind},
-    ValidationError,
+    ValidationError as SchemaError,
 };
 use schemars::JsonSchema;
 use serde::{de::DeserializeOwned, Deserialize};
 use serde_json::Value;
 
-use crate::fault::{Expected, Fault, Faults};
+use crate::validation_error::{Expected, ValidationError, ValidationErrors};
 
 /// A document as JSON, with the faults that its schema shows.
 pub(crate) struct Document {
     /// The JSON value.
     pub(crate) value: Value,
     /// What the schema shows.
-    pub(crate) faults: Faults,
+    pub(crate) faults: ValidationErrors,
 }
 
 impl Document {
     /// Reads JSON text and checks it against the schema of `T`.
-    pub(crate) fn read<T: JsonSchema>(text: &str) -> Result<Self, Vec<Fault>> {
+    pub(crate) fn read<T: JsonSchema>(text: &str) -> Result<Self, Vec<ValidationError>> {
         let value: Value = serde_json::from_str(text).map_err(|error| {
             let expected = Expected::Json(error.to_string().into());
-            vec![Fault::new("$", "text that is not JSON", expected)]
+            vec![ValidationError::new("$", "text that is not JSON", expected)]
         })?;
-        let faults = Faults(schema_faults::<T>(&value));
+        let faults = ValidationErrors(schema_faults::<T>(&value));
         Ok(Self { value, faults })
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Reads the whole document, if no fault was found.
-    pub(crate) fn whole<T: DeserializeOwned>(mut self) -> Result<T, Vec<Fault>> {
+    pub(crate) fn whole<T: DeserializeOwned>(mut self) -> Result<T, Vec<ValidationError>> {
         if !self.faults.0.is_empty() {
             return Err(self.faults.0);
         }
@@ -84,8 +84,9 @@
 }
 
 /// Adds what a typed read found, unless the schema already found a fault at that place.
-fn value_fault(faults: &mut Faults, path: String, text: &str) {
-    let inside = |fault: &Fault| fault.path.starts_with(&path) || path.starts_with(&*fault.path);
+fn value_fault(faults: &mut ValidationErrors, path: String, text: &str) {
+    let inside =
+        |fault: &ValidationError| fault.path.starts_with(&path) || path.starts_with(&*fault.path);
     if !faults.0.iter().any(inside) {
         let text = text.strip_prefix("expected ").unwrap_or(text);
         faults.add(
@@ -96,7 +97,7 @@
     }
 }
 
-fn schema_faults<T: JsonSchema>(value: &Value) -> Vec<Fault> {
+fn schema_faults<T: JsonSchema>(value: &Value) -> Vec<ValidationError> {
     let schema = schemars::schema_for!(T).to_value();
     let Ok(validator) = jsonschema::validator_for(&schema) else {
         // Generated schemas are valid; a test of this crate compiles each of them.
@@ -108,30 +109,34 @@
         .collect()
 }
 
-fn schema_fault(error: &ValidationError<'_>) -> Vec<Fault> {
+fn schema_fault(error: &SchemaError<'_>) -> Vec<ValidationError> {
     let path = place(error.instance_path().as_str());
     match error.kind() {
         ValidationErrorKind::AdditionalProperties { unexpected } => unexpected
             .iter()
             .map(|name| {
                 let expected = Expected::NoField(name.into());
-                Fault::new(join(&path, name), "a field", expected)
+                ValidationError::new(join(&path, name), "a field", expected)
             })
             .collect(),
         ValidationErrorKind::Required { property } => {
             let name = property.as_str().unwrap_or_default();
             let expected = Expected::Field(name.into());
-            vec![Fault::new(join(&path, name), "nothing", expected)]
+            vec![ValidationError::new(join(&path, name), "nothing", expected)]
         }
         kind => {
             let expected = Expected::Schema(wanted(kind, error).into());
-            vec![Fault::new(path, error.instance().to_string(), expected)]
+            vec![ValidationError::new(
+                path,
+                error.instance().to_string(),
+                expected,
+            )]
         }
     }
 }
 
 /// Says in words what the schema asks for.
-fn wanted(kind: &ValidationErrorKind, error: &ValidationError<'_>) -> String {
+fn wanted(kind: &ValidationErrorKind, error: &SchemaError<'_>) -> String {
     match kind {
         ValidationErrorKind::Type {
             kind: TypeKind::Single(wanted),
@@ -146,7 +151,7 @@
     }
 }
 
-fn choice(error: &ValidationError<'_>) -> Option<String> {
+fn choice(error: &SchemaError<'_>) -> Option<String> {
     match error.kind() {
         ValidationErrorKind::Constant { expected_value } => Some(expected_value.to_string()),
         ValidationErrorKind::Enum { options } => Some(options.to_string()),
--- a/crates/bundle/src/settings.rs
+++ b/crates/bundle/src/settings.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     document::Document,
-    fault::{Expected, Fault, Faults},
+    validation_error::{Expected, ValidationError, ValidationErrors},
 };
 
 /// The settings of one instance.
@@ -115,7 +115,7 @@
     /// # Errors
     ///
     /// Gives every fault, each with its path, what was found and what was expected.
-    pub fn parse(text: &str) -> Result<Self, Vec<Fault>> {
+    pub fn parse(text: &str) -> Result<Self, Vec<ValidationError>> {
         let mut document = Document::read::<Self>(text)?;
         let operators: Vec<(usize, Operator)> = document.entries("operators");
         let mut faults = std::mem::take(&mut document.faults);
@@ -130,8 +130,8 @@
         }
     }
 
-    fn faults(&self) -> Vec<Fault> {
-        let mut faults = Faults::default();
+    fn faults(&self) -> Vec<ValidationError> {
+        let mut faults = ValidationErrors::default();
         faults.name("instance", self.instance.as_str());
         faults.name("data_centre", self.data_centre.as_str());
         faults.range("address", self.address.port().into(), 1, 65_535);
@@ -144,7 +144,7 @@
             );
         }
         if self.platform.is_empty() {
-            faults.add("platform", "[]", Expected::Entry);
+            faults.add("platform", "[]", Expected::NonEmptyList);
         }
         if let Some(threads) = self.threads {
             faults.range("threads", threads as u64, 1, 1024);
@@ -154,7 +154,7 @@
     }
 }
 
-fn check_operators(faults: &mut Faults, operators: &[(usize, Operator)]) {
+fn check_operators(faults: &mut ValidationErrors, operators: &[(usize, Operator)]) {
     for (index, operator) in operators {
         let path = format!("operators[{index}]");
         faults.name(&format!("{path}.name"), operator.name.as_str());
--- a/crates/bundle/src/fault.rs
+++ b/crates/bundle/src/validation_error.rs
@@ -9,7 +9,7 @@
 
 /// A fault in a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Fault {
+pub struct ValidationError {
     /// Where it is, such as `models[0].base`.
     pub path: SmolStr,
     /// What stands there, shortened.
@@ -48,16 +48,16 @@
     Unique,
     /// The name of something of that kind in the document.
     #[error("the name of {0} of this document")]
-    Known(Kind),
+    NameOf(EntryKind),
     /// A number in a range.
     #[error("a number from {0} to {1}")]
     Range(u64, u64),
     /// At least one entry.
     #[error("at least one entry")]
-    Entry,
+    NonEmptyList,
     /// Shares that sum to at most 100.
     #[error("shares that sum to at most 100")]
-    Sum,
+    ShareSum,
     /// A version other than the base.
     #[error("a version other than the base")]
     NotBase,
@@ -74,7 +74,7 @@
 
 /// A kind of named entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum EntryKind {
     /// A target that is an engine.
     Engine,
     /// A target that is a process of a plain service.
@@ -83,7 +83,7 @@
     Version,
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for EntryKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Engine => "an engine",
@@ -93,7 +93,7 @@
     }
 }
 
-impl Fault {
+impl ValidationError {
     /// Makes a fault; what was found is shortened for reading.
     pub fn new(path: impl AsRef<str>, found: impl AsRef<str>, expected: Expected) -> Self {
         const SHOWN: usize = 60;
@@ -110,7 +110,7 @@
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ValidationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -122,9 +122,9 @@
 
 /// The faults that one check collects.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Faults(pub(crate) Vec<Fault>);
+pub(crate) struct ValidationErrors(pub(crate) Vec<ValidationError>);
 
-impl Faults {
+impl ValidationErrors {
     /// Adds a fault.
     pub(crate) fn add(
         &mut self,
@@ -132,7 +132,7 @@
         found: impl AsRef<str>,
         expected: Expected,
     ) {
-        self.0.push(Fault::new(path, found, expected));
+        self.0.push(ValidationError::new(path, found, expected));
     }
 
     /// Checks that a name has a form that is safe in paths, logs and object keys.
