--- a/crates/telemetry/src/volume.rs
+++ b/crates/telemetry/src/log_rate_limiter.rs
@@ -21,17 +21,17 @@
 /// ```
 /// use std::time::Instant;
 ///
-/// use celerypond_telemetry::Volume;
+/// use celerypond_telemetry::LogRateLimiter;
 /// use log::Level;
 ///
-/// let volume = Volume::new(1, 1);
+/// let limiter = LogRateLimiter::new(1, 1);
 /// let now = Instant::now();
-/// assert!(volume.take(Level::Info, now));
-/// assert!(!volume.take(Level::Info, now));
-/// assert!(volume.take(Level::Warn, now));
+/// assert!(limiter.allow(Level::Info, now));
+/// assert!(!limiter.allow(Level::Info, now));
+/// assert!(limiter.allow(Level::Warn, now));
 /// ```
 #[derive(Debug)]
-pub struct Volume {
+pub struct LogRateLimiter {
     routine: Mutex<Window>,
     failures: Mutex<Window>,
 }
@@ -41,10 +41,10 @@
     most: u32,
     begun: Option<Instant>,
     count: u32,
-    left_out: u64,
+    dropped: u64,
 }
 
-impl Volume {
+impl LogRateLimiter {
     /// Makes a bound of so many routine lines and so many lines of failures a second.
     pub const fn new(routine: u32, failures: u32) -> Self {
         Self {
@@ -54,7 +54,7 @@
     }
 
     /// Returns whether a line of this level may be written now.
-    pub fn take(&self, level: Level, now: Instant) -> bool {
+    pub fn allow(&self, level: Level, now: Instant) -> bool {
         let window = match level {
             Level::Error | Level::Warn => &self.failures,
             Level::Info | Level::Debug | Level::Trace => &self.routine,
@@ -66,10 +66,10 @@
     }
 
     /// Returns how many lines were left out since the last call.
-    pub fn left_out(&self) -> u64 {
+    pub fn take_dropped(&self) -> u64 {
         let take = |window: &Mutex<Window>| {
             let mut window = window.lock().unwrap_or_else(PoisonError::into_inner);
-            std::mem::take(&mut window.left_out)
+            std::mem::take(&mut window.dropped)
         };
         take(&self.routine) + take(&self.failures)
     }
@@ -81,7 +81,7 @@
             most,
             begun: None,
             count: 0,
-            left_out: 0,
+            dropped: 0,
         }
     }
 
@@ -93,7 +93,7 @@
         }
         self.count += 1;
         let may_write = self.count <= self.most;
-        self.left_out += u64::from(!may_write);
+        self.dropped += u64::from(!may_write);
         may_write
     }
 }
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -13,7 +13,7 @@
 use serde::{ser::SerializeMap, Deserialize, Serialize, Serializer};
 use thiserror::Error;
 
-use crate::{output::Writer, Background, BackgroundThread, Output, Volume};
+use crate::{output::Writer, Background, BackgroundThread, LogRateLimiter, Output};
 
 /// The least important lines of libraries that are kept; some write a line for each call.
 const LIBRARIES: Level = Level::Warn;
@@ -149,15 +149,15 @@
     /// # Errors
     ///
     /// Fails with [`LogError::Output`] or [`LogError::AlreadySet`].
-    pub fn install_bounded(
+    pub fn install_rate_limited(
         &self,
-        volume: &'static Volume,
+        limiter: &'static LogRateLimiter,
     ) -> Result<BackgroundThread, Report<LogError>> {
         let output = self.output.open().change_context(LogError::Output)?;
         let (writer, thread) = Background::start(output).change_context(LogError::Output)?;
         let sink = fern::Output::writer(Box::new(writer), "\n");
         self.lines()
-            .filter(|line| volume.take(line.level(), Instant::now()))
+            .filter(|line| limiter.allow(line.level(), Instant::now()))
             .chain(sink)
             .apply()
             .change_context(LogError::AlreadySet)?;
--- a/crates/telemetry/tests/test_logs.rs
+++ b/crates/telemetry/tests/test_logs.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use celerypond_telemetry::{Background, LogFormat, LogSettings, Output, Volume};
+use celerypond_telemetry::{Background, LogFormat, LogRateLimiter, LogSettings, Output};
 use log::{Level, LevelFilter, Record};
 use rstest::rstest;
 
@@ -101,13 +101,13 @@
 
 #[test]
 fn lines_of_failures_are_kept_when_routine_lines_are_many() {
-    let volume = Volume::new(10, 5);
+    let limiter = LogRateLimiter::new(10, 5);
     let now = Instant::now();
-    let routine = (0..100).filter(|_| volume.take(Level::Info, now)).count();
-    let failures = (0..3).filter(|_| volume.take(Level::Warn, now)).count();
+    let routine = (0..100).filter(|_| limiter.allow(Level::Info, now)).count();
+    let failures = (0..3).filter(|_| limiter.allow(Level::Warn, now)).count();
     assert_eq!((routine, failures), (10, 3));
-    assert_eq!(volume.left_out(), 90);
-    assert!(volume.take(Level::Info, now + Duration::from_secs(1)));
+    assert_eq!(limiter.take_dropped(), 90);
+    assert!(limiter.allow(Level::Info, now + Duration::from_secs(1)));
 }
 
 #[test]
--- a/daemon/src/relay.rs
+++ b/daemon/src/relay.rs
@@ -39,11 +39,11 @@
 mod target_watch;
 mod watch_duty;
 
-use celerypond_telemetry::Volume;
+use celerypond_telemetry::LogRateLimiter;
 
 pub use inbox::Inbox;
 pub use start::{run, Instance, RelayError};
 
 /// The bound on log lines: routine ones and those of failures, a second. A request writes about
 /// three lines, so that the lines of 300 requests a second are kept; a line takes some microseconds.
-pub static LOG_VOLUME: Volume = Volume::new(1_000, 500);
+pub static LOG_LIMITER: LogRateLimiter = LogRateLimiter::new(1_000, 500);
--- a/daemon/src/relay/start.rs
+++ b/daemon/src/relay/start.rs
@@ -181,7 +181,7 @@
 }
 
 fn report_dropped_lines(state: &RelayState) {
-    let count = super::LOG_VOLUME.left_out();
+    let count = super::LOG_LIMITER.take_dropped();
     if count > 0 {
         state.metrics.add(Counter::LinesLeftOut, count);
         log::warn!(count; "lines left out, more than the bound");
--- a/daemon/src/relaying.rs
+++ b/daemon/src/relaying.rs
@@ -43,7 +43,7 @@
         output: Output::Stdout,
     };
     // The lines are written to their end when this is dropped.
-    let _writing = match logs.install_bounded(&relay::LOG_VOLUME) {
+    let _writing = match logs.install_rate_limited(&relay::LOG_LIMITER) {
         Ok(thread) => thread,
         Err(report) => {
             eprintln!("{report:#}");
