--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -13,7 +13,7 @@
 use serde::{ser::SerializeMap, Deserialize, Serialize, Serializer};
 use thiserror::Error;
 
-use crate::{output::Writer, Background, BackgroundThread, LogRateLimiter, Output};
+use crate::{output::Writer, LogRateLimiter, NonBlockingWriter, Output, WriterGuard};
 
 /// The least important lines of libraries that are kept; some write a line for each call.
 const LIBRARIES: Level = Level::Warn;
@@ -152,9 +152,9 @@
     pub fn install_rate_limited(
         &self,
         limiter: &'static LogRateLimiter,
-    ) -> Result<BackgroundThread, Report<LogError>> {
+    ) -> Result<WriterGuard, Report<LogError>> {
         let output = self.output.open().change_context(LogError::Output)?;
-        let (writer, thread) = Background::start(output).change_context(LogError::Output)?;
+        let (writer, thread) = NonBlockingWriter::start(output).change_context(LogError::Output)?;
         let sink = fern::Output::writer(Box::new(writer), "\n");
         self.lines()
             .filter(|line| limiter.allow(line.level(), Instant::now()))
--- a/crates/telemetry/src/background.rs
+++ b/crates/telemetry/src/non_blocking_writer.rs
@@ -20,7 +20,7 @@
 /// The failure: whoever reads the standard output stops, the pipe fills up, and a write blocks the
 /// thread that serves requests. Here only the writing thread blocks.
 #[derive(Clone)]
-pub struct Background {
+pub struct NonBlockingWriter {
     shared: Arc<Shared>,
 }
 
@@ -33,17 +33,17 @@
 struct State {
     bytes: Vec<u8>,
     /// Writes that did not fit since the last one that did.
-    left_out: u64,
+    dropped: u64,
     is_closed: bool,
 }
 
 /// The writing thread; it is joined when this is dropped, after all lines were written.
-pub struct BackgroundThread {
-    writer: Background,
+pub struct WriterGuard {
+    writer: NonBlockingWriter,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Background {
+impl NonBlockingWriter {
     /// Starts the thread that writes to `output`.
     ///
     /// # Errors
@@ -55,13 +55,13 @@
     /// ```
     /// use std::io::Write as _;
     ///
-    /// use celerypond_telemetry::Background;
+    /// use celerypond_telemetry::NonBlockingWriter;
     ///
-    /// let (mut writer, thread) = Background::start(std::io::sink()).unwrap();
+    /// let (mut writer, thread) = NonBlockingWriter::start(std::io::sink()).unwrap();
     /// writer.write_all(b"a line\n").unwrap();
     /// drop(thread); // All lines are written now.
     /// ```
-    pub fn start(output: impl Write + Send + 'static) -> io::Result<(Self, BackgroundThread)> {
+    pub fn start(output: impl Write + Send + 'static) -> io::Result<(Self, WriterGuard)> {
         let writer = Self {
             shared: Arc::new(Shared {
                 state: Mutex::default(),
@@ -72,7 +72,7 @@
         let thread = thread::Builder::new()
             .name("log".into())
             .spawn(move || write_all(&shared, output))?;
-        let guard = BackgroundThread {
+        let guard = WriterGuard {
             writer: writer.clone(),
             thread: Some(thread),
         };
@@ -90,17 +90,17 @@
     }
 }
 
-impl Write for Background {
+impl Write for NonBlockingWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut state = self.state();
         if state.bytes.len() + line.len() > BUFFER_BYTES {
-            state.left_out += 1;
+            state.dropped += 1;
             return Ok(line.len());
         }
         let was_empty = state.bytes.is_empty();
-        let left_out = mem::take(&mut state.left_out);
-        if left_out > 0 {
-            let note = format!("{{\"level\":\"WARN\",\"message\":\"lines left out, the reader is slow\",\"count\":{left_out}}}\n");
+        let dropped = mem::take(&mut state.dropped);
+        if dropped > 0 {
+            let note = format!("{{\"level\":\"WARN\",\"message\":\"lines left out, the reader is slow\",\"count\":{dropped}}}\n");
             state.bytes.extend_from_slice(note.as_bytes());
         }
         state.bytes.extend_from_slice(line);
@@ -116,7 +116,7 @@
     }
 }
 
-impl Drop for BackgroundThread {
+impl Drop for WriterGuard {
     fn drop(&mut self) {
         self.writer.state().is_closed = true;
         self.writer.shared.filled.notify_one();
--- a/crates/telemetry/tests/test_logs.rs
+++ b/crates/telemetry/tests/test_logs.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use celerypond_telemetry::{Background, LogFormat, LogRateLimiter, LogSettings, Output};
+use celerypond_telemetry::{LogFormat, LogRateLimiter, LogSettings, NonBlockingWriter, Output};
 use log::{Level, LevelFilter, Record};
 use rstest::rstest;
 
@@ -46,7 +46,7 @@
 #[test]
 fn a_reader_that_stops_holds_nobody_up() {
     let (held, release) = Gate::new();
-    let (mut writer, thread) = Background::start(held).unwrap();
+    let (mut writer, thread) = NonBlockingWriter::start(held).unwrap();
     let line = vec![b'x'; 64 << 10];
     for _ in 0..200 {
         writer.write_all(&line).unwrap();
