--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -59,7 +59,7 @@
 impl Metrics {
     /// Makes metrics that can only be read back in this process.
     pub fn local() -> Self {
-        Self::to_sink(NopMetricSink)
+        Self::with_sink(NopMetricSink)
     }
 
     /// Makes metrics that are also sent to a collector at `address` over UDP.
@@ -67,7 +67,7 @@
     /// # Errors
     ///
     /// Fails with [`MetricsError::Bind`] or [`MetricsError::Address`].
-    pub fn to_udp(address: SocketAddr) -> Result<Self, Report<MetricsError>> {
+    pub fn with_udp_sink(address: SocketAddr) -> Result<Self, Report<MetricsError>> {
         let local = match address {
             SocketAddr::V4(_) => "0.0.0.0:0",
             SocketAddr::V6(_) => "[::]:0",
@@ -78,13 +78,13 @@
             .change_context(MetricsError::Bind)?;
         let sink =
             BufferedUdpMetricSink::from(address, socket).change_context(MetricsError::Address)?;
-        Ok(Self::to_sink(QueuingMetricSink::with_capacity(
+        Ok(Self::with_sink(QueuingMetricSink::with_capacity(
             sink, QUEUE_LEN,
         )))
     }
 
     /// Makes metrics that are also sent to `sink`.
-    pub fn to_sink<S>(sink: S) -> Self
+    pub fn with_sink<S>(sink: S) -> Self
     where
         S: MetricSink + Sync + Send + std::panic::UnwindSafe + std::panic::RefUnwindSafe + 'static,
     {
--- a/crates/telemetry/tests/test_metrics.rs
+++ b/crates/telemetry/tests/test_metrics.rs
@@ -5,7 +5,7 @@
 #[test]
 fn publishing_sends_what_was_added_since_the_last_time() {
     let (receiver, sink) = cadence::SpyMetricSink::new();
-    let metrics = Metrics::to_sink(sink);
+    let metrics = Metrics::with_sink(sink);
     metrics.add(Counter::Orders, 3);
     metrics.publish().unwrap();
     metrics.add(Counter::Orders, 2);
--- a/daemon/src/server.rs
+++ b/daemon/src/server.rs
@@ -189,7 +189,7 @@
 
 fn metrics(settings: &Settings) -> Result<Metrics, Report<ServerError>> {
     match settings.statsd {
-        Some(address) => Metrics::to_udp(address).change_context(ServerError::Telemetry),
+        Some(address) => Metrics::with_udp_sink(address).change_context(ServerError::Telemetry),
         None => Ok(Metrics::local()),
     }
 }
