--- a/crates/telemetry/src/exporter.rs
+++ b/crates/telemetry/src/json_span_exporter.rs
@@ -16,7 +16,7 @@
 
 /// Writes each finished span as a line of JSON.
 #[derive(Debug)]
-pub struct JsonExporter {
+pub struct JsonSpanExporter {
     writer: Writer,
 }
 
@@ -34,13 +34,13 @@
     fields: BTreeMap<&'a str, String>,
 }
 
-impl JsonExporter {
+impl JsonSpanExporter {
     pub(crate) const fn new(writer: Writer) -> Self {
         Self { writer }
     }
 }
 
-impl SpanExporter for JsonExporter {
+impl SpanExporter for JsonSpanExporter {
     async fn export(&self, batch: Vec<SpanData>) -> OTelSdkResult {
         let mut bytes = Vec::new();
         for span in &batch {
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -21,7 +21,7 @@
 const OWN_MODULES: &str = "celerypond";
 
 /// The module that opens spans. Without a recorder of spans, each would be a line in the log.
-const SPANS: &str = "celerypond_telemetry::spans";
+const SPANS: &str = "celerypond_telemetry::span_recorder";
 
 fn is_own(target: &str) -> bool {
     target.starts_with(OWN_MODULES) && target != SPANS
--- a/crates/telemetry/src/spans.rs
+++ b/crates/telemetry/src/span_recorder.rs
@@ -12,7 +12,7 @@
 use tracing_opentelemetry::OpenTelemetrySpanExt as _;
 use tracing_subscriber::{filter::Targets, layer::SubscriberExt as _, Layer as _};
 
-use crate::{JsonExporter, Output, TraceContext};
+use crate::{JsonSpanExporter, Output, TraceContext};
 
 /// The prefix of the modules whose spans are recorded. Libraries open spans of their own, which
 /// would stand twice beside ours.
@@ -42,13 +42,13 @@
     Shutdown,
 }
 
-/// The recorder of spans. The owner calls [`Spans::finish`] before the process ends.
+/// The recorder of spans. The owner calls [`SpanRecorder::shutdown`] before the process ends.
 #[derive(Debug)]
-pub struct Spans {
+pub struct SpanRecorder {
     provider: SdkTracerProvider,
 }
 
-impl Spans {
+impl SpanRecorder {
     /// Starts the recorder.
     ///
     /// # Errors
@@ -59,7 +59,7 @@
         let sampler = Sampler::TraceIdRatioBased(settings.share);
         let provider = SdkTracerProvider::builder()
             .with_sampler(Sampler::ParentBased(Box::new(sampler)))
-            .with_batch_exporter(JsonExporter::new(writer))
+            .with_batch_exporter(JsonSpanExporter::new(writer))
             .build();
         Ok(Self { provider })
     }
@@ -91,7 +91,7 @@
     /// # Errors
     ///
     /// Fails with [`SpanError::Shutdown`].
-    pub fn finish(self) -> Result<(), Report<SpanError>> {
+    pub fn shutdown(self) -> Result<(), Report<SpanError>> {
         self.provider.shutdown().change_context(SpanError::Shutdown)
     }
 }
@@ -100,7 +100,7 @@
 ///
 /// `name` is the kind of the hop, such as `front`, `peer` or `target`. `parent` is the context that
 /// came with the request; without one the span belongs to the current span, or starts a trace.
-/// Use [`tracing::Instrument`] to run a future inside, and [`TraceContext::of_span`] to
+/// Use [`tracing::Instrument`] to run a future inside, and [`TraceContext::from_span`] to
 /// send the context on.
 pub fn hop(name: &'static str, parent: Option<TraceContext>) -> Span {
     let span = tracing::info_span!("hop", otel.name = name);
@@ -114,7 +114,7 @@
 
 impl TraceContext {
     /// Returns the context of an open span, to be sent with the next hop.
-    pub fn of_span(span: &Span) -> Option<Self> {
-        Self::of(span.context().span().span_context())
+    pub fn from_span(span: &Span) -> Option<Self> {
+        Self::from_span_context(span.context().span().span_context())
     }
 }
--- a/crates/telemetry/src/trace_context.rs
+++ b/crates/telemetry/src/trace_context.rs
@@ -127,7 +127,7 @@
 
 impl TraceContext {
     /// Returns the context of a span, or nothing when the span is not recorded at all.
-    pub fn of(context: &SpanContext) -> Option<Self> {
+    pub fn from_span_context(context: &SpanContext) -> Option<Self> {
         context.is_valid().then(|| Self {
             trace: u128::from_be_bytes(context.trace_id().to_bytes()),
             span: u64::from_be_bytes(context.span_id().to_bytes()),
--- a/crates/telemetry/tests/runner.rs
+++ b/crates/telemetry/tests/runner.rs
@@ -2,5 +2,5 @@
 
 mod test_logs;
 mod test_metrics;
-mod test_spans;
+mod test_span_recorder;
 mod test_trace_context;
--- a/crates/telemetry/tests/test_spans.rs
+++ b/crates/telemetry/tests/test_span_recorder.rs
@@ -2,23 +2,23 @@
 
 use std::fs;
 
-use celerypond_telemetry::{hop, Output, SpanSettings, Spans, TraceContext};
+use celerypond_telemetry::{hop, Output, SpanRecorder, SpanSettings, TraceContext};
 use serde_json::Value;
 
 fn run(share: f64, parent: Option<TraceContext>) -> (Option<TraceContext>, Vec<Value>) {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("spans");
-    let spans = Spans::new(&SpanSettings {
+    let recorder = SpanRecorder::new(&SpanSettings {
         output: Output::File(path.clone()),
         share,
     })
     .unwrap();
-    let sent = tracing::subscriber::with_default(spans.subscriber(), || {
+    let sent = tracing::subscriber::with_default(recorder.subscriber(), || {
         let front = hop("front", parent);
         let target = front.in_scope(|| hop("target", None));
-        TraceContext::of_span(&target)
+        TraceContext::from_span(&target)
     });
-    spans.finish().unwrap();
+    recorder.shutdown().unwrap();
     let lines = fs::read_to_string(path).unwrap();
     let lines = lines.lines().map(|l| serde_json::from_str(l).unwrap());
     (sent, lines.collect())
--- a/daemon/src/engine.rs
+++ b/daemon/src/engine.rs
@@ -294,7 +294,7 @@
         .uri(path)
         .header(header::HOST, address.to_string())
         .header(header::CONTENT_TYPE, "application/json");
-    if let Some(context) = TraceContext::of_span(&tracing::Span::current()) {
+    if let Some(context) = TraceContext::from_span(&tracing::Span::current()) {
         request = request.header("traceparent", context.to_string());
     }
     request
--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -111,7 +111,7 @@
         headers: sent.headers.iter().filter_map(header).collect(),
         body: Bytes::from(sent.body),
         deadline: Instant::now() + Duration::from_millis(sent.left_ms),
-        trace: TraceContext::of_span(&Span::current()),
+        trace: TraceContext::from_span(&Span::current()),
     };
     match node.ledger.call(node, sent.key, call).await {
         Some(Answer::Outcome(Outcome::Ran(reply))) => Came::Ran(reply),
--- a/daemon/src/server.rs
+++ b/daemon/src/server.rs
@@ -4,7 +4,7 @@
 
 use celerypond_bundle::Settings;
 use celerypond_route::{Drain, DrainEffect, DrainStage};
-use celerypond_telemetry::{Metrics, Output, SpanSettings, Spans};
+use celerypond_telemetry::{Metrics, Output, SpanRecorder, SpanSettings};
 use error_stack::{Report, ResultExt};
 use thiserror::Error;
 use tokio::{
@@ -82,7 +82,7 @@
     }
     finish(&node, tasks).await;
     if let Some(spans) = spans {
-        spans.finish().change_context(ServerError::Telemetry)?;
+        spans.shutdown().change_context(ServerError::Telemetry)?;
     }
     log::info!("stopped");
     match is_whole {
@@ -194,7 +194,7 @@
     }
 }
 
-fn spans(settings: &Settings) -> Result<Option<Spans>, Report<ServerError>> {
+fn spans(settings: &Settings) -> Result<Option<SpanRecorder>, Report<ServerError>> {
     let Some(path) = &settings.trace_file else {
         return Ok(None);
     };
@@ -202,7 +202,7 @@
         output: Output::File(path.clone()),
         share: 1.0,
     };
-    let spans = Spans::new(&settings).change_context(ServerError::Telemetry)?;
+    let spans = SpanRecorder::new(&settings).change_context(ServerError::Telemetry)?;
     spans.install().change_context(ServerError::Telemetry)?;
     Ok(Some(spans))
 }
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -130,7 +130,7 @@
             headers: kept,
             body,
             deadline,
-            trace: TraceContext::of_span(&Span::current()),
+            trace: TraceContext::from_span(&Span::current()),
         }
     }
 
@@ -338,7 +338,7 @@
         for (name, value) in &self.headers {
             request = request.header(name, value);
         }
-        if let Some(context) = TraceContext::of_span(span) {
+        if let Some(context) = TraceContext::from_span(span) {
             request = request.header("traceparent", context.to_string());
         }
         request.body(Full::new(self.body.clone()))
