--- a/crates/platform/tests/server.rs
+++ b/crates/platform/tests/server.rs
@@ -1,4 +1,4 @@
-//! A scripted platform on a socket of its own.
+//! A scripted HTTP server that stands in for the platform.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -10,24 +10,25 @@
 };
 
 pub(crate) const TIMEOUT: Duration = Duration::from_millis(150);
-pub(crate) const PLENTY: Rates = Rates {
+pub(crate) const HIGH_RATES: Rates = Rates {
     reads: 1000.0,
     writes: 1000.0,
     burst: Duration::from_secs(1),
 };
 
-/// What the server does with one request.
+/// What the server does with a request.
 pub(crate) enum Reply {
     Send(String),
-    Late(Duration, String),
-    /// Sends the text in pieces, with this pause before each.
+    Delayed(Duration, String),
+    /// Sends the pieces of a response, with this pause before each of them.
     Trickle(Duration, Vec<String>),
     Silent,
     Close,
     SendClose(String),
 }
 
-/// Connection (from 0), request of that connection (from 0), head of the request.
+/// Returns the reply to a request. The arguments are the index of the connection, the index of the
+/// request on that connection, and the head of the request.
 pub(crate) type Script = dyn Fn(usize, usize, &str) -> Reply + Send + Sync;
 
 pub(crate) struct Server {
@@ -44,10 +45,10 @@
         let script: Arc<Script> = Arc::new(script);
         let mut tasks = JoinSet::new();
         tasks.spawn(async move {
-            let mut served = JoinSet::new();
+            let mut connections = JoinSet::new();
             for connection in 0.. {
                 let (stream, _) = listener.accept().await.unwrap();
-                served.spawn(serve(stream, connection, script.clone()));
+                connections.spawn(serve(stream, connection, script.clone()));
             }
         });
         Self {
@@ -58,10 +59,10 @@
 }
 
 pub(crate) fn client(address: SocketAddr, rates: Rates) -> Client {
-    client_of(vec![address], rates)
+    client_with_addresses(vec![address], rates)
 }
 
-pub(crate) fn client_of(addresses: Vec<SocketAddr>, rates: Rates) -> Client {
+pub(crate) fn client_with_addresses(addresses: Vec<SocketAddr>, rates: Rates) -> Client {
     Client::new(&Settings {
         addresses,
         connect: TIMEOUT,
@@ -81,12 +82,12 @@
 
 async fn serve(mut stream: TcpStream, connection: usize, script: Arc<Script>) {
     for request in 0.. {
-        let Some(head) = head(&mut stream).await else {
+        let Some(head) = read_head(&mut stream).await else {
             return;
         };
         match script(connection, request, &head) {
             Reply::Send(text) => _ = stream.write_all(text.as_bytes()).await,
-            Reply::Late(wait, text) => {
+            Reply::Delayed(wait, text) => {
                 tokio::time::sleep(wait).await;
                 _ = stream.write_all(text.as_bytes()).await;
             }
@@ -106,8 +107,8 @@
     }
 }
 
-/// Reads one request with its body.
-async fn head(stream: &mut TcpStream) -> Option<String> {
+/// Reads a request and its body, and returns its head.
+async fn read_head(stream: &mut TcpStream) -> Option<String> {
     let mut read = Vec::new();
     loop {
         let mut chunk = [0; 4096];
--- a/crates/platform/tests/test_call_budget.rs
+++ b/crates/platform/tests/test_call_budget.rs
@@ -1,4 +1,4 @@
-//! The call budget.
+//! Tests for the call budget.
 
 use std::time::Duration;
 
@@ -16,23 +16,23 @@
 };
 
 #[rstest]
-fn any_stretch_of_time_stays_within_rate_and_burst(#[values(1, 2, 3, 4)] seed: u64) {
+fn calls_in_any_interval_stay_within_rate_and_burst(#[values(1, 2, 3, 4)] seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let start = Instant::now();
     let mut budget = CallBudget::new(RATES, start);
     let mut now = start;
-    let mut taken = Vec::new();
+    let mut calls = Vec::new();
     for _ in 0..2000 {
         now += Duration::from_micros(rng.random_range(0..60_000));
         if let Err(wait) = budget.take(CallKind::Write, now) {
-            // Coming back when told is enough.
+            // Waiting for the returned time suffices.
             now += wait + Duration::from_micros(1);
             budget.take(CallKind::Write, now).unwrap();
         }
-        taken.push(now);
+        calls.push(now);
     }
-    for (from, first) in taken.iter().enumerate() {
-        for (count, last) in taken[from..].iter().enumerate().take(100) {
+    for (from, first) in calls.iter().enumerate() {
+        for (count, last) in calls[from..].iter().enumerate().take(100) {
             let allowed = 3.5 + RATES.writes * (*last - *first).as_secs_f64();
             assert!(count as f64 + 1.0 <= allowed + 1e-3, "{from} {count}");
         }
@@ -40,18 +40,18 @@
 }
 
 #[test]
-fn a_smaller_share_holds_from_the_moment_it_is_set() {
+fn lower_rates_apply_as_soon_as_they_are_set() {
     let start = Instant::now();
     let mut budget = CallBudget::new(RATES, start);
     budget.set_rates(RATES.share(7), start);
-    let taken = (0..10).filter(|_| budget.take(CallKind::Write, start).is_ok());
-    assert_eq!(taken.count(), 1);
+    let calls = (0..10).filter(|_| budget.take(CallKind::Write, start).is_ok());
+    assert_eq!(calls.count(), 1);
 }
 
-// The caller of a call beyond the share gets an error at once. Without the refusal the call would
-// be sent, and the platform would see more calls than it was promised.
+// Guards against sending more calls to the platform than this instance may. A call that exceeds the
+// budget fails at once.
 #[tokio::test]
-async fn a_call_beyond_the_share_is_refused_and_not_sent() {
+async fn call_that_exceeds_the_budget_is_rejected_and_not_sent() {
     let server = Server::start(|_, request, _| {
         assert_eq!(request, 0, "a second request was sent");
         reply("200 OK", "etag: \"5\"\r\n", "")
--- a/crates/platform/tests/test_calls.rs
+++ b/crates/platform/tests/test_calls.rs
@@ -1,4 +1,4 @@
-//! Calls and their failures.
+//! Tests for calls and the errors that they return.
 
 use std::{
     sync::{Arc, Mutex},
@@ -8,7 +8,7 @@
 use celerypond_platform::{Change, Object, PlatformError, Version, WriteOutcome};
 use rstest::rstest;
 
-use crate::server::{client, reply, Reply, Server, PLENTY, TIMEOUT};
+use crate::server::{client, reply, Reply, Server, HIGH_RATES, TIMEOUT};
 
 const LIMITED: PlatformError = PlatformError::RateLimited {
     retry_after: Duration::from_secs(7),
@@ -39,13 +39,13 @@
     PlatformError::Status(428)
 )]
 #[tokio::test]
-async fn a_status_tells_what_failed(
+async fn status_code_maps_to_an_error(
     #[case] status: &'static str,
     #[case] read: PlatformError,
     #[case] write: PlatformError,
 ) {
     let server = Server::start(move |_, _, _| reply(status, "retry-after: 7\r\n", "")).await;
-    let platform = client(server.address, PLENTY);
+    let platform = client(server.address, HIGH_RATES);
     let value = || "v".into();
     let created = platform.create("k", value()).await.unwrap_err();
     let updated = platform.update("k", Version(1), value()).await.unwrap_err();
@@ -58,7 +58,7 @@
 }
 
 #[derive(Clone, Copy)]
-enum Loss {
+enum ConnectionFailure {
     Refused,
     Closed,
     Silent,
@@ -66,56 +66,73 @@
     CutOff,
 }
 
-const HALF: &str = "HTTP/1.1 200 OK\r\netag: \"5\"\r\ncontent-length: 9\r\n\r\nhalf";
+const PARTIAL_RESPONSE: &str = "HTTP/1.1 200 OK\r\netag: \"5\"\r\ncontent-length: 9\r\n\r\nhalf";
 
-// The caller of a write hears that it took no effect, or that it may have. Only a connection that
-// was never made proves the first; a connection lost at any later moment proves nothing.
+// Guards against reporting a write as having had no effect when it may have taken effect. Only a
+// connection that was never opened proves that the request was not processed. A connection that
+// breaks at any later moment proves nothing.
 #[rstest]
-#[case::refused(Loss::Refused, PlatformError::Down, PlatformError::Down)]
-#[case::closed(Loss::Closed, PlatformError::Down, PlatformError::Ambiguous)]
-#[case::silent(Loss::Silent, PlatformError::Down, PlatformError::Ambiguous)]
-#[case::stuck(Loss::Stuck, PlatformError::Down, PlatformError::Ambiguous)]
-#[case::cut_off(Loss::CutOff, PlatformError::Down, PlatformError::Ambiguous)]
+#[case::refused(ConnectionFailure::Refused, PlatformError::Down, PlatformError::Down)]
+#[case::closed(
+    ConnectionFailure::Closed,
+    PlatformError::Down,
+    PlatformError::Ambiguous
+)]
+#[case::silent(
+    ConnectionFailure::Silent,
+    PlatformError::Down,
+    PlatformError::Ambiguous
+)]
+#[case::stuck(
+    ConnectionFailure::Stuck,
+    PlatformError::Down,
+    PlatformError::Ambiguous
+)]
+#[case::cut_off(
+    ConnectionFailure::CutOff,
+    PlatformError::Down,
+    PlatformError::Ambiguous
+)]
 #[tokio::test]
-async fn a_lost_connection_proves_only_what_it_can(
-    #[case] loss: Loss,
+async fn write_on_a_broken_connection_is_ambiguous_unless_it_was_not_sent(
+    #[case] failure: ConnectionFailure,
     #[case] read: PlatformError,
     #[case] write: PlatformError,
 ) {
-    let server = Server::start(move |_, _, _| match loss {
-        Loss::Refused | Loss::Silent => Reply::Silent,
-        Loss::Closed => Reply::Close,
-        Loss::Stuck => Reply::Send(HALF.to_owned()),
-        Loss::CutOff => Reply::SendClose(HALF.to_owned()),
+    let server = Server::start(move |_, _, _| match failure {
+        ConnectionFailure::Refused | ConnectionFailure::Silent => Reply::Silent,
+        ConnectionFailure::Closed => Reply::Close,
+        ConnectionFailure::Stuck => Reply::Send(PARTIAL_RESPONSE.to_owned()),
+        ConnectionFailure::CutOff => Reply::SendClose(PARTIAL_RESPONSE.to_owned()),
     })
     .await;
     let address = server.address;
-    let platform = client(address, PLENTY);
-    if matches!(loss, Loss::Refused) {
+    let platform = client(address, HIGH_RATES);
+    if matches!(failure, ConnectionFailure::Refused) {
         drop(server);
         tokio::time::sleep(TIMEOUT).await;
-        assert_lost(&platform, read, write).await;
+        assert_errors(&platform, read, write).await;
     } else {
-        assert_lost(&platform, read, write).await;
+        assert_errors(&platform, read, write).await;
     }
 }
 
-async fn assert_lost(
+async fn assert_errors(
     platform: &celerypond_platform::Client,
     read: PlatformError,
     write: PlatformError,
 ) {
     let bound = TIMEOUT * 4;
-    let wrote = tokio::time::timeout(bound, platform.create("k", "v".into())).await;
-    let got = tokio::time::timeout(bound, platform.get("k")).await;
-    let watched = tokio::time::timeout(bound, platform.watch("k", Version(1), TIMEOUT)).await;
-    assert_eq!(*wrote.unwrap().unwrap_err().current_context(), write);
-    assert_eq!(*got.unwrap().unwrap_err().current_context(), read);
-    assert_eq!(*watched.unwrap().unwrap_err().current_context(), read);
+    let write_result = tokio::time::timeout(bound, platform.create("k", "v".into())).await;
+    let read_result = tokio::time::timeout(bound, platform.get("k")).await;
+    let watch_result = tokio::time::timeout(bound, platform.watch("k", Version(1), TIMEOUT)).await;
+    assert_eq!(*write_result.unwrap().unwrap_err().current_context(), write);
+    assert_eq!(*read_result.unwrap().unwrap_err().current_context(), read);
+    assert_eq!(*watch_result.unwrap().unwrap_err().current_context(), read);
 }
 
 #[tokio::test]
-async fn requests_have_the_agreed_form() {
+async fn requests_follow_the_native_protocol() {
     let heads = Arc::new(Mutex::new(Vec::new()));
     let seen = heads.clone();
     let server = Server::start(move |_, _, head| {
@@ -126,7 +143,7 @@
         }
     })
     .await;
-    let platform = client(server.address, PLENTY);
+    let platform = client(server.address, HIGH_RATES);
     let created = platform.create("a/b c", "v".into()).await.unwrap();
     let updated = platform.update("k", created, "w".into()).await.unwrap();
     platform.delete("k", updated).await.unwrap();
@@ -135,7 +152,7 @@
         (object.version, &object.value[..]),
         (Version(41), &b"{}"[..])
     );
-    // The body of this answer is not a list.
+    // The body of this response is not a listing.
     let error = platform.list("l/", "l/a&b", 9).await.unwrap_err();
     assert_eq!(*error.current_context(), PlatformError::Malformed);
     let seen = heads.lock().unwrap();
@@ -148,7 +165,7 @@
 }
 
 #[tokio::test]
-async fn a_list_is_read_to_its_end_though_pages_are_short() {
+async fn list_all_reads_pages_until_one_is_empty() {
     let server = Server::start(|_, _, head| {
         let page = match head {
             head if head.contains("after=&") => r#"[{"key":"p/1","version":3,"value":"YQ=="}]"#,
@@ -160,7 +177,10 @@
         reply("200 OK", "", &body)
     })
     .await;
-    let listing = client(server.address, PLENTY).list_all("p/").await.unwrap();
+    let listing = client(server.address, HIGH_RATES)
+        .list_all("p/")
+        .await
+        .unwrap();
     let values: Vec<_> = listing.objects.iter().map(|o| &o.value[..]).collect();
     assert_eq!(
         (listing.revision, values),
@@ -169,39 +189,40 @@
 }
 
 #[tokio::test]
-async fn a_watch_waits_longer_than_the_timeout_of_a_call() {
+async fn watch_may_take_longer_than_the_call_timeout() {
     let body = r#"{"revision":6,"changes":[{"key":"k","version":6,"value":null}]}"#;
     let text = crate::server::text("200 OK", "", body);
-    let server = Server::start(move |_, _, _| Reply::Late(TIMEOUT * 2, text.clone())).await;
-    let platform = client(server.address, PLENTY);
-    let seen = platform.watch("k", Version(5), TIMEOUT * 3).await.unwrap();
+    let server = Server::start(move |_, _, _| Reply::Delayed(TIMEOUT * 2, text.clone())).await;
+    let platform = client(server.address, HIGH_RATES);
+    let watch = platform.watch("k", Version(5), TIMEOUT * 3).await.unwrap();
     let change = Change {
         key: "k".into(),
         version: Version(6),
         value: None,
     };
-    assert_eq!((seen.revision, seen.changes), (Version(6), vec![change]));
+    assert_eq!((watch.revision, watch.changes), (Version(6), vec![change]));
 }
 
 #[tokio::test]
-async fn a_value_over_a_megabyte_is_not_sent() {
+async fn value_over_a_mebibyte_is_rejected_and_not_sent() {
     let server = Server::start(|_, _, _| panic!("a request was sent")).await;
     let value = vec![0; (1 << 20) + 1].into();
-    let error = client(server.address, PLENTY).create("k", value).await;
+    let error = client(server.address, HIGH_RATES).create("k", value).await;
     assert_eq!(
         *error.unwrap_err().current_context(),
         PlatformError::TooLarge
     );
 }
 
-// The writer of an update whose reply was lost reads back. A value of another writer does not tell
-// whether its own was there before, so only its own value or the old version settle it.
+// Guards against a wrong verdict on an update whose response was lost. The writer reads the object
+// back. A value of another writer does not tell whether its own value was there before, so only its
+// own value or the old version are conclusive.
 #[rstest]
-#[case::ours(Some((9, "nonce-1")), WriteOutcome::Applied(Version(9)))]
+#[case::applied(Some((9, "nonce-1")), WriteOutcome::Applied(Version(9)))]
 #[case::not_yet(Some((5, "old")), WriteOutcome::Pending)]
 #[case::other(Some((9, "nonce-2")), WriteOutcome::Other(object(9, "nonce-2")))]
 #[case::deleted(None, WriteOutcome::Pending)]
-fn a_lost_reply_is_settled_by_reading_back(
+fn outcome_of_a_write_follows_from_reading_back(
     #[case] found: Option<(u64, &'static str)>,
     #[case] outcome: WriteOutcome,
 ) {
--- a/crates/platform/tests/test_connections.rs
+++ b/crates/platform/tests/test_connections.rs
@@ -1,25 +1,28 @@
-//! Connections that fall silent.
+//! Tests for connections that stop responding and for slow transfers.
 
 use std::time::Duration;
 
 use celerypond_platform::{PlatformError, Version};
 
-use crate::server::{client, client_of, reply, text, Reply, Server, PLENTY, TIMEOUT};
+use crate::server::{
+    client, client_with_addresses, reply, text, Reply, Server, HIGH_RATES, TIMEOUT,
+};
 
-// Four calls at once leave four idle connections. Something on the way then loses track of all of
-// them: they take requests and never answer, while new connections work. The first call after
-// that times out. The second must not, or each idle connection costs a call its answer.
+// Guards against every idle connection costing a call its response. Four concurrent calls leave four
+// idle connections. A network device on the path then loses the state of all of them: requests on
+// them are never answered, while new connections work. The first call after that times out. The
+// second must not.
 #[tokio::test]
-async fn one_timeout_retires_all_connections_that_were_open() {
+async fn timeout_replaces_all_idle_connections() {
     let server = Server::start(|connection, request, _| match (connection, request) {
         (0..4, 1..) => Reply::Silent,
-        _ => Reply::Late(
+        _ => Reply::Delayed(
             Duration::from_millis(20),
             text("200 OK", "etag: \"5\"\r\n", ""),
         ),
     })
     .await;
-    let platform = client(server.address, PLENTY);
+    let platform = client(server.address, HIGH_RATES);
     let calls = (0..4).map(|_| platform.get("k"));
     assert!(futures::future::join_all(calls)
         .await
@@ -32,19 +35,19 @@
     }
 }
 
-// The first answer arrives after its caller gave up. The second call must get its own answer and
-// not the late one, which would be read if the connection went back to the pool.
+// Guards against a call that gets the response of an earlier one. The first response arrives after
+// its caller has given up. The next call would read it if the connection went back to the pool.
 #[tokio::test]
-async fn a_late_answer_reaches_nobody() {
+async fn late_response_is_discarded() {
     let server = Server::start(|connection, request, _| match (connection, request) {
-        (0, 0) => Reply::Late(
+        (0, 0) => Reply::Delayed(
             TIMEOUT + TIMEOUT / 2,
             text("200 OK", "etag: \"1\"\r\n", "late"),
         ),
         _ => reply("200 OK", "etag: \"2\"\r\n", "own"),
     })
     .await;
-    let platform = client(server.address, PLENTY);
+    let platform = client(server.address, HIGH_RATES);
     assert!(platform.get("first").await.is_err());
     tokio::time::sleep(TIMEOUT).await;
     let object = platform.get("second").await.unwrap();
@@ -54,13 +57,13 @@
     );
 }
 
-// The first address of the platform is down. One call learns that; the next goes to the second
-// address, and all later ones stay there.
+// The first address of the platform is unreachable. One call fails because of that. All later calls
+// use the second address.
 #[tokio::test]
-async fn calls_go_on_at_another_address() {
+async fn calls_after_a_failure_use_the_next_address() {
     let server = Server::start(|_, _, _| reply("200 OK", "etag: \"5\"\r\n", "")).await;
-    let nobody = "127.0.0.1:1".parse().unwrap();
-    let platform = client_of(vec![nobody, server.address], PLENTY);
+    let unreachable = "127.0.0.1:1".parse().unwrap();
+    let platform = client_with_addresses(vec![unreachable, server.address], HIGH_RATES);
     let error = platform.get("k").await.unwrap_err();
     assert_eq!(*error.current_context(), PlatformError::Down);
     for _ in 0..3 {
@@ -76,25 +79,25 @@
     Reply::Trickle(pause, [head].into_iter().chain(pieces).collect())
 }
 
-// Guards against a transfer over a narrow link that is given up in the middle and begun again for ever.
+// Guards against a transfer over a slow link that is aborted and restarted forever.
 #[tokio::test]
-async fn answer_that_keeps_arriving_is_read_to_its_end() {
+async fn response_that_keeps_arriving_is_read_to_its_end() {
     let pause = TIMEOUT / 3;
     let server = Server::start(move |_, _, _| trickle(pause, 9)).await;
-    let platform = client(server.address, PLENTY);
+    let platform = client(server.address, HIGH_RATES);
     let (counting, progress) = platform.with_progress();
     let object = counting.get("k").await.unwrap();
     assert_eq!((object.value.len(), progress.bytes()), (9, 9));
 }
 
-// Guards against a connection that delivers a byte now and then and holds up its caller for good.
+// Guards against a connection that delivers a byte now and then and blocks its caller forever.
 #[tokio::test]
-async fn answer_that_never_ends_is_given_up() {
+async fn response_that_never_ends_is_aborted() {
     let pause = TIMEOUT / 3;
     let server = Server::start(move |_, _, _| trickle(pause, 1_000)).await;
-    let platform = client(server.address, PLENTY);
-    let begun = tokio::time::Instant::now();
+    let platform = client(server.address, HIGH_RATES);
+    let start = tokio::time::Instant::now();
     let error = platform.get("k").await.unwrap_err();
     assert_eq!(*error.current_context(), PlatformError::Down);
-    assert!(begun.elapsed() < TIMEOUT * 15);
+    assert!(start.elapsed() < TIMEOUT * 15);
 }
