--- a/crates/bundle/src/bundle.rs
+++ b/crates/bundle/src/bundle.rs
@@ -1,4 +1,4 @@
-//! The bundle: all that operators declare, in one versioned document.
+//! The bundle: everything that operators configure, in one versioned document.
 
 use celerypond_types::{AccountName, Digest, ModelName, ServiceName, TargetName};
 use schemars::JsonSchema;
@@ -6,34 +6,36 @@
 
 use crate::{Account, Model, Service, Target};
 
-/// The version of the bundle format that this library reads.
+/// The version of the bundle format that this crate supports.
 pub const FORMAT: u32 = 1;
 
-/// All that operators declare, in one versioned document.
+/// Everything that operators configure, in one versioned document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Bundle {
     /// The version of the format: [`FORMAT`].
     pub format: u32,
-    /// What the bundle is for, in the operator's words.
+    /// A description of the bundle, written by an operator.
     #[schemars(with = "String")]
     pub title: smol_str::SmolStr,
-    /// Engines and processes of plain services.
+    /// The engines and the processes of plain services.
     pub targets: Vec<Target>,
-    /// Models and their versions.
+    /// The models and their versions.
     #[serde(default)]
     pub models: Vec<Model>,
-    /// Plain services.
+    /// The plain services.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// Client accounts.
+    /// The client accounts.
     pub accounts: Vec<Account>,
 }
 
 impl Bundle {
-    /// Returns the digest of the bundle's canonical JSON form, by which it is approved.
+    /// Returns the digest of the bundle's canonical JSON form, which identifies the bundle in an
+    /// approval.
     pub fn digest(&self) -> Digest {
-        // Field order is that of the types and no map is involved, so the form is canonical.
+        // The output is canonical because fields are written in declaration order and the bundle
+        // contains no maps.
         let bytes = serde_json::to_vec(self).unwrap_or_default();
         Digest::of(&bytes)
     }
--- a/crates/bundle/src/check.rs
+++ b/crates/bundle/src/check.rs
@@ -1,28 +1,28 @@
-//! The check of a bundle, which finds every fault in one run.
+//! Parsing and validation of a bundle. One run reports all errors.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde_json::Value;
 
 use crate::{
-    document::{optional, Document},
+    document::{deserialize_if_valid, Document},
     validation_error::{quoted, EntryKind, Expected, ValidationError, ValidationErrors},
     Account, Bundle, Model, Service, Target, TargetKind, FORMAT,
 };
 
 const DAY_MS: u64 = 24 * 60 * 60 * 1000;
-const LEAST_TRANSITION_S: u64 = 10;
+const MIN_ROLLOUT_S: u64 = 10;
 const WEEK_S: u64 = 7 * 24 * 60 * 60;
 
-/// Which kind each target of the document has; `None` where its kind has a fault.
-type Kinds = BTreeMap<String, Option<TargetKind>>;
+/// The kind of each target in the document, by name. It is `None` if the target is invalid.
+type TargetKinds = BTreeMap<String, Option<TargetKind>>;
 
 impl Bundle {
-    /// Reads a bundle and checks it.
+    /// Parses and validates a bundle.
     ///
     /// # Errors
     ///
-    /// Gives every fault, each with its path, what was found and what was expected.
+    /// Returns all errors in the document.
     ///
     /// # Examples
     ///
@@ -30,123 +30,135 @@
     /// use celerypond_bundle::Bundle;
     ///
     /// let text = r#"{"format":1,"title":"empty","targets":[],"accounts":[],"colour":"red"}"#;
-    /// let faults = Bundle::parse(text).unwrap_err();
-    /// assert_eq!(faults[0].to_string(), "colour: found a field, expected no field `colour`");
+    /// let errors = Bundle::parse(text).unwrap_err();
+    /// assert_eq!(errors[0].to_string(), "colour: found a field, expected no field `colour`");
     /// ```
     pub fn parse(text: &str) -> Result<Self, Vec<ValidationError>> {
-        let mut document = Document::read::<Self>(text)?;
-        let targets: Vec<(usize, Target)> = document.entries("targets");
-        let models: Vec<(usize, Model)> = document.entries("models");
-        let services: Vec<(usize, Service)> = document.entries("services");
-        let accounts: Vec<(usize, Account)> = document.entries("accounts");
-        let kinds = kinds(&document, &targets);
-        let mut faults = std::mem::take(&mut document.faults);
-        check_format(&mut faults, document.value.get("format"));
-        check_targets(&mut faults, &targets);
+        let mut document = Document::parse::<Self>(text)?;
+        let targets: Vec<(usize, Target)> = document.valid_entries("targets");
+        let models: Vec<(usize, Model)> = document.valid_entries("models");
+        let services: Vec<(usize, Service)> = document.valid_entries("services");
+        let accounts: Vec<(usize, Account)> = document.valid_entries("accounts");
+        let target_kinds = target_kinds(&document, &targets);
+        let mut errors = std::mem::take(&mut document.errors);
+        check_format(&mut errors, document.value.get("format"));
+        check_targets(&mut errors, &targets);
         for (index, model) in &models {
-            check_model(&mut faults, &format!("models[{index}]"), model, &kinds);
+            check_model(
+                &mut errors,
+                &format!("models[{index}]"),
+                model,
+                &target_kinds,
+            );
         }
         for (index, service) in &services {
-            check_service(&mut faults, &format!("services[{index}]"), service, &kinds);
+            check_service(
+                &mut errors,
+                &format!("services[{index}]"),
+                service,
+                &target_kinds,
+            );
         }
-        check_accounts(&mut faults, &accounts);
-        faults.unique(paths(
+        check_accounts(&mut errors, &accounts);
+        errors.check_unique(name_paths(
             "models",
-            models.iter().map(|(at, model)| (at, &model.name)),
+            models.iter().map(|(index, model)| (index, &model.name)),
         ));
-        faults.unique(paths(
+        errors.check_unique(name_paths(
             "services",
-            services.iter().map(|(at, it)| (at, &it.name)),
+            services.iter().map(|(index, entry)| (index, &entry.name)),
         ));
-        document.faults = faults;
-        document.whole()
+        document.errors = errors;
+        document.into_typed()
     }
 }
 
-fn kinds(document: &Document, targets: &[(usize, Target)]) -> Kinds {
-    let mut kinds: Kinds = document
-        .names("targets")
+fn target_kinds(document: &Document, targets: &[(usize, Target)]) -> TargetKinds {
+    let mut target_kinds: TargetKinds = document
+        .entry_names("targets")
         .into_iter()
         .map(|name| (name, None))
         .collect();
     for (_, target) in targets {
-        kinds.insert(target.name.as_str().to_owned(), Some(target.kind));
+        target_kinds.insert(target.name.as_str().to_owned(), Some(target.kind));
     }
-    kinds
+    target_kinds
 }
 
-fn paths<'a, T: 'a>(
+fn name_paths<'a, T: 'a>(
     list: &'static str,
     names: impl Iterator<Item = (&'a usize, T)> + 'a,
 ) -> impl Iterator<Item = (String, T)> + 'a {
     names.map(move |(index, name)| (format!("{list}[{index}].name"), name))
 }
 
-fn check_format(faults: &mut ValidationErrors, value: Option<&Value>) {
-    let format: Option<u32> = optional(value);
+fn check_format(errors: &mut ValidationErrors, value: Option<&Value>) {
+    let format: Option<u32> = deserialize_if_valid(value);
     if let Some(format) = format.filter(|format| *format != FORMAT) {
-        faults.add("format", format.to_string(), Expected::Format(FORMAT));
+        errors.add("format", format.to_string(), Expected::Format(FORMAT));
     }
 }
 
-fn check_targets(faults: &mut ValidationErrors, targets: &[(usize, Target)]) {
+fn check_targets(errors: &mut ValidationErrors, targets: &[(usize, Target)]) {
     for (index, target) in targets {
         let path = format!("targets[{index}]");
-        faults.name(&format!("{path}.name"), target.name.as_str());
-        faults.name(&format!("{path}.data_centre"), target.data_centre.as_str());
-        faults.range(
+        errors.check_name(&format!("{path}.name"), target.name.as_str());
+        errors.check_name(&format!("{path}.data_centre"), target.data_centre.as_str());
+        errors.check_range(
             &format!("{path}.address"),
             target.address.port().into(),
             1,
             65_535,
         );
-        faults.range(&format!("{path}.slots"), target.slots.into(), 1, 100_000);
+        errors.check_range(&format!("{path}.slots"), target.slots.into(), 1, 100_000);
     }
-    faults.unique(paths(
+    errors.check_unique(name_paths(
         "targets",
-        targets.iter().map(|(at, target)| (at, &target.name)),
+        targets.iter().map(|(index, target)| (index, &target.name)),
     ));
     let addresses = targets
         .iter()
         .map(|(index, target)| (format!("targets[{index}].address"), target.address));
-    faults.unique(addresses);
+    errors.check_unique(addresses);
 }
 
-fn check_model(faults: &mut ValidationErrors, path: &str, model: &Model, kinds: &Kinds) {
-    faults.name(&format!("{path}.name"), model.name.as_str());
-    faults.range(&format!("{path}.deadline_ms"), model.deadline_ms, 1, DAY_MS);
-    let transition = format!("{path}.complete_within_s");
-    faults.range(
-        &transition,
-        model.complete_within_s,
-        LEAST_TRANSITION_S,
-        WEEK_S,
-    );
+fn check_model(
+    errors: &mut ValidationErrors,
+    path: &str,
+    model: &Model,
+    target_kinds: &TargetKinds,
+) {
+    errors.check_name(&format!("{path}.name"), model.name.as_str());
+    errors.check_range(&format!("{path}.deadline_ms"), model.deadline_ms, 1, DAY_MS);
+    let duration = format!("{path}.complete_within_s");
+    errors.check_range(&duration, model.complete_within_s, MIN_ROLLOUT_S, WEEK_S);
     for (index, version) in model.versions.iter().enumerate() {
         let path = format!("{path}.versions[{index}]");
-        faults.name(&format!("{path}.name"), version.name.as_str());
+        errors.check_name(&format!("{path}.name"), version.name.as_str());
         let names = version.targets.iter().map(|target| target.as_str());
-        check_used(
-            faults,
+        check_target_references(
+            errors,
             &format!("{path}.targets"),
             names,
-            kinds,
+            target_kinds,
             TargetKind::Engine,
         );
     }
     let versions = model.versions.iter().enumerate();
-    faults.unique(versions.map(|(at, it)| (format!("{path}.versions[{at}].name"), &it.name)));
+    errors.check_unique(
+        versions.map(|(index, entry)| (format!("{path}.versions[{index}].name"), &entry.name)),
+    );
     for (index, adapter) in model.adapters.iter().enumerate() {
-        faults.name(&format!("{path}.adapters[{index}]"), adapter.as_str());
+        errors.check_name(&format!("{path}.adapters[{index}]"), adapter.as_str());
     }
-    check_shares(faults, path, model);
+    check_shares(errors, path, model);
 }
 
-fn check_shares(faults: &mut ValidationErrors, path: &str, model: &Model) {
+fn check_shares(errors: &mut ValidationErrors, path: &str, model: &Model) {
     let known: BTreeSet<_> = model.versions.iter().map(|version| &version.name).collect();
     if !known.contains(&model.base) {
         let expected = Expected::NameOf(EntryKind::Version);
-        faults.add(
+        errors.add(
             format!("{path}.base"),
             quoted(model.base.as_str()),
             expected,
@@ -155,11 +167,11 @@
     for (index, share) in model.shares.iter().enumerate() {
         let path = format!("{path}.shares[{index}]");
         let found = quoted(share.version.as_str());
-        faults.range(&format!("{path}.percent"), share.percent.into(), 1, 100);
+        errors.check_range(&format!("{path}.percent"), share.percent.into(), 1, 100);
         if share.version == model.base {
-            faults.add(format!("{path}.version"), found, Expected::NotBase);
+            errors.add(format!("{path}.version"), found, Expected::NotBase);
         } else if !known.contains(&share.version) {
-            faults.add(
+            errors.add(
                 format!("{path}.version"),
                 found,
                 Expected::NameOf(EntryKind::Version),
@@ -167,14 +179,16 @@
         }
     }
     let shares = model.shares.iter().enumerate();
-    faults.unique(shares.map(|(at, it)| (format!("{path}.shares[{at}].version"), &it.version)));
+    errors.check_unique(
+        shares.map(|(index, entry)| (format!("{path}.shares[{index}].version"), &entry.version)),
+    );
     let sum: u64 = model
         .shares
         .iter()
         .map(|share| u64::from(share.percent))
         .sum();
     if sum > 100 {
-        faults.add(
+        errors.add(
             format!("{path}.shares"),
             sum.to_string(),
             Expected::ShareSum,
@@ -182,34 +196,39 @@
     }
 }
 
-fn check_service(faults: &mut ValidationErrors, path: &str, service: &Service, kinds: &Kinds) {
-    faults.name(&format!("{path}.name"), service.name.as_str());
-    faults.range(
+fn check_service(
+    errors: &mut ValidationErrors,
+    path: &str,
+    service: &Service,
+    target_kinds: &TargetKinds,
+) {
+    errors.check_name(&format!("{path}.name"), service.name.as_str());
+    errors.check_range(
         &format!("{path}.deadline_ms"),
         service.deadline_ms,
         1,
         DAY_MS,
     );
     let names = service.targets.iter().map(|target| target.as_str());
-    check_used(
-        faults,
+    check_target_references(
+        errors,
         &format!("{path}.targets"),
         names,
-        kinds,
+        target_kinds,
         TargetKind::Service,
     );
     for (index, code) in service.not_run_codes.iter().enumerate() {
         let path = format!("{path}.not_run_codes[{index}]");
-        faults.range(&path, (*code).into(), 400, 599);
+        errors.check_range(&path, (*code).into(), 400, 599);
     }
     for (index, call) in service.calls.iter().enumerate() {
         let path = format!("{path}.calls[{index}]");
         if !call.path.starts_with('/') {
-            faults.add(format!("{path}.path"), quoted(&call.path), Expected::Path);
+            errors.add(format!("{path}.path"), quoted(&call.path), Expected::Path);
         }
-        let capitals = call.method.chars().all(|c| c.is_ascii_uppercase());
-        if call.method.is_empty() || !capitals {
-            faults.add(
+        let is_upper_case = call.method.chars().all(|c| c.is_ascii_uppercase());
+        if call.method.is_empty() || !is_upper_case {
+            errors.add(
                 format!("{path}.method"),
                 quoted(&call.method),
                 Expected::Method,
@@ -218,58 +237,58 @@
     }
 }
 
-fn check_used<'a>(
-    faults: &mut ValidationErrors,
+fn check_target_references<'a>(
+    errors: &mut ValidationErrors,
     path: &str,
     names: impl Iterator<Item = &'a str> + Clone,
-    kinds: &Kinds,
+    target_kinds: &TargetKinds,
     kind: TargetKind,
 ) {
     if names.clone().next().is_none() {
-        faults.add(path, "[]", Expected::NonEmptyList);
+        errors.add(path, "[]", Expected::NonEmptyList);
     }
     for (index, name) in names.clone().enumerate() {
-        let fits = kinds
+        let is_valid = target_kinds
             .get(name)
             .is_some_and(|known| known.is_none_or(|known| known == kind));
-        if !fits {
+        if !is_valid {
             let known = match kind {
                 TargetKind::Engine => EntryKind::Engine,
                 TargetKind::Service => EntryKind::ServiceTarget,
             };
-            faults.add(
+            errors.add(
                 format!("{path}[{index}]"),
                 quoted(name),
                 Expected::NameOf(known),
             );
         }
     }
-    faults.unique(
+    errors.check_unique(
         names
             .enumerate()
             .map(|(index, name)| (format!("{path}[{index}]"), name)),
     );
 }
 
-fn check_accounts(faults: &mut ValidationErrors, accounts: &[(usize, Account)]) {
-    const MOST: u64 = 100_000_000;
+fn check_accounts(errors: &mut ValidationErrors, accounts: &[(usize, Account)]) {
+    const MAX_RATE: u64 = 100_000_000;
 
     for (index, account) in accounts {
         let path = format!("accounts[{index}]");
-        faults.name(&format!("{path}.name"), account.name.as_str());
-        faults.key_digest(&format!("{path}.key_digest"), &account.key_digest);
+        errors.check_name(&format!("{path}.name"), account.name.as_str());
+        errors.check_key_digest(&format!("{path}.key_digest"), &account.key_digest);
         let requests = format!("{path}.requests_per_s");
-        faults.range(&requests, account.requests_per_s.into(), 1, MOST);
+        errors.check_range(&requests, account.requests_per_s.into(), 1, MAX_RATE);
         let tokens = format!("{path}.tokens_per_s");
-        faults.range(&tokens, account.tokens_per_s.into(), 1, MOST);
-        faults.range(&format!("{path}.weight"), account.weight.into(), 1, 1000);
+        errors.check_range(&tokens, account.tokens_per_s.into(), 1, MAX_RATE);
+        errors.check_range(&format!("{path}.weight"), account.weight.into(), 1, 1000);
     }
-    faults.unique(paths(
+    errors.check_unique(name_paths(
         "accounts",
-        accounts.iter().map(|(at, it)| (at, &it.name)),
+        accounts.iter().map(|(index, entry)| (index, &entry.name)),
     ));
     let digests = accounts
         .iter()
         .map(|(index, account)| (format!("accounts[{index}].key_digest"), account.key_digest));
-    faults.unique(digests);
+    errors.check_unique(digests);
 }
--- a/crates/bundle/src/diff.rs
+++ b/crates/bundle/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two bundles.
+//! Differences between two bundles.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -8,14 +8,14 @@
 
 use crate::Bundle;
 
-/// One place in which two bundles differ.
+/// A value that differs between two bundles.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Change {
-    /// The place; entries of lists go by name, such as `models[drafts].base`.
+    /// The path of the value. List entries are identified by name, as in `models[drafts].base`.
     pub path: SmolStr,
-    /// The value in the first bundle.
+    /// The value in the first bundle, or `None` if it has none.
     pub before: Option<Value>,
-    /// The value in the second bundle.
+    /// The value in the second bundle, or `None` if it has none.
     pub after: Option<Value>,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Lists the places in which two bundles differ, in the order of their paths.
+/// Returns the values that differ between two bundles, sorted by path.
 ///
 /// # Examples
 ///
@@ -62,22 +62,22 @@
 fn leaves(bundle: &Bundle) -> BTreeMap<String, Value> {
     let mut leaves = BTreeMap::new();
     let value = serde_json::to_value(bundle).unwrap_or_default();
-    collect(String::new(), value, &mut leaves);
+    collect_leaves(String::new(), value, &mut leaves);
     leaves
 }
 
-fn collect(path: String, value: Value, leaves: &mut BTreeMap<String, Value>) {
+fn collect_leaves(path: String, value: Value, leaves: &mut BTreeMap<String, Value>) {
     match value {
         Value::Object(fields) => {
             for (name, value) in fields {
                 let dot = if path.is_empty() { "" } else { "." };
-                collect(format!("{path}{dot}{name}"), value, leaves);
+                collect_leaves(format!("{path}{dot}{name}"), value, leaves);
             }
         }
         Value::Array(entries) => {
             for (index, entry) in entries.into_iter().enumerate() {
                 let name = entry_name(&entry).unwrap_or_else(|| index.to_string());
-                collect(format!("{path}[{name}]"), entry, leaves);
+                collect_leaves(format!("{path}[{name}]"), entry, leaves);
             }
         }
         leaf => {
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -1,4 +1,4 @@
-//! The bundle and settings formats, their checks and their diff.
+//! The formats of bundles and settings, their validation, and the diff of bundles.
 
 mod account;
 mod bundle;
--- a/crates/bundle/src/model.rs
+++ b/crates/bundle/src/model.rs
@@ -1,4 +1,4 @@
-//! A model, its versions and how traffic is shared between them.
+//! Models, their versions and the distribution of traffic between versions.
 
 use celerypond_types::{AdapterName, ModelName, TargetName, VersionName};
 use schemars::JsonSchema;
@@ -10,19 +10,19 @@
 pub struct Model {
     /// The name, unique in the bundle.
     pub name: ModelName,
-    /// The versions that engines have loaded or shall load.
+    /// The versions that engines have loaded or are to load.
     pub versions: Vec<Version>,
-    /// The version that serves what no share asks for, and with which new ones are compared.
+    /// The version that serves all other traffic and to which new versions are compared.
     pub base: VersionName,
-    /// The final shares of other versions; the rest goes to `base`.
+    /// The traffic shares that other versions have at the end of a rollout. The rest goes to `base`.
     #[serde(default)]
     pub shares: Vec<Share>,
-    /// Adapters that every version can load.
+    /// The adapters that every version can load.
     #[serde(default)]
     pub adapters: Vec<AdapterName>,
-    /// The longest time an answer may take, in milliseconds.
+    /// The maximum duration of an answer, in milliseconds.
     pub deadline_ms: u64,
-    /// The time from the roll of a bundle to its final shares, in seconds.
+    /// The time from rolling a bundle until its final shares are reached, in seconds.
     #[serde(default = "default_complete_within")]
     pub complete_within_s: u64,
 }
@@ -33,20 +33,20 @@
 pub struct Version {
     /// The name, unique in the model.
     pub name: VersionName,
-    /// The name of its weights in the weight store.
+    /// The name of the weights in the weight store.
     #[schemars(with = "String")]
     pub weights: smol_str::SmolStr,
     /// The engines that serve it.
     pub targets: Vec<TargetName>,
 }
 
-/// The share of traffic that a version gets in the end.
+/// The share of traffic that a version has at the end of a rollout.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Share {
     /// A version of the model other than its base.
     pub version: VersionName,
-    /// The final share in percent.
+    /// The share in percent.
     pub percent: u8,
 }
 
--- a/crates/bundle/src/service.rs
+++ b/crates/bundle/src/service.rs
@@ -1,45 +1,46 @@
-//! A plain service beside the model engines.
+//! Plain services.
 
 use celerypond_types::{ServiceName, TargetName};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// A plain service beside the model engines.
+/// A plain service: an HTTP service that is not a model engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     /// The name, unique in the bundle.
     pub name: ServiceName,
-    /// The targets that serve it, any of which may take any call.
+    /// The targets that serve it. Each of them can handle any call.
     pub targets: Vec<TargetName>,
-    /// Calls whose rule differs from that of their method.
+    /// Rules for calls whose idempotency differs from the default of their method.
     #[serde(default)]
     pub calls: Vec<Call>,
-    /// The longest time a call may take, in milliseconds.
+    /// The maximum duration of a call, in milliseconds.
     pub deadline_ms: u64,
-    /// Status codes by which this service proves that a call did not run.
+    /// The status codes that the service returns only for calls that it did not run.
     #[serde(default)]
     pub not_run_codes: Vec<u16>,
 }
 
-/// A call whose rule differs from that of its method.
+/// A rule for calls whose idempotency differs from the default of their method.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
-    /// The HTTP method, in capitals.
+    /// The HTTP method, in upper case.
     #[schemars(with = "String")]
     pub method: smol_str::SmolStr,
-    /// The start of the path below the service.
+    /// The prefix of the path, relative to the service.
     #[schemars(with = "String")]
     pub path: smol_str::SmolStr,
-    /// Whether the call may be repeated.
+    /// Whether the call is idempotent, so that it may be retried.
     pub idempotent: bool,
 }
 
 impl Service {
-    /// Returns whether a call may be repeated, by the longest rule that fits or else by its method.
+    /// Returns whether a call is idempotent.
     ///
-    /// The default by method is that of RFC 9110, section 9.2.2.
+    /// The matching rule with the longest path prefix decides. Without one, the method decides as
+    /// defined in RFC 9110, section 9.2.2.
     pub fn is_idempotent(&self, method: &str, path: &str) -> bool {
         self.calls
             .iter()
--- a/crates/bundle/src/settings.rs
+++ b/crates/bundle/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one instance.
+//! Settings of an instance.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -11,50 +11,50 @@
     validation_error::{Expected, ValidationError, ValidationErrors},
 };
 
-/// The settings of one instance.
+/// The settings of an instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// The name of the instance, unique in the fleet.
     pub instance: InstanceName,
-    /// Where the instance stands.
+    /// The data centre that the instance runs in.
     pub data_centre: DataCentre,
-    /// Where callers and operators reach it, as IP number and port.
+    /// The address for callers and operators, as IP address and port.
     #[schemars(with = "String")]
     pub address: SocketAddr,
-    /// Where other instances reach it, as IP number and port.
+    /// The address for other instances, as IP address and port.
     #[schemars(with = "String")]
     pub peer_address: SocketAddr,
     /// The addresses of the platform, tried in order.
     #[schemars(with = "Vec<String>")]
     pub platform: Vec<SocketAddr>,
-    /// Peer addresses to begin with while the platform is down.
+    /// The peer addresses to contact at startup while the platform is unavailable.
     #[serde(default)]
     #[schemars(with = "Vec<String>")]
     pub seeds: Vec<SocketAddr>,
-    /// The secret that all instances share, as 64 hexadecimal digits; it seals resume tokens.
+    /// The secret that all instances share, as 64 hexadecimal digits. It seals resume tokens.
     pub fleet_key: Digest,
-    /// Who may submit, approve and roll bundles.
+    /// The operators who may submit, approve and roll bundles.
     pub operators: Vec<Operator>,
-    /// Worker threads; as many as processors when left out.
+    /// The number of worker threads. Defaults to the number of processors.
     #[serde(default)]
     pub threads: Option<usize>,
-    /// The largest request body, in bytes.
+    /// The maximum size of a request body, in bytes.
     #[serde(default = "default_body_limit")]
     pub body_limit: usize,
-    /// Where log lines go.
+    /// The log output.
     #[serde(default)]
     pub log: LogSettings,
-    /// Where counters go as statsd datagrams; they are always read at `GET /v1/metrics`.
+    /// The address for metrics as statsd datagrams. `GET /v1/metrics` always serves them as well.
     #[serde(default)]
     #[schemars(with = "Option<String>")]
     pub statsd: Option<SocketAddr>,
-    /// The file to which spans go as JSON lines; none are kept when left out.
+    /// The file to which spans are written as JSON lines. By default, spans are not recorded.
     #[serde(default)]
     pub trace_file: Option<PathBuf>,
 }
 
-/// Who may submit, approve and roll bundles.
+/// An operator, who may submit, approve and roll bundles.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
@@ -64,44 +64,44 @@
     pub key_digest: Digest,
 }
 
-/// Where log lines go.
+/// The log output.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct LogSettings {
-    /// How lines look.
+    /// The format of log lines.
     #[serde(default)]
     pub format: LogFormat,
-    /// The least important lines that are kept.
+    /// The minimum severity of log lines.
     #[serde(default)]
     pub level: LogLevel,
-    /// The file; standard error when left out.
+    /// The file to which log lines are written. Defaults to standard error.
     #[serde(default)]
     pub file: Option<PathBuf>,
 }
 
-/// How log lines look.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// Text for people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// How important a log line is.
+/// The severity of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Only failures.
+    /// Failures.
     Error,
-    /// Failures and what may lead to them.
+    /// Conditions that may lead to failures.
     Warn,
-    /// Changes of state.
+    /// State changes.
     #[default]
     Info,
-    /// Every decision.
+    /// Individual decisions.
     Debug,
 }
 
@@ -110,58 +110,63 @@
 }
 
 impl Settings {
-    /// Reads settings and checks them.
+    /// Parses and validates settings.
     ///
     /// # Errors
     ///
-    /// Gives every fault, each with its path, what was found and what was expected.
+    /// Returns all errors in the document. Errors that only a complete document can be checked for
+    /// are reported once it has no others.
     pub fn parse(text: &str) -> Result<Self, Vec<ValidationError>> {
-        let mut document = Document::read::<Self>(text)?;
-        let operators: Vec<(usize, Operator)> = document.entries("operators");
-        let mut faults = std::mem::take(&mut document.faults);
-        check_operators(&mut faults, &operators);
-        document.faults = faults;
-        let settings: Self = document.whole()?;
-        let faults = settings.faults();
-        if faults.is_empty() {
+        let mut document = Document::parse::<Self>(text)?;
+        let operators: Vec<(usize, Operator)> = document.valid_entries("operators");
+        let mut errors = std::mem::take(&mut document.errors);
+        check_operators(&mut errors, &operators);
+        document.errors = errors;
+        let settings: Self = document.into_typed()?;
+        let errors = settings.check();
+        if errors.is_empty() {
             Ok(settings)
         } else {
-            Err(faults)
+            Err(errors)
         }
     }
 
-    fn faults(&self) -> Vec<ValidationError> {
-        let mut faults = ValidationErrors::default();
-        faults.name("instance", self.instance.as_str());
-        faults.name("data_centre", self.data_centre.as_str());
-        faults.range("address", self.address.port().into(), 1, 65_535);
-        faults.range("peer_address", self.peer_address.port().into(), 1, 65_535);
+    fn check(&self) -> Vec<ValidationError> {
+        let mut errors = ValidationErrors::default();
+        errors.check_name("instance", self.instance.as_str());
+        errors.check_name("data_centre", self.data_centre.as_str());
+        errors.check_range("address", self.address.port().into(), 1, 65_535);
+        errors.check_range("peer_address", self.peer_address.port().into(), 1, 65_535);
         if self.address == self.peer_address {
-            faults.add(
+            errors.add(
                 "peer_address",
                 self.peer_address.to_string(),
                 Expected::Unique,
             );
         }
         if self.platform.is_empty() {
-            faults.add("platform", "[]", Expected::NonEmptyList);
+            errors.add("platform", "[]", Expected::NonEmptyList);
         }
         if let Some(threads) = self.threads {
-            faults.range("threads", threads as u64, 1, 1024);
+            errors.check_range("threads", threads as u64, 1, 1024);
         }
-        faults.range("body_limit", self.body_limit as u64, 1024, 64 << 20);
-        faults.0
+        errors.check_range("body_limit", self.body_limit as u64, 1024, 64 << 20);
+        errors.0
     }
 }
 
-fn check_operators(faults: &mut ValidationErrors, operators: &[(usize, Operator)]) {
+fn check_operators(errors: &mut ValidationErrors, operators: &[(usize, Operator)]) {
     for (index, operator) in operators {
         let path = format!("operators[{index}]");
-        faults.name(&format!("{path}.name"), operator.name.as_str());
-        faults.key_digest(&format!("{path}.key_digest"), &operator.key_digest);
+        errors.check_name(&format!("{path}.name"), operator.name.as_str());
+        errors.check_key_digest(&format!("{path}.key_digest"), &operator.key_digest);
     }
     let names = operators.iter();
-    faults.unique(names.map(|(at, it)| (format!("operators[{at}].name"), &it.name)));
+    errors.check_unique(
+        names.map(|(index, entry)| (format!("operators[{index}].name"), &entry.name)),
+    );
     let digests = operators.iter();
-    faults.unique(digests.map(|(at, it)| (format!("operators[{at}].key_digest"), it.key_digest)));
+    errors.check_unique(
+        digests.map(|(index, entry)| (format!("operators[{index}].key_digest"), entry.key_digest)),
+    );
 }
--- a/crates/bundle/src/target.rs
+++ b/crates/bundle/src/target.rs
@@ -1,4 +1,4 @@
-//! A target: an engine or one process of a plain service.
+//! Targets.
 
 use std::net::SocketAddr;
 
@@ -6,28 +6,28 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// A target: an engine or one process of a plain service.
+/// A target: an engine or a process of a plain service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
     /// The name, unique in the bundle.
     pub name: TargetName,
-    /// What the target is.
+    /// The kind of the target.
     pub kind: TargetKind,
-    /// Where it listens, as IP number and port.
+    /// The address that it listens on, as IP address and port.
     #[schemars(with = "String")]
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre that it runs in.
     pub data_centre: DataCentre,
-    /// How many requests it serves at once before they queue.
+    /// The number of requests that it serves concurrently. Further requests queue.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Whether it checks fencing numbers of orders.
+    /// Whether it checks the fencing numbers of orders.
     #[serde(default)]
     pub fencing: Fencing,
 }
 
-/// What a target is.
+/// The kind of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetKind {
@@ -37,15 +37,15 @@
     Service,
 }
 
-/// Whether a target refuses orders that carry an old fencing number.
+/// Whether a target rejects orders with an outdated fencing number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Fencing {
-    /// It refuses them.
+    /// It rejects them.
     Checked,
-    /// It obeys any order, and closes connections that are idle for 15 s.
+    /// It accepts any order, and closes connections that have been idle for 15 s.
     ClosesIdle,
-    /// It obeys any order.
+    /// It accepts any order.
     #[default]
     Ignored,
 }
--- a/crates/bundle/src/validation_error.rs
+++ b/crates/bundle/src/validation_error.rs
@@ -1,4 +1,4 @@
-//! A fault in a document: where it is, what was expected and what stands there.
+//! Validation errors of a document.
 
 use std::fmt;
 
@@ -7,52 +7,52 @@
 use smol_str::SmolStr;
 use thiserror::Error;
 
-/// A fault in a document.
+/// A validation error at one place of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ValidationError {
-    /// Where it is, such as `models[0].base`.
+    /// The path of the invalid value, such as `models[0].base`.
     pub path: SmolStr,
-    /// What stands there, shortened.
+    /// The value or a description of it, truncated.
     pub found: SmolStr,
-    /// What was expected.
+    /// The expected value.
     #[serde(serialize_with = "expected_text")]
     pub expected: Expected,
 }
 
-/// What was expected in place of a fault.
+/// The value that was expected instead of an invalid one.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Expected {
     /// A JSON document.
     #[error("a JSON document: {0}")]
     Json(SmolStr),
-    /// What the JSON Schema says.
+    /// A value that conforms to the JSON Schema, with a description.
     #[error("{0}")]
     Schema(SmolStr),
-    /// A field of that name.
+    /// A required field with this name.
     #[error("the field `{0}`")]
     Field(SmolStr),
-    /// No field of that name.
+    /// No field with this name.
     #[error("no field `{0}`")]
     NoField(SmolStr),
-    /// A value that its type can hold; the text says what is wrong.
+    /// A value that can be deserialized, with the error message.
     #[error("a value that can be read: {0}")]
     Value(SmolStr),
-    /// The version of the format that this program reads.
+    /// The supported version of the format.
     #[error("format {0}")]
     Format(u32),
-    /// A short name.
+    /// A valid name.
     #[error("1 to 63 of the characters a-z, A-Z, 0-9, `.`, `_` and `-`")]
     Name,
-    /// A value that stands only once.
+    /// A value that no other entry has.
     #[error("a value that no other entry has")]
     Unique,
-    /// The name of something of that kind in the document.
+    /// The name of an entry of this kind in the document.
     #[error("the name of {0} of this document")]
     NameOf(EntryKind),
-    /// A number in a range.
+    /// A number from this minimum to this maximum.
     #[error("a number from {0} to {1}")]
     Range(u64, u64),
-    /// At least one entry.
+    /// A list with at least one entry.
     #[error("at least one entry")]
     NonEmptyList,
     /// Shares that sum to at most 100.
@@ -64,15 +64,15 @@
     /// A path that begins with a slash.
     #[error("a path that begins with `/`")]
     Path,
-    /// An HTTP method in capitals.
+    /// An HTTP method in upper case.
     #[error("an HTTP method in capitals")]
     Method,
-    /// The digest of a key, and not of an empty one.
+    /// The digest of a non-empty key.
     #[error("the digest of a key that is not empty")]
     KeyDigest,
 }
 
-/// A kind of named entry.
+/// The kind of a named entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EntryKind {
     /// A target that is an engine.
@@ -94,12 +94,12 @@
 }
 
 impl ValidationError {
-    /// Makes a fault; what was found is shortened for reading.
+    /// Creates an error. `found` is truncated to a length that is readable in a message.
     pub fn new(path: impl AsRef<str>, found: impl AsRef<str>, expected: Expected) -> Self {
-        const SHOWN: usize = 60;
+        const MAX_CHARS: usize = 60;
 
-        let mut text: String = found.as_ref().chars().take(SHOWN).collect();
-        if found.as_ref().chars().count() > SHOWN {
+        let mut text: String = found.as_ref().chars().take(MAX_CHARS).collect();
+        if found.as_ref().chars().count() > MAX_CHARS {
             text.push('…');
         }
         Self {
@@ -120,12 +120,12 @@
     }
 }
 
-/// The faults that one check collects.
+/// The errors that a validation collects.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ValidationErrors(pub(crate) Vec<ValidationError>);
 
 impl ValidationErrors {
-    /// Adds a fault.
+    /// Adds an error.
     pub(crate) fn add(
         &mut self,
         path: impl AsRef<str>,
@@ -135,25 +135,26 @@
         self.0.push(ValidationError::new(path, found, expected));
     }
 
-    /// Checks that a name has a form that is safe in paths, logs and object keys.
-    pub(crate) fn name(&mut self, path: &str, name: &str) {
-        const LONGEST: usize = 63;
+    /// Checks that a name has only characters that are safe in paths, logs and object keys, and that
+    /// its length is valid.
+    pub(crate) fn check_name(&mut self, path: &str, name: &str) {
+        const MAX_LEN: usize = 63;
 
-        let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
-        if name.is_empty() || name.len() > LONGEST || !name.chars().all(plain) {
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
+        if name.is_empty() || name.len() > MAX_LEN || !name.chars().all(is_allowed) {
             self.add(path, quoted(name), Expected::Name);
         }
     }
 
-    /// Checks that a number lies in a range.
-    pub(crate) fn range(&mut self, path: &str, value: u64, least: u64, most: u64) {
-        if !(least..=most).contains(&value) {
-            self.add(path, value.to_string(), Expected::Range(least, most));
+    /// Checks that a number is in a range.
+    pub(crate) fn check_range(&mut self, path: &str, value: u64, min: u64, max: u64) {
+        if !(min..=max).contains(&value) {
+            self.add(path, value.to_string(), Expected::Range(min, max));
         }
     }
 
-    /// Checks that each value stands only once; the later place is the fault.
-    pub(crate) fn unique<T: Ord + fmt::Display>(
+    /// Checks that all values are different. The error is reported at the later of two equal values.
+    pub(crate) fn check_unique<T: Ord + fmt::Display>(
         &mut self,
         values: impl Iterator<Item = (String, T)>,
     ) {
@@ -166,15 +167,15 @@
         }
     }
 
-    /// Checks that a key digest is not that of an empty key, which any caller could send.
-    pub(crate) fn key_digest(&mut self, path: &str, digest: &Digest) {
+    /// Checks that a digest is not that of the empty key, which any caller could send.
+    pub(crate) fn check_key_digest(&mut self, path: &str, digest: &Digest) {
         if *digest == Digest::of(b"") {
             self.add(path, digest.short(), Expected::KeyDigest);
         }
     }
 }
 
-/// Puts text in quotation marks, as it stands in the document.
+/// Quotes text as it appears in the document.
 pub(crate) fn quoted(text: &str) -> String {
     format!("{text:?}")
 }
