--- a/crates/bundle/tests/runner.rs
+++ b/crates/bundle/tests/runner.rs
@@ -1,4 +1,4 @@
-//! The integration tests of the crate, in one binary.
+//! All integration tests of this crate, in one binary.
 
 mod test_bundle;
 mod test_diff;
--- a/crates/bundle/tests/test_bundle.rs
+++ b/crates/bundle/tests/test_bundle.rs
@@ -1,4 +1,4 @@
-//! Faults of bundles, all in one run.
+//! Tests for the parsing and validation of bundles.
 
 use celerypond_bundle::Bundle;
 use rstest::rstest;
@@ -6,11 +6,11 @@
 
 const DEMO: &str = include_str!("../../../examples/demo.json");
 
-fn faults(change: impl FnOnce(&mut Value)) -> Vec<String> {
+fn errors(change: impl FnOnce(&mut Value)) -> Vec<String> {
     let mut value: Value = serde_json::from_str(DEMO).unwrap();
     change(&mut value);
-    let faults = Bundle::parse(&value.to_string()).expect_err("the bundle has a fault");
-    faults.iter().map(ToString::to_string).collect()
+    let errors = Bundle::parse(&value.to_string()).expect_err("the bundle has an error");
+    errors.iter().map(ToString::to_string).collect()
 }
 
 #[rstest]
@@ -19,22 +19,22 @@
 #[case::harrowgate(include_str!("../../../examples/harrowgate.json"))]
 fn example_bundles_are_accepted_and_keep_their_digest(#[case] text: &str) {
     let bundle = Bundle::parse(text).unwrap();
-    let again = Bundle::parse(&serde_json::to_string(&bundle).unwrap()).unwrap();
-    assert_eq!(bundle.digest(), again.digest());
+    let reparsed = Bundle::parse(&serde_json::to_string(&bundle).unwrap()).unwrap();
+    assert_eq!(bundle.digest(), reparsed.digest());
 }
 
 #[test]
-fn text_that_is_no_json_is_one_fault() {
-    let faults = Bundle::parse("{\"format\":").unwrap_err();
-    assert_eq!(faults.len(), 1);
-    assert!(faults[0]
+fn text_that_is_not_json_gives_one_error() {
+    let errors = Bundle::parse("{\"format\":").unwrap_err();
+    assert_eq!(errors.len(), 1);
+    assert!(errors[0]
         .to_string()
         .starts_with("$: found text that is not JSON"));
 }
 
 #[test]
-fn faults_of_form_and_of_meaning_are_reported_in_one_run() {
-    let faults = faults(|bundle| {
+fn schema_violations_and_semantic_errors_are_reported_in_one_run() {
+    let errors = errors(|bundle| {
         bundle["targets"][0]["kind"] = json!("enginee");
         bundle["targets"][1]["colour"] = json!(1);
         bundle["targets"][2]["address"] = json!("engine.example:80");
@@ -48,7 +48,7 @@
             .remove("deadline_ms");
     });
     assert_eq!(
-        faults,
+        errors,
         [
             "services[0].deadline_ms: found nothing, expected the field `deadline_ms`",
             "targets[0].kind: found \"enginee\", expected one of \"engine\", \"service\"",
@@ -92,30 +92,30 @@
     json!("e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"),
     "accounts[0].key_digest"
 )]
-#[case::sum(
+#[case::share_of_base(
     "/models/0/shares", json!([{"version":"v1","percent":60},{"version":"v1","percent":60}]),
     "models[0].shares[0].version: found \"v1\", expected a version other than the base"
 )]
-fn one_wrong_value_gives_its_fault(
+fn invalid_value_is_reported(
     #[case] pointer: &str,
-    #[case] wrong: Value,
+    #[case] invalid: Value,
     #[case] expected: &str,
 ) {
-    let faults = faults(|bundle| match bundle.pointer_mut(pointer) {
-        Some(value) => *value = wrong,
+    let errors = errors(|bundle| match bundle.pointer_mut(pointer) {
+        Some(value) => *value = invalid,
         None => {
             let (parent, field) = pointer.rsplit_once('/').unwrap();
-            bundle.pointer_mut(parent).unwrap()[field] = wrong;
+            bundle.pointer_mut(parent).unwrap()[field] = invalid;
         }
     });
     assert!(
-        faults.iter().any(|fault| fault.starts_with(expected)),
-        "{faults:#?}"
+        errors.iter().any(|error| error.starts_with(expected)),
+        "{errors:#?}"
     );
 }
 
 #[test]
-fn a_fault_in_a_target_is_not_reported_again_where_it_is_used() {
-    let faults = faults(|bundle| bundle["targets"][0]["kind"] = json!(7));
-    assert_eq!(faults.len(), 1, "{faults:#?}");
+fn invalid_target_is_not_reported_again_where_it_is_referenced() {
+    let errors = errors(|bundle| bundle["targets"][0]["kind"] = json!(7));
+    assert_eq!(errors.len(), 1, "{errors:#?}");
 }
--- a/crates/bundle/tests/test_diff.rs
+++ b/crates/bundle/tests/test_diff.rs
@@ -1,11 +1,11 @@
-//! Differences between bundles as text.
+//! Tests for the diff of bundles.
 
 use celerypond_bundle::{diff, Bundle};
 
 const DEMO: &str = include_str!("../../../examples/demo.json");
 
 #[test]
-fn changes_go_by_the_names_of_entries() {
+fn changes_identify_entries_by_name() {
     let before = Bundle::parse(DEMO).unwrap();
     let mut after = before.clone();
     after.models[0].deadline_ms = 5;
