--- a/crates/telemetry/src/counter.rs
+++ b/crates/telemetry/src/counter.rs
@@ -1,67 +1,67 @@
-//! The list of all counters.
+//! Counters.
 
 use crate::metric_list::metric_list;
 
 metric_list! {
-    /// A number of events since the start of the instance; it only rises.
+    /// A number of events since the start of the instance. It never decreases.
     Counter {
         /// Requests accepted from callers.
         Requests = "requests",
-        /// Requests refused before anything was sent to a target.
+        /// Requests rejected before anything was sent to a target.
         Refused = "requests.refused",
         /// Requests whose outcome is not known.
         Unknown = "requests.unknown",
-        /// Requests that ended with a typed failure after they had begun.
+        /// Requests that failed after they had been started, with a known cause.
         Failed = "requests.failed",
         /// Tokens passed to callers.
         Tokens = "answers.tokens",
-        /// Frames dropped because another frame with their position was passed on before.
+        /// Frames dropped because a frame with the same position had already been forwarded.
         Repeats = "answers.repeats",
-        /// Frames discarded because they belong to another attempt or request.
+        /// Frames dropped because they belong to another attempt or request.
         Strays = "answers.strays",
-        /// Answers resumed on the target that began them.
+        /// Answers resumed on the target that started them.
         ResumedSame = "answers.resumed_same",
         /// Answers continued on another target.
         ResumedElsewhere = "answers.resumed_elsewhere",
         /// Answers taken over from another instance.
         TakenOver = "answers.taken_over",
-        /// Streams found silent for longer than the progress timeout.
+        /// Streams without any progress for longer than the progress timeout.
         Stalls = "answers.stalls",
-        /// Non-idempotent calls with a durable intent.
+        /// Non-idempotent calls whose intent was recorded durably.
         KeyedCalls = "ledger.calls",
-        /// Non-idempotent calls answered from a result that stood already.
+        /// Non-idempotent calls answered with a result that had already been recorded.
         KeyedRepeats = "ledger.repeats",
         /// Batches written to the ledger.
         LedgerBatches = "ledger.batches",
-        /// Conditional creates of the ledger lost to another writer.
+        /// Conditional creates of the ledger that failed because another writer was first.
         LedgerRaces = "ledger.races",
         /// Retries sent to targets.
         Retries = "route.retries",
-        /// Retries withheld because the budget was used up.
+        /// Retries not sent because the retry budget was exhausted.
         RetriesWithheld = "route.retries_withheld",
-        /// Targets taken out of routing.
+        /// Targets removed from routing.
         Ejections = "route.ejections",
-        /// Targets brought back into routing.
+        /// Targets added to routing again.
         Returns = "route.returns",
-        /// Bundles brought into force at this instance.
+        /// Bundles activated at this instance.
         Bundles = "rollout.bundles",
-        /// Brakes that became known to this instance.
+        /// Halts of rollouts ("brakes") that this instance learned of.
         Brakes = "rollout.brakes",
         /// Calls to the platform.
         StoreCalls = "platform.calls",
-        /// Calls to the platform that failed or got no reply.
+        /// Calls to the platform that failed or got no response.
         StoreFailures = "platform.failures",
-        /// Calls to the platform withheld by the call budget.
+        /// Calls to the platform not sent because the call budget was exhausted.
         StoreWithheld = "platform.withheld",
         /// Gossip messages sent.
         GossipSent = "gossip.sent",
         /// Gossip messages received.
         GossipReceived = "gossip.received",
-        /// Bytes of gossip sent.
+        /// Bytes of gossip messages sent.
         GossipBytes = "gossip.bytes",
-        /// Exchanges with peers that failed or ran into their deadline.
+        /// Exchanges with peers that failed or timed out.
         GossipFailures = "gossip.failures",
-        /// Peers that became suspected.
+        /// Peers that became suspected of having failed.
         Suspicions = "gossip.suspicions",
         /// Keeper records accepted from peers.
         KeeperRecords = "keeper.records",
@@ -69,55 +69,56 @@
         KeeperDropped = "keeper.dropped",
         /// Orders sent to engines.
         Orders = "orders.sent",
-        /// Orders refused by an engine because it had seen a newer holder.
+        /// Orders rejected by an engine because it had already received one of a newer lease holder.
         OrdersFenced = "orders.fenced",
-        /// Orders held back because too little of the lease remained.
+        /// Orders not sent because too little time remained until the lease expired.
         OrdersHeld = "orders.held",
         /// Calls made to acquire or renew a lease.
         LeaseCalls = "orders.lease_calls",
-        /// Routed requests that were read.
+        /// Routed requests received.
         Routed = "relay.requests",
-        /// Routed requests that no route or account allows.
+        /// Routed requests that no route or account permits.
         RoutedDenied = "relay.denied",
-        /// Routed requests that were told that they have not run.
+        /// Routed requests whose response said that they had not run.
         RoutedRefused = "relay.refused",
-        /// Routed requests that were refused as the configuration in force or the list of targets may be superseded.
+        /// Routed requests rejected because the active configuration or the list of targets may be outdated.
         RoutedStale = "relay.stale",
-        /// Those of them that were refused for the list of targets.
+        /// Routed requests rejected because the list of targets may be outdated. [`RoutedStale`](Self::RoutedStale)
+        /// includes them.
         RoutedStaleTargets = "relay.stale_targets",
-        /// Attempts that got no target as the list of targets may be superseded.
+        /// Attempts that got no target because the list of targets may be outdated.
         PlacementsStale = "relay.placements_stale",
         /// Routed requests that failed and may have run.
         RoutedFailed = "relay.failed",
-        /// Routed requests whose time was over.
+        /// Routed requests that exceeded their deadline.
         RoutedExpired = "relay.expired",
-        /// Attempts at targets that ended without a response to pass on.
+        /// Attempts that ended without a response that could be forwarded.
         AttemptsEnded = "relay.attempts_ended",
-        /// Streams that were moved to another engine while they ran.
+        /// Streams moved to another engine while they ran.
         StreamsMoved = "relay.streams_moved",
-        /// Streams that went on at the holder of a copy.
+        /// Streams resumed at an engine that had a copy of their cache.
         ResumedByCopy = "relay.resumed_by_copy",
-        /// Streams that went on at an engine that had to read them anew.
+        /// Streams resumed at an engine that had to process the prompt and the tokens so far again.
         ResumedByReading = "relay.resumed_by_reading",
-        /// Streams that were passed on to their end.
+        /// Streams forwarded to their end.
         StreamsComplete = "relay.streams_complete",
-        /// Streams that could not go on.
+        /// Streams that could not be resumed.
         StreamsBroken = "relay.streams_broken",
-        /// Streams that their callers left.
+        /// Streams whose callers disconnected.
         StreamsLeft = "relay.streams_left",
-        /// Targets that took no connection.
+        /// Targets that accepted no connection.
         TargetsDead = "relay.targets_dead",
-        /// Engines that were found again while the store did not tell.
+        /// Engines that were discovered again while the store was unavailable.
         TargetsFound = "relay.targets_found",
-        /// Times that the store did not answer after it had.
+        /// Transitions of the store from available to unavailable.
         StoreLosses = "relay.store_losses",
-        /// Configurations taken from the store or from another instance.
+        /// Configurations fetched from the store or from another instance.
         ConfigFetches = "relay.config_fetches",
-        /// Calls for a configuration that brought none.
+        /// Failed attempts to fetch a configuration.
         ConfigFetchFailures = "relay.config_fetch_failures",
-        /// Bytes received by calls for configurations, those that failed included.
+        /// Bytes received while fetching configurations, including failed attempts.
         ConfigBytes = "relay.config_bytes",
-        /// Log lines that were left out.
+        /// Log lines dropped by the rate limiter.
         LinesLeftOut = "log.lines_left_out",
     }
 }
--- a/crates/telemetry/src/gauge.rs
+++ b/crates/telemetry/src/gauge.rs
@@ -1,35 +1,35 @@
-//! The list of all gauges.
+//! Gauges.
 
 use crate::metric_list::metric_list;
 
 metric_list! {
-    /// A level at this moment; it may rise and fall.
+    /// A current value, which may increase and decrease.
     Gauge {
-        /// The revision in force at this instance.
+        /// The active revision at this instance.
         Revision = "rollout.revision",
-        /// Requests that are open now.
+        /// Requests in progress.
         OpenRequests = "requests.open",
-        /// Requests that wait for admission.
+        /// Requests waiting for admission.
         Waiting = "requests.waiting",
-        /// Instances held to be live.
+        /// Instances considered live.
         LiveInstances = "fleet.live",
-        /// Instances that are suspected.
+        /// Instances suspected of having failed.
         Suspected = "fleet.suspected",
         /// Targets in routing.
         LiveTargets = "route.targets",
         /// Keeper records held for peers.
         KeeperHeld = "keeper.held",
-        /// Connections from callers.
+        /// Open connections from callers.
         Connections = "front.connections",
-        /// The version of the configuration in force for routed requests.
+        /// The version of the active configuration for routed requests.
         ConfigVersion = "relay.config_version",
         /// The newest version of the configuration that this instance knows of.
         ConfigNewest = "relay.config_newest",
-        /// Milliseconds since the configuration in force was last known to be the newest one.
+        /// Milliseconds since the active configuration was last known to be the newest one.
         ConfigAge = "relay.config_age_ms",
-        /// Targets that routed requests may go to.
+        /// Targets available to routed requests.
         RoutedTargets = "relay.targets",
-        /// Milliseconds since the store last told of targets.
+        /// Milliseconds since the store last confirmed the list of targets.
         TargetsAge = "relay.targets_age_ms",
     }
 }
--- a/crates/telemetry/src/histogram.rs
+++ b/crates/telemetry/src/histogram.rs
@@ -1,4 +1,4 @@
-//! Latencies, counted by their size.
+//! Latency histograms.
 
 use std::{
     fmt::Write as _,
@@ -9,25 +9,26 @@
 use crate::metric_list::metric_list;
 
 metric_list! {
-    /// A latency whose distribution is kept.
+    /// A latency that is recorded in a histogram.
     Latency {
-        /// From the head of a request to the end of its response, for responses in one piece.
+        /// The time from the headers of a request to the end of its response, for responses that are
+        /// not streams.
         Request = "relay.request_ms",
-        /// From the head of a request to the first event of its stream.
+        /// The time from the headers of a request to the first event of its stream.
         FirstEvent = "relay.first_event_ms",
-        /// From the end of an attempt in the middle of a stream to the next event.
+        /// The time from the end of an attempt in the middle of a stream to the next event.
         Resume = "relay.resume_ms",
-        /// From a call of the store to its answer, without the wait of a watch.
+        /// The time from a call of the store to its response, without the wait of a watch.
         Store = "relay.store_ms",
     }
 }
 
-/// The upper bounds of the counts, in milliseconds: each about twice the one before.
+/// The upper bounds of the buckets, in milliseconds. Each is about twice the previous one.
 const BOUNDS: [u64; 15] = [
     1, 2, 5, 10, 20, 50, 100, 200, 400, 700, 1_500, 3_000, 6_000, 12_000, 30_000,
 ];
 
-/// The distributions of all latencies.
+/// The histograms of all latencies.
 ///
 /// # Examples
 ///
@@ -50,30 +51,30 @@
 }
 
 impl Histograms {
-    /// Adds one latency.
+    /// Records a latency.
     pub fn add(&self, latency: Latency, time: Duration) {
         let ms = u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-        let at = BOUNDS.partition_point(|bound| *bound < ms);
-        self.counts[latency as usize][at].fetch_add(1, Relaxed);
+        let bucket = BOUNDS.partition_point(|bound| *bound < ms);
+        self.counts[latency as usize][bucket].fetch_add(1, Relaxed);
         self.sums[latency as usize].fetch_add(ms, Relaxed);
     }
 
-    /// Renders all distributions as text, one `name value` pair a line. A count holds all latencies
-    /// up to its bound.
+    /// Renders all histograms as text, one `name value` pair per line. The counts are cumulative: each
+    /// includes all latencies up to its bound.
     pub fn render(&self, prefix: &str) -> String {
         let mut text = String::new();
         for latency in Latency::ALL {
             let name = latency.name();
             let counts = &self.counts[*latency as usize];
-            let mut all = 0;
+            let mut cumulative = 0;
             for (bound, count) in BOUNDS.iter().zip(counts) {
-                all += count.load(Relaxed);
-                // Writing to a string does not fail.
-                let _ = writeln!(text, "{prefix}.{name}.le_{bound} {all}");
+                cumulative += count.load(Relaxed);
+                // Writing to a string cannot fail.
+                let _ = writeln!(text, "{prefix}.{name}.le_{bound} {cumulative}");
             }
-            all += counts[BOUNDS.len()].load(Relaxed);
+            cumulative += counts[BOUNDS.len()].load(Relaxed);
             let sum = self.sums[*latency as usize].load(Relaxed);
-            let _ = writeln!(text, "{prefix}.{name}.count {all}");
+            let _ = writeln!(text, "{prefix}.{name}.count {cumulative}");
             let _ = writeln!(text, "{prefix}.{name}.sum {sum}");
         }
         text
--- a/crates/telemetry/src/json_span_exporter.rs
+++ b/crates/telemetry/src/json_span_exporter.rs
@@ -1,4 +1,4 @@
-//! An exporter that writes each finished span as a line of JSON.
+//! An exporter that writes spans as JSON lines.
 
 use std::{
     collections::BTreeMap,
@@ -14,14 +14,14 @@
 
 use crate::output::Writer;
 
-/// Writes each finished span as a line of JSON.
+/// An exporter that writes each finished span as a line of JSON.
 #[derive(Debug)]
 pub struct JsonSpanExporter {
     writer: Writer,
 }
 
 #[derive(Serialize)]
-struct Line<'a> {
+struct SpanRecord<'a> {
     trace: String,
     span: String,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -44,7 +44,7 @@
     async fn export(&self, batch: Vec<SpanData>) -> OTelSdkResult {
         let mut bytes = Vec::new();
         for span in &batch {
-            serde_json::to_writer(&mut bytes, &line(span))
+            serde_json::to_writer(&mut bytes, &span_record(span))
                 .map_err(|error| OTelSdkError::InternalFailure(error.to_string()))?;
             bytes.push(b'\n');
         }
@@ -54,16 +54,16 @@
     }
 }
 
-fn line(span: &SpanData) -> Line<'_> {
+fn span_record(span: &SpanData) -> SpanRecord<'_> {
     let parent = span.parent_span_id;
-    let length = span.end_time.duration_since(span.start_time);
-    Line {
+    let duration = span.end_time.duration_since(span.start_time);
+    SpanRecord {
         trace: span.span_context.trace_id().to_string(),
         span: span.span_context.span_id().to_string(),
         parent: (parent != SpanId::INVALID).then(|| parent.to_string()),
         name: &span.name,
-        start_us: since_epoch(span.start_time),
-        duration_us: length.unwrap_or_default().as_micros(),
+        start_us: micros_since_epoch(span.start_time),
+        duration_us: duration.unwrap_or_default().as_micros(),
         error: match &span.status {
             Status::Error { description } => Some(description),
             Status::Ok | Status::Unset => None,
@@ -76,7 +76,7 @@
     }
 }
 
-fn since_epoch(time: SystemTime) -> u128 {
+fn micros_since_epoch(time: SystemTime) -> u128 {
     time.duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_micros()
--- a/crates/telemetry/src/log_rate_limiter.rs
+++ b/crates/telemetry/src/log_rate_limiter.rs
@@ -1,4 +1,4 @@
-//! The bound on the volume of log lines.
+//! A rate limiter for log lines.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -7,14 +7,14 @@
 
 use log::Level;
 
-/// The time over which lines are counted.
+/// The length of the time window in which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// The most lines a second, by how much they matter.
+/// Limits the number of log lines per second.
 ///
-/// The load it answers: a burst of requests, or a failure that each request meets, writes lines
-/// faster than anybody reads them, and the time for them is taken from requests. Failures have a
-/// bound of their own, so that the lines of what went well never push them out.
+/// Without a limit, a burst of requests, or a failure that affects every request, produces more lines
+/// than anybody can read, and writing them takes time away from requests. Errors and warnings have a
+/// limit of their own, so that routine lines cannot displace them.
 ///
 /// # Examples
 ///
@@ -38,14 +38,15 @@
 
 #[derive(Debug)]
 struct Window {
-    most: u32,
-    begun: Option<Instant>,
+    max_lines: u32,
+    start: Option<Instant>,
     count: u32,
     dropped: u64,
 }
 
 impl LogRateLimiter {
-    /// Makes a bound of so many routine lines and so many lines of failures a second.
+    /// Creates a limiter that allows `routine` lines per second at the levels up to info, and
+    /// `failures` lines per second at the levels warn and error.
     pub const fn new(routine: u32, failures: u32) -> Self {
         Self {
             routine: Mutex::new(Window::new(routine)),
@@ -62,10 +63,10 @@
         window
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .take(now)
+            .allow(now)
     }
 
-    /// Returns how many lines were left out since the last call.
+    /// Returns the number of lines dropped since the last call.
     pub fn take_dropped(&self) -> u64 {
         let take = |window: &Mutex<Window>| {
             let mut window = window.lock().unwrap_or_else(PoisonError::into_inner);
@@ -76,24 +77,24 @@
 }
 
 impl Window {
-    const fn new(most: u32) -> Self {
+    const fn new(max_lines: u32) -> Self {
         Self {
-            most,
-            begun: None,
+            max_lines,
+            start: None,
             count: 0,
             dropped: 0,
         }
     }
 
-    fn take(&mut self, now: Instant) -> bool {
-        let is_over = self.begun.is_none_or(|begun| now - begun >= WINDOW);
-        if is_over {
-            self.begun = Some(now);
+    fn allow(&mut self, now: Instant) -> bool {
+        let has_ended = self.start.is_none_or(|start| now - start >= WINDOW);
+        if has_ended {
+            self.start = Some(now);
             self.count = 0;
         }
         self.count += 1;
-        let may_write = self.count <= self.most;
-        self.dropped += u64::from(!may_write);
-        may_write
+        let is_allowed = self.count <= self.max_lines;
+        self.dropped += u64::from(!is_allowed);
+        is_allowed
     }
 }
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines, as text or JSON, by `log` and `fern`.
+//! Log lines as text or JSON, using `log` and `fern`.
 
 use std::{
     fmt::Arguments,
@@ -15,30 +15,31 @@
 
 use crate::{output::Writer, LogRateLimiter, NonBlockingWriter, Output, WriterGuard};
 
-/// The least important lines of libraries that are kept; some write a line for each call.
-const LIBRARIES: Level = Level::Warn;
-/// The prefix of our modules.
+/// The minimum severity of log lines of libraries. Some libraries log a line for each call.
+const MIN_LIBRARY_LEVEL: Level = Level::Warn;
+/// The prefix of the modules of this project.
 const OWN_MODULES: &str = "celerypond";
 
-/// The module that opens spans. Without a recorder of spans, each would be a line in the log.
-const SPANS: &str = "celerypond_telemetry::span_recorder";
+/// The module that opens spans. `tracing` logs a line for each span while no subscriber is
+/// installed, and these lines are left out.
+const SPAN_MODULE: &str = "celerypond_telemetry::span_recorder";
 
 fn is_own(target: &str) -> bool {
-    target.starts_with(OWN_MODULES) && target != SPANS
+    target.starts_with(OWN_MODULES) && target != SPAN_MODULE
 }
 
-/// The form of a log line.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
     /// A line of text.
     #[default]
     Text,
-    /// A JSON object on one line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Where log lines go, which ones, and in what form.
+/// The level, format and output of log lines.
 ///
 /// # Examples
 ///
@@ -51,55 +52,56 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// The least severe level that is written.
+    /// The minimum severity of log lines.
     pub level: LevelFilter,
-    /// The form of a line.
+    /// The format of log lines.
     pub format: LogFormat,
-    /// Where lines go.
+    /// The output to which log lines are written.
     pub output: Output,
 }
 
-/// The ways in which setting up logs may fail.
+/// An error of setting up the logger.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum LogError {
     /// The output cannot be opened.
     #[error("the log output cannot be opened")]
     Output,
-    /// The process has a logger already.
+    /// The process already has a logger.
     #[error("a logger is already set")]
     AlreadySet,
 }
 
 #[derive(Serialize)]
-struct Line<'a> {
+struct LogLine<'a> {
     time: String,
     level: &'static str,
-    /// The module that wrote the line; `target` is left to lines about targets.
+    /// The module that wrote the line. It is not named `target`, because lines about routing targets
+    /// use that key.
     module: &'a str,
     message: String,
-    /// The inputs and the outcome of a decision, by name.
+    /// The key-value pairs of the line.
     #[serde(flatten)]
     fields: Fields<'a>,
 }
 
-/// The named values of a line, in the order in which the line gives them.
+/// The key-value pairs of a line, in the order in which they were logged.
 struct Fields<'a>(&'a dyn Source);
 
 impl Serialize for Fields<'_> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let mut map = serializer.serialize_map(None)?;
-        let mut failed = None;
-        let _ = self.0.visit(&mut Writing(&mut map, &mut failed));
-        match failed {
+        let mut error = None;
+        let _ = self.0.visit(&mut FieldWriter(&mut map, &mut error));
+        match error {
             Some(error) => Err(error),
             None => map.end(),
         }
     }
 }
 
-struct Writing<'a, M: SerializeMap>(&'a mut M, &'a mut Option<M::Error>);
+struct FieldWriter<'a, M: SerializeMap>(&'a mut M, &'a mut Option<M::Error>);
 
-impl<'kvs, M: SerializeMap> VisitSource<'kvs> for Writing<'_, M> {
+impl<'kvs, M: SerializeMap> VisitSource<'kvs> for FieldWriter<'_, M> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), kv::Error> {
         self.0
             .serialize_entry(key.as_str(), &value)
@@ -121,54 +123,57 @@
 }
 
 impl LogSettings {
-    /// Builds the logger without installing it.
+    /// Builds a logger without installing it.
     ///
     /// # Errors
     ///
-    /// Fails with [`LogError::Output`].
+    /// Returns [`LogError::Output`] if the output cannot be opened.
     pub fn dispatch(&self) -> Result<fern::Dispatch, Report<LogError>> {
         let writer = self.output.open().change_context(LogError::Output)?;
-        Ok(self.lines().chain(sink(writer)))
+        Ok(self.base_dispatch().chain(sink(writer)))
     }
 
-    fn lines(&self) -> fern::Dispatch {
+    fn base_dispatch(&self) -> fern::Dispatch {
         let format = self.format;
         fern::Dispatch::new()
             .level(self.level)
-            .filter(|line| line.level() <= LIBRARIES || is_own(line.target()))
+            .filter(|line| line.level() <= MIN_LIBRARY_LEVEL || is_own(line.target()))
             .format(move |out, message, record| match format {
-                LogFormat::Text => out.finish(format_args!("{}", text(message, record))),
-                LogFormat::Json => out.finish(format_args!("{}", json(message, record))),
+                LogFormat::Text => out.finish(format_args!("{}", format_text(message, record))),
+                LogFormat::Json => out.finish(format_args!("{}", format_json(message, record))),
             })
     }
 
-    /// Installs the logger of the process with a bound on its volume; a thread of its own writes
-    /// the lines, so nobody waits for their reader. The lines are written to the end when the
-    /// returned value is dropped.
+    /// Installs a rate-limited logger for the process.
+    ///
+    /// A background thread writes the lines, so that logging does not block if their reader is slow.
+    /// Dropping the returned guard waits until all lines are written.
     ///
     /// # Errors
     ///
-    /// Fails with [`LogError::Output`] or [`LogError::AlreadySet`].
+    /// Returns [`LogError::Output`] if the output cannot be opened or the thread cannot be started,
+    /// or [`LogError::AlreadySet`] if the process already has a logger.
     pub fn install_rate_limited(
         &self,
         limiter: &'static LogRateLimiter,
     ) -> Result<WriterGuard, Report<LogError>> {
         let output = self.output.open().change_context(LogError::Output)?;
-        let (writer, thread) = NonBlockingWriter::start(output).change_context(LogError::Output)?;
+        let (writer, guard) = NonBlockingWriter::start(output).change_context(LogError::Output)?;
         let sink = fern::Output::writer(Box::new(writer), "\n");
-        self.lines()
+        self.base_dispatch()
             .filter(|line| limiter.allow(line.level(), Instant::now()))
             .chain(sink)
             .apply()
             .change_context(LogError::AlreadySet)?;
-        Ok(thread)
+        Ok(guard)
     }
 
     /// Installs the logger of the process.
     ///
     /// # Errors
     ///
-    /// Fails with [`LogError::Output`] or [`LogError::AlreadySet`].
+    /// Returns [`LogError::Output`] if the output cannot be opened, or [`LogError::AlreadySet`] if
+    /// the process already has a logger.
     pub fn install(&self) -> Result<(), Report<LogError>> {
         self.dispatch()?
             .apply()
@@ -184,22 +189,22 @@
     }
 }
 
-fn now() -> String {
+fn timestamp() -> String {
     humantime::format_rfc3339_millis(SystemTime::now()).to_string()
 }
 
-fn text(message: &Arguments<'_>, record: &Record<'_>) -> String {
+fn format_text(message: &Arguments<'_>, record: &Record<'_>) -> String {
     format!(
         "{} {:<5} {}: {message}",
-        now(),
+        timestamp(),
         record.level(),
         record.target()
     )
 }
 
-fn json(message: &Arguments<'_>, record: &Record<'_>) -> String {
-    let line = Line {
-        time: now(),
+fn format_json(message: &Arguments<'_>, record: &Record<'_>) -> String {
+    let line = LogLine {
+        time: timestamp(),
         level: record.level().as_str(),
         module: record.target(),
         message: message.to_string(),
--- a/crates/telemetry/src/metric_list.rs
+++ b/crates/telemetry/src/metric_list.rs
@@ -1,6 +1,6 @@
-//! The shape that the lists of counters and gauges share.
+//! A macro that declares enums of metrics.
 
-/// Declares an enum of metrics, each with the name under which it is published.
+/// Declares an enum of metrics and the names under which they are published.
 macro_rules! metric_list {
     (
         $(#[$type_doc:meta])*
@@ -15,10 +15,10 @@
         }
 
         impl $list {
-            /// All of the list, in the order of their slots.
+            /// All variants, in the order of their discriminants.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)*];
 
-            /// Returns the name under which it is published.
+            /// Returns the name under which the metric is published.
             pub const fn name(self) -> &'static str {
                 match self {
                     $(Self::$variant => $name,)*
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges, kept in atomics and published through `cadence`.
+//! Counters and gauges, stored in atomics and published with `cadence`.
 
 use std::{
     fmt::Write as _,
@@ -17,27 +17,27 @@
 
 const PREFIX: &str = "celerypond";
 
-/// Datagrams that may wait to be sent before further ones are dropped.
+/// The maximum number of metrics that wait to be sent. Further ones are dropped.
 const QUEUE_LEN: usize = 1024;
 
-/// The ways in which publishing may fail.
+/// An error of publishing metrics.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum MetricsError {
-    /// No local socket could be bound.
-    #[error("no UDP socket could be bound")]
+    /// The local UDP socket cannot be bound.
+    #[error("the local UDP socket cannot be bound")]
     Bind,
-    /// The address of the collector could not be used.
-    #[error("the collector's address cannot be used")]
+    /// The address of the statsd collector is not usable.
+    #[error("the address of the statsd collector is not usable")]
     Address,
-    /// A metric could not be handed to the sink.
+    /// The sink rejected a metric.
     #[error("a metric could not be sent")]
     Send,
 }
 
 /// The counters and gauges of one instance.
 ///
-/// The path of a request pays one relaxed atomic addition for a count. [`Metrics::publish`] sends
-/// what was added since its last call, so a lost datagram loses one interval and nothing else.
+/// Counting an event costs the caller one relaxed atomic addition. [`Metrics::publish`] sends the
+/// increments since its last call, so a lost datagram loses the counts of one interval only.
 ///
 /// # Examples
 ///
@@ -51,22 +51,23 @@
 /// ```
 pub struct Metrics {
     counts: Vec<AtomicU64>,
-    sent: Vec<AtomicU64>,
+    published: Vec<AtomicU64>,
     levels: Vec<AtomicU64>,
     client: StatsdClient,
 }
 
 impl Metrics {
-    /// Makes metrics that can only be read back in this process.
+    /// Creates metrics that are not sent to a collector.
     pub fn local() -> Self {
         Self::with_sink(NopMetricSink)
     }
 
-    /// Makes metrics that are also sent to a collector at `address` over UDP.
+    /// Creates metrics that are published to a statsd collector at `address` over UDP.
     ///
     /// # Errors
     ///
-    /// Fails with [`MetricsError::Bind`] or [`MetricsError::Address`].
+    /// Returns [`MetricsError::Bind`] if the local socket cannot be bound, or
+    /// [`MetricsError::Address`] if the address is not usable.
     pub fn with_udp_sink(address: SocketAddr) -> Result<Self, Report<MetricsError>> {
         let local = match address {
             SocketAddr::V4(_) => "0.0.0.0:0",
@@ -83,7 +84,7 @@
         )))
     }
 
-    /// Makes metrics that are also sent to `sink`.
+    /// Creates metrics that are published to `sink`.
     pub fn with_sink<S>(sink: S) -> Self
     where
         S: MetricSink + Sync + Send + std::panic::UnwindSafe + std::panic::RefUnwindSafe + 'static,
@@ -91,7 +92,7 @@
         let zeros = |len| (0..len).map(|_| AtomicU64::new(0)).collect();
         Self {
             counts: zeros(Counter::ALL.len()),
-            sent: zeros(Counter::ALL.len()),
+            published: zeros(Counter::ALL.len()),
             levels: zeros(Gauge::ALL.len()),
             client: StatsdClient::from_sink(PREFIX, sink),
         }
@@ -112,23 +113,24 @@
         self.counts[counter as usize].load(Ordering::Relaxed)
     }
 
-    /// Returns the level of a gauge.
+    /// Returns the value of a gauge.
     pub fn level(&self, gauge: Gauge) -> u64 {
         self.levels[gauge as usize].load(Ordering::Relaxed)
     }
 
-    /// Sends what was added since the last call, and the level of each gauge.
+    /// Sends the increments of the counters since the last call and the values of the gauges.
     ///
-    /// Only one task may call this. A failed send is not repeated: the next interval goes on.
+    /// Only one task may call this. Increments that could not be sent are not sent again later.
     ///
     /// # Errors
     ///
-    /// Fails with [`MetricsError::Send`], after all metrics were tried.
+    /// Returns [`MetricsError::Send`] if a metric could not be sent. The other metrics are sent
+    /// nevertheless.
     pub fn publish(&self) -> Result<(), MetricsError> {
         let mut failed = false;
         for counter in Counter::ALL {
             let now = self.count(*counter);
-            let before = self.sent[*counter as usize].swap(now, Ordering::Relaxed);
+            let before = self.published[*counter as usize].swap(now, Ordering::Relaxed);
             let delta = i64::try_from(now - before).unwrap_or(i64::MAX);
             failed |= delta > 0 && self.client.count(counter.name(), delta).is_err();
         }
@@ -142,13 +144,13 @@
         }
     }
 
-    /// Renders all metrics as text, one `name value` pair a line.
+    /// Renders all metrics as text, one `name value` pair per line.
     pub fn render(&self) -> String {
         let counts = Counter::ALL.iter().map(|c| (c.name(), self.count(*c)));
         let levels = Gauge::ALL.iter().map(|g| (g.name(), self.level(*g)));
         let mut text = String::new();
         for (name, value) in counts.chain(levels) {
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             let _ = writeln!(text, "{PREFIX}.{name} {value}");
         }
         text
--- a/crates/telemetry/src/non_blocking_writer.rs
+++ b/crates/telemetry/src/non_blocking_writer.rs
@@ -1,4 +1,4 @@
-//! Lines that a thread of its own writes, so that nobody waits for a slow reader.
+//! A writer that hands log lines to a background thread, so that a slow reader blocks no caller.
 
 use std::{
     io::{self, Write},
@@ -8,17 +8,17 @@
     time::Duration,
 };
 
-/// The most bytes that wait to be written. A full buffer holds some thousand lines, a second of the
-/// most that is logged.
-const BUFFER_BYTES: usize = 1 << 20;
-/// How long lines are gathered before they are written. At hundreds of lines a second one write
-/// takes some tens of them along, and a killed process loses no more than this.
-const GATHER: Duration = Duration::from_millis(50);
+/// The maximum size of the buffer, in bytes. A full buffer holds a few thousand lines, which is what
+/// is logged within one second at the maximum rate.
+const MAX_BUFFER_BYTES: usize = 1 << 20;
+/// How long lines are collected before they are written. At hundreds of lines per second, one write
+/// covers some tens of lines. A process that is killed loses the lines of this time.
+const FLUSH_DELAY: Duration = Duration::from_millis(50);
 
-/// A writer that never waits: what does not fit into its buffer is left out and counted.
+/// A writer that never blocks. Writes that do not fit into its buffer are dropped and counted.
 ///
-/// The failure: whoever reads the standard output stops, the pipe fills up, and a write blocks the
-/// thread that serves requests. Here only the writing thread blocks.
+/// If the reader of standard output stops reading, the pipe fills up, and a direct write would block
+/// a thread that serves requests. With this writer, only the background thread blocks.
 #[derive(Clone)]
 pub struct NonBlockingWriter {
     shared: Arc<Shared>,
@@ -26,29 +26,30 @@
 
 struct Shared {
     state: Mutex<State>,
-    filled: Condvar,
+    wakeup: Condvar,
 }
 
 #[derive(Default)]
 struct State {
     bytes: Vec<u8>,
-    /// Writes that did not fit since the last one that did.
+    /// The number of writes dropped since the last one that fit into the buffer.
     dropped: u64,
     is_closed: bool,
 }
 
-/// The writing thread; it is joined when this is dropped, after all lines were written.
+/// A handle to the background thread. Dropping it waits until all lines are written and the thread
+/// has ended.
 pub struct WriterGuard {
     writer: NonBlockingWriter,
     thread: Option<JoinHandle<()>>,
 }
 
 impl NonBlockingWriter {
-    /// Starts the thread that writes to `output`.
+    /// Starts a background thread that writes to `output`.
     ///
     /// # Errors
     ///
-    /// Fails when no thread can be started.
+    /// Fails if the thread cannot be started.
     ///
     /// # Examples
     ///
@@ -57,21 +58,21 @@
     ///
     /// use celerypond_telemetry::NonBlockingWriter;
     ///
-    /// let (mut writer, thread) = NonBlockingWriter::start(std::io::sink()).unwrap();
+    /// let (mut writer, guard) = NonBlockingWriter::start(std::io::sink()).unwrap();
     /// writer.write_all(b"a line\n").unwrap();
-    /// drop(thread); // All lines are written now.
+    /// drop(guard); // All lines are written now.
     /// ```
     pub fn start(output: impl Write + Send + 'static) -> io::Result<(Self, WriterGuard)> {
         let writer = Self {
             shared: Arc::new(Shared {
                 state: Mutex::default(),
-                filled: Condvar::new(),
+                wakeup: Condvar::new(),
             }),
         };
         let shared = Arc::clone(&writer.shared);
         let thread = thread::Builder::new()
             .name("log".into())
-            .spawn(move || write_all(&shared, output))?;
+            .spawn(move || run_writer(&shared, output))?;
         let guard = WriterGuard {
             writer: writer.clone(),
             thread: Some(thread),
@@ -93,20 +94,20 @@
 impl Write for NonBlockingWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut state = self.state();
-        if state.bytes.len() + line.len() > BUFFER_BYTES {
+        if state.bytes.len() + line.len() > MAX_BUFFER_BYTES {
             state.dropped += 1;
             return Ok(line.len());
         }
         let was_empty = state.bytes.is_empty();
         let dropped = mem::take(&mut state.dropped);
         if dropped > 0 {
-            let note = format!("{{\"level\":\"WARN\",\"message\":\"lines left out, the reader is slow\",\"count\":{dropped}}}\n");
-            state.bytes.extend_from_slice(note.as_bytes());
+            let notice = format!("{{\"level\":\"WARN\",\"message\":\"lines left out, the reader is slow\",\"count\":{dropped}}}\n");
+            state.bytes.extend_from_slice(notice.as_bytes());
         }
         state.bytes.extend_from_slice(line);
         drop(state);
         if was_empty {
-            self.shared.filled.notify_one();
+            self.shared.wakeup.notify_one();
         }
         Ok(line.len())
     }
@@ -119,30 +120,30 @@
 impl Drop for WriterGuard {
     fn drop(&mut self) {
         self.writer.state().is_closed = true;
-        self.writer.shared.filled.notify_one();
+        self.writer.shared.wakeup.notify_one();
         if let Some(thread) = self.thread.take() {
-            // A thread that panicked has nothing left to write.
+            // If the thread panicked, there is nothing left to wait for.
             let _ = thread.join();
         }
     }
 }
 
-fn write_all(shared: &Shared, mut output: impl Write) {
+fn run_writer(shared: &Shared, mut output: impl Write) {
     loop {
         let mut state = shared.lock();
         while state.bytes.is_empty() && !state.is_closed {
             state = shared
-                .filled
+                .wakeup
                 .wait(state)
                 .unwrap_or_else(PoisonError::into_inner);
         }
         let is_closed = state.is_closed;
         drop(state);
         if !is_closed {
-            thread::sleep(GATHER);
+            thread::sleep(FLUSH_DELAY);
         }
         let bytes = mem::take(&mut shared.lock().bytes);
-        // Nobody is left to be told when the output is gone.
+        // A failed write of log lines cannot be reported anywhere.
         let _ = output.write_all(&bytes).and_then(|()| output.flush());
         if is_closed && shared.lock().bytes.is_empty() {
             return;
--- a/crates/telemetry/src/output.rs
+++ b/crates/telemetry/src/output.rs
@@ -1,4 +1,4 @@
-//! Where lines go.
+//! Outputs for log lines and spans.
 
 use std::{
     fs::{File, OpenOptions},
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Where lines go.
+/// An output for log lines or spans.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Output {
@@ -19,11 +19,11 @@
     Stderr,
     /// Standard output.
     Stdout,
-    /// A file, which is appended to.
+    /// A file, to which lines are appended.
     File(PathBuf),
 }
 
-/// The way in which opening an output fails.
+/// The error that a file cannot be opened.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{0} cannot be opened for appending")]
 pub struct OutputError(pub PathBuf);
--- a/crates/telemetry/src/span_recorder.rs
+++ b/crates/telemetry/src/span_recorder.rs
@@ -1,4 +1,4 @@
-//! Spans, one for each hop of a request.
+//! Recording of spans, one for each hop of a request.
 
 use error_stack::{Report, ResultExt as _};
 use opentelemetry::{
@@ -14,27 +14,28 @@
 
 use crate::{JsonSpanExporter, Output, TraceContext};
 
-/// The prefix of the modules whose spans are recorded. Libraries open spans of their own, which
-/// would stand twice beside ours.
+/// The prefix of the modules whose spans are recorded. Libraries open spans for the same work, which
+/// would duplicate those of this project.
 const OWN_MODULES: &str = "celerypond";
 
-/// Where spans go and how many are recorded.
+/// The output of spans and the share of traces that are recorded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SpanSettings {
-    /// Where finished spans go.
+    /// The output to which finished spans are written.
     pub output: Output,
-    /// The share of new traces that is recorded, from 0 to 1. A caller's own decision is kept.
+    /// The share of new traces that are recorded, from 0 to 1. If a caller sends a trace context, its
+    /// sampling decision applies instead.
     pub share: f64,
 }
 
-/// The ways in which recording spans may fail.
+/// An error of recording spans.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum SpanError {
     /// The output cannot be opened.
     #[error("the span output cannot be opened")]
     Output,
-    /// The process has a subscriber already.
+    /// The process already has a subscriber.
     #[error("a span subscriber is already set")]
     AlreadySet,
     /// The last spans could not be written.
@@ -42,18 +43,19 @@
     Shutdown,
 }
 
-/// The recorder of spans. The owner calls [`SpanRecorder::shutdown`] before the process ends.
+/// A recorder of spans. Call [`SpanRecorder::shutdown`] before the process exits, otherwise the last
+/// spans are lost.
 #[derive(Debug)]
 pub struct SpanRecorder {
     provider: SdkTracerProvider,
 }
 
 impl SpanRecorder {
-    /// Starts the recorder.
+    /// Starts a recorder.
     ///
     /// # Errors
     ///
-    /// Fails with [`SpanError::Output`].
+    /// Returns [`SpanError::Output`] if the output cannot be opened.
     pub fn new(settings: &SpanSettings) -> Result<Self, Report<SpanError>> {
         let writer = settings.output.open().change_context(SpanError::Output)?;
         let sampler = Sampler::TraceIdRatioBased(settings.share);
@@ -80,40 +82,40 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`SpanError::AlreadySet`].
+    /// Returns [`SpanError::AlreadySet`] if the process already has a subscriber.
     pub fn install(&self) -> Result<(), Report<SpanError>> {
         tracing::subscriber::set_global_default(self.subscriber())
             .change_context(SpanError::AlreadySet)
     }
 
-    /// Writes what is still held and joins the writer's thread.
+    /// Writes the remaining spans and joins the exporter thread.
     ///
     /// # Errors
     ///
-    /// Fails with [`SpanError::Shutdown`].
+    /// Returns [`SpanError::Shutdown`] if the remaining spans cannot be written.
     pub fn shutdown(self) -> Result<(), Report<SpanError>> {
         self.provider.shutdown().change_context(SpanError::Shutdown)
     }
 }
 
-/// Opens the span of one hop.
+/// Opens a span for a hop of a request.
 ///
-/// `name` is the kind of the hop, such as `front`, `peer` or `target`. `parent` is the context that
-/// came with the request; without one the span belongs to the current span, or starts a trace.
-/// Use [`tracing::Instrument`] to run a future inside, and [`TraceContext::from_span`] to
-/// send the context on.
+/// `name` is the kind of the hop, such as `front`, `peer` or `target`. `parent` is the trace context
+/// received with the request. Without it, the span is a child of the current span, or the root of a
+/// new trace. Use [`tracing::Instrument`] to run a future inside the span, and
+/// [`TraceContext::from_span`] to propagate its context.
 pub fn hop(name: &'static str, parent: Option<TraceContext>) -> Span {
     let span = tracing::info_span!("hop", otel.name = name);
     if let Some(parent) = parent {
         let context = Context::new().with_remote_span_context(parent.into());
-        // This fails only for a span that is not recorded, which has no use for a parent.
+        // This fails only for a span that is not recorded, which does not need a parent.
         let _ = span.set_parent(context);
     }
     span
 }
 
 impl TraceContext {
-    /// Returns the context of an open span, to be sent with the next hop.
+    /// Returns the context of an open span, which is sent along to the next hop.
     pub fn from_span(span: &Span) -> Option<Self> {
         Self::from_span_context(span.context().span().span_context())
     }
--- a/crates/telemetry/src/trace_context.rs
+++ b/crates/telemetry/src/trace_context.rs
@@ -13,7 +13,7 @@
 const SAMPLED: u8 = 1;
 const INVALID_VERSION: u8 = 0xff;
 
-/// The trace that a request belongs to, and the span that sent it.
+/// The trace that a request belongs to and the span that sent it.
 ///
 /// # Examples
 ///
@@ -27,31 +27,31 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TraceContext {
-    /// The trace, never 0.
+    /// The trace ID, which is never 0.
     pub trace: u128,
-    /// The sending span, never 0.
+    /// The ID of the sending span, which is never 0.
     pub span: u64,
     /// Whether the sender records this trace.
     pub sampled: bool,
 }
 
-/// The ways in which a text is not a `traceparent`.
+/// An error of parsing a `traceparent` header.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum TraceContextError {
-    /// The text is too short, or too long for its version.
+    /// The header is too short, or too long for its version.
     #[error("expected 55 characters, found {0}")]
     Length(usize),
     /// The fields are not separated by dashes.
     #[error("expected a dash at {0}")]
     Separator(usize),
-    /// A field has a character other than a lower-case hexadecimal digit.
+    /// A field contains a character other than a lower-case hexadecimal digit.
     #[error("expected lower-case hexadecimal digits in the field at {0}")]
     Digit(usize),
-    /// The version is the reserved one.
+    /// The version is `ff`, which is reserved.
     #[error("version ff is reserved")]
     Version,
-    /// The trace or the span is zero.
-    #[error("a trace and a span must not be zero")]
+    /// The trace ID or the span ID is zero.
+    #[error("the trace ID and the span ID must not be zero")]
     Zero,
 }
 
@@ -63,15 +63,15 @@
         if bytes.len() < TOTAL_LEN {
             return Err(TraceContextError::Length(bytes.len()));
         }
-        let mut at = 0;
-        let version = field(bytes, &mut at, VERSION_LEN)? as u8;
-        let trace = field(bytes, &mut at, TRACE_LEN)?;
-        let span = field(bytes, &mut at, SPAN_LEN)? as u64;
-        let flags = field(bytes, &mut at, FLAGS_LEN)? as u8;
+        let mut offset = 0;
+        let version = parse_field(bytes, &mut offset, VERSION_LEN)? as u8;
+        let trace = parse_field(bytes, &mut offset, TRACE_LEN)?;
+        let span = parse_field(bytes, &mut offset, SPAN_LEN)? as u64;
+        let flags = parse_field(bytes, &mut offset, FLAGS_LEN)? as u8;
         if version == INVALID_VERSION {
             return Err(TraceContextError::Version);
         }
-        // Only a later version may append fields, which are ignored.
+        // Later versions may append fields, which are ignored. Version 0 may not.
         if version == 0 && bytes.len() != TOTAL_LEN {
             return Err(TraceContextError::Length(bytes.len()));
         }
@@ -86,8 +86,8 @@
     }
 }
 
-fn field(bytes: &[u8], at: &mut usize, len: usize) -> Result<u128, TraceContextError> {
-    let start = *at;
+fn parse_field(bytes: &[u8], offset: &mut usize, len: usize) -> Result<u128, TraceContextError> {
+    let start = *offset;
     let end = start + len;
     let mut value = 0;
     for byte in &bytes[start..end] {
@@ -101,7 +101,7 @@
     if bytes.get(end).is_some_and(|byte| *byte != b'-') {
         return Err(TraceContextError::Separator(end));
     }
-    *at = end + 1;
+    *offset = end + 1;
     Ok(value)
 }
 
@@ -126,7 +126,8 @@
 }
 
 impl TraceContext {
-    /// Returns the context of a span, or nothing when the span is not recorded at all.
+    /// Converts an OpenTelemetry span context. Returns `None` if it is invalid, which is the case if
+    /// spans are not recorded.
     pub fn from_span_context(context: &SpanContext) -> Option<Self> {
         context.is_valid().then(|| Self {
             trace: u128::from_be_bytes(context.trace_id().to_bytes()),
