--- a/crates/telemetry/tests/runner.rs
+++ b/crates/telemetry/tests/runner.rs
@@ -1,4 +1,4 @@
-//! Runs the tests of the crate.
+//! All integration tests of this crate, in one binary.
 
 mod test_logs;
 mod test_metrics;
--- a/crates/telemetry/tests/test_logs.rs
+++ b/crates/telemetry/tests/test_logs.rs
@@ -1,4 +1,4 @@
-//! Log lines.
+//! Tests for log lines, the non-blocking writer and the rate limiter.
 
 use std::{
     fs,
@@ -14,10 +14,7 @@
 #[rstest]
 #[case::text(LogFormat::Text, "WARN  fleet: \"peer\" is suspected")]
 #[case::json(LogFormat::Json, r#""message":"\"peer\" is suspected""#)]
-fn a_line_at_the_level_is_written_and_one_below_is_not(
-    #[case] format: LogFormat,
-    #[case] part: &str,
-) {
+fn line_is_written_if_its_level_is_enabled(#[case] format: LogFormat, #[case] part: &str) {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("log");
     let settings = LogSettings {
@@ -41,12 +38,12 @@
     assert!(lines.contains(part), "{lines}");
 }
 
-/// The reader of the output stops while lines go on. The thread that serves requests must not wait:
-/// what does not fit is left out, and the next line that fits tells how many there were.
+// Guards against a blocked thread when the reader of the output stops reading. Lines that do not fit
+// into the buffer are dropped, and a line with their number follows once there is room again.
 #[test]
-fn a_reader_that_stops_holds_nobody_up() {
-    let (held, release) = Gate::new();
-    let (mut writer, thread) = NonBlockingWriter::start(held).unwrap();
+fn stopped_reader_does_not_block_the_writer() {
+    let (output, release) = BlockedOutput::new();
+    let (mut writer, guard) = NonBlockingWriter::start(output).unwrap();
     let line = vec![b'x'; 64 << 10];
     for _ in 0..200 {
         writer.write_all(&line).unwrap();
@@ -54,24 +51,24 @@
     let written = release();
     std::thread::sleep(Duration::from_millis(200));
     writer.write_all(b"last\n").unwrap();
-    drop(thread);
+    drop(guard);
     let text = String::from_utf8(written.lock().unwrap().clone()).unwrap();
     assert!(text.contains("lines left out"), "{} bytes", text.len());
     assert!(text.ends_with("last\n"));
 }
 
-/// An output that takes nothing until it is released.
-struct Gate {
+/// An output whose writes block until it is released.
+struct BlockedOutput {
     released: mpsc::Receiver<()>,
     is_open: bool,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Gate {
+impl BlockedOutput {
     fn new() -> (Self, impl FnOnce() -> Arc<Mutex<Vec<u8>>>) {
         let (send, released) = mpsc::channel();
         let written = Arc::new(Mutex::default());
-        let gate = Self {
+        let output = Self {
             released,
             is_open: false,
             written: Arc::clone(&written),
@@ -80,11 +77,11 @@
             send.send(()).unwrap();
             written
         };
-        (gate, release)
+        (output, release)
     }
 }
 
-impl Write for Gate {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         if !self.is_open {
             self.released.recv().unwrap();
@@ -100,7 +97,7 @@
 }
 
 #[test]
-fn lines_of_failures_are_kept_when_routine_lines_are_many() {
+fn routine_lines_do_not_displace_lines_of_failures() {
     let limiter = LogRateLimiter::new(10, 5);
     let now = Instant::now();
     let routine = (0..100).filter(|_| limiter.allow(Level::Info, now)).count();
@@ -111,7 +108,7 @@
 }
 
 #[test]
-fn a_json_line_has_the_named_values() {
+fn json_line_contains_key_value_pairs() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("log");
     let settings = LogSettings {
--- a/crates/telemetry/tests/test_metrics.rs
+++ b/crates/telemetry/tests/test_metrics.rs
@@ -1,9 +1,9 @@
-//! Counters and their publication.
+//! Tests for metrics and their publication.
 
 use celerypond_telemetry::{Counter, Gauge, Metrics};
 
 #[test]
-fn publishing_sends_what_was_added_since_the_last_time() {
+fn publish_sends_increments_since_the_last_call() {
     let (receiver, sink) = cadence::SpyMetricSink::new();
     let metrics = Metrics::with_sink(sink);
     metrics.add(Counter::Orders, 3);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn slots_and_names_are_unique() {
+fn names_are_unique_and_discriminants_index_all() {
     let mut names: Vec<&str> = Counter::ALL.iter().map(|c| c.name()).collect();
     names.extend(Gauge::ALL.iter().map(|g| g.name()));
     let len = names.len();
--- a/crates/telemetry/tests/test_span_recorder.rs
+++ b/crates/telemetry/tests/test_span_recorder.rs
@@ -1,11 +1,11 @@
-//! Spans of a request over its hops.
+//! Tests for the spans of a request across its hops.
 
 use std::fs;
 
 use celerypond_telemetry::{hop, Output, SpanRecorder, SpanSettings, TraceContext};
 use serde_json::Value;
 
-fn run(share: f64, parent: Option<TraceContext>) -> (Option<TraceContext>, Vec<Value>) {
+fn record_hops(share: f64, parent: Option<TraceContext>) -> (Option<TraceContext>, Vec<Value>) {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("spans");
     let recorder = SpanRecorder::new(&SpanSettings {
@@ -25,10 +25,10 @@
 }
 
 #[test]
-fn hops_carry_the_trace_of_the_caller() {
+fn hops_belong_to_the_trace_of_the_caller() {
     let text = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01";
     let parent: TraceContext = text.parse().unwrap();
-    let (sent, lines) = run(0.0, Some(parent));
+    let (sent, lines) = record_hops(0.0, Some(parent));
     let sent = sent.unwrap();
     assert_eq!(sent.trace, parent.trace);
     let names: Vec<&str> = lines.iter().map(|l| l["name"].as_str().unwrap()).collect();
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn an_unsampled_trace_is_sent_on_but_not_recorded() {
-    let (sent, lines) = run(0.0, None);
+fn unsampled_trace_is_propagated_but_not_recorded() {
+    let (sent, lines) = record_hops(0.0, None);
     assert!(!sent.unwrap().sampled);
     assert!(lines.is_empty());
 }
--- a/crates/telemetry/tests/test_trace_context.rs
+++ b/crates/telemetry/tests/test_trace_context.rs
@@ -1,4 +1,4 @@
-//! Faulty and later forms of the header.
+//! Tests for parsing invalid `traceparent` headers and headers of later versions.
 
 use celerypond_telemetry::{TraceContext, TraceContextError as E};
 use rstest::rstest;
@@ -14,12 +14,12 @@
 #[case::reserved_version(format!("ff-{TRACE}-{SPAN}-01"), E::Version)]
 #[case::zero_span(format!("00-{TRACE}-0000000000000000-01"), E::Zero)]
 #[case::not_ascii(format!("00-{}é-{SPAN}-01", &TRACE[2..]), E::Digit(3))]
-fn a_faulty_header_is_refused_with_its_fault(#[case] text: String, #[case] error: E) {
+fn invalid_header_is_rejected(#[case] text: String, #[case] error: E) {
     assert_eq!(text.parse::<TraceContext>(), Err(error));
 }
 
 #[test]
-fn a_later_version_may_append_fields() {
+fn later_version_may_append_fields() {
     let context: TraceContext = format!("01-{TRACE}-{SPAN}-00-x").parse().unwrap();
     assert!(!context.sampled);
     assert_eq!(context.to_string(), format!("00-{TRACE}-{SPAN}-00"));
