--- a/crates/types/src/counts.rs
+++ b/crates/types/src/counts.rs
@@ -1,4 +1,4 @@
-//! Counters with a type each, so that one cannot be passed for another.
+//! Newtypes for ordinals, IDs and versions, so that one cannot be passed for another.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
         pub struct $name(pub $int);
 
         impl $name {
-            /// Returns the value that follows this one.
+            /// Returns the next value.
             #[must_use]
             pub const fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -30,22 +30,24 @@
 }
 
 count! {
-    /// The ordinal of one try to generate an answer, from 0.
+    /// The index of an attempt to generate an answer, from 0.
     Attempt(u32)
 }
 count! {
-    /// The place of a token in its answer, from 0.
+    /// The index of a token in its answer, from 0.
     Position(u32)
 }
 count! {
-    /// A token of a model's vocabulary.
+    /// The ID of a token in the vocabulary of a model.
     TokenId(u32)
 }
 count! {
-    /// The ordinal of a bundle in force, which only rises. 0 means that no bundle was rolled yet.
+    /// The number of an activated bundle. It increases with every activation; 0 means that no bundle
+    /// has been rolled yet.
     Revision(u64)
 }
 count! {
-    /// The number by which a target tells a newer order holder from an older one.
+    /// A fencing number, also called a fencing token: it lets a target tell the current holder of the
+    /// lease for orders from previous ones.
     FencingNumber(u64)
 }
--- a/crates/types/src/digest.rs
+++ b/crates/types/src/digest.rs
@@ -1,4 +1,4 @@
-//! A SHA-256 digest, written as 64 hexadecimal digits.
+//! SHA-256 digests, written as 64 hexadecimal digits.
 
 use std::{fmt, str::FromStr};
 
@@ -25,7 +25,7 @@
 #[schemars(with = "String")]
 pub struct Digest([u8; BYTES]);
 
-/// The ways in which a text is not a digest.
+/// An error of parsing a digest.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DigestError {
     /// The text does not have 64 characters.
@@ -42,12 +42,12 @@
         Self(Sha256::digest(bytes).into())
     }
 
-    /// Returns the raw digest.
+    /// Returns the bytes of the digest.
     pub const fn as_bytes(&self) -> &[u8; BYTES] {
         &self.0
     }
 
-    /// Returns the first eight digits, enough for a person to compare.
+    /// Returns the first eight digits, which suffice for display.
     pub fn short(&self) -> String {
         self.to_string()[..8].to_owned()
     }
@@ -77,11 +77,11 @@
             return Err(DigestError::Length(text.chars().count()));
         }
         let mut bytes = [0; BYTES];
-        for (at, digit) in digits.iter().enumerate() {
+        for (index, digit) in digits.iter().enumerate() {
             let value = char::from(*digit)
                 .to_digit(16)
-                .ok_or(DigestError::Digit(at))?;
-            bytes[at / 2] = bytes[at / 2] << 4 | value as u8;
+                .ok_or(DigestError::Digit(index))?;
+            bytes[index / 2] = bytes[index / 2] << 4 | value as u8;
         }
         Ok(Self(bytes))
     }
--- a/crates/types/src/keys.rs
+++ b/crates/types/src/keys.rs
@@ -1,14 +1,14 @@
-//! Small `Copy` keys into the arenas of an instance.
+//! Small `Copy` keys of entries in the slot maps of an instance.
 //!
-//! A key is meaningful only inside the process that made it; names travel between processes.
+//! A key is valid only in the process that created it. Messages between processes use names instead.
 
 slotmap::new_key_type! {
-    /// A client account in the accounts arena.
+    /// The key of a client account.
     pub struct AccountKey;
-    /// An instance in the membership arena.
+    /// The key of an instance in the fleet.
     pub struct InstanceKey;
-    /// A target in the routing arena.
+    /// The key of a target in routing.
     pub struct TargetKey;
-    /// A version of a model in the versions arena.
+    /// The key of a version of a model.
     pub struct VersionKey;
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Typed keys, names and units shared by all crates.
+//! Types shared by all crates: keys, names, digests, ordinals and outcomes of calls.
 
 mod counts;
 mod digest;
--- a/crates/types/src/names.rs
+++ b/crates/types/src/names.rs
@@ -1,4 +1,4 @@
-//! Names that travel between processes, one type for each kind of thing that is named.
+//! Names, which identify things across processes. Each kind of thing has its own type.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
         pub struct $name(#[schemars(with = "String")] SmolStr);
 
         impl $name {
-            /// Makes a name from text.
+            /// Creates a name from text, which is not validated.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(SmolStr::new(text))
             }
@@ -40,42 +40,42 @@
 }
 
 name! {
-    /// A client account.
+    /// The name of a client account.
     AccountName
 }
 name! {
-    /// An adapter that an engine loads on top of a model.
+    /// The name of an adapter that an engine loads on top of a model.
     AdapterName
 }
 name! {
-    /// A data centre.
+    /// The name of a data centre.
     DataCentre
 }
 name! {
-    /// An instance: one running daemon.
+    /// The name of an instance, which is one running daemon.
     InstanceName
 }
 name! {
-    /// A model that engines serve.
+    /// The name of a model that engines serve.
     ModelName
 }
 name! {
-    /// A person who submits, approves or rolls bundles.
+    /// The name of an operator, who submits, approves or rolls bundles.
     OperatorName
 }
 name! {
-    /// The key by which a caller names one request across its retries.
+    /// A key that identifies a request across retries, sent by the caller or generated.
     RequestKey
 }
 name! {
-    /// A plain service beside the model engines.
+    /// The name of a plain service.
     ServiceName
 }
 name! {
-    /// A target: an engine or one process of a plain service.
+    /// The name of a target, which is an engine or a process of a plain service.
     TargetName
 }
 name! {
-    /// A version of a model.
+    /// The name of a version of a model.
     VersionName
 }
--- a/crates/types/src/priority.rs
+++ b/crates/types/src/priority.rs
@@ -1,9 +1,9 @@
-//! How urgent a request is.
+//! Priorities of requests.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// How urgent a request is; the order of the variants is the order of service.
+/// The priority of a request. The order of the variants is the order of service.
 #[derive(
     Clone,
     Copy,
@@ -20,9 +20,9 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// A person waits a few seconds at most.
+    /// A user is waiting, for a few seconds at most.
     #[default]
     Interactive,
-    /// A long draft, which may wait a moment.
+    /// A long draft, which may be delayed.
     Draft,
 }
--- a/crates/types/tests/runner.rs
+++ b/crates/types/tests/runner.rs
@@ -1,3 +1,3 @@
-//! The integration tests of the crate, in one binary.
+//! All integration tests of this crate, in one binary.
 
 mod test_digest;
--- a/crates/types/tests/test_digest.rs
+++ b/crates/types/tests/test_digest.rs
@@ -1,4 +1,4 @@
-//! Digests as text.
+//! Tests for parsing digests.
 
 use celerypond_types::{Digest, DigestError};
 use rstest::rstest;
@@ -7,6 +7,6 @@
 #[case::empty("", DigestError::Length(0))]
 #[case::short("ab", DigestError::Length(2))]
 #[case::other_digit(&"g".repeat(64), DigestError::Digit(0))]
-fn text_that_is_no_digest_is_refused(#[case] text: &str, #[case] error: DigestError) {
+fn invalid_digest_is_rejected(#[case] text: &str, #[case] error: DigestError) {
     assert_eq!(text.parse::<Digest>(), Err(error));
 }
