--- a/crates/bundle/src/document.rs
+++ b/crates/bundle/src/document.rs
@@ -1,7 +1,7 @@
 //! Parsing of JSON documents with complete error reports.
 //!
-//! The entries of a list are parsed one by one. A document with an invalid entry can therefore still
-//! be checked for errors between entries, and one run reports both kinds of errors.
+//! The entries of a list are parsed one by one. A document with an invalid entry can therefore
+//! still be checked for errors between entries, and one run reports both kinds of errors.
 
 use jsonschema::{
     error::{TypeKind, ValidationErrorKind},
@@ -84,8 +84,8 @@
         .map_err(|error| (error.path().to_string(), error.inner().to_string()))
 }
 
-/// Adds a deserialization error, unless the schema already reported an error at that path, at one of
-/// its ancestors or below it.
+/// Adds a deserialization error, unless the schema already reported an error at that path, at one
+/// of its ancestors or below it.
 fn add_deserialize_error(errors: &mut ValidationErrors, path: String, text: &str) {
     let overlaps =
         |error: &ValidationError| error.path.starts_with(&path) || path.starts_with(&*error.path);
--- a/crates/bundle/src/model.rs
+++ b/crates/bundle/src/model.rs
@@ -14,7 +14,8 @@
     pub versions: Vec<Version>,
     /// The version that serves all other traffic and to which new versions are compared.
     pub base: VersionName,
-    /// The traffic shares that other versions have at the end of a rollout. The rest goes to `base`.
+    /// The traffic shares that other versions have at the end of a rollout. The rest goes to
+    /// `base`.
     #[serde(default)]
     pub shares: Vec<Share>,
     /// The adapters that every version can load.
--- a/crates/bundle/src/validation_error.rs
+++ b/crates/bundle/src/validation_error.rs
@@ -135,8 +135,8 @@
         self.0.push(ValidationError::new(path, found, expected));
     }
 
-    /// Checks that a name has only characters that are safe in paths, logs and object keys, and that
-    /// its length is valid.
+    /// Checks that a name has only characters that are safe in paths, logs and object keys, and
+    /// that its length is valid.
     pub(crate) fn check_name(&mut self, path: &str, name: &str) {
         const MAX_LEN: usize = 63;
 
@@ -153,7 +153,8 @@
         }
     }
 
-    /// Checks that all values are different. The error is reported at the later of two equal values.
+    /// Checks that all values are different. The error is reported at the later of two equal
+    /// values.
     pub(crate) fn check_unique<T: Ord + fmt::Display>(
         &mut self,
         values: impl Iterator<Item = (String, T)>,
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The client of the platform.
+//! The HTTP client of the platform.
 
 use std::{
     net::SocketAddr,
@@ -24,7 +24,7 @@
     TransferProgress, Version, WriteOutcome,
 };
 
-/// The largest value of an object, in bytes.
+/// The maximum size of the value of an object, in bytes.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 /// The time limit for a response body, as a multiple of the call timeout.
 const BODY_TIMEOUT_FACTOR: u32 = 10;
--- a/crates/platform/src/pool.rs
+++ b/crates/platform/src/pool.rs
@@ -27,10 +27,10 @@
 /// A connection pool that is replaced as a whole after a call has timed out.
 ///
 /// If a network device on the path loses the state of a connection, requests on it are never
-/// answered. The connection that timed out is closed, because dropping its future makes hyper
-/// close it. The other idle connections take the same route and are likely dead as well, so the next
-/// calls would time out one by one. Replacing the pool limits this to one timeout. Calls in progress
-/// keep the pool they started with.
+/// answered. The connection that timed out is closed, because dropping its future makes hyper close
+/// it. The other idle connections take the same route and are likely dead as well, so the next
+/// calls would time out one by one. Replacing the pool limits this to one timeout. Calls in
+/// progress keep the pool they started with.
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
     current: Arc<ArcSwap<Connections>>,
--- a/crates/platform/tests/test_connections.rs
+++ b/crates/platform/tests/test_connections.rs
@@ -8,9 +8,9 @@
     client, client_with_addresses, reply, text, Reply, Server, HIGH_RATES, TIMEOUT,
 };
 
-// Guards against every idle connection costing a call its response. Four concurrent calls leave four
-// idle connections. A network device on the path then loses the state of all of them: requests on
-// them are never answered, while new connections work. The first call after that times out. The
+// Guards against every idle connection costing a call its response. Four concurrent calls leave
+// four idle connections. A network device on the path then loses the state of all of them: requests
+// on them are never answered, while new connections work. The first call after that times out. The
 // second must not.
 #[tokio::test]
 async fn timeout_replaces_all_idle_connections() {
--- a/crates/telemetry/src/counter.rs
+++ b/crates/telemetry/src/counter.rs
@@ -69,7 +69,8 @@
         KeeperDropped = "keeper.dropped",
         /// Orders sent to engines.
         Orders = "orders.sent",
-        /// Orders rejected by an engine because it had already received one of a newer lease holder.
+        /// Orders rejected by an engine because it had already received one of a newer lease
+        /// holder.
         OrdersFenced = "orders.fenced",
         /// Orders not sent because too little time remained until the lease expired.
         OrdersHeld = "orders.held",
@@ -81,10 +82,11 @@
         RoutedDenied = "relay.denied",
         /// Routed requests whose response said that they had not run.
         RoutedRefused = "relay.refused",
-        /// Routed requests rejected because the active configuration or the list of targets may be outdated.
+        /// Routed requests rejected because the active configuration or the list of targets may be
+        /// outdated.
         RoutedStale = "relay.stale",
-        /// Routed requests rejected because the list of targets may be outdated. [`RoutedStale`](Self::RoutedStale)
-        /// includes them.
+        /// Routed requests rejected because the list of targets may be outdated.
+        /// [`RoutedStale`](Self::RoutedStale) includes them.
         RoutedStaleTargets = "relay.stale_targets",
         /// Attempts that got no target because the list of targets may be outdated.
         PlacementsStale = "relay.placements_stale",
--- a/crates/telemetry/src/histogram.rs
+++ b/crates/telemetry/src/histogram.rs
@@ -11,8 +11,8 @@
 metric_list! {
     /// A latency that is recorded in a histogram.
     Latency {
-        /// The time from the headers of a request to the end of its response, for responses that are
-        /// not streams.
+        /// The time from the headers of a request to the end of its response, for responses that
+        /// are not streams.
         Request = "relay.request_ms",
         /// The time from the headers of a request to the first event of its stream.
         FirstEvent = "relay.first_event_ms",
@@ -59,8 +59,8 @@
         self.sums[latency as usize].fetch_add(ms, Relaxed);
     }
 
-    /// Renders all histograms as text, one `name value` pair per line. The counts are cumulative: each
-    /// includes all latencies up to its bound.
+    /// Renders all histograms as text, one `name value` pair per line. The counts are cumulative:
+    /// each includes all latencies up to its bound.
     pub fn render(&self, prefix: &str) -> String {
         let mut text = String::new();
         for latency in Latency::ALL {
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,7 +1,7 @@
 //! Logs, metrics and spans.
 //!
-//! Counters are the primary source of information. Log lines are written only for state changes, and
-//! spans only for the hops of sampled requests.
+//! Counters are the primary source of information. Log lines are written only for state changes,
+//! and spans only for the hops of sampled requests.
 
 mod counter;
 mod gauge;
--- a/crates/telemetry/src/log_rate_limiter.rs
+++ b/crates/telemetry/src/log_rate_limiter.rs
@@ -12,9 +12,9 @@
 
 /// Limits the number of log lines per second.
 ///
-/// Without a limit, a burst of requests, or a failure that affects every request, produces more lines
-/// than anybody can read, and writing them takes time away from requests. Errors and warnings have a
-/// limit of their own, so that routine lines cannot displace them.
+/// Without a limit, a burst of requests, or a failure that affects every request, produces more
+/// lines than anybody can read, and writing them takes time away from requests. Errors and warnings
+/// have a limit of their own, so that routine lines cannot displace them.
 ///
 /// # Examples
 ///
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -75,8 +75,8 @@
 struct LogLine<'a> {
     time: String,
     level: &'static str,
-    /// The module that wrote the line. It is not named `target`, because lines about routing targets
-    /// use that key.
+    /// The module that wrote the line. It is not named `target`, because lines about routing
+    /// targets use that key.
     module: &'a str,
     message: String,
     /// The key-value pairs of the line.
@@ -146,8 +146,8 @@
 
     /// Installs a rate-limited logger for the process.
     ///
-    /// A background thread writes the lines, so that logging does not block if their reader is slow.
-    /// Dropping the returned guard waits until all lines are written.
+    /// A background thread writes the lines, so that logging does not block if their reader is
+    /// slow. Dropping the returned guard waits until all lines are written.
     ///
     /// # Errors
     ///
--- a/crates/telemetry/src/non_blocking_writer.rs
+++ b/crates/telemetry/src/non_blocking_writer.rs
@@ -8,17 +8,18 @@
     time::Duration,
 };
 
-/// The maximum size of the buffer, in bytes. A full buffer holds a few thousand lines, which is what
-/// is logged within one second at the maximum rate.
+/// The maximum size of the buffer, in bytes. A full buffer holds a few thousand lines, which is
+/// what is logged within one second at the maximum rate.
 const MAX_BUFFER_BYTES: usize = 1 << 20;
 /// How long lines are collected before they are written. At hundreds of lines per second, one write
-/// covers some tens of lines. A process that is killed loses the lines of this time.
+/// covers some tens of lines. A process that is killed loses at most the
+/// lines of this time.
 const FLUSH_DELAY: Duration = Duration::from_millis(50);
 
 /// A writer that never blocks. Writes that do not fit into its buffer are dropped and counted.
 ///
-/// If the reader of standard output stops reading, the pipe fills up, and a direct write would block
-/// a thread that serves requests. With this writer, only the background thread blocks.
+/// If the reader of standard output stops reading, the pipe fills up, and a direct write would
+/// block a thread that serves requests. With this writer, only the background thread blocks.
 #[derive(Clone)]
 pub struct NonBlockingWriter {
     shared: Arc<Shared>,
--- a/crates/telemetry/src/span_recorder.rs
+++ b/crates/telemetry/src/span_recorder.rs
@@ -14,8 +14,8 @@
 
 use crate::{JsonSpanExporter, Output, TraceContext};
 
-/// The prefix of the modules whose spans are recorded. Libraries open spans for the same work, which
-/// would duplicate those of this project.
+/// The prefix of the modules whose spans are recorded. Libraries open spans for the same work,
+/// which would duplicate those of this project.
 const OWN_MODULES: &str = "celerypond";
 
 /// The output of spans and the share of traces that are recorded.
@@ -24,8 +24,8 @@
 pub struct SpanSettings {
     /// The output to which finished spans are written.
     pub output: Output,
-    /// The share of new traces that are recorded, from 0 to 1. If a caller sends a trace context, its
-    /// sampling decision applies instead.
+    /// The share of new traces that are recorded, from 0 to 1. If a caller sends a trace context,
+    /// its sampling decision applies instead.
     pub share: f64,
 }
 
@@ -43,8 +43,8 @@
     Shutdown,
 }
 
-/// A recorder of spans. Call [`SpanRecorder::shutdown`] before the process exits, otherwise the last
-/// spans are lost.
+/// A recorder of spans. Call [`SpanRecorder::shutdown`] before the process exits, otherwise the
+/// last spans are lost.
 #[derive(Debug)]
 pub struct SpanRecorder {
     provider: SdkTracerProvider,
@@ -100,9 +100,9 @@
 
 /// Opens a span for a hop of a request.
 ///
-/// `name` is the kind of the hop, such as `front`, `peer` or `target`. `parent` is the trace context
-/// received with the request. Without it, the span is a child of the current span, or the root of a
-/// new trace. Use [`tracing::Instrument`] to run a future inside the span, and
+/// `name` is the kind of the hop, such as `front`, `peer` or `target`. `parent` is the trace
+/// context received with the request. Without it, the span is a child of the current span, or the
+/// root of a new trace. Use [`tracing::Instrument`] to run a future inside the span, and
 /// [`TraceContext::from_span`] to propagate its context.
 pub fn hop(name: &'static str, parent: Option<TraceContext>) -> Span {
     let span = tracing::info_span!("hop", otel.name = name);
--- a/crates/telemetry/src/trace_context.rs
+++ b/crates/telemetry/src/trace_context.rs
@@ -126,8 +126,8 @@
 }
 
 impl TraceContext {
-    /// Converts an OpenTelemetry span context. Returns `None` if it is invalid, which is the case if
-    /// spans are not recorded.
+    /// Converts an OpenTelemetry span context. Returns `None` if it is invalid, which is the case
+    /// if spans are not recorded.
     pub fn from_span_context(context: &SpanContext) -> Option<Self> {
         context.is_valid().then(|| Self {
             trace: u128::from_be_bytes(context.trace_id().to_bytes()),
--- a/crates/telemetry/tests/test_logs.rs
+++ b/crates/telemetry/tests/test_logs.rs
@@ -38,8 +38,8 @@
     assert!(lines.contains(part), "{lines}");
 }
 
-// Guards against a blocked thread when the reader of the output stops reading. Lines that do not fit
-// into the buffer are dropped, and a line with their number follows once there is room again.
+// Guards against a blocked thread when the reader of the output stops reading. Lines that do not
+// fit into the buffer are dropped, and a line with their number follows once there is room again.
 #[test]
 fn stopped_reader_does_not_block_the_writer() {
     let (output, release) = BlockedOutput::new();
--- a/crates/types/src/counts.rs
+++ b/crates/types/src/counts.rs
@@ -3,7 +3,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-macro_rules! count {
+macro_rules! number {
     ($(#[$doc:meta])* $name:ident($int:ty)) => {
         $(#[$doc])*
         #[derive(
@@ -29,25 +29,25 @@
     };
 }
 
-count! {
+number! {
     /// The index of an attempt to generate an answer, from 0.
     Attempt(u32)
 }
-count! {
+number! {
     /// The index of a token in its answer, from 0.
     Position(u32)
 }
-count! {
+number! {
     /// The ID of a token in the vocabulary of a model.
     TokenId(u32)
 }
-count! {
-    /// The number of an activated bundle. It increases with every activation; 0 means that no bundle
-    /// has been rolled yet.
+number! {
+    /// The number of an activated bundle. It increases with every activation; 0 means that no
+    /// bundle has been rolled yet.
     Revision(u64)
 }
-count! {
-    /// A fencing number, also called a fencing token: it lets a target tell the current holder of the
-    /// lease for orders from previous ones.
+number! {
+    /// A fencing number, also called a fencing token. It lets a target distinguish orders of the
+    /// current lease holder from orders of previous ones.
     FencingNumber(u64)
 }
--- a/crates/types/src/keys.rs
+++ b/crates/types/src/keys.rs
@@ -1,6 +1,7 @@
 //! Small `Copy` keys of entries in the slot maps of an instance.
 //!
-//! A key is valid only in the process that created it. Messages between processes use names instead.
+//! A key is valid only in the process that created it. Messages between processes use names
+//! instead.
 
 slotmap::new_key_type! {
     /// The key of a client account.
