--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -1,23 +1,23 @@
-//! The bundle and settings formats, their checks and their diff.
+//! The formats of bundles and settings, their validation, and the diff of bundles.
 
 mod account;
 mod bundle;
 mod check;
 mod diff;
 mod document;
-mod fault;
 mod model;
 mod schema;
 mod service;
 mod settings;
 mod target;
+mod validation_error;
 
 pub use account::Account;
 pub use bundle::{Bundle, FORMAT};
 pub use diff::{diff, Change};
-pub use fault::{Expected, Fault, Kind};
 pub use model::{Model, Share, Version};
 pub use schema::{bundle_schema, settings_schema};
 pub use service::{Call, Service};
 pub use settings::{LogFormat, LogLevel, LogSettings, Operator, Settings};
 pub use target::{Fencing, Target, TargetKind};
+pub use validation_error::{EntryKind, Expected, ValidationError};
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,26 +1,26 @@
-//! Client of the platform: objects, instance list, weight store.
+//! Client for the platform's object store, instance list and weight store.
 //!
-//! A [`Dialect`] holds the forms of a store; those of the project's own are in
-//! `docs/design/wire.md`. Decision crates do not depend on the client: they
-//! give effects such as "create this object", and the daemon carries them out with it.
+//! A [`Protocol`] describes the HTTP protocol of an object store. The native one is specified in
+//! `docs/design/wire.md`. The crates that make decisions do not use the client themselves. They
+//! return effects such as "create this object", and the daemon uses the client to execute them.
 
-mod budget;
+mod call_budget;
 mod client;
-mod dialect;
 mod error;
 mod instances;
+mod native;
 mod object;
-mod own;
 mod path;
 mod pool;
-mod received;
-mod settled;
+mod protocol;
+mod transfer_progress;
+mod write_outcome;
 
-pub use budget::{Budget, CallKind, Rates};
+pub use call_budget::{CallBudget, CallKind, Rates};
 pub use client::{Client, Settings};
-pub use dialect::{Answer, Call, Dialect, Encoded, Held};
 pub use error::PlatformError;
 pub use instances::{Instance, InstanceList, Presence, Target};
 pub use object::{Change, Changes, Listing, Object, Version};
-pub use received::Received;
-pub use settled::Settled;
+pub use protocol::{Call, EncodedCall, Protocol, Response, VersionedValue};
+pub use transfer_progress::TransferProgress;
+pub use write_outcome::WriteOutcome;
--- a/crates/platform/src/own.rs
+++ b/crates/platform/src/native.rs
@@ -1,4 +1,4 @@
-//! The form of the project's own store, as `docs/design/wire.md` fixes it.
+//! The native store protocol, specified in `docs/design/wire.md`.
 
 use bytes::Bytes;
 use http::{
@@ -7,20 +7,20 @@
 };
 
 use crate::{
-    dialect::{Answer, Call, Dialect, Encoded, Held},
     path::escape,
+    protocol::{Call, EncodedCall, Protocol, Response, VersionedValue},
     PlatformError, Version,
 };
 
-/// The form of the project's own store.
-pub(crate) const OWN: Dialect = Dialect {
+/// The native store protocol.
+pub(crate) const NATIVE: Protocol = Protocol {
     encode,
     object,
     listing: |_, body| decode(body),
     changes: |_, body| decode(body),
 };
 
-fn encode(call: &Call<'_>, body: Bytes) -> Encoded {
+fn encode(call: &Call<'_>, body: Bytes) -> EncodedCall {
     let (method, path, condition) = match *call {
         Call::Get(key) => (Method::GET, object_path(key), None),
         Call::List {
@@ -46,13 +46,13 @@
             (Method::GET, path, None)
         }
         Call::Create(key) => {
-            let absent = (IF_NONE_MATCH, "*".to_owned());
-            (Method::PUT, object_path(key), Some(absent))
+            let if_absent = (IF_NONE_MATCH, "*".to_owned());
+            (Method::PUT, object_path(key), Some(if_absent))
         }
-        Call::Update(key, before) => (Method::PUT, object_path(key), Some(matching(before))),
-        Call::Delete(key, before) => (Method::DELETE, object_path(key), Some(matching(before))),
+        Call::Update(key, before) => (Method::PUT, object_path(key), Some(if_match(before))),
+        Call::Delete(key, before) => (Method::DELETE, object_path(key), Some(if_match(before))),
     };
-    Encoded {
+    EncodedCall {
         method,
         path,
         condition,
@@ -64,14 +64,14 @@
     format!("/v1/objects/{}", escape(key))
 }
 
-fn matching(before: Version) -> (http::HeaderName, String) {
+fn if_match(before: Version) -> (http::HeaderName, String) {
     (IF_MATCH, format!("\"{before}\""))
 }
 
-fn object(_: &str, answer: &Answer) -> Result<Held, PlatformError> {
-    let tag = answer.headers.get(ETAG).and_then(|tag| tag.to_str().ok());
+fn object(_: &str, response: &Response) -> Result<VersionedValue, PlatformError> {
+    let tag = response.headers.get(ETAG).and_then(|tag| tag.to_str().ok());
     tag.and_then(|tag| tag.trim_matches('"').parse().ok())
-        .map(|version| (Version(version), answer.body.clone()))
+        .map(|version| (Version(version), response.body.clone()))
         .ok_or(PlatformError::Malformed)
 }
 
--- /dev/null
+++ b/crates/telemetry/src/non_blocking_writer.rs
@@ -0,0 +1,153 @@
+//! A writer that hands log lines to a background thread, so that a slow reader blocks no caller.
+
+use std::{
+    io::{self, Write},
+    mem,
+    sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError},
+    thread::{self, JoinHandle},
+    time::Duration,
+};
+
+/// The maximum size of the buffer, in bytes. A full buffer holds a few thousand lines, which is
+/// what is logged within one second at the maximum rate.
+const MAX_BUFFER_BYTES: usize = 1 << 20;
+/// How long lines are collected before they are written. At hundreds of lines per second, one write
+/// covers some tens of lines. A process that is killed loses at most the
+/// lines of this time.
+const FLUSH_DELAY: Duration = Duration::from_millis(50);
+
+/// A writer that never blocks. Writes that do not fit into its buffer are dropped and counted.
+///
+/// If the reader of standard output stops reading, the pipe fills up, and a direct write would
+/// block a thread that serves requests. With this writer, only the background thread blocks.
+#[derive(Clone)]
+pub struct NonBlockingWriter {
+    shared: Arc<Shared>,
+}
+
+struct Shared {
+    state: Mutex<State>,
+    wakeup: Condvar,
+}
+
+#[derive(Default)]
+struct State {
+    bytes: Vec<u8>,
+    /// The number of writes dropped since the last one that fit into the buffer.
+    dropped: u64,
+    is_closed: bool,
+}
+
+/// A handle to the background thread. Dropping it waits until all lines are written and the thread
+/// has ended.
+pub struct WriterGuard {
+    writer: NonBlockingWriter,
+    thread: Option<JoinHandle<()>>,
+}
+
+impl NonBlockingWriter {
+    /// Starts a background thread that writes to `output`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the thread cannot be started.
+    ///
+    /// # Examples
+    ///
+    /// ```
+    /// use std::io::Write as _;
+    ///
+    /// use celerypond_telemetry::NonBlockingWriter;
+    ///
+    /// let (mut writer, guard) = NonBlockingWriter::start(std::io::sink()).unwrap();
+    /// writer.write_all(b"a line\n").unwrap();
+    /// drop(guard); // All lines are written now.
+    /// ```
+    pub fn start(output: impl Write + Send + 'static) -> io::Result<(Self, WriterGuard)> {
+        let writer = Self {
+            shared: Arc::new(Shared {
+                state: Mutex::default(),
+                wakeup: Condvar::new(),
+            }),
+        };
+        let shared = Arc::clone(&writer.shared);
+        let thread = thread::Builder::new()
+            .name("log".into())
+            .spawn(move || run_writer(&shared, output))?;
+        let guard = WriterGuard {
+            writer: writer.clone(),
+            thread: Some(thread),
+        };
+        Ok((writer, guard))
+    }
+
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.shared.lock()
+    }
+}
+
+impl Shared {
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+impl Write for NonBlockingWriter {
+    fn write(&mut self, line: &[u8]) -> io::Result<usize> {
+        let mut state = self.state();
+        if state.bytes.len() + line.len() > MAX_BUFFER_BYTES {
+            state.dropped += 1;
+            return Ok(line.len());
+        }
+        let was_empty = state.bytes.is_empty();
+        let dropped = mem::take(&mut state.dropped);
+        if dropped > 0 {
+            let notice = format!("{{\"level\":\"WARN\",\"message\":\"lines left out, the reader is slow\",\"count\":{dropped}}}\n");
+            state.bytes.extend_from_slice(notice.as_bytes());
+        }
+        state.bytes.extend_from_slice(line);
+        drop(state);
+        if was_empty {
+            self.shared.wakeup.notify_one();
+        }
+        Ok(line.len())
+    }
+
+    fn flush(&mut self) -> io::Result<()> {
+        Ok(())
+    }
+}
+
+impl Drop for WriterGuard {
+    fn drop(&mut self) {
+        self.writer.state().is_closed = true;
+        self.writer.shared.wakeup.notify_one();
+        if let Some(thread) = self.thread.take() {
+            // If the thread panicked, there is nothing left to wait for.
+            let _ = thread.join();
+        }
+    }
+}
+
+fn run_writer(shared: &Shared, mut output: impl Write) {
+    loop {
+        let mut state = shared.lock();
+        while state.bytes.is_empty() && !state.is_closed {
+            state = shared
+                .wakeup
+                .wait(state)
+                .unwrap_or_else(PoisonError::into_inner);
+        }
+        let is_closed = state.is_closed;
+        drop(state);
+        if !is_closed {
+            thread::sleep(FLUSH_DELAY);
+        }
+        let bytes = mem::take(&mut shared.lock().bytes);
+        // A failed write of log lines cannot be reported anywhere.
+        let _ = output.write_all(&bytes).and_then(|()| output.flush());
+        if is_closed && shared.lock().bytes.is_empty() {
+            return;
+        }
+    }
+}
--- a/crates/telemetry/tests/runner.rs
+++ b/crates/telemetry/tests/runner.rs
@@ -1,6 +1,6 @@
-//! Runs the tests of the crate.
+//! All integration tests of this crate, in one binary.
 
 mod test_logs;
 mod test_metrics;
-mod test_spans;
+mod test_span_recorder;
 mod test_trace_context;
