--- a/bench/src/route/limits.rs
+++ b/bench/src/route/limits.rs
@@ -44,7 +44,7 @@
 struct Instance {
     name: InstanceName,
     demands: DemandMap,
-    split: ShareAllocator,
+    allocator: ShareAllocator,
     own: Demand,
 }
 
@@ -54,7 +54,7 @@
     let instance = |at: usize| Instance {
         name: format!("instance-{at}").as_str().into(),
         demands: DemandMap::default(),
-        split: ShareAllocator::with_increase_delay(hold_ms.unwrap_or(0)),
+        allocator: ShareAllocator::with_increase_delay(hold_ms.unwrap_or(0)),
         own: Demand::default(),
     };
     let mut all: Vec<Instance> = (0..INSTANCES).map(instance).collect();
@@ -105,8 +105,8 @@
             requests_per_s: LIMIT as u32,
             tokens_per_s: 1,
         };
-        let (split, LimitShare { requests, .. }) = self.split.update(self.own, &known, ms);
-        self.split = split;
+        let (allocator, LimitShare { requests, .. }) = self.allocator.update(self.own, &known, ms);
+        self.allocator = allocator;
         requests
     }
 }
--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -184,21 +184,21 @@
             let items = gossip.entries().items(EntryKind::TargetLeaving);
             items
                 .filter_map(|(_, item)| {
-                    let relays = serde_json::from_slice(&item.value).ok()?;
-                    Some((TargetName::new(&item.key), relays))
+                    let notices = serde_json::from_slice(&item.value).ok()?;
+                    Some((TargetName::new(&item.key), notices))
                 })
                 .collect()
         };
-        for (name, relays) in words {
+        for (name, notices) in words {
             let Some((key, target)) = view
                 .target_key(&name)
                 .and_then(|key| Some((key, view.target(key)?)))
             else {
                 continue;
             };
-            for relay in relays {
+            for notice in notices {
                 self.say(key, target, |departure| {
-                    departure.observe_notice(relay, now_ms)
+                    departure.observe_notice(notice, now_ms)
                 });
             }
         }
@@ -243,14 +243,14 @@
     /// Tells the other instances that a target leaves; they may be cut off from it and the list.
     fn pass_on(&self, target: &Target, departure: DepartureState) {
         let name = target.name.as_str();
-        let relays: Vec<DepartureNotice> = departure.notices(self.node.now_ms()).collect();
-        if relays.is_empty() {
+        let notices: Vec<DepartureNotice> = departure.notices(self.node.now_ms()).collect();
+        if notices.is_empty() {
             self.node
                 .gossip()
                 .clear_entry(EntryKind::TargetLeaving, name);
             return;
         }
-        let value = serde_json::to_vec(&relays).unwrap_or_default();
+        let value = serde_json::to_vec(&notices).unwrap_or_default();
         gossip::set(&self.node, EntryKind::TargetLeaving, name, value);
     }
 
--- a/daemon/tests/test_limits.rs
+++ b/daemon/tests/test_limits.rs
@@ -44,9 +44,9 @@
     from_value(json!({"format": 1, "title": "test", "targets": [], "accounts": [account]})).unwrap()
 }
 
-/// Returns the part of the limit that a full meter lets through at once.
-fn part(meter: &AccountLimiter, now_ms: u64) -> f64 {
-    let taken = (0..LIMIT).take_while(|_| meter.admit(0, now_ms).is_ok());
+/// Returns the part of the limit that a full limiter admits at once.
+fn part(limiter: &AccountLimiter, now_ms: u64) -> f64 {
+    let taken = (0..LIMIT).take_while(|_| limiter.admit(0, now_ms).is_ok());
     taken.count() as f64 / f64::from(LIMIT)
 }
 
@@ -66,18 +66,18 @@
     let now = time::Instant::now();
     node.view.rcu(|view| view.with_bundle(&bundle(), now));
     let account: Account = bundle().accounts[0].clone();
-    let meter = {
+    let limiter = {
         let view = node.view.load();
         let key = view.accounts().key(&account.name).unwrap();
         Arc::clone(&view.accounts().get(key).unwrap().limiter)
     };
-    meter.set_account_limit(&account, limits::first_part(&node), 0);
-    assert_near(part(&meter, 60_000), most);
+    limiter.set_account_limit(&account, limits::first_part(&node), 0);
+    assert_near(part(&limiter, 60_000), most);
     let task = tokio::spawn(limits::run(Arc::clone(&node)));
     time::sleep(Duration::from_millis(200)).await;
     node.ending.cancel();
     task.await.unwrap();
-    assert_near(part(&meter, 120_000), most);
+    assert_near(part(&limiter, 120_000), most);
 }
 
 fn assert_near(part: f64, wanted: f64) {
--- a/daemon/tests/test_targets.rs
+++ b/daemon/tests/test_targets.rs
@@ -186,15 +186,15 @@
     let tokens = receive(&client, prompt("p", 1, 50), |_| {}).await;
     assert_eq!(tokens.unwrap(), reference("v1", "p", 1, 50));
     let view = node.view.load_full();
-    let gauge = &view
+    let state = &view
         .target(view.target_key(&"engine-0".into()).unwrap())
         .unwrap()
         .state;
-    wait_for(async || gauge.in_flight() == 0).await;
+    wait_for(async || state.in_flight() == 0).await;
     assert!(
-        gauge.mean_service_ms() >= Some(50),
+        state.mean_service_ms() >= Some(50),
         "{:?}",
-        gauge.mean_service_ms()
+        state.mean_service_ms()
     );
 }
 
