--- a/crates/ledger/tests/test_sockets.rs
+++ b/crates/ledger/tests/test_sockets.rs
@@ -10,7 +10,7 @@
     Answer, Call, CallId, CallKey, Effect, ListReply, NotRunCodes, RequestFingerprint,
     ServiceResponse, Settings, Shard, ShardNumber,
 };
-use celerypond_platform::{Client, Rates, Settings as ClientSettings};
+use celerypond_platform::{Client, ClientSettings, Rates};
 use celerypond_testutils::{fault::PlatformFault, platform::Platform, roster::Listing};
 use celerypond_types::Outcome;
 use tokio::time::Instant;
@@ -42,7 +42,7 @@
     let calls = (1..4).map(|seed| {
         let client = Client::new(&ClientSettings {
             addresses: vec![server.address],
-            connect: TIMEOUT,
+            connect_timeout: TIMEOUT,
             timeout: TIMEOUT,
             rates: RATES,
         });
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -37,12 +37,12 @@
 
 /// The addresses, timeouts and call rates of a [`Client`].
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct ClientSettings {
     /// The addresses of the platform. The client uses the first one until a call to it fails, then
     /// the next.
     pub addresses: Vec<SocketAddr>,
     /// The timeout for opening a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// The timeout for the response headers, which includes opening a connection, and for each
     /// pause in the body. The wait of a watch is added to it. A body that keeps arriving may take
     /// ten times as long.
@@ -53,7 +53,7 @@
 
 /// A client of the platform. Clones share its connections and its call budget.
 ///
-/// Every call has a time limit, see [`Settings::timeout`]. A connection on which a response did not
+/// Every call has a time limit, see [`ClientSettings::timeout`]. A connection on which a response did not
 /// arrive in time is closed and not reused.
 #[derive(Clone, Debug)]
 pub struct Client {
@@ -69,18 +69,18 @@
 
 impl Client {
     /// Creates a client that uses the native protocol. It connects on the first call.
-    pub fn new(settings: &Settings) -> Self {
+    pub fn new(settings: &ClientSettings) -> Self {
         Self::with_protocol(settings, NATIVE)
     }
 
     /// Creates a client that uses `protocol`. It connects on the first call.
-    pub fn with_protocol(settings: &Settings, protocol: Protocol) -> Self {
+    pub fn with_protocol(settings: &ClientSettings, protocol: Protocol) -> Self {
         let budget = CallBudget::new(settings.rates, Instant::now());
         Self {
             addresses: settings.addresses.as_slice().into(),
             address_changes: Arc::default(),
             timeout: settings.timeout,
-            pool: Pool::new(settings.connect),
+            pool: Pool::new(settings.connect_timeout),
             budget: Arc::new(Mutex::new(budget)),
             protocol,
             progress: TransferProgress::default(),
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -17,7 +17,7 @@
 mod write_outcome;
 
 pub use call_budget::{CallBudget, CallKind, Rates};
-pub use client::{Client, Settings};
+pub use client::{Client, ClientSettings};
 pub use error::PlatformError;
 pub use instances::{Instance, InstanceList, Presence, Target};
 pub use object::{Change, Changes, Listing, Object, Version};
--- a/crates/platform/tests/server.rs
+++ b/crates/platform/tests/server.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use celerypond_platform::{Client, Rates, Settings};
+use celerypond_platform::{Client, ClientSettings, Rates};
 use tokio::{
     io::{AsyncReadExt as _, AsyncWriteExt as _},
     net::{TcpListener, TcpStream},
@@ -63,9 +63,9 @@
 }
 
 pub(crate) fn client_with_addresses(addresses: Vec<SocketAddr>, rates: Rates) -> Client {
-    Client::new(&Settings {
+    Client::new(&ClientSettings {
         addresses,
-        connect: TIMEOUT,
+        connect_timeout: TIMEOUT,
         timeout: TIMEOUT,
         rates,
     })
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -117,9 +117,9 @@
         events: mpsc::Sender<TargetEvent>,
     ) -> Arc<Self> {
         let now = Instant::now();
-        let platform = celerypond_platform::Settings {
+        let platform = celerypond_platform::ClientSettings {
             addresses: settings.platform.clone(),
-            connect: PLATFORM_CONNECT,
+            connect_timeout: PLATFORM_CONNECT,
             timeout: PLATFORM_TIMEOUT,
             rates: PLATFORM_RATES.share(FIRST_COUNT),
         };
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -92,9 +92,9 @@
 
 impl RelayState {
     pub(super) fn new(settings: Settings, gossip: Gossip) -> Self {
-        let store = celerypond_platform::Settings {
+        let store = celerypond_platform::ClientSettings {
             addresses: vec![settings.store.address],
-            connect: STORE_CONNECT,
+            connect_timeout: STORE_CONNECT,
             timeout: STORE_TIMEOUT,
             rates: Rates {
                 reads: settings.store.reads_per_second * STORE_SHARE,
