--- a/crates/telemetry/src/counter.rs
+++ b/crates/telemetry/src/counter.rs
@@ -28,9 +28,9 @@
         /// Streams without any progress for longer than the progress timeout.
         Stalls = "answers.stalls",
         /// Non-idempotent calls whose intent was recorded durably.
-        KeyedCalls = "ledger.calls",
+        LedgerCalls = "ledger.calls",
         /// Non-idempotent calls answered with a result that had already been recorded.
-        KeyedRepeats = "ledger.repeats",
+        LedgerRepeats = "ledger.repeats",
         /// Batches written to the ledger.
         LedgerBatches = "ledger.batches",
         /// Conditional creates of the ledger that failed because another writer was first.
--- a/daemon/src/ledger.rs
+++ b/daemon/src/ledger.rs
@@ -88,7 +88,7 @@
         };
         let (answer, answered) = oneshot::channel();
         let command = Command::Call { call, send, answer };
-        node.metrics.add(Counter::KeyedCalls, 1);
+        node.metrics.add(Counter::LedgerCalls, 1);
         self.shard(node, key).send(command).await.ok()?;
         answered.await.ok()
     }
