--- a/crates/bundle/src/check.rs
+++ b/crates/bundle/src/check.rs
@@ -66,7 +66,9 @@
         ));
         errors.check_unique(name_paths(
             "services",
-            services.iter().map(|(index, entry)| (index, &entry.name)),
+            services
+                .iter()
+                .map(|(index, service)| (index, &service.name)),
         ));
         document.errors = errors;
         document.into_typed()
@@ -146,7 +148,7 @@
     }
     let versions = model.versions.iter().enumerate();
     errors.check_unique(
-        versions.map(|(index, entry)| (format!("{path}.versions[{index}].name"), &entry.name)),
+        versions.map(|(index, version)| (format!("{path}.versions[{index}].name"), &version.name)),
     );
     for (index, adapter) in model.adapters.iter().enumerate() {
         errors.check_name(&format!("{path}.adapters[{index}]"), adapter.as_str());
@@ -180,7 +182,7 @@
     }
     let shares = model.shares.iter().enumerate();
     errors.check_unique(
-        shares.map(|(index, entry)| (format!("{path}.shares[{index}].version"), &entry.version)),
+        shares.map(|(index, share)| (format!("{path}.shares[{index}].version"), &share.version)),
     );
     let sum: u64 = model
         .shares
@@ -285,7 +287,9 @@
     }
     errors.check_unique(name_paths(
         "accounts",
-        accounts.iter().map(|(index, entry)| (index, &entry.name)),
+        accounts
+            .iter()
+            .map(|(index, account)| (index, &account.name)),
     ));
     let digests = accounts
         .iter()
--- a/crates/bundle/src/settings.rs
+++ b/crates/bundle/src/settings.rs
@@ -163,10 +163,13 @@
     }
     let names = operators.iter();
     errors.check_unique(
-        names.map(|(index, entry)| (format!("operators[{index}].name"), &entry.name)),
+        names.map(|(index, operator)| (format!("operators[{index}].name"), &operator.name)),
     );
     let digests = operators.iter();
-    errors.check_unique(
-        digests.map(|(index, entry)| (format!("operators[{index}].key_digest"), entry.key_digest)),
-    );
+    errors.check_unique(digests.map(|(index, operator)| {
+        (
+            format!("operators[{index}].key_digest"),
+            operator.key_digest,
+        )
+    }));
 }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -53,8 +53,8 @@
 
 /// A client of the platform. Clones share its connections and its call budget.
 ///
-/// Every call has a time limit, see [`ClientSettings::timeout`]. A connection on which a response did not
-/// arrive in time is closed and not reused.
+/// Every call has a time limit, see [`ClientSettings::timeout`]. A connection on which a response
+/// did not arrive in time is closed and not reused.
 #[derive(Clone, Debug)]
 pub struct Client {
     addresses: Arc<[SocketAddr]>,
