--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -125,7 +125,7 @@
     let mut request = Request::new(Full::new(caller_request.body.clone()));
     *request.method_mut() = caller_request.method.clone();
     *request.uri_mut() = caller_request.uri.clone();
-    *request.headers_mut() = headers::to_target(&caller_request.headers, head);
+    *request.headers_mut() = headers::target_request_headers(&caller_request.headers, head);
     request
 }
 
@@ -140,7 +140,7 @@
     sender: Sender,
 ) -> Result<OpenResponse, AttemptFailure> {
     let (parts, body) = response.into_parts();
-    let head = headers::read_answer(&parts.headers);
+    let head = headers::parse_target_response(&parts.headers);
     if head.request.as_ref() != Some(&caller_request.id) {
         return Err(AttemptFailure::Foreign);
     }
--- a/daemon/src/relay/relayed_stream.rs
+++ b/daemon/src/relay/relayed_stream.rs
@@ -71,7 +71,7 @@
 
 impl RelayedStream {
     pub(super) fn new(request: RoutedRequest) -> Self {
-        let last = headers::read_caller(&request.caller_request.headers).last_event;
+        let last = headers::parse_caller_head(&request.caller_request.headers).last_event;
         Self {
             request,
             events: EventBuffer::resume_after(last),
--- a/daemon/src/relay/reply.rs
+++ b/daemon/src/relay/reply.rs
@@ -73,7 +73,7 @@
     let headers = reply.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     if let Some(id) = id {
-        headers::set_request(headers, id);
+        headers::set_request_id(headers, id);
     }
     reply.extensions_mut().insert(reason);
     reply
@@ -134,7 +134,7 @@
     let reason = Reason::Relayed(target.clone());
     reply.extensions_mut().insert(reason);
     *reply.status_mut() = status;
-    *reply.headers_mut() = headers::to_caller(headers);
+    *reply.headers_mut() = headers::caller_response_headers(headers);
     reply
 }
 
--- a/daemon/src/relay/request.rs
+++ b/daemon/src/relay/request.rs
@@ -59,7 +59,7 @@
     // differently by whoever stands before us, and what follows it would be a request that no
     // caller sent; so nothing after such a body is read.
     let is_chunked = request.headers().contains_key(TRANSFER_ENCODING);
-    let head = headers::read_caller(request.headers());
+    let head = headers::parse_caller_head(request.headers());
     let id = head.request.clone();
     let _open_request = OpenRequest::new(&state);
     let mut reply = route_request(&state, request, head, started).await;
--- a/daemon/src/relay/restarted_engines.rs
+++ b/daemon/src/relay/restarted_engines.rs
@@ -84,7 +84,7 @@
     let health_response = get(health)
         .await
         .filter(|answer| answer.status == StatusCode::OK)?;
-    let name = headers::read_target(&health_response.headers)?;
+    let name = headers::parse_target_name(&health_response.headers)?;
     let report = get(Uri::from_static(engine::REPORT_PATH)).await?;
     let report = engine::decode_report(&report.body).ok()?;
     let is_of_service = report.models > 0 && report.tokens == tokens;
