--- a/daemon/src/relay/endpoints.rs
+++ b/daemon/src/relay/endpoints.rs
@@ -69,7 +69,7 @@
     if addresses.is_empty() {
         return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let addresses = directory_addresses(caller, addresses, directory::ADDRESSES_MOST);
+    let addresses = directory_addresses(caller, addresses, directory::MAX_ADDRESSES);
     let ttl = DIRECTORY_TTL.min(state.settings.load().bounds.directory_ttl);
     let mut reply = Response::new(full_body(directory::encode(&addresses, ttl)));
     let json = HeaderValue::from_static("application/json");
--- a/daemon/src/relay/held_prompts.rs
+++ b/daemon/src/relay/held_prompts.rs
@@ -14,7 +14,8 @@
 
 /// Asks an engine which prompt parts it holds.
 pub(super) async fn query(state: Arc<RelayState>, key: TargetKey) {
-    let (Some(address), Ok(path)) = (state.view.address_of(key), engine::HELD_PATH.parse()) else {
+    let (Some(address), Ok(path)) = (state.view.address_of(key), engine::HELD_PARTS_PATH.parse())
+    else {
         return;
     };
     let answer = engine_calls::call(
@@ -30,7 +31,7 @@
         log::info!(address:% = address; "an engine does not tell what it holds");
         return;
     };
-    match engine::decode_held(&answer.body) {
+    match engine::decode_held_parts(&answer.body) {
         Ok(parts) => {
             let mut targets = state.view.targets();
             targets.record_held_parts(key, &parts, Instant::now());
--- a/daemon/src/relay/relocation.rs
+++ b/daemon/src/relay/relocation.rs
@@ -214,13 +214,13 @@
     let Ok(path) = engine::COPY_PATH.parse() else {
         return MoveResult::Stays;
     };
-    let body = engine::encode_move(request, to);
+    let body = engine::encode_move_order(request, to);
     let Some(answer) =
         engine_calls::call(state, from, Method::POST, path, body, ORDER_TIMEOUT).await
     else {
         return MoveResult::Unknown;
     };
-    match engine::decode_copy(&answer.body) {
+    match engine::decode_copy_handle(&answer.body) {
         Ok(handle) => MoveResult::Stopped {
             handle,
             is_copied: answer.status == StatusCode::OK,
--- a/daemon/src/relay/run_copy.rs
+++ b/daemon/src/relay/run_copy.rs
@@ -190,7 +190,7 @@
 
     async fn order_copy(&self, holder: TargetKey) -> Option<CopyLocation> {
         let target = self.state.view.address_of(holder)?;
-        let body = engine::encode_copy(&self.run.request, target);
+        let body = engine::encode_copy_order(&self.run.request, target);
         let answer = engine_calls::call(
             &self.state,
             self.run.address,
@@ -203,7 +203,7 @@
         if answer.status != StatusCode::OK {
             return None;
         }
-        let handle = engine::decode_copy(&answer.body).ok()?;
+        let handle = engine::decode_copy_handle(&answer.body).ok()?;
         Some(CopyLocation {
             holder,
             ordered: Some(OrderedCopy {
@@ -215,7 +215,7 @@
 
     async fn release(&self) {
         let ordered = current_location(&self.location).and_then(|copy| copy.ordered);
-        let path = ordered.map(|copy| engine::release_path(&copy.handle));
+        let path = ordered.map(|copy| engine::copy_release_path(&copy.handle));
         let Some(Ok(path)) = path.map(|path| path.parse()) else {
             return;
         };
