--- a/daemon/tests/soak/fleet.rs
+++ b/daemon/tests/soak/fleet.rs
@@ -8,11 +8,11 @@
 };
 
 use celerypond_standins::{
-    answers::{end, events, last_event, ok, own},
     caller::{ask, routed, Got},
-    forms::{config, entry, large_config, settings, SETTINGS_VARIABLE},
+    fixtures::{config, large_config, settings_file, target_entry, SETTINGS_VARIABLE},
     loopback,
     proxy::Proxy,
+    responses::{end_of_chunks, events, last_event, ok, platform_response},
     store::Store,
     target::{Act, Seen, Target},
 };
@@ -67,7 +67,10 @@
             let target = Target::start(move |seen, _| answer(seen, &own)).await;
             let target = target.unwrap();
             let link = Proxy::start(target.address).await;
-            store.put(&format!("servers/{name}"), &entry(service, link.address));
+            store.put(
+                &format!("servers/{name}"),
+                &target_entry(service, link.address),
+            );
             targets.push(target);
             links.push(link);
         }
@@ -191,12 +194,12 @@
 }
 
 fn answer(seen: &Seen, name: &str) -> Vec<Act> {
-    if let Some(acts) = own(seen, name) {
+    if let Some(acts) = platform_response(seen, name) {
         return acts;
     }
     if seen.line.contains("/draft/") {
         let mut acts = events(seen, last_event(seen) + 1..=EVENTS, GAP);
-        acts.push(end());
+        acts.push(end_of_chunks());
         return acts;
     }
     ok(seen, &format!("answer to {}", seen.id()))
@@ -212,7 +215,7 @@
     fn start(n: usize, files: &tempfile::TempDir, store: SocketAddr) -> Self {
         let file = files.path().join(format!("{n}.conf"));
         let seeds: Vec<String> = (0..SEEDS).map(|n| format!("{}:1", ip(n))).collect();
-        let text = settings(&ip(n), [PORT, READY, PEERS], &seeds.join(","), store);
+        let text = settings_file(&ip(n), [PORT, READY, PEERS], &seeds.join(","), store);
         std::fs::write(&file, text).unwrap();
         let child = spawn(&file);
         Self { child, file }
--- a/daemon/tests/soak/record.rs
+++ b/daemon/tests/soak/record.rs
@@ -5,7 +5,7 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-use celerypond_standins::{answers::own, caller::Got};
+use celerypond_standins::{caller::Got, responses::platform_response};
 
 use crate::fleet::{Fleet, EVENTS};
 
@@ -32,7 +32,7 @@
     pub(crate) fn check(&self, fleet: &Fleet) -> Vec<String> {
         let mut runs: HashMap<String, usize> = HashMap::new();
         for seen in fleet.targets.iter().flat_map(|target| target.seen()) {
-            if own(&seen, "").is_none() {
+            if platform_response(&seen, "").is_none() {
                 *runs.entry(seen.id().to_owned()).or_default() += 1;
             }
         }
