--- a/daemon/tests/soak/fleet.rs
+++ b/daemon/tests/soak/fleet.rs
@@ -14,7 +14,7 @@
     proxy::Proxy,
     responses::{end_of_chunks, events, last_event, ok, platform_response},
     store::Store,
-    target::{Act, Seen, Target},
+    target::{Action, ReceivedRequest, Target},
 };
 use rustix::process::{kill_process, Pid, Signal};
 use tokio::time::{sleep, timeout, Instant};
@@ -64,7 +64,7 @@
             let service = if n < 2 { "shop" } else { "writer" };
             let name = format!("i-{n}");
             let own = name.clone();
-            let target = Target::start(move |seen, _| answer(seen, &own)).await;
+            let target = Target::start(move |request, _| answer(request, &own)).await;
             let target = target.unwrap();
             let link = Proxy::start(target.address).await;
             store.put(
@@ -193,16 +193,16 @@
     loopback::address(number).to_string()
 }
 
-fn answer(seen: &Seen, name: &str) -> Vec<Act> {
-    if let Some(acts) = platform_response(seen, name) {
-        return acts;
+fn answer(request: &ReceivedRequest, name: &str) -> Vec<Action> {
+    if let Some(actions) = platform_response(request, name) {
+        return actions;
     }
-    if seen.line.contains("/draft/") {
-        let mut acts = events(seen, last_event(seen) + 1..=EVENTS, GAP);
-        acts.push(end_of_chunks());
-        return acts;
+    if request.request_line.contains("/draft/") {
+        let mut actions = events(request, last_event(request) + 1..=EVENTS, GAP);
+        actions.push(end_of_chunks());
+        return actions;
     }
-    ok(seen, &format!("answer to {}", seen.id()))
+    ok(request, &format!("answer to {}", request.id()))
 }
 
 /// One instance as a process.
--- a/daemon/tests/soak/record.rs
+++ b/daemon/tests/soak/record.rs
@@ -31,9 +31,9 @@
     /// Returns all promises that were broken.
     pub(crate) fn check(&self, fleet: &Fleet) -> Vec<String> {
         let mut runs: HashMap<String, usize> = HashMap::new();
-        for seen in fleet.targets.iter().flat_map(|target| target.seen()) {
-            if platform_response(&seen, "").is_none() {
-                *runs.entry(seen.id().to_owned()).or_default() += 1;
+        for request in fleet.targets.iter().flat_map(|target| target.received()) {
+            if platform_response(&request, "").is_none() {
+                *runs.entry(request.id().to_owned()).or_default() += 1;
             }
         }
         let mut broken = Vec::new();
