--- a/daemon/tests/soak/callers.rs
+++ b/daemon/tests/soak/callers.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use celerypond_standins::caller::{ask_on, Got};
+use celerypond_standins::caller::{send_on, ReceivedResponse};
 use rand::{rngs::SmallRng, Rng as _, SeedableRng as _};
 use tokio::{net::TcpStream, task::JoinSet, time::timeout};
 use tokio_util::sync::CancellationToken;
@@ -76,15 +76,15 @@
         }
     }
 
-    async fn ask(&mut self, request: &[u8]) -> Got {
+    async fn ask(&mut self, request: &[u8]) -> ReceivedResponse {
         let connection = match self.connection.take() {
             Some(connection) => Some(connection),
             None => self.connect().await,
         };
         let Some(mut connection) = connection else {
-            return Got::default();
+            return ReceivedResponse::default();
         };
-        let got = timeout(PATIENCE, ask_on(&mut connection, request)).await;
+        let got = timeout(PATIENCE, send_on(&mut connection, request)).await;
         let got = got.unwrap_or_default();
         if got.is_whole && !got.header("connection").eq_ignore_ascii_case("close") {
             self.connection = Some(connection);
--- a/daemon/tests/soak/fleet.rs
+++ b/daemon/tests/soak/fleet.rs
@@ -8,7 +8,7 @@
 };
 
 use celerypond_standins::{
-    caller::{ask, routed, Got},
+    caller::{routed_request, send, ReceivedResponse},
     fixtures::{config, large_config, settings_file, target_entry, SETTINGS_VARIABLE},
     loopback,
     proxy::Proxy,
@@ -170,18 +170,18 @@
 
 async fn serves(address: SocketAddr) -> bool {
     let probe = plain("GET /safe/probe", "probe");
-    let got = timeout(Duration::from_secs(1), ask(address, &probe)).await;
-    got.is_ok_and(|got: Got| got.status == 200)
+    let got = timeout(Duration::from_secs(1), send(address, &probe)).await;
+    got.is_ok_and(|got: ReceivedResponse| got.status == 200)
 }
 
 /// Makes a request for a response in one piece.
 pub(crate) fn plain(line: &str, id: &str) -> Vec<u8> {
-    routed(line, id, 2_000, id)
+    routed_request(line, id, 2_000, id)
 }
 
 /// Makes a request for a stream.
 pub(crate) fn stream(id: &str) -> Vec<u8> {
-    routed("POST /draft/1", id, 8_000, id)
+    routed_request("POST /draft/1", id, 8_000, id)
 }
 
 fn address(n: usize) -> SocketAddr {
--- a/daemon/tests/soak/record.rs
+++ b/daemon/tests/soak/record.rs
@@ -5,7 +5,7 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-use celerypond_standins::{caller::Got, responses::platform_response};
+use celerypond_standins::{caller::ReceivedResponse, responses::platform_response};
 
 use crate::fleet::{Fleet, EVENTS};
 
@@ -20,11 +20,11 @@
 /// What callers got.
 #[derive(Clone, Default)]
 pub(crate) struct Record {
-    got: Arc<Mutex<Vec<(Kind, String, Got)>>>,
+    got: Arc<Mutex<Vec<(Kind, String, ReceivedResponse)>>>,
 }
 
 impl Record {
-    pub(crate) fn add(&self, kind: Kind, id: String, got: Got) {
+    pub(crate) fn add(&self, kind: Kind, id: String, got: ReceivedResponse) {
         self.lock().push((kind, id, got));
     }
 
@@ -68,20 +68,20 @@
         counts.join(", ")
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<(Kind, String, Got)>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<(Kind, String, ReceivedResponse)>> {
         self.got.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn plain_fault(id: &str, got: &Got) -> Option<&'static str> {
-    if !got.is_answer_to(id) {
+fn plain_fault(id: &str, got: &ReceivedResponse) -> Option<&'static str> {
+    if !got.is_response_to(id) {
         return Some("another request's answer, or unsigned");
     }
     // One that ends early does not look complete.
     (got.is_whole && got.body != format!("answer to {id}")).then_some("a wrong body")
 }
 
-fn stream_fault(got: &Got) -> Option<&'static str> {
+fn stream_fault(got: &ReceivedResponse) -> Option<&'static str> {
     let ids = got
         .body
         .split('\n')
--- a/daemon/tests/soak/versions.rs
+++ b/daemon/tests/soak/versions.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use celerypond_standins::caller::{ask, Got};
+use celerypond_standins::caller::{send, ReceivedResponse};
 use rand::{rngs::SmallRng, seq::IndexedRandom as _, SeedableRng as _};
 use tokio::{
     task::JoinSet,
@@ -116,8 +116,8 @@
         };
         count += 1;
         let request = plain(&format!("GET /v{version}/probe"), &format!("probe{count}"));
-        let got = timeout(Duration::from_secs(1), ask(address, &request)).await;
-        if got.is_ok_and(|got: Got| got.status == 200) {
+        let got = timeout(Duration::from_secs(1), send(address, &request)).await;
+        if got.is_ok_and(|got: ReceivedResponse| got.status == 200) {
             let mut state = versions.lock();
             let superseded = state.written.iter().find(|one| one.0 > version);
             let age = superseded.map(|one| sent.saturating_duration_since(one.1));
