--- a/daemon/tests/soak/faults.rs
+++ b/daemon/tests/soak/faults.rs
@@ -98,10 +98,10 @@
         }
         2 => Link::Silent,
         3 => Link::OneWay,
-        4 => Link::Slow(Duration::from_millis(rng.random_range(100..900))),
-        _ => Link::Narrow(rng.random_range(50_000..400_000)),
+        4 => Link::Delayed(Duration::from_millis(rng.random_range(100..900))),
+        _ => Link::Throttled(rng.random_range(50_000..400_000)),
     };
-    fleet.own_links[instance].set(link);
+    fleet.own_links[instance].set_link(link);
     Undo::OwnLink(instance)
 }
 
@@ -138,7 +138,7 @@
             fleet.links[target].reset();
             None
         }
-        4 => Some(link(fleet, target, Link::Slow(delay))),
+        4 => Some(link(fleet, target, Link::Delayed(delay))),
         5 => Some(link(fleet, target, Link::OneWay)),
         6 => Some(link(fleet, target, Link::Silent)),
         7 => {
@@ -146,7 +146,7 @@
             None
         }
         8 => {
-            fleet.store_link.set(Link::Silent);
+            fleet.store_link.set_link(Link::Silent);
             Some(Undo::StoreLink)
         }
         9 => {
@@ -176,7 +176,7 @@
 }
 
 fn link(fleet: &Fleet, target: usize, link: Link) -> Undo {
-    fleet.links[target].set(link);
+    fleet.links[target].set_link(link);
     Undo::Link(target)
 }
 
@@ -193,12 +193,12 @@
             restart(fleet, n);
         }
         Undo::Continue(n) => fleet.processes[n].signal(Signal::CONT),
-        Undo::Link(n) => fleet.links[n].set(Link::Sound),
+        Undo::Link(n) => fleet.links[n].set_link(Link::Healthy),
         Undo::OwnLink(n) => {
-            fleet.own_links[n].set(Link::Sound);
+            fleet.own_links[n].set_link(Link::Healthy);
             fleet.versions.set_calm(n, true);
         }
-        Undo::StoreLink => fleet.store_link.set(Link::Sound),
+        Undo::StoreLink => fleet.store_link.set_link(Link::Healthy),
         Undo::Store => fleet.store.set_mode(Mode::Up),
     }
 }
