--- a/daemon/tests/soak/fleet.rs
+++ b/daemon/tests/soak/fleet.rs
@@ -8,13 +8,13 @@
 };
 
 use celerypond_standins::{
-    answers::{end, events, last_event, ok, own},
-    caller::{ask, routed, Got},
-    forms::{config, entry, large_config, settings, SETTINGS_VARIABLE},
+    caller::{routed_request, send, ReceivedResponse},
+    fixtures::{config, large_config, settings_file, target_entry, SETTINGS_VARIABLE},
     loopback,
     proxy::Proxy,
+    responses::{end_of_chunks, events, last_event, ok, platform_response},
     store::Store,
-    target::{Act, Seen, Target},
+    target::{Action, ReceivedRequest, Target},
 };
 use rustix::process::{kill_process, Pid, Signal};
 use tokio::time::{sleep, timeout, Instant};
@@ -64,10 +64,13 @@
             let service = if n < 2 { "shop" } else { "writer" };
             let name = format!("i-{n}");
             let own = name.clone();
-            let target = Target::start(move |seen, _| answer(seen, &own)).await;
+            let target = Target::start(move |request, _| answer(request, &own)).await;
             let target = target.unwrap();
             let link = Proxy::start(target.address).await;
-            store.put(&format!("servers/{name}"), &entry(service, link.address));
+            store.put(
+                &format!("servers/{name}"),
+                &target_entry(service, link.address),
+            );
             targets.push(target);
             links.push(link);
         }
@@ -167,18 +170,18 @@
 
 async fn serves(address: SocketAddr) -> bool {
     let probe = plain("GET /safe/probe", "probe");
-    let got = timeout(Duration::from_secs(1), ask(address, &probe)).await;
-    got.is_ok_and(|got: Got| got.status == 200)
+    let got = timeout(Duration::from_secs(1), send(address, &probe)).await;
+    got.is_ok_and(|got: ReceivedResponse| got.status == 200)
 }
 
 /// Makes a request for a response in one piece.
 pub(crate) fn plain(line: &str, id: &str) -> Vec<u8> {
-    routed(line, id, 2_000, id)
+    routed_request(line, id, 2_000, id)
 }
 
 /// Makes a request for a stream.
 pub(crate) fn stream(id: &str) -> Vec<u8> {
-    routed("POST /draft/1", id, 8_000, id)
+    routed_request("POST /draft/1", id, 8_000, id)
 }
 
 fn address(n: usize) -> SocketAddr {
@@ -190,16 +193,16 @@
     loopback::address(number).to_string()
 }
 
-fn answer(seen: &Seen, name: &str) -> Vec<Act> {
-    if let Some(acts) = own(seen, name) {
-        return acts;
+fn answer(request: &ReceivedRequest, name: &str) -> Vec<Action> {
+    if let Some(actions) = platform_response(request, name) {
+        return actions;
     }
-    if seen.line.contains("/draft/") {
-        let mut acts = events(seen, last_event(seen) + 1..=EVENTS, GAP);
-        acts.push(end());
-        return acts;
+    if request.request_line.contains("/draft/") {
+        let mut actions = events(request, last_event(request) + 1..=EVENTS, GAP);
+        actions.push(end_of_chunks());
+        return actions;
     }
-    ok(seen, &format!("answer to {}", seen.id()))
+    ok(request, &format!("answer to {}", request.id()))
 }
 
 /// One instance as a process.
@@ -212,7 +215,7 @@
     fn start(n: usize, files: &tempfile::TempDir, store: SocketAddr) -> Self {
         let file = files.path().join(format!("{n}.conf"));
         let seeds: Vec<String> = (0..SEEDS).map(|n| format!("{}:1", ip(n))).collect();
-        let text = settings(&ip(n), [PORT, READY, PEERS], &seeds.join(","), store);
+        let text = settings_file(&ip(n), [PORT, READY, PEERS], &seeds.join(","), store);
         std::fs::write(&file, text).unwrap();
         let child = spawn(&file);
         Self { child, file }
--- a/daemon/tests/soak/record.rs
+++ b/daemon/tests/soak/record.rs
@@ -5,7 +5,7 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-use celerypond_standins::{answers::own, caller::Got};
+use celerypond_standins::{caller::ReceivedResponse, responses::platform_response};
 
 use crate::fleet::{Fleet, EVENTS};
 
@@ -20,20 +20,20 @@
 /// What callers got.
 #[derive(Clone, Default)]
 pub(crate) struct Record {
-    got: Arc<Mutex<Vec<(Kind, String, Got)>>>,
+    got: Arc<Mutex<Vec<(Kind, String, ReceivedResponse)>>>,
 }
 
 impl Record {
-    pub(crate) fn add(&self, kind: Kind, id: String, got: Got) {
+    pub(crate) fn add(&self, kind: Kind, id: String, got: ReceivedResponse) {
         self.lock().push((kind, id, got));
     }
 
     /// Returns all promises that were broken.
     pub(crate) fn check(&self, fleet: &Fleet) -> Vec<String> {
         let mut runs: HashMap<String, usize> = HashMap::new();
-        for seen in fleet.targets.iter().flat_map(|target| target.seen()) {
-            if own(&seen, "").is_none() {
-                *runs.entry(seen.id().to_owned()).or_default() += 1;
+        for request in fleet.targets.iter().flat_map(|target| target.received()) {
+            if platform_response(&request, "").is_none() {
+                *runs.entry(request.id().to_owned()).or_default() += 1;
             }
         }
         let mut broken = Vec::new();
@@ -68,20 +68,20 @@
         counts.join(", ")
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<(Kind, String, Got)>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<(Kind, String, ReceivedResponse)>> {
         self.got.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn plain_fault(id: &str, got: &Got) -> Option<&'static str> {
-    if !got.is_answer_to(id) {
+fn plain_fault(id: &str, got: &ReceivedResponse) -> Option<&'static str> {
+    if !got.is_response_to(id) {
         return Some("another request's answer, or unsigned");
     }
     // One that ends early does not look complete.
     (got.is_whole && got.body != format!("answer to {id}")).then_some("a wrong body")
 }
 
-fn stream_fault(got: &Got) -> Option<&'static str> {
+fn stream_fault(got: &ReceivedResponse) -> Option<&'static str> {
     let ids = got
         .body
         .split('\n')
