--- a/daemon/src/admission.rs
+++ b/daemon/src/admission.rs
@@ -136,7 +136,7 @@
     /// Gives places to those who wait, until the instance ends.
     pub async fn run(node: Arc<Node>) {
         let mut rng = node.rng();
-        while !node.ending.is_cancelled() {
+        while !node.shutdown.is_cancelled() {
             // Either wake-up leads to the same look at the queues.
             let _ = time::timeout(STEP, node.admission.ended.notified()).await;
             node.admission.step(&node, &mut rng);
@@ -151,7 +151,7 @@
         let now = Instant::now();
         let now_ms = view.clock().millis(now);
         let mut inner = self.lock();
-        let instances = node.expected() as u32;
+        let instances = node.expected_instances() as u32;
         inner
             .resume_scheduler
             .set_limits(ResumeLimits::per_instance(instances));
--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -97,7 +97,7 @@
 }
 
 async fn run(node: &Arc<Node>, sent: Sent) -> Came {
-    let force = node.force.load_full();
+    let force = node.active_bundle.load_full();
     let service = force
         .as_ref()
         .and_then(|force| force.service(&sent.service));
--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -76,7 +76,7 @@
 }
 
 async fn begin(node: &Arc<Node>, call: Call) -> Result<Reply, Problem> {
-    let Some(force) = node.force.load_full() else {
+    let Some(force) = node.active_bundle.load_full() else {
         return Err(Problem::not_run(NotRunReason::NoTarget, NO_BUNDLE));
     };
     let account = auth::account(&force, &call.headers)?;
@@ -181,7 +181,7 @@
         let (pieces, received) = mpsc::channel(PIECES);
         let drive = Drive::new(Arc::clone(node), ask, admitted, pieces);
         let drive = drive.run(answer, effects).in_current_span();
-        node.work.spawn(drive);
+        node.background_tasks.spawn(drive);
         Ok(received)
     }
 
--- a/daemon/src/front/entries.rs
+++ b/daemon/src/front/entries.rs
@@ -42,7 +42,7 @@
 
 /// Returns the listed instances; gossip knows sooner than the list which of them leave.
 fn known(node: &Node) -> Vec<EntryPoint> {
-    let list = node.list.load();
+    let list = node.instance_list.load();
     let gossip = node.gossip();
     let is_gone = |name| {
         let state = gossip
--- a/daemon/src/front/health.rs
+++ b/daemon/src/front/health.rs
@@ -41,7 +41,7 @@
 }
 
 fn state(node: &Node) -> State {
-    let force = node.force.load();
+    let force = node.active_bundle.load();
     let state = match (node.leaving.is_cancelled(), force.is_some()) {
         (true, _) => "leaving",
         (false, true) => "live",
--- a/daemon/src/front/operator.rs
+++ b/daemon/src/front/operator.rs
@@ -105,7 +105,7 @@
     if let Err(problem) = auth::operator(&node, &call.headers) {
         return problem.reply();
     }
-    let force = node.force.load();
+    let force = node.active_bundle.load();
     let force = force.as_ref();
     let (in_force, rollouts) = node.rollouts.status(&node);
     let status = Status {
--- a/daemon/src/front/services.rs
+++ b/daemon/src/front/services.rs
@@ -47,7 +47,7 @@
 }
 
 async fn run(node: &Arc<Node>, call: Call) -> Result<Reply, Problem> {
-    let Some(force) = node.force.load_full() else {
+    let Some(force) = node.active_bundle.load_full() else {
         return Err(Problem::not_run(NotRunReason::NoTarget, COME_BACK));
     };
     let account = auth::account(&force, &call.headers)?;
--- a/daemon/src/generation.rs
+++ b/daemon/src/generation.rs
@@ -90,7 +90,7 @@
 
 impl Drop for Drive {
     fn drop(&mut self) {
-        self.node.open_requests(-1);
+        self.node.adjust_open_requests(-1);
     }
 }
 
@@ -110,7 +110,7 @@
             ),
             None => (None, None, None),
         };
-        node.open_requests(1);
+        node.adjust_open_requests(1);
         let (inputs, received) = mpsc::channel(INPUTS);
         Self {
             rng: node.rng(),
@@ -256,7 +256,7 @@
                 self.count_token(*link, now);
                 if let Some(trying) = self.take_trying(*link) {
                     let latency_ms = (now - trying.began).as_secs_f64() * 1e3;
-                    self.node.tell(TargetEvent::Succeeded {
+                    self.node.report_target_event(TargetEvent::Succeeded {
                         route: trying.route,
                         target: trying.target,
                         latency_ms,
@@ -283,7 +283,8 @@
             Input::Refused(link, Refusal::VersionNotLoaded) => {
                 self.take_trying(*link);
                 if let Some(chunk) = self.chunk.take_if(|chunk| chunk.link == *link) {
-                    self.node.unload(&chunk.trial.target, &chunk.trial.version);
+                    self.node
+                        .record_unloaded(&chunk.trial.target, &chunk.trial.version);
                 }
             }
             Input::Refused(link, _) => {
@@ -309,7 +310,7 @@
 
     fn failed(&mut self, link: ConnectionId) {
         if let Some(trying) = self.take_trying(link) {
-            self.node.tell(TargetEvent::Failed {
+            self.node.report_target_event(TargetEvent::Failed {
                 route: trying.route,
                 target: trying.target,
             });
--- a/daemon/src/generation/choice.rs
+++ b/daemon/src/generation/choice.rs
@@ -85,7 +85,7 @@
 
     /// Waits in line with other answers that lost their engines; the place comes as an input.
     pub(super) fn wait_to_resume(&mut self, key: VersionKey, version: VersionName) {
-        let force = self.node.force.load_full();
+        let force = self.node.active_bundle.load_full();
         let model = force
             .as_ref()
             .and_then(|force| force.model(&self.ask.model));
@@ -96,7 +96,7 @@
         let inputs = self.inputs.clone();
         let tokens = self.prompt_tokens();
         self.resuming = true;
-        self.node.work.spawn(async move {
+        self.node.background_tasks.spawn(async move {
             let Ok(key) = granted.await else { return };
             let view = node.view.load_full();
             let live = match view.target(key) {
--- a/daemon/src/generation/open.rs
+++ b/daemon/src/generation/open.rs
@@ -102,7 +102,7 @@
         load: Option<InFlight>,
     ) {
         let task = task.instrument(hop("target", None));
-        let task = self.node.work.spawn(task).abort_handle();
+        let task = self.node.background_tasks.spawn(task).abort_handle();
         let open = Open {
             node: Arc::clone(&self.node),
             task,
@@ -117,7 +117,7 @@
     pub(super) fn review(&self, request: RequestKey) {
         let node = Arc::clone(&self.node);
         let inputs = self.inputs.clone();
-        self.node.work.spawn(async move {
+        self.node.background_tasks.spawn(async move {
             let record = keeping::find(&node, &request).await;
             // An answer that is over needs no review.
             let _ = inputs.send(Input::RecordQueried(record)).await;
@@ -130,9 +130,9 @@
         };
         let request = self.ask.request.clone();
         let node = Arc::clone(&self.node);
-        self.node.work.spawn(async move {
+        self.node.background_tasks.spawn(async move {
             let until = Instant::now() + CANCEL;
-            while Instant::now() < until && !node.ending.is_cancelled() {
+            while Instant::now() < until && !node.shutdown.is_cancelled() {
                 if engine::cancel(address, &request, stream.attempt)
                     .await
                     .is_ok()
--- a/daemon/src/gossip.rs
+++ b/daemon/src/gossip.rs
@@ -20,7 +20,7 @@
     let mut round = Instant::now();
     loop {
         tokio::select! {
-            () = node.ending.cancelled() => return,
+            () = node.shutdown.cancelled() => return,
             () = time::sleep_until(round) => {}
         }
         let list = listed(&node);
@@ -66,10 +66,10 @@
 
 fn act(node: &Arc<Node>, event: Event) {
     match event {
-        Event::Revision(_) => node.look.notify_one(),
+        Event::Revision(_) => node.bundle_changed.notify_one(),
         Event::Brake(brake) => node.rollouts.braked(node, &brake),
         Event::Changed(EntryKind::Acting) => node.rollouts.hear_acting(node),
-        Event::Changed(EntryKind::TargetLeaving) => node.relayed.notify_one(),
+        Event::Changed(EntryKind::TargetLeaving) => node.departures_changed.notify_one(),
         // The store tells of the revision itself.
         Event::Ahead(_) | Event::Changed(_) => {}
         Event::Joined(name) => log::info!("instance {name} is known"),
@@ -85,7 +85,8 @@
 
 fn deliver(node: &Arc<Node>, sends: Vec<Outgoing>) {
     for outgoing in sends {
-        node.work.spawn(send(Arc::clone(node), outgoing));
+        node.background_tasks
+            .spawn(send(Arc::clone(node), outgoing));
     }
 }
 
@@ -130,16 +131,16 @@
     names.sort();
     names.dedup();
     drop(heard);
-    let force = node.force.load_full();
+    let force = node.active_bundle.load_full();
     let targets = force.iter().flat_map(|force| &force.bundle.targets);
     let targets: Vec<TargetName> = targets.map(|target| target.name.clone()).collect();
     let subset = Subset::of(&node.settings.instance, &names, &targets);
-    node.take_group(subset.targets);
+    node.set_group_targets(subset.targets);
     subset.peers
 }
 
 fn listed(node: &Node) -> Vec<ListedMember> {
-    let list = node.list.load();
+    let list = node.instance_list.load();
     let instances = list.instances.iter();
     instances
         .map(|instance| ListedMember {
--- a/daemon/src/keeping.rs
+++ b/daemon/src/keeping.rs
@@ -14,7 +14,7 @@
         let node = Arc::clone(node);
         let value = record.encode();
         let inputs = inputs.clone();
-        let work = node.work.clone();
+        let work = node.background_tasks.clone();
         work.spawn(async move {
             let sent = node.peers.keep(keeper, value).await;
             let higher = sent.ok().flatten();
@@ -33,7 +33,7 @@
     for keeper in gossip::keepers(node, &copy.key) {
         let node = Arc::clone(node);
         let value = value.clone();
-        let work = node.work.clone();
+        let work = node.background_tasks.clone();
         work.spawn(async move {
             // A keeper that misses a copy takes none of the later ones either.
             let _ = node.peers.extend(keeper, value).await;
@@ -46,7 +46,7 @@
     for keeper in gossip::keepers(node, request) {
         let node = Arc::clone(node);
         let request = request.clone();
-        let work = node.work.clone();
+        let work = node.background_tasks.clone();
         work.spawn(async move {
             // A record that stays expires.
             let _ = node.peers.forget(keeper, request, attempt).await;
@@ -63,7 +63,7 @@
     };
     let node = Arc::clone(node);
     let record = record.encode();
-    let work = node.work.clone();
+    let work = node.background_tasks.clone();
     work.spawn(async move {
         // An instance that can't be told meets the higher record at the keepers.
         let _ = node.peers.keep(address, record).await;
--- a/daemon/src/ledger.rs
+++ b/daemon/src/ledger.rs
@@ -99,7 +99,7 @@
         let sender = shards.entry(number).or_insert_with(|| {
             let (sender, commands) = mpsc::channel(COMMANDS);
             let actor = Actor::new(node, number, sender.downgrade(), commands);
-            node.work.spawn(actor.run());
+            node.background_tasks.spawn(actor.run());
             sender
         });
         sender.clone()
@@ -242,7 +242,7 @@
         let Some(sender) = self.finished.upgrade() else {
             return;
         };
-        self.node.work.spawn(async move {
+        self.node.background_tasks.spawn(async move {
             let finished = send.send_once(&node, unsent).await;
             // A shard ends only after all its calls have.
             let _ = sender.send(Command::Finish(finished)).await;
--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -32,7 +32,7 @@
     let mut tick = time::interval(STEP);
     loop {
         tokio::select! {
-            () = node.ending.cancelled() => return,
+            () = node.shutdown.cancelled() => return,
             _ = tick.tick() => {
                 count(&node);
                 step(&node, &mut own);
@@ -72,7 +72,7 @@
             instance: &node.settings.instance,
             demands: demands.get(name).unwrap_or(&none),
             instances: touch.instances,
-            expected_instances: node.expected(),
+            expected_instances: node.expected_instances(),
             in_contact: touch.is_whole,
             requests_per_s: entry.account.requests_per_s,
             tokens_per_s: entry.account.tokens_per_s,
@@ -110,7 +110,7 @@
 }
 
 fn demands(node: &Node) -> HashMap<AccountName, DemandMap> {
-    let list = node.list.load();
+    let list = node.instance_list.load();
     let gossip = node.gossip();
     let mut all: HashMap<AccountName, DemandMap> = HashMap::new();
     for (origin, item) in gossip.entries().items(EntryKind::Demand) {
@@ -148,7 +148,7 @@
 /// admits the whole limit of each account next to what the others admit. Until the list was read
 /// and each instance in it was heard of, an instance counts as out of touch.
 fn touch(node: &Node) -> Touch {
-    let list = node.list.load();
+    let list = node.instance_list.load();
     let gossip = node.gossip();
     let members = gossip.membership();
     let is_heard = |name: &InstanceName| {
@@ -158,8 +158,9 @@
     let mut others = list.instances.iter().map(|listed| &listed.name);
     let own = &node.settings.instance;
     Touch {
-        instances: node.expected().max(members.iter().count() + 1),
-        is_whole: node.listed_at().is_some() && others.all(|name| name == own || is_heard(name)),
+        instances: node.expected_instances().max(members.iter().count() + 1),
+        is_whole: node.instance_list_read_at().is_some()
+            && others.all(|name| name == own || is_heard(name)),
     }
 }
 
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -61,19 +61,19 @@
     /// The snapshot by which targets are chosen.
     pub view: ArcSwap<RoutingView>,
     /// The bundle in force; none before the first roll.
-    pub force: ArcSwapOption<Force>,
+    pub active_bundle: ArcSwapOption<Force>,
     /// The targets of this instance's group; none until the fleet is known.
-    group: ArcSwap<Vec<TargetName>>,
+    group_targets: ArcSwap<Vec<TargetName>>,
     /// The last list of instances that the platform gave.
-    pub list: ArcSwap<InstanceList>,
+    pub instance_list: ArcSwap<InstanceList>,
     /// Connections from callers.
     pub sockets: Sockets,
     /// Cancelled at the beginning of a planned stop.
     pub leaving: CancellationToken,
     /// Cancelled when background tasks shall end.
-    pub ending: CancellationToken,
+    pub shutdown: CancellationToken,
     /// Tasks that outlive the request that began them.
-    pub work: TaskTracker,
+    pub background_tasks: TaskTracker,
     /// The gaps between tokens of each engine.
     pub stalls: Stalls,
     /// Requests that wait to begin.
@@ -81,11 +81,11 @@
     /// Targets that failed a moment ago.
     pub suspects: Suspects,
     /// What requests tell of targets.
-    pub events: mpsc::Sender<TargetEvent>,
+    pub target_events: mpsc::Sender<TargetEvent>,
     /// Calls that may not be repeated.
     pub ledger: Ledger,
     /// The retries that this instance may make.
-    pub retries: RetryBudget,
+    pub retry_budget: RetryBudget,
     /// The time between retries.
     pub backoff: Backoff,
     /// The key of the seals of resume tokens.
@@ -95,17 +95,17 @@
     /// This instance's side in rollouts.
     pub rollouts: Rollouts,
     /// Wakes the watch of targets when peers say that one leaves.
-    pub relayed: Notify,
+    pub departures_changed: Notify,
     /// Wakes the task that brings bundles into force.
-    pub look: Notify,
+    pub bundle_changed: Notify,
     gossip: Mutex<Gossip>,
     bundle_tracker: Mutex<BundleTracker>,
     keeper: Mutex<Keeper>,
     drivers: Mutex<HashMap<RequestKey, mpsc::Sender<Input>>>,
-    listed: Mutex<Option<Instant>>,
-    reports: Mutex<Reports>,
-    open: AtomicI64,
-    seed: Mutex<SmallRng>,
+    instance_list_read_at: Mutex<Option<Instant>>,
+    loaded_versions: Mutex<Reports>,
+    open_requests: AtomicI64,
+    rng: Mutex<SmallRng>,
     nonce: AtomicU64,
 }
 
@@ -134,33 +134,33 @@
             metrics,
             platform: Client::new(&platform),
             view: ArcSwap::from_pointee(RoutingView::new(now)),
-            force: ArcSwapOption::empty(),
-            group: ArcSwap::default(),
-            list: ArcSwap::default(),
+            active_bundle: ArcSwapOption::empty(),
+            group_targets: ArcSwap::default(),
+            instance_list: ArcSwap::default(),
             sockets: Sockets::default(),
             leaving: CancellationToken::new(),
-            ending: CancellationToken::new(),
-            work: TaskTracker::new(),
+            shutdown: CancellationToken::new(),
+            background_tasks: TaskTracker::new(),
             stalls: Stalls::default(),
             admission: Admission::default(),
             suspects: Suspects::default(),
-            events,
+            target_events: events,
             ledger: Ledger::default(),
-            retries: RetryBudget::per_instance(),
+            retry_budget: RetryBudget::per_instance(),
             backoff: Backoff::default(),
             resume_token_key,
             peers: Peers::default(),
             rollouts,
-            relayed: Notify::new(),
-            look: Notify::new(),
+            departures_changed: Notify::new(),
+            bundle_changed: Notify::new(),
             gossip: Mutex::new(gossip),
             bundle_tracker: Mutex::default(),
             keeper: Mutex::new(Keeper::new(KEEPER_BYTES)),
             drivers: Mutex::default(),
-            listed: Mutex::default(),
-            reports: Mutex::default(),
-            open: AtomicI64::new(0),
-            seed: Mutex::new(rng),
+            instance_list_read_at: Mutex::default(),
+            loaded_versions: Mutex::default(),
+            open_requests: AtomicI64::new(0),
+            rng: Mutex::new(rng),
             nonce,
         })
     }
@@ -169,9 +169,9 @@
     ///
     /// The failure: a late read, or a peer that lags, brings a bundle that was replaced. The symptom
     /// would be a revision that goes back. The comparison and the swap are one atomic step.
-    pub fn bring(&self, force: Force) -> bool {
+    pub fn activate_bundle(&self, force: Force) -> bool {
         let force = Arc::new(force);
-        let last = self.force.rcu(|held| match held {
+        let last = self.active_bundle.rcu(|held| match held {
             Some(held) if held.revision() >= force.revision() => Some(Arc::clone(held)),
             _ => Some(Arc::clone(&force)),
         });
@@ -181,8 +181,8 @@
         self.rollouts.set_force(&force);
         let before = self
             .view
-            .rcu(|view| view.with_bundle(&self.part(&force), Instant::now()));
-        self.share_evenly(&before);
+            .rcu(|view| view.with_bundle(&self.group_bundle(&force), Instant::now()));
+        self.set_initial_limits(&before);
         self.metrics.add(Counter::Bundles, 1);
         self.metrics.set(Gauge::Revision, force.revision().0);
         log::info!(
@@ -194,24 +194,24 @@
     }
 
     /// Takes the targets of this instance's group, and uses them from now on.
-    pub fn take_group(&self, targets: Vec<TargetName>) {
-        let is_same = *self.group.load_full() == targets;
-        self.group.store(Arc::new(targets));
-        if let Some(force) = self.force.load_full().filter(|_| !is_same) {
+    pub fn set_group_targets(&self, targets: Vec<TargetName>) {
+        let is_same = *self.group_targets.load_full() == targets;
+        self.group_targets.store(Arc::new(targets));
+        if let Some(force) = self.active_bundle.load_full().filter(|_| !is_same) {
             self.view
-                .rcu(|view| view.with_bundle(&self.part(&force), Instant::now()));
+                .rcu(|view| view.with_bundle(&self.group_bundle(&force), Instant::now()));
         }
     }
 
     /// Returns the bundle with the targets that this instance uses.
-    fn part(&self, force: &Force) -> Bundle {
-        part_of(&force.bundle, &self.group.load())
+    fn group_bundle(&self, force: &Force) -> Bundle {
+        part_of(&force.bundle, &self.group_targets.load())
     }
 
     /// Gives accounts that are new here a part of their limits.
     ///
     /// The failure: until demand was measured, a second later, each of their requests would be refused.
-    fn share_evenly(&self, before: &RoutingView) {
+    fn set_initial_limits(&self, before: &RoutingView) {
         let view = self.view.load();
         let part = limits::first_part(self);
         let now_ms = self.now_ms();
@@ -226,14 +226,14 @@
     }
 
     /// Passes on what a request tells of a target; under a flood some of it is dropped.
-    pub fn tell(&self, event: TargetEvent) {
+    pub fn report_target_event(&self, event: TargetEvent) {
         // A full channel means that plenty is known already.
-        let _ = self.events.try_send(event);
+        let _ = self.target_events.try_send(event);
     }
 
     /// Counts answers that begin or end.
-    pub fn open_requests(&self, change: i64) {
-        let open = self.open.fetch_add(change, Relaxed) + change;
+    pub fn adjust_open_requests(&self, change: i64) {
+        let open = self.open_requests.fetch_add(change, Relaxed) + change;
         self.metrics.set(Gauge::OpenRequests, open.max(0) as u64);
     }
 
@@ -246,7 +246,7 @@
     ///
     /// Nearly all writes are those of shards, so the owners of shards get them, and each instance a
     /// little for operators' steps, leases and rollouts.
-    pub fn share_rates(&self, instances: usize) {
+    pub fn update_platform_rates(&self, instances: usize) {
         let owned = forward::owned(self) as f64;
         let even = PLATFORM_RATES.share(instances);
         let rates = Rates {
@@ -277,41 +277,41 @@
     }
 
     /// Takes what an engine has loaded, by its own word.
-    pub fn report(&self, target: &TargetName, versions: Vec<VersionName>) {
-        lock(&self.reports).insert(target.clone(), versions);
+    pub fn record_loaded_versions(&self, target: &TargetName, versions: Vec<VersionName>) {
+        lock(&self.loaded_versions).insert(target.clone(), versions);
     }
 
     /// Takes an engine's word that it has not loaded a version, until it is asked again.
-    pub fn unload(&self, target: &TargetName, version: &VersionName) {
-        let mut reports = lock(&self.reports);
+    pub fn record_unloaded(&self, target: &TargetName, version: &VersionName) {
+        let mut reports = lock(&self.loaded_versions);
         let versions = reports.entry(target.clone()).or_default();
         versions.retain(|loaded| loaded != version);
     }
 
     /// Returns what an engine had loaded when it was last asked.
-    pub fn reported(&self, target: &TargetName) -> Option<Vec<VersionName>> {
-        lock(&self.reports).get(target).cloned()
+    pub fn loaded_versions(&self, target: &TargetName) -> Option<Vec<VersionName>> {
+        lock(&self.loaded_versions).get(target).cloned()
     }
 
     /// Takes the platform's list of instances.
-    pub fn take_list(&self, list: InstanceList) {
-        self.share_rates(list.instances.len());
-        self.list.store(Arc::new(list));
-        *lock(&self.listed) = Some(Instant::now());
+    pub fn set_instance_list(&self, list: InstanceList) {
+        self.update_platform_rates(list.instances.len());
+        self.instance_list.store(Arc::new(list));
+        *lock(&self.instance_list_read_at) = Some(Instant::now());
     }
 
     /// Returns when the list of instances was last read.
-    pub fn listed_at(&self) -> Option<Instant> {
-        *lock(&self.listed)
+    pub fn instance_list_read_at(&self) -> Option<Instant> {
+        *lock(&self.instance_list_read_at)
     }
 
     /// Returns how many instances there are by the platform's list, this one among them; a guess
     /// until it was read.
-    pub fn expected(&self) -> usize {
-        if self.listed_at().is_none() {
+    pub fn expected_instances(&self) -> usize {
+        if self.instance_list_read_at().is_none() {
             return FIRST_COUNT;
         }
-        let list = self.list.load();
+        let list = self.instance_list.load();
         let others = list.instances.iter();
         let others = others.filter(|listed| listed.name != self.settings.instance);
         others.count() + 1
@@ -319,7 +319,7 @@
 
     /// Returns a new generator of random numbers.
     pub fn rng(&self) -> SmallRng {
-        SmallRng::from_rng(&mut *lock(&self.seed))
+        SmallRng::from_rng(&mut *lock(&self.rng))
     }
 
     /// Returns a number that no other try has.
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -84,7 +84,7 @@
         let mut tick = time::interval(STEP);
         loop {
             let input = tokio::select! {
-                () = self.node.ending.cancelled() => return,
+                () = self.node.shutdown.cancelled() => return,
                 Some(input) = self.received.recv() => input,
                 _ = tick.tick() => {
                     self.look();
@@ -103,7 +103,7 @@
 
     /// Takes in who drives the shard, what the bundle wants and what the engines report.
     fn look(&mut self) {
-        let Some(force) = self.node.force.load_full() else {
+        let Some(force) = self.node.active_bundle.load_full() else {
             return;
         };
         self.reconciler
@@ -120,7 +120,7 @@
         }
         self.wanted.known = wanted.keys().cloned().collect();
         for (target, (guard, desired)) in wanted {
-            if let Some(versions) = self.node.reported(&target) {
+            if let Some(versions) = self.node.loaded_versions(&target) {
                 self.step(Input::Reported(target.clone(), EngineReport { versions }));
             }
             self.reconciler.set_target(target, guard, desired);
@@ -130,7 +130,7 @@
     fn carry_out(&self, effect: Effect) {
         let node = Arc::clone(&self.node);
         let inputs = self.inputs.clone();
-        let work = node.work.clone();
+        let work = node.background_tasks.clone();
         match effect {
             Effect::Store(call) => {
                 let key = self.shard.object_key();
--- a/daemon/src/peer_server.rs
+++ b/daemon/src/peer_server.rs
@@ -18,7 +18,7 @@
 
 /// Serves peers on a listener until the instance ends.
 pub async fn run(node: Arc<Node>, listener: TcpListener) {
-    let ending = node.ending.clone();
+    let ending = node.shutdown.clone();
     listening::serve(listener, ending, |socket| {
         let server = Server(Arc::clone(&node));
         // A peer that goes away in the middle is an ordinary end.
@@ -70,7 +70,7 @@
     }
 
     async fn fetch_bundle(self, _: Context, revision: Revision) -> Option<Vec<u8>> {
-        let force = self.0.force.load_full()?;
+        let force = self.0.active_bundle.load_full()?;
         let told = Told {
             headline: force.headline.clone(),
             bundle: (*force.bundle).clone(),
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -97,7 +97,7 @@
 
     /// Lets requests see the shares as they are now, which a brake has just changed, for example.
     fn publish(&self, node: &Node) {
-        if let Some(force) = node.force.load_full() {
+        if let Some(force) = node.active_bundle.load_full() {
             self.shares.publish(&self.controller(), &force.bundle);
         }
     }
@@ -113,7 +113,7 @@
         if self.shares.is_synced() && is_loaded(node, model, &chosen) {
             return chosen;
         }
-        let force = node.force.load();
+        let force = node.active_bundle.load();
         let part = force
             .as_ref()
             .and_then(|force| force.headline.parts.get(&model.name));
@@ -139,7 +139,9 @@
             version: version.clone(),
         };
         let mut excluded = self.unloaded(node, model, version);
-        let (Some(targets), Some(force)) = (targets(model, version), node.force.load_full()) else {
+        let (Some(targets), Some(force)) =
+            (targets(model, version), node.active_bundle.load_full())
+        else {
             return excluded;
         };
         let part = force.headline.parts.get(&model.name);
@@ -256,7 +258,7 @@
     /// Exchanges evidence with one of those who weigh it.
     fn exchange(&self, node: &Arc<Node>) {
         let live = listed(node);
-        let Some(force) = node.force.load_full() else {
+        let Some(force) = node.active_bundle.load_full() else {
             return;
         };
         let parts = force.headline.parts.iter();
@@ -280,7 +282,7 @@
         for address in chosen {
             let node = Arc::clone(node);
             let talk = talk.clone();
-            let work = node.work.clone();
+            let work = node.background_tasks.clone();
             work.spawn(async move {
                 if let Ok(answer) = node.peers.rollouts(address, talk).await {
                     node.rollouts.hear(&node, &answer);
@@ -327,12 +329,12 @@
 
 /// Returns whether an engine may have a version loaded; one that was never asked may.
 fn has_loaded(node: &Node, target: &TargetName, version: &VersionName) -> bool {
-    let reported = node.reported(target);
+    let reported = node.loaded_versions(target);
     reported.is_none_or(|versions| versions.contains(version))
 }
 
 fn brakes(node: &Node, controller: &RolloutController) -> Vec<Brake> {
-    let Some(force) = node.force.load_full() else {
+    let Some(force) = node.active_bundle.load_full() else {
         return Vec::new();
     };
     let moves = force.headline.parts.values().flat_map(|part| {
@@ -354,7 +356,7 @@
 
 /// Returns the live instances by the platform's list.
 fn listed(node: &Node) -> Vec<InstanceName> {
-    let list = node.list.load();
+    let list = node.instance_list.load();
     let live = list
         .instances
         .iter()
--- a/daemon/src/rollouts/driver.rs
+++ b/daemon/src/rollouts/driver.rs
@@ -39,13 +39,13 @@
     let mut steps = 0;
     loop {
         tokio::select! {
-            () = node.ending.cancelled() => return,
+            () = node.shutdown.cancelled() => return,
             _ = tick.tick() => {}
         }
         steps += 1;
         step(&node);
         let is_due = steps % READ_STEPS == 0 && is_reader(&node) || steps % SLOW_STEPS == 0;
-        if is_due && node.force.load().is_some() {
+        if is_due && node.active_bundle.load().is_some() {
             read_records(&node, &mut versions).await;
         }
         write_due(&node, &mut due_since, &mut versions).await;
@@ -53,7 +53,7 @@
 }
 
 fn step(node: &Arc<Node>) {
-    let Some(force) = node.force.load_full() else {
+    let Some(force) = node.active_bundle.load_full() else {
         return;
     };
     let live = listed(node);
@@ -117,13 +117,15 @@
     since: &mut HashMap<Revision, Instant>,
     versions: &mut HashMap<Revision, Version>,
 ) {
-    let Some(force) = node.force.load_full() else {
+    let Some(force) = node.active_bundle.load_full() else {
         return;
     };
     let due = {
         let controller = node.rollouts.controller();
         let rates = |model: &ModelName| rate(node, model);
-        let is_listed = node.listed_at().is_some_and(|at| at.elapsed() < LIST_AGE);
+        let is_listed = node
+            .instance_list_read_at()
+            .is_some_and(|at| at.elapsed() < LIST_AGE);
         controller.due_records(&force.bundle.models, rates, is_listed, node::wall_ms())
     };
     since.retain(|origin, _| due.iter().any(|rollout| rollout.origin == *origin));
--- a/daemon/src/rollouts/status.rs
+++ b/daemon/src/rollouts/status.rs
@@ -68,7 +68,7 @@
         let live = listed(node);
         let is_fresh = lock(&self.read).is_some_and(|at| at.elapsed() < FRESH);
         let controller = self.controller();
-        let Some(force) = node.force.load_full() else {
+        let Some(force) = node.active_bundle.load_full() else {
             return (
                 controller
                     .applied_states()
--- a/daemon/src/roster.rs
+++ b/daemon/src/roster.rs
@@ -17,14 +17,14 @@
     let mut rng = node.rng();
     loop {
         if let Ok(list) = node.platform.instances().await {
-            node.take_list(list);
+            node.set_instance_list(list);
         }
         // Jitter keeps the instances from asking in step.
-        let instances = node.list.load().instances.len() as u64;
+        let instances = node.instance_list.load().instances.len() as u64;
         let mean = EVERY_MS.max(instances * 1_000 / FLEET_READS);
         let pause = Duration::from_millis(rng.random_range(mean / 2..mean * 3 / 2));
         tokio::select! {
-            () = node.ending.cancelled() => return,
+            () = node.shutdown.cancelled() => return,
             () = time::sleep(pause) => {}
         }
     }
--- a/daemon/src/server.rs
+++ b/daemon/src/server.rs
@@ -167,15 +167,15 @@
 async fn finish(node: &Node, mut tasks: JoinSet<()>) {
     node.sockets.drain().await;
     node.ledger.close();
-    node.ending.cancel();
-    node.work.close();
+    node.shutdown.cancel();
+    node.background_tasks.close();
     let joined = async {
         while tasks.join_next().await.is_some() {}
-        node.work.wait().await;
+        node.background_tasks.wait().await;
         node.peers.close().await;
     };
     if time::timeout(JOIN, joined).await.is_err() {
-        let left = tasks.len() + node.work.len();
+        let left = tasks.len() + node.background_tasks.len();
         log::warn!("{left} background tasks did not end in time");
         tasks.shutdown().await;
     }
@@ -211,7 +211,7 @@
     let mut tick = time::interval(PUBLISH);
     loop {
         tokio::select! {
-            () = node.ending.cancelled() => return,
+            () = node.shutdown.cancelled() => return,
             _ = tick.tick() => {
                 // A datagram that can't be sent is lost, and the next interval goes on.
                 let _ = node.metrics.publish();
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -89,8 +89,8 @@
     /// retry, so that the failures of all others go to their callers.
     fn may_retry(&self, node: &Node) -> bool {
         match &self.target {
-            Some(target) => node.retries.try_take_both(&target.state.retry_budget),
-            None => node.retries.try_take(),
+            Some(target) => node.retry_budget.try_take_both(&target.state.retry_budget),
+            None => node.retry_budget.try_take(),
         }
     }
 
@@ -215,7 +215,7 @@
             Tried::Answer(reply, after) => {
                 let failure = status(&reply, after);
                 if reply.status < 400 || failure.retry_decision() == RetryDecision::Never {
-                    node.retries.record_success();
+                    node.retry_budget.record_success();
                     target.state.retry_budget.record_success();
                     return Ok(reply);
                 }
@@ -259,7 +259,7 @@
                     refused += 1;
                     excluded.push(key);
                     node.suspects.add(key, Instant::now());
-                    node.tell(TargetEvent::Failed { route, target: key });
+                    node.report_target_event(TargetEvent::Failed { route, target: key });
                 }
             }
         }
@@ -280,7 +280,7 @@
         let failure = match &tried {
             Tried::Answer(reply, _) if reply.status < 400 => {
                 let latency_ms = began.elapsed().as_secs_f64() * 1e3;
-                node.tell(TargetEvent::Succeeded {
+                node.report_target_event(TargetEvent::Succeeded {
                     route,
                     target: key,
                     latency_ms,
@@ -354,7 +354,7 @@
 
 /// Tells of a failure that speaks against the target; whether it does, a probe may have to say.
 fn judge(node: &Node, route: Route, key: TargetKey, target: &Arc<Target>, failure: Failure) {
-    let events = node.events.clone();
+    let events = node.target_events.clone();
     let tell = move || {
         // A full channel means that plenty is known already.
         let _ = events.try_send(TargetEvent::Failed { route, target: key });
@@ -362,7 +362,7 @@
     match failure {
         Failure::Reset | Failure::Timeout => {
             let target = Arc::clone(target);
-            node.work.spawn(async move {
+            node.background_tasks.spawn(async move {
                 let health = engine::health(target.address, health_path(target.kind)).await;
                 let is_well = matches!(health, Ok(Some(_)));
                 if failure.attribution(Some(is_well)) == Attribution::Target {
--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -93,10 +93,10 @@
     let mut step = time::interval(STEP);
     loop {
         tokio::select! {
-            () = node.ending.cancelled() => break,
+            () = node.shutdown.cancelled() => break,
             _ = step.tick() => watch.step(),
             Some(event) = events.recv() => watch.event(event),
-            () = node.relayed.notified() => watch.hear_peers(),
+            () = node.departures_changed.notified() => watch.hear_peers(),
             Some(Ok(polled)) = watch.polls.join_next() => watch.polled(&polled),
         }
     }
@@ -148,7 +148,8 @@
             }
         }
         if let Some(versions) = &polled.versions {
-            self.node.report(&target.name, versions.clone());
+            self.node
+                .record_loaded_versions(&target.name, versions.clone());
         }
         if let Some(load) = polled.load {
             let sampled_ms = polled.sent_ms.saturating_sub(load.age_ms);
@@ -205,7 +206,7 @@
     }
 
     fn read_list(&mut self, view: &RoutingView, now_ms: u64) {
-        let list = self.node.list.load_full();
+        let list = self.node.instance_list.load_full();
         for listed in &list.targets {
             let Some(key) = view.target_key(&listed.name) else {
                 continue;
--- a/daemon/src/watch.rs
+++ b/daemon/src/watch.rs
@@ -51,12 +51,12 @@
     let mut step = time::interval(STEP);
     loop {
         tokio::select! {
-            () = node.ending.cancelled() => return,
-            () = node.look.notified() => {}
+            () = node.shutdown.cancelled() => return,
+            () = node.bundle_changed.notified() => {}
             _ = step.tick() => {}
         }
         let is_due = node.bundle_tracker().poll_due(Instant::now(), &mut rng);
-        if is_due || node.force.load().is_none() {
+        if is_due || node.active_bundle.load().is_none() {
             ask_store(&node).await;
         }
         let heard = node.gossip().facts().revision();
@@ -86,7 +86,7 @@
             Some(changes.revision)
         };
         let watched = tokio::select! {
-            () = node.ending.cancelled() => return,
+            () = node.shutdown.cancelled() => return,
             watched = watched => watched,
         };
         match watched {
@@ -186,14 +186,14 @@
     let held = {
         let tracker: &BundleTracker = &node.bundle_tracker();
         // An instance that serves already only goes on to later revisions.
-        let is_ready = node.force.load().is_some() || tracker.is_ready(&peers);
+        let is_ready = node.active_bundle.load().is_some() || tracker.is_ready(&peers);
         tracker.active().filter(|_| is_ready).cloned()
     };
     let Some((headline, bundle)) = held else {
         return;
     };
     let revision = headline.revision;
-    if node.bring(Force::new(headline, bundle)) {
+    if node.activate_bundle(Force::new(headline, bundle)) {
         node.gossip().raise_acting_revision(revision);
         gossip::after(node);
     }
--- a/daemon/tests/fleet.rs
+++ b/daemon/tests/fleet.rs
@@ -272,7 +272,7 @@
         digest: bundle.digest(),
         parts: BTreeMap::new(),
     };
-    node.bring(Force::new(headline, Arc::new(bundle)));
+    node.activate_bundle(Force::new(headline, Arc::new(bundle)));
     (node, told)
 }
 
--- a/daemon/tests/test_limits.rs
+++ b/daemon/tests/test_limits.rs
@@ -61,7 +61,7 @@
 async fn an_instance_that_heard_of_nobody(#[case] listed: Option<usize>, #[case] most: f64) {
     let node = node();
     if let Some(count) = listed {
-        node.take_list(list(count));
+        node.set_instance_list(list(count));
     }
     let now = time::Instant::now();
     node.view.rcu(|view| view.with_bundle(&bundle(), now));
@@ -75,7 +75,7 @@
     assert_near(part(&limiter, 60_000), most);
     let task = tokio::spawn(limits::run(Arc::clone(&node)));
     time::sleep(Duration::from_millis(200)).await;
-    node.ending.cancel();
+    node.shutdown.cancel();
     task.await.unwrap();
     assert_near(part(&limiter, 120_000), most);
 }
@@ -89,13 +89,13 @@
 #[tokio::test]
 async fn the_view_counts_the_listed_instances() {
     let node = node();
-    node.take_list(list(3));
+    node.set_instance_list(list(3));
     let tasks = [
         tokio::spawn(gossip::run(Arc::clone(&node))),
         tokio::spawn(limits::run(Arc::clone(&node))),
     ];
     wait_for(async || node.view.load().instances() == 3).await;
-    node.ending.cancel();
+    node.shutdown.cancel();
     for task in tasks {
         task.await.unwrap();
     }
