--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -172,7 +172,7 @@
 
 /// Returns where the owner of a shard is, or nothing when it is this instance.
 fn owner_of(node: &Node, shard: u16) -> Option<SocketAddr> {
-    gossip::falls_to(node, &format!("ledger shard {shard}"))?.address
+    gossip::responsible_instance(node, &format!("ledger shard {shard}"))?.address
 }
 
 fn texts(headers: &HeaderMap) -> Vec<(SmolStr, SmolStr)> {
--- a/daemon/src/gossip.rs
+++ b/daemon/src/gossip.rs
@@ -34,26 +34,26 @@
             gossip.tick(now)
         };
         deliver(&node, sends);
-        after(&node);
+        process_events(&node);
     }
 }
 
 /// Says to all instances that this one takes no new work.
-pub fn leave(node: &Arc<Node>) {
+pub fn announce_leaving(node: &Arc<Node>) {
     node.gossip().announce_leaving();
-    after(node);
+    process_events(node);
 }
 
 /// Sets an entry of this instance, which spreads to the others.
-pub fn set(node: &Arc<Node>, kind: EntryKind, key: &str, value: Vec<u8>) {
+pub fn set_entry(node: &Arc<Node>, kind: EntryKind, key: &str, value: Vec<u8>) {
     if let Err(error) = node.gossip().set_entry(kind, key, value.into()) {
         log::warn!("an entry of kind {kind:?} cannot be spread: {error}");
     }
-    after(node);
+    process_events(node);
 }
 
 /// Acts on what changed, and pushes what can't wait for the next round.
-pub fn after(node: &Arc<Node>) {
+pub fn process_events(node: &Arc<Node>) {
     let (events, sends) = {
         let mut gossip = node.gossip();
         (gossip.take_events(), gossip.urgent_messages(Instant::now()))
@@ -114,7 +114,7 @@
             }
         }
     }
-    after(&node);
+    process_events(&node);
 }
 
 /// Returns the instances that share evidence, demand and load with this one.
@@ -154,7 +154,7 @@
 
 /// An instance that answers, as the request path sees it.
 #[derive(Clone, Debug)]
-pub struct Near {
+pub struct LiveInstance {
     /// Its name.
     pub name: InstanceName,
     /// Its data centre.
@@ -164,23 +164,23 @@
 }
 
 /// Returns the instances that are worth work, this one among them unless it is leaving.
-pub fn live(node: &Node) -> Vec<Near> {
+pub fn live_instances(node: &Node) -> Vec<LiveInstance> {
     let gossip = node.gossip();
     let members = gossip.membership().in_state(MemberState::Live);
     let others = members.filter_map(|member| {
-        Some(Near {
+        Some(LiveInstance {
             name: member.name.clone(),
             data_centre: member.data_centre.clone(),
             address: Some(member.address.parse().ok()?),
         })
     });
-    let own = Near {
+    let own = LiveInstance {
         name: node.settings.instance.clone(),
         data_centre: node.settings.data_centre.clone(),
         address: None,
     };
     let own = (!node.leaving.is_cancelled()).then_some(own);
-    let all: Vec<Near> = own.into_iter().chain(others).collect();
+    let all: Vec<LiveInstance> = own.into_iter().chain(others).collect();
     node.metrics.set(Gauge::LiveInstances, all.len() as u64);
     all
 }
@@ -189,29 +189,29 @@
 ///
 /// Instances that know different ones may disagree for a while. So a job that only one may do needs
 /// a condition of the store as well.
-pub fn falls_to(node: &Node, job: &str) -> Option<Near> {
-    let all = live(node);
+pub fn responsible_instance(node: &Node, job: &str) -> Option<LiveInstance> {
+    let all = live_instances(node);
     let chosen = choose_instances(job.as_bytes(), &candidates(&all), 1);
     let name = chosen.first()?.name;
-    all.iter().find(|near| near.name == *name).cloned()
+    all.iter().find(|instance| instance.name == *name).cloned()
 }
 
-fn candidates(all: &[Near]) -> Vec<Candidate<'_>> {
+fn candidates(all: &[LiveInstance]) -> Vec<Candidate<'_>> {
     all.iter()
-        .map(|near| Candidate {
-            name: &near.name,
-            data_centre: &near.data_centre,
+        .map(|instance| Candidate {
+            name: &instance.name,
+            data_centre: &instance.data_centre,
         })
         .collect()
 }
 
 /// Returns the instances that keep the record of a request, this one left out.
-pub fn keepers(node: &Node, request: &RequestKey) -> Vec<SocketAddr> {
-    let all = live(node);
+pub fn record_keepers(node: &Node, request: &RequestKey) -> Vec<SocketAddr> {
+    let all = live_instances(node);
     let candidates = candidates(&all);
     // One more than needed: the driver itself may be among them, and its own copy dies with it.
     let chosen = choose_instances(request.as_str().as_bytes(), &candidates, KEEPERS + 1);
-    let address = |name: &InstanceName| all.iter().find(|near| near.name == *name)?.address;
+    let address = |name: &InstanceName| all.iter().find(|instance| instance.name == *name)?.address;
     chosen
         .iter()
         .filter_map(|candidate| address(candidate.name))
--- a/daemon/src/keeping.rs
+++ b/daemon/src/keeping.rs
@@ -10,7 +10,7 @@
 
 /// Puts a record at the keepers of its request, and fences this driver if they hold a higher one.
 pub fn keep(node: &Arc<Node>, record: &KeeperRecord, inputs: &mpsc::Sender<Input>) {
-    for keeper in gossip::keepers(node, &record.key) {
+    for keeper in gossip::record_keepers(node, &record.key) {
         let node = Arc::clone(node);
         let value = record.encode();
         let inputs = inputs.clone();
@@ -30,7 +30,7 @@
 /// Adds tokens to the record at the keepers.
 pub fn extend(node: &Arc<Node>, copy: &RecordExtension) {
     let value = copy.encode();
-    for keeper in gossip::keepers(node, &copy.key) {
+    for keeper in gossip::record_keepers(node, &copy.key) {
         let node = Arc::clone(node);
         let value = value.clone();
         let work = node.background_tasks.clone();
@@ -43,7 +43,7 @@
 
 /// Removes a record from the keepers, unless it is of a later driver.
 pub fn forget(node: &Arc<Node>, request: &RequestKey, attempt: Attempt) {
-    for keeper in gossip::keepers(node, request) {
+    for keeper in gossip::record_keepers(node, request) {
         let node = Arc::clone(node);
         let request = request.clone();
         let work = node.background_tasks.clone();
@@ -56,9 +56,9 @@
 
 /// Tells the instance that drove a request before that another one drives it now.
 pub fn tell(node: &Arc<Node>, instance: &InstanceName, record: &KeeperRecord) {
-    let all = gossip::live(node);
-    let address = all.iter().find(|near| near.name == *instance);
-    let Some(address) = address.and_then(|near| near.address) else {
+    let all = gossip::live_instances(node);
+    let address = all.iter().find(|peer| peer.name == *instance);
+    let Some(address) = address.and_then(|peer| peer.address) else {
         return;
     };
     let node = Arc::clone(node);
@@ -72,7 +72,7 @@
 
 /// Asks the keepers of a request for its record and returns the highest.
 pub async fn find(node: &Node, request: &RequestKey) -> Option<KeeperRecord> {
-    let keepers = gossip::keepers(node, request);
+    let keepers = gossip::record_keepers(node, request);
     let asks = keepers.into_iter().map(|keeper| ask(node, keeper, request));
     let found = futures::future::join_all(asks).await;
     // This instance may be a keeper itself.
--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -65,7 +65,7 @@
         let changed = held.measure(entry.limiter.take_demand());
         if changed {
             let value = serde_json::to_vec(&held.demand).unwrap_or_default();
-            gossip::set(node, EntryKind::Demand, name.as_str(), value);
+            gossip::set_entry(node, EntryKind::Demand, name.as_str(), value);
         }
         let none = DemandMap::default();
         let known = ShareInputs {
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -214,8 +214,8 @@
 /// Returns whether the lease of a shard falls to this instance. Two may think so for a while; the
 /// store gives the lease to one of them.
 fn is_driver(node: &Node, shard: Shard) -> bool {
-    let driver = gossip::falls_to(node, &shard.object_key());
-    driver.is_some_and(|near| near.address.is_none())
+    let driver = gossip::responsible_instance(node, &shard.object_key());
+    driver.is_some_and(|instance| instance.address.is_none())
 }
 
 async fn store(node: &Node, key: &str, call: StoreCall) -> StoreReply {
--- a/daemon/src/peer_server.rs
+++ b/daemon/src/peer_server.rs
@@ -31,7 +31,7 @@
     async fn exchange_gossip(self, _: Context, message: Message) -> Message {
         let answer = self.0.gossip().handle_request(message, Instant::now());
         self.0.metrics.add(Counter::GossipReceived, 1);
-        gossip::after(&self.0);
+        gossip::process_events(&self.0);
         answer
     }
 
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -251,7 +251,7 @@
         for brake in brakes {
             node.gossip().add_brake(brake);
         }
-        gossip::after(node);
+        gossip::process_events(node);
         self.push(node, FAN_OUT, |_| true);
     }
 
@@ -269,10 +269,10 @@
     }
 
     fn push(&self, node: &Arc<Node>, count: usize, fits: impl Fn(&InstanceName) -> bool) {
-        let addresses: Vec<_> = gossip::live(node)
+        let addresses: Vec<_> = gossip::live_instances(node)
             .into_iter()
-            .filter(|near| fits(&near.name))
-            .filter_map(|near| near.address)
+            .filter(|instance| fits(&instance.name))
+            .filter_map(|instance| instance.address)
             .collect();
         let talk = self.talk();
         let chosen: Vec<_> = addresses
--- a/daemon/src/rollouts/driver.rs
+++ b/daemon/src/rollouts/driver.rs
@@ -76,7 +76,7 @@
     };
     if node.rollouts.is_news(&acting) {
         let value = serde_json::to_vec(&acting).unwrap_or_default();
-        gossip::set(node, EntryKind::Acting, "", value);
+        gossip::set_entry(node, EntryKind::Acting, "", value);
     }
     if tripped {
         node.rollouts.spread(node);
--- a/daemon/src/server.rs
+++ b/daemon/src/server.rs
@@ -154,7 +154,7 @@
     match effect {
         Some(DrainEffect::AnnounceLeaving) => {
             node.leaving.cancel();
-            gossip::leave(node);
+            gossip::announce_leaving(node);
             log::info!("leaving: the address is given to nobody, callers who have it are served");
         }
         Some(DrainEffect::CloseListener) => log::info!("leaving: new connections are refused"),
--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -251,8 +251,8 @@
                 .clear_entry(EntryKind::TargetLeaving, name);
             return;
         }
-        let value = serde_json::to_vec(&notices).unwrap_or_default();
-        gossip::set(&self.node, EntryKind::TargetLeaving, name, value);
+        let value = serde_json::to_vec(&relays).unwrap_or_default();
+        gossip::set_entry(&self.node, EntryKind::TargetLeaving, name, value);
     }
 
     fn retain(&mut self, view: &RoutingView) {
--- a/daemon/src/watch.rs
+++ b/daemon/src/watch.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     force::Force,
-    gossip::{self, Near},
+    gossip::{self, LiveInstance},
     node::Node,
     store,
 };
@@ -195,22 +195,22 @@
     let revision = headline.revision;
     if node.activate_bundle(Force::new(headline, bundle)) {
         node.gossip().raise_acting_revision(revision);
-        gossip::after(node);
+        gossip::process_events(node);
     }
 }
 
 fn peers(node: &Node) -> Vec<(InstanceName, SocketAddr)> {
-    let live = gossip::live(node);
+    let live = gossip::live_instances(node);
     live.into_iter()
-        .filter_map(|near| Some((near.name, near.address?)))
+        .filter_map(|instance| Some((instance.name, instance.address?)))
         .collect()
 }
 
 fn is_watcher_here(node: &Node) -> bool {
-    let live: Vec<_> = gossip::live(node)
+    let live: Vec<_> = gossip::live_instances(node)
         .into_iter()
         .map(
-            |Near {
+            |LiveInstance {
                  name, data_centre, ..
              }| (name, data_centre),
         )
