--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -143,7 +143,7 @@
         trace: send.trace.map(|trace| format_smolstr!("{trace}")),
     };
     let value = serde_json::to_vec(&sent).unwrap_or_default();
-    let result = node.peers.forward(owner, value, limit).await;
+    let result = node.peers.forward_call(owner, value, limit).await;
     let value = result.map_err(|report| *report.current_context())?;
     match serde_json::from_slice(&value) {
         Ok(came) => Ok(came_back(came)),
--- a/daemon/src/gossip.rs
+++ b/daemon/src/gossip.rs
@@ -101,7 +101,7 @@
         node.metrics.add(Counter::GossipSent, 1);
         node.metrics
             .add(Counter::GossipBytes, message.bytes() as u64);
-        match node.peers.exchange(to, message).await {
+        match node.peers.exchange_gossip(to, message).await {
             Ok(answer) => {
                 next = node
                     .gossip()
--- a/daemon/src/keeping.rs
+++ b/daemon/src/keeping.rs
@@ -16,7 +16,7 @@
         let inputs = inputs.clone();
         let work = node.background_tasks.clone();
         work.spawn(async move {
-            let sent = node.peers.keep(keeper, value).await;
+            let sent = node.peers.store_record(keeper, value).await;
             let higher = sent.ok().flatten();
             let higher = higher.and_then(|value| KeeperRecord::decode(&value).ok());
             if let Some(higher) = higher {
@@ -36,7 +36,7 @@
         let work = node.background_tasks.clone();
         work.spawn(async move {
             // A keeper that misses a copy takes none of the later ones either.
-            let _ = node.peers.extend(keeper, value).await;
+            let _ = node.peers.append_to_record(keeper, value).await;
         });
     }
 }
@@ -49,7 +49,7 @@
         let work = node.background_tasks.clone();
         work.spawn(async move {
             // A record that stays expires.
-            let _ = node.peers.forget(keeper, request, attempt).await;
+            let _ = node.peers.remove_record(keeper, request, attempt).await;
         });
     }
 }
@@ -66,7 +66,7 @@
     let work = node.background_tasks.clone();
     work.spawn(async move {
         // An instance that can't be told meets the higher record at the keepers.
-        let _ = node.peers.keep(address, record).await;
+        let _ = node.peers.store_record(address, record).await;
     });
 }
 
@@ -93,7 +93,11 @@
 }
 
 async fn ask(node: &Node, keeper: SocketAddr, request: &RequestKey) -> Option<KeeperRecord> {
-    let record = node.peers.kept(keeper, request.clone()).await.ok()??;
+    let record = node
+        .peers
+        .fetch_record(keeper, request.clone())
+        .await
+        .ok()??;
     KeeperRecord::decode(&record).ok()
 }
 
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -47,7 +47,7 @@
     /// # Errors
     ///
     /// A [`PeerCallError`].
-    pub async fn exchange(&self, to: SocketAddr, message: Message) -> Answer<Message> {
+    pub async fn exchange_gossip(&self, to: SocketAddr, message: Message) -> Answer<Message> {
         let client = self.client(to).await?;
         self.judge(to, client.exchange_gossip(within(SMALL), message).await)
     }
@@ -57,7 +57,7 @@
     /// # Errors
     ///
     /// A [`PeerCallError`].
-    pub async fn keep(&self, to: SocketAddr, record: Vec<u8>) -> Answer<Option<Vec<u8>>> {
+    pub async fn store_record(&self, to: SocketAddr, record: Vec<u8>) -> Answer<Option<Vec<u8>>> {
         let client = self.client(to).await?;
         self.judge(to, client.store_record(within(SMALL), record).await)
     }
@@ -67,7 +67,7 @@
     /// # Errors
     ///
     /// A [`PeerCallError`].
-    pub async fn extend(&self, to: SocketAddr, copy: Vec<u8>) -> Answer<()> {
+    pub async fn append_to_record(&self, to: SocketAddr, copy: Vec<u8>) -> Answer<()> {
         let client = self.client(to).await?;
         self.judge(to, client.append_to_record(within(SMALL), copy).await)
     }
@@ -77,7 +77,11 @@
     /// # Errors
     ///
     /// A [`PeerCallError`].
-    pub async fn kept(&self, to: SocketAddr, request: RequestKey) -> Answer<Option<Vec<u8>>> {
+    pub async fn fetch_record(
+        &self,
+        to: SocketAddr,
+        request: RequestKey,
+    ) -> Answer<Option<Vec<u8>>> {
         let client = self.client(to).await?;
         self.judge(to, client.fetch_record(within(SMALL), request).await)
     }
@@ -87,7 +91,7 @@
     /// # Errors
     ///
     /// A [`PeerCallError`].
-    pub async fn forget(
+    pub async fn remove_record(
         &self,
         to: SocketAddr,
         request: RequestKey,
@@ -105,7 +109,11 @@
     /// # Errors
     ///
     /// A [`PeerCallError`].
-    pub async fn bundle(&self, to: SocketAddr, revision: Revision) -> Answer<Option<Vec<u8>>> {
+    pub async fn fetch_bundle(
+        &self,
+        to: SocketAddr,
+        revision: Revision,
+    ) -> Answer<Option<Vec<u8>>> {
         let client = self.client(to).await?;
         self.judge(to, client.fetch_bundle(within(LARGE), revision).await)
     }
@@ -115,7 +123,7 @@
     /// # Errors
     ///
     /// A [`PeerCallError`].
-    pub async fn changes(&self, to: SocketAddr, since: u64) -> Answer<Option<Vec<u8>>> {
+    pub async fn fetch_changes(&self, to: SocketAddr, since: u64) -> Answer<Option<Vec<u8>>> {
         let client = self.client(to).await?;
         self.judge(to, client.fetch_changes(within(LARGE), since).await)
     }
@@ -125,7 +133,12 @@
     /// # Errors
     ///
     /// A [`PeerCallError`]; after `Unreachable` nothing was sent.
-    pub async fn forward(&self, to: SocketAddr, call: Vec<u8>, limit: Duration) -> Answer<Vec<u8>> {
+    pub async fn forward_call(
+        &self,
+        to: SocketAddr,
+        call: Vec<u8>,
+        limit: Duration,
+    ) -> Answer<Vec<u8>> {
         let client = self.client(to).await?;
         self.judge(to, client.forward_call(within(limit), call).await)
     }
@@ -135,7 +148,7 @@
     /// # Errors
     ///
     /// A [`PeerCallError`].
-    pub async fn rollouts(&self, to: SocketAddr, news: Vec<u8>) -> Answer<Vec<u8>> {
+    pub async fn exchange_rollouts(&self, to: SocketAddr, news: Vec<u8>) -> Answer<Vec<u8>> {
         let client = self.client(to).await?;
         self.judge(to, client.exchange_rollouts(within(SMALL), news).await)
     }
--- a/daemon/src/relay/config_sync.rs
+++ b/daemon/src/relay/config_sync.rs
@@ -364,7 +364,11 @@
 /// Queries a peer for a configuration of at least this version; returns whether it sent one.
 async fn query_peer(state: &RelayState, peer: SocketAddr, version: u64) -> bool {
     let started = Instant::now();
-    let response = timeout(PEER_TIMEOUT, state.peers.bundle(peer, Revision(version))).await;
+    let response = timeout(
+        PEER_TIMEOUT,
+        state.peers.fetch_bundle(peer, Revision(version)),
+    )
+    .await;
     let is_answered = matches!(response, Ok(Ok(_)));
     let response = response.ok().and_then(Result::ok).flatten();
     let received = response.as_ref().map_or(0, Vec::len);
--- a/daemon/src/relay/members.rs
+++ b/daemon/src/relay/members.rs
@@ -150,7 +150,7 @@
     let mut next = Some(outgoing.message);
     while let Some(message) = next.take() {
         let started = Instant::now();
-        match state.peers.exchange(to, message).await {
+        match state.peers.exchange_gossip(to, message).await {
             Ok(answer) => {
                 state.view.record_contact(started);
                 next = state
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -284,7 +284,7 @@
             let talk = talk.clone();
             let work = node.background_tasks.clone();
             work.spawn(async move {
-                if let Ok(answer) = node.peers.rollouts(address, talk).await {
+                if let Ok(answer) = node.peers.exchange_rollouts(address, talk).await {
                     node.rollouts.hear(&node, &answer);
                 }
             });
--- a/daemon/src/watch.rs
+++ b/daemon/src/watch.rs
@@ -156,7 +156,7 @@
 
 async fn ask_peer(node: &Arc<Node>, name: &InstanceName, address: SocketAddr, least: Revision) {
     let source = Source::Peer(name.clone());
-    let Ok(answer) = node.peers.bundle(address, least).await else {
+    let Ok(answer) = node.peers.fetch_bundle(address, least).await else {
         return;
     };
     let told = answer.and_then(|told| serde_json::from_slice::<Told>(&told).ok());
