--- a/bench/src/path/call.rs
+++ b/bench/src/path/call.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use bytes::Bytes;
-use celerypond_daemon::http_call::{Answer, Fresh};
+use celerypond_daemon::http_call::{Answer, NewConnection};
 use error_stack::{Report, ResultExt};
 use http::{header, Method, Request};
 use http_body_util::{BodyExt, Full};
@@ -82,7 +82,7 @@
         let request = request
             .body(Full::new(Bytes::from(self.body.clone())))
             .change_context(PathError::Call)?;
-        let fresh = Fresh::connect(self.address).await;
+        let fresh = NewConnection::connect(self.address).await;
         let answer = fresh.change_context(PathError::Call)?.send(request, HEAD);
         let answer = answer.await.change_context(PathError::Call)?;
         if !answer.response.status().is_success() {
--- a/bench/src/path/stand.rs
+++ b/bench/src/path/stand.rs
@@ -120,7 +120,7 @@
 
     async fn begin(&self) -> Result<(), Report<PathError>> {
         wait_for(async || {
-            let health = engine::small(self.instance, Method::GET, "/v1/health", Vec::new());
+            let health = engine::short_call(self.instance, Method::GET, "/v1/health", Vec::new());
             health.await.is_ok()
         })
         .await?;
--- a/daemon/src/engine.rs
+++ b/daemon/src/engine.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     body,
-    http_call::{Answer, CallError, Connection, Fresh},
+    http_call::{Answer, CallError, Connection, NewConnection},
 };
 
 /// The longest wait for the head of an answer; an engine answers it before it generates.
@@ -102,19 +102,19 @@
 }
 
 /// A stream that an engine has accepted.
-pub struct Open {
+pub struct OpenStream {
     answer: Answer,
 }
 
 /// The answer to a request for a stream.
-pub enum Opening {
+pub enum StreamResponse {
     /// The stream goes on.
-    Stream(Open),
+    Stream(OpenStream),
     /// The engine refused with this status.
     Refused(StatusCode),
 }
 
-impl Open {
+impl OpenStream {
     /// Returns the data of each event; ends when the connection does.
     pub fn events(self) -> impl Stream<Item = String> + Send {
         let Answer {
@@ -141,7 +141,7 @@
 pub async fn generate(
     address: SocketAddr,
     call: &Generate<'_>,
-) -> Result<Opening, Report<CallError>> {
+) -> Result<StreamResponse, Report<CallError>> {
     // The type has text keys only, so it always has a JSON form.
     let value = serde_json::to_vec(call).unwrap_or_default();
     open(address, Method::POST, "/v1/generate", value).await
@@ -157,7 +157,7 @@
     request: &RequestKey,
     attempt: Attempt,
     from: Position,
-) -> Result<Opening, Report<CallError>> {
+) -> Result<StreamResponse, Report<CallError>> {
     let path = format!("/v1/streams/{request}/{attempt}?from={from}");
     open(address, Method::GET, &path, Vec::new()).await
 }
@@ -173,7 +173,7 @@
     attempt: Attempt,
 ) -> Result<bool, Report<CallError>> {
     let path = format!("/v1/streams/{request}/{attempt}");
-    let (status, _) = small(address, Method::DELETE, &path, Vec::new()).await?;
+    let (status, _) = short_call(address, Method::DELETE, &path, Vec::new()).await?;
     Ok(status.is_success())
 }
 
@@ -183,7 +183,7 @@
 ///
 /// A [`CallError`].
 pub async fn health(address: SocketAddr, path: &str) -> Result<Option<Health>, Report<CallError>> {
-    let (_, value) = small(address, Method::GET, path, Vec::new()).await?;
+    let (_, value) = short_call(address, Method::GET, path, Vec::new()).await?;
     Ok(serde_json::from_slice(&value).ok())
 }
 
@@ -193,7 +193,7 @@
 ///
 /// A [`CallError`].
 pub async fn load(address: SocketAddr, path: &str) -> Result<Option<Load>, Report<CallError>> {
-    let (_, value) = small(address, Method::GET, path, Vec::new()).await?;
+    let (_, value) = short_call(address, Method::GET, path, Vec::new()).await?;
     Ok(serde_json::from_slice(&value).ok())
 }
 
@@ -204,7 +204,7 @@
 /// A [`CallError`].
 pub async fn cache(address: SocketAddr, since: u64) -> Result<Vec<CacheChange>, Report<CallError>> {
     let path = format!("/v1/cache?since={since}");
-    let (_, value) = small(address, Method::GET, &path, Vec::new()).await?;
+    let (_, value) = short_call(address, Method::GET, &path, Vec::new()).await?;
     let changes: Option<CacheChanges> = serde_json::from_slice(&value).ok();
     Ok(changes.map_or_else(Vec::new, |changes| changes.events))
 }
@@ -214,12 +214,15 @@
     method: Method,
     path: &str,
     value: Vec<u8>,
-) -> Result<Opening, Report<CallError>> {
+) -> Result<StreamResponse, Report<CallError>> {
     let request = request(address, method, path, value)?;
-    let answer = Fresh::connect(address).await?.send(request, HEAD).await?;
+    let answer = NewConnection::connect(address)
+        .await?
+        .send(request, HEAD)
+        .await?;
     Ok(match answer.response.status() {
-        StatusCode::OK => Opening::Stream(Open { answer }),
-        status => Opening::Refused(status),
+        StatusCode::OK => StreamResponse::Stream(OpenStream { answer }),
+        status => StreamResponse::Refused(status),
     })
 }
 
@@ -233,14 +236,14 @@
 /// # Errors
 ///
 /// A [`CallError`]; after `Connect` nothing was sent.
-pub async fn order(
+pub async fn send_order(
     address: SocketAddr,
     value: Vec<u8>,
     last: Instant,
     limit: Duration,
 ) -> Result<Option<(StatusCode, Option<Duration>)>, Report<CallError>> {
     let request = request(address, Method::POST, "/v1/orders", value)?;
-    let fresh = Fresh::connect_resetting(address).await?;
+    let fresh = NewConnection::connect_resetting(address).await?;
     if Instant::now() >= last {
         return Ok(None);
     }
@@ -256,14 +259,14 @@
 /// # Errors
 ///
 /// A [`CallError`].
-pub async fn small(
+pub async fn short_call(
     address: SocketAddr,
     method: Method,
     path: &str,
     value: Vec<u8>,
 ) -> Result<(StatusCode, Bytes), Report<CallError>> {
     let request = request(address, method, path, value)?;
-    let fresh = Fresh::connect(address).await?;
+    let fresh = NewConnection::connect(address).await?;
     let exchange = async {
         let Answer {
             response,
--- a/daemon/src/http_call.rs
+++ b/daemon/src/http_call.rs
@@ -35,7 +35,7 @@
 }
 
 /// A connection on which nothing was sent yet.
-pub struct Fresh {
+pub struct NewConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
 }
@@ -57,7 +57,7 @@
     }
 }
 
-impl Fresh {
+impl NewConnection {
     /// Connects.
     ///
     /// # Errors
--- a/daemon/src/link.rs
+++ b/daemon/src/link.rs
@@ -14,7 +14,7 @@
 use tokio::{sync::mpsc, time::Instant};
 
 use crate::{
-    engine::{self, Generate, Opening},
+    engine::{self, Generate, StreamResponse},
     http_call::CallError,
     stalls,
 };
@@ -78,14 +78,18 @@
 async fn read(
     link: ConnectionId,
     attempt: Attempt,
-    opening: Result<Opening, Report<CallError>>,
+    opening: Result<StreamResponse, Report<CallError>>,
     stall: &Mutex<TimeoutEstimator>,
     inputs: &mpsc::Sender<Input>,
 ) {
     // A send fails only when the answer is over, and then nobody wants the rest.
     let _ = match opening {
-        Ok(Opening::Stream(open)) => return events(link, attempt, open, stall, inputs).await,
-        Ok(Opening::Refused(status)) => inputs.send(Input::Refused(link, refusal(status))).await,
+        Ok(StreamResponse::Stream(open)) => {
+            return events(link, attempt, open, stall, inputs).await
+        }
+        Ok(StreamResponse::Refused(status)) => {
+            inputs.send(Input::Refused(link, refusal(status))).await
+        }
         Err(_) => inputs.send(Input::Closed(link)).await,
     };
 }
@@ -99,7 +103,7 @@
 async fn events(
     link: ConnectionId,
     attempt: Attempt,
-    open: engine::Open,
+    open: engine::OpenStream,
     stall: &Mutex<TimeoutEstimator>,
     inputs: &mpsc::Sender<Input>,
 ) {
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -255,7 +255,7 @@
     };
     let body = Body { fencing, order };
     let value = serde_json::to_vec(&body).unwrap_or_default();
-    match engine::order(
+    match engine::send_order(
         address,
         value,
         write_deadline,
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     body, engine,
-    http_call::{CallError, Fresh},
+    http_call::{CallError, NewConnection},
     node::Node,
     target_watch::{health_path, is_live, TargetEvent},
 };
@@ -61,7 +61,7 @@
     route: Route,
     key: TargetKey,
     target: Arc<Target>,
-    fresh: Fresh,
+    fresh: NewConnection,
     load: InFlight,
 }
 
@@ -244,7 +244,7 @@
                 excluded.push(key);
                 continue;
             };
-            match Fresh::connect(target.address).await {
+            match NewConnection::connect(target.address).await {
                 Ok(fresh) => {
                     return Ok(Connected {
                         route,
@@ -294,7 +294,7 @@
         tried
     }
 
-    async fn call(&self, address: SocketAddr, fresh: Fresh) -> Tried {
+    async fn call(&self, address: SocketAddr, fresh: NewConnection) -> Tried {
         let span = hop("target", self.trace);
         let Ok(request) = self.request(address, &span) else {
             return Tried::Failed(Failure::Protocol);
--- a/daemon/tests/fleet.rs
+++ b/daemon/tests/fleet.rs
@@ -287,9 +287,10 @@
 
 /// Reads a small answer.
 pub(crate) async fn get(address: SocketAddr, path: &str) -> Option<(u16, Value)> {
-    let (status, body) = celerypond_daemon::engine::small(address, Method::GET, path, Vec::new())
-        .await
-        .ok()?;
+    let (status, body) =
+        celerypond_daemon::engine::short_call(address, Method::GET, path, Vec::new())
+            .await
+            .ok()?;
     Some((
         status.as_u16(),
         serde_json::from_slice(&body).unwrap_or_default(),
--- a/daemon/tests/test_front.rs
+++ b/daemon/tests/test_front.rs
@@ -22,7 +22,7 @@
         request = request.header(*name, *value);
     }
     let request = request.body(Full::new(body.into())).unwrap();
-    let fresh = celerypond_daemon::http_call::Fresh::connect(address)
+    let fresh = celerypond_daemon::http_call::NewConnection::connect(address)
         .await
         .unwrap();
     let answer = fresh.send(request, Duration::from_secs(5)).await.unwrap();
