--- a/daemon/src/link.rs
+++ b/daemon/src/engine_stream.rs
@@ -21,7 +21,7 @@
 
 /// What stays the same for all connections of an answer.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct GenerationRequest {
     /// The request.
     pub request: RequestKey,
     /// The model.
@@ -38,7 +38,7 @@
 
 /// Starts an attempt and reports what its connection brings.
 pub async fn start(
-    ask: Arc<Ask>,
+    ask: Arc<GenerationRequest>,
     address: SocketAddr,
     start: Start,
     stall: Arc<Mutex<TimeoutEstimator>>,
--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -21,6 +21,7 @@
 
 use crate::{
     charge::Charge,
+    engine_stream::GenerationRequest,
     force::Force,
     front::{
         auth, headers,
@@ -29,7 +30,6 @@
     },
     generation::{Admitted, Drive, Piece, PIECES},
     keeping,
-    link::Ask,
     node::Node,
 };
 
@@ -273,8 +273,8 @@
         adapter.map_or(0, |name| celerypond_route::hash(name.as_str().as_bytes()))
     }
 
-    fn ask(self, request: RequestKey, priority: Priority) -> Ask {
-        Ask {
+    fn ask(self, request: RequestKey, priority: Priority) -> GenerationRequest {
+        GenerationRequest {
             request,
             model: self.completion.model,
             adapter: self.completion.adapter,
--- a/daemon/src/generation.rs
+++ b/daemon/src/generation.rs
@@ -17,8 +17,8 @@
 use crate::{
     admission::Permit,
     charge::Charge,
+    engine_stream::{self, GenerationRequest},
     keeping,
-    link::{self, Ask},
     node::Node,
     rollouts::OpenAnswer,
     target_watch::TargetEvent,
@@ -50,7 +50,7 @@
 /// Drives one answer to its end.
 pub struct Drive {
     node: Arc<Node>,
-    ask: Arc<Ask>,
+    ask: Arc<GenerationRequest>,
     rng: SmallRng,
     inputs: mpsc::Sender<Input>,
     received: mpsc::Receiver<Input>,
@@ -98,7 +98,7 @@
     /// Prepares to drive an answer whose pieces go to `pieces`.
     pub fn new(
         node: Arc<Node>,
-        ask: Ask,
+        ask: GenerationRequest,
         admitted: Option<Admitted>,
         pieces: mpsc::Sender<Piece>,
     ) -> Self {
@@ -192,7 +192,8 @@
                 let stall = self.node.stalls.of(&stream.target);
                 let request = self.ask.request.clone();
                 let inputs = self.inputs.clone();
-                let task = link::resume(request, address, link, stream, from, stall, inputs);
+                let task =
+                    engine_stream::resume(request, address, link, stream, from, stall, inputs);
                 self.open(link, target, task, None);
                 if let Some(open) = self.links.get_mut(&link) {
                     open.resumed = true;
--- a/daemon/src/generation/open.rs
+++ b/daemon/src/generation/open.rs
@@ -13,7 +13,7 @@
 use tracing::Instrument;
 
 use super::Drive;
-use crate::{engine, keeping, link, node::Node};
+use crate::{engine, engine_stream, keeping, node::Node};
 
 /// How long the cancellation of a stream is tried again; an engine may be paused that long.
 const CANCEL: Duration = Duration::from_secs(30);
@@ -89,7 +89,7 @@
         self.begin_chunk(link, &start);
         let stall = self.node.stalls.of(&start.stream.target);
         let inputs = self.inputs.clone();
-        let task = link::start(Arc::clone(&self.ask), found.address, start, stall, inputs);
+        let task = engine_stream::start(Arc::clone(&self.ask), found.address, start, stall, inputs);
         self.open(link, target, task, Some(load));
         None
     }
--- a/daemon/tests/test_links.rs
+++ b/daemon/tests/test_links.rs
@@ -8,7 +8,7 @@
 use celerypond_answer::{
     ConnectionId, Event, Input, Start, StreamId, TimeoutEstimator, TimeoutLimits,
 };
-use celerypond_daemon::link::{self, Ask};
+use celerypond_daemon::engine_stream::{self, GenerationRequest};
 use celerypond_testutils::engine::{Engine, EngineSettings};
 use celerypond_types::{Attempt, Priority};
 use tokio::sync::mpsc;
@@ -26,7 +26,7 @@
         checks_fencing: true,
     });
     let server = engine.serve("127.0.0.1:0".parse().unwrap()).await.unwrap();
-    let ask = Ask {
+    let ask = GenerationRequest {
         request: "r".into(),
         model: "drafts".into(),
         adapter: None,
@@ -46,7 +46,7 @@
     };
     let stall = Arc::new(Mutex::new(TimeoutEstimator::new(TimeoutLimits::default())));
     let (inputs, mut received) = mpsc::channel(16);
-    link::start(Arc::new(ask), server.address, start, stall, inputs).await;
+    engine_stream::start(Arc::new(ask), server.address, start, stall, inputs).await;
     let mut all = Vec::new();
     while let Some(input) = received.recv().await {
         all.push(input);
