--- a/daemon/src/admission.rs
+++ b/daemon/src/admission.rs
@@ -155,7 +155,7 @@
         inner
             .resume_scheduler
             .set_limits(ResumeLimits::per_instance(instances));
-        let suspects = node.suspects.with(Vec::new(), now);
+        let suspects = node.suspects.add_to(Vec::new(), now);
         inner.grant_resumes(&view, &suspects, now, rng);
         inner.grant_new(&view, &suspects, now_ms, rng);
         let waiting: usize = inner.queues.values().map(AdmissionQueue::len).sum();
--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -77,7 +77,7 @@
 }
 
 /// Returns how many shards fall to this instance.
-pub fn owned(node: &Node) -> usize {
+pub fn owned_shards(node: &Node) -> usize {
     let shards = 0..ledger::SHARDS;
     shards
         .filter(|shard| owner_of(node, *shard).is_none())
--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -195,7 +195,7 @@
         let tokens = self.completion.max_tokens.into();
         let (account, charge) = Charge::new(node, self.account, tokens)?;
         let view = node.view.load_full();
-        let version = node.rollouts.choose(node, self.model);
+        let version = node.rollouts.choose_version(node, self.model);
         let Some(route) = view
             .version_key(&self.model.name, &version)
             .map(Route::Version)
@@ -203,8 +203,8 @@
             return Err(Problem::not_run(NotRunReason::NoTarget, NO_BUNDLE));
         };
         let prefixes = prefixes(&self.completion.prompt);
-        let held_back = node.rollouts.excluded(node, self.model, &version);
-        let excluded = node.suspects.with(held_back, Instant::now());
+        let held_back = node.rollouts.excluded_engines(node, self.model, &version);
+        let excluded = node.suspects.add_to(held_back, Instant::now());
         let ask = celerypond_route::PickCriteria {
             prefixes: &prefixes,
             adapter: self.adapter_hash(),
--- a/daemon/src/generation.rs
+++ b/daemon/src/generation.rs
@@ -20,7 +20,7 @@
     engine_stream::{self, GenerationRequest},
     keeping,
     node::Node,
-    rollouts::OpenAnswer,
+    rollouts::TrackedAnswer,
     target_watch::TargetEvent,
 };
 
@@ -66,7 +66,7 @@
     trying: Option<Trying>,
     /// The chunk of tokens under way, as evidence of the version.
     chunk: Option<Chunk>,
-    open: Option<OpenAnswer>,
+    open: Option<TrackedAnswer>,
     last_token: Instant,
     /// Whether a place among the resumes was asked for and did not come yet.
     resuming: bool,
--- a/daemon/src/generation/choice.rs
+++ b/daemon/src/generation/choice.rs
@@ -48,7 +48,7 @@
         avoid: Vec<TargetKey>,
     ) -> Option<TargetName> {
         let now = Instant::now();
-        let mut excluded = self.node.suspects.with(avoid, now);
+        let mut excluded = self.node.suspects.add_to(avoid, now);
         let prefixes = completions::prefixes(&self.ask.prompt);
         let adapter = self.ask.adapter.as_ref();
         let adapter = adapter.map_or(0, |name| celerypond_route::hash(name.as_str().as_bytes()));
@@ -89,7 +89,11 @@
         let model = force
             .as_ref()
             .and_then(|force| force.model(&self.ask.model));
-        let unloaded = model.map(|model| self.node.rollouts.unloaded(&self.node, model, &version));
+        let unloaded = model.map(|model| {
+            self.node
+                .rollouts
+                .engines_without_version(&self.node, model, &version)
+        });
         let unloaded = unloaded.unwrap_or_default();
         let granted = self.node.admission.resume(key, unloaded, self.last_token);
         let node = Arc::clone(&self.node);
--- a/daemon/src/generation/chunk.rs
+++ b/daemon/src/generation/chunk.rs
@@ -29,7 +29,7 @@
     fn came(&self, node: &Node, now: Instant) {
         let per_token = (now - self.began).as_micros() as u64 / u64::from(self.tokens.max(1));
         node.rollouts
-            .note(|controller| controller.record_success(&self.trial, per_token));
+            .with_controller(|controller| controller.record_success(&self.trial, per_token));
     }
 
     /// Begins the next chunk; it counts from its first token on.
@@ -52,14 +52,14 @@
             let took_us = (now - chunk.began).as_micros() as u64;
             self.node
                 .rollouts
-                .note(|controller| controller.record_success(&chunk.trial, took_us));
+                .with_controller(|controller| controller.record_success(&chunk.trial, took_us));
             chunk.next(now);
             return;
         }
         if !std::mem::replace(&mut chunk.is_asked, true) {
             self.node
                 .rollouts
-                .note(|controller| controller.record_sent(&chunk.trial));
+                .with_controller(|controller| controller.record_sent(&chunk.trial));
         }
         chunk.tokens += 1;
         if chunk.tokens == CHUNK {
@@ -86,7 +86,7 @@
             chunk.is_asked = true;
             self.node
                 .rollouts
-                .note(|controller| controller.record_sent(&chunk.trial));
+                .with_controller(|controller| controller.record_sent(&chunk.trial));
         }
     }
 
@@ -95,18 +95,22 @@
         self.ask_chunk(link);
         if let Some(chunk) = self.chunk.take_if(|chunk| chunk.link == link) {
             let now_ms = node::wall_ms();
-            self.node
-                .rollouts
-                .note(|controller| controller.record_failure(&chunk.trial, failure, now_ms));
+            self.node.rollouts.with_controller(|controller| {
+                controller.record_failure(&chunk.trial, failure, now_ms)
+            });
         }
     }
 
     pub(super) fn begin_chunk(&mut self, link: ConnectionId, start: &Start) {
         let class = rollouts::request_class(self.ask.adapter.as_ref());
         let model = &self.ask.model;
-        let trial = rollouts::trial(model, &start.version, &class, &start.stream.target);
+        let trial = rollouts::new_trial(model, &start.version, &class, &start.stream.target);
         if self.open.is_none() {
-            self.open = Some(self.node.rollouts.open(&self.node, model, &start.version));
+            self.open = Some(
+                self.node
+                    .rollouts
+                    .track_answer(&self.node, model, &start.version),
+            );
         }
         self.chunk = Some(Chunk {
             link,
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -247,7 +247,7 @@
     /// Nearly all writes are those of shards, so the owners of shards get them, and each instance a
     /// little for operators' steps, leases and rollouts.
     pub fn update_platform_rates(&self, instances: usize) {
-        let owned = forward::owned(self) as f64;
+        let owned = forward::owned_shards(self) as f64;
         let even = PLATFORM_RATES.share(instances);
         let rates = Rates {
             writes: even.writes * OTHER_WRITES + owned * SHARD_WRITES,
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -28,7 +28,7 @@
 mod status;
 
 pub use driver::run;
-pub use status::{RolloutStatus, Seen};
+pub use status::{RolloutStatus, TrialCounts};
 
 use shares::Shares;
 
@@ -58,12 +58,12 @@
 }
 
 /// An answer that is open at a version; dropping it counts the answer out.
-pub struct OpenAnswer {
+pub struct TrackedAnswer {
     node: Arc<Node>,
     key: (ModelName, VersionName),
 }
 
-impl Drop for OpenAnswer {
+impl Drop for TrackedAnswer {
     fn drop(&mut self) {
         let mut open = lock(&self.node.rollouts.open);
         if let Some(count) = open.get_mut(&self.key) {
@@ -108,7 +108,7 @@
     /// are refused. The symptom would be a good version that is taken back. Until an engine reports
     /// it, the version that it is to replace serves on. So it does while this instance has just
     /// started and may not know of a brake.
-    pub fn choose(&self, node: &Node, model: &Model) -> VersionName {
+    pub fn choose_version(&self, node: &Node, model: &Model) -> VersionName {
         let chosen = self.shares.choose(model);
         if self.shares.is_synced() && is_loaded(node, model, &chosen) {
             return chosen;
@@ -123,22 +123,32 @@
     }
 
     /// Counts an answer in at the base or a candidate.
-    pub fn open(&self, node: &Arc<Node>, model: &ModelName, version: &VersionName) -> OpenAnswer {
+    pub fn track_answer(
+        &self,
+        node: &Arc<Node>,
+        model: &ModelName,
+        version: &VersionName,
+    ) -> TrackedAnswer {
         let key = (model.clone(), version.clone());
         *lock(&self.open).entry(key.clone()).or_default() += 1;
-        OpenAnswer {
+        TrackedAnswer {
             node: Arc::clone(node),
             key,
         }
     }
 
     /// Returns the engines that new requests for a version must not use at its present stage.
-    pub fn excluded(&self, node: &Node, model: &Model, version: &VersionName) -> Vec<TargetKey> {
+    pub fn excluded_engines(
+        &self,
+        node: &Node,
+        model: &Model,
+        version: &VersionName,
+    ) -> Vec<TargetKey> {
         let candidate = Candidate {
             model: model.name.clone(),
             version: version.clone(),
         };
-        let mut excluded = self.unloaded(node, model, version);
+        let mut excluded = self.engines_without_version(node, model, version);
         let (Some(targets), Some(force)) =
             (targets(model, version), node.active_bundle.load_full())
         else {
@@ -157,7 +167,12 @@
 
     /// Returns the engines that have not loaded a version. Others may go on with answers of it,
     /// whatever the stage: an answer that has begun must not wait for the next stage.
-    pub fn unloaded(&self, node: &Node, model: &Model, version: &VersionName) -> Vec<TargetKey> {
+    pub fn engines_without_version(
+        &self,
+        node: &Node,
+        model: &Model,
+        version: &VersionName,
+    ) -> Vec<TargetKey> {
         let targets = targets(model, version).unwrap_or_default();
         let view = node.view.load();
         let unloaded = targets
@@ -167,7 +182,7 @@
     }
 
     /// Lets the controller note what became of a request.
-    pub fn note(&self, note: impl FnOnce(&mut RolloutController)) {
+    pub fn with_controller(&self, note: impl FnOnce(&mut RolloutController)) {
         note(&mut self.controller());
     }
 
@@ -316,7 +331,7 @@
 
 /// Returns whether any engine of a version reports to have loaded it.
 fn is_loaded(node: &Node, model: &Model, version: &VersionName) -> bool {
-    let left_out = node.rollouts.excluded(node, model, version);
+    let left_out = node.rollouts.excluded_engines(node, model, version);
     let view = node.view.load();
     let targets = targets(model, version).unwrap_or_default().iter();
     // An instance uses the engines of its group only, and a stage may use none of those.
@@ -370,7 +385,7 @@
 }
 
 /// Makes the trial of one chunk of an answer.
-pub fn trial(
+pub fn new_trial(
     model: &ModelName,
     version: &VersionName,
     class: &RequestClass,
--- a/daemon/src/rollouts/status.rs
+++ b/daemon/src/rollouts/status.rs
@@ -34,14 +34,14 @@
     /// When it must be complete, in milliseconds since 1970.
     pub deadline_ms: u64,
     /// What was seen of the version since the roll.
-    pub candidate: Seen,
+    pub candidate: TrialCounts,
     /// What was seen of the version that it is compared with, in the same time.
-    pub base: Seen,
+    pub base: TrialCounts,
 }
 
 /// What was seen of a version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Seen {
+pub struct TrialCounts {
     /// Answers and further chunks of answers that were asked for.
     pub asked: u64,
     /// Those that failed.
@@ -50,7 +50,7 @@
     pub discounted: u64,
 }
 
-impl Seen {
+impl TrialCounts {
     fn of(controller: &RolloutController, subject: &Subject, version: &VersionName) -> Self {
         let tally = controller.evidence().total(subject, version, None);
         let parts = [&tally.first, &tally.later];
@@ -127,7 +127,7 @@
         cause,
         acting: record.coverage(origin, controller.applied_states(), live),
         deadline_ms: record.deadline_ms,
-        candidate: Seen::of(controller, &subject, &change.candidate.version),
-        base: Seen::of(controller, &subject, &change.base),
+        candidate: TrialCounts::of(controller, &subject, &change.candidate.version),
+        base: TrialCounts::of(controller, &subject, &change.base),
     }
 }
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -383,7 +383,7 @@
     excluded: &[TargetKey],
 ) -> Option<TargetKey> {
     let now = Instant::now();
-    let suspects = node.suspects.with(excluded.to_vec(), now);
+    let suspects = node.suspects.add_to(excluded.to_vec(), now);
     let choose = |excluded| {
         let ask = PickCriteria {
             excluded,
--- a/daemon/src/suspects.rs
+++ b/daemon/src/suspects.rs
@@ -27,7 +27,7 @@
     }
 
     /// Returns `others` and all suspects.
-    pub fn with(&self, mut others: Vec<TargetKey>, now: Instant) -> Vec<TargetKey> {
+    pub fn add_to(&self, mut others: Vec<TargetKey>, now: Instant) -> Vec<TargetKey> {
         let mut suspects = self.lock();
         suspects.retain(|_, until| *until > now);
         others.extend(suspects.keys());
