--- a/daemon/src/gossip.rs
+++ b/daemon/src/gossip.rs
@@ -67,8 +67,8 @@
 fn act(node: &Arc<Node>, event: Event) {
     match event {
         Event::Revision(_) => node.bundle_changed.notify_one(),
-        Event::Brake(brake) => node.rollouts.braked(node, &brake),
-        Event::Changed(EntryKind::Acting) => node.rollouts.hear_acting(node),
+        Event::Brake(brake) => node.rollouts.handle_brake(node, &brake),
+        Event::Changed(EntryKind::Acting) => node.rollouts.merge_applied_states(node),
         Event::Changed(EntryKind::TargetLeaving) => node.departures_changed.notify_one(),
         // The store tells of the revision itself.
         Event::Ahead(_) | Event::Changed(_) => {}
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -178,7 +178,7 @@
         if last.is_some_and(|last| last.revision() >= force.revision()) {
             return false;
         }
-        self.rollouts.set_force(&force);
+        self.rollouts.set_active_bundle(&force);
         let before = self
             .view
             .rcu(|view| view.with_bundle(&self.group_bundle(&force), Instant::now()));
--- a/daemon/src/peer_server.rs
+++ b/daemon/src/peer_server.rs
@@ -84,7 +84,7 @@
     }
 
     async fn exchange_rollouts(self, _: Context, news: Vec<u8>) -> Vec<u8> {
-        self.0.rollouts.answer(&self.0, &news)
+        self.0.rollouts.handle_exchange(&self.0, &news)
     }
 
     async fn forward_call(self, _: Context, call: Vec<u8>) -> Vec<u8> {
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -1,4 +1,5 @@
-//! This instance's side in rollouts: which version takes a request and what is seen of it.
+//! Rollouts on this instance: chooses the version for each request, collects evidence about versions
+//! and exchanges rollout state with other instances.
 
 use std::{
     collections::BTreeMap,
@@ -32,32 +33,34 @@
 
 use shares::Shares;
 
-/// How often an instance says again what it acts on.
-const SAY_AGAIN: Duration = Duration::from_secs(10);
-/// How many peers hear of news at once.
+/// The interval at which an instance announces its applied state again although it did not change.
+const REANNOUNCE_INTERVAL: Duration = Duration::from_secs(10);
+/// The number of peers that receive new rollout state directly.
 const FAN_OUT: usize = 3;
-/// What separates a model from its version in the name of a brake.
-const SEPARATOR: char = '/';
+/// Separates the model from the version in the `version` field of a [`Brake`].
+const BRAKE_NAME_SEPARATOR: char = '/';
 
-/// What instances exchange about rollouts.
+/// The request and the response of a rollout exchange between instances.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-struct Talk {
-    news: RolloutSnapshot,
+struct RolloutExchange {
+    #[serde(rename = "news")]
+    snapshot: RolloutSnapshot,
     reports: Vec<EvidenceReport>,
 }
 
-/// This instance's side in rollouts.
+/// The rollout state of this instance.
 pub struct Rollouts {
     controller: Mutex<RolloutController>,
-    open: Mutex<BTreeMap<(ModelName, VersionName), u32>>,
+    /// The number of open answers of each version.
+    open_answers: Mutex<BTreeMap<(ModelName, VersionName), u32>>,
     shares: Shares,
-    /// What was last said that this instance acts on, and when.
-    said: Mutex<Option<(AppliedState, Instant)>>,
+    /// The applied state that was announced last, and when.
+    last_announced: Mutex<Option<(AppliedState, Instant)>>,
     /// When the records in the store were last read.
-    read: Mutex<Option<Instant>>,
+    records_read_at: Mutex<Option<Instant>>,
 }
 
-/// An answer that is open at a version; dropping it counts the answer out.
+/// An open answer of a version; dropping it decrements the count of open answers.
 pub struct TrackedAnswer {
     node: Arc<Node>,
     key: (ModelName, VersionName),
@@ -65,7 +68,7 @@
 
 impl Drop for TrackedAnswer {
     fn drop(&mut self) {
-        let mut open = lock(&self.node.rollouts.open);
+        let mut open = lock(&self.node.rollouts.open_answers);
         if let Some(count) = open.get_mut(&self.key) {
             *count = count.saturating_sub(1);
         }
@@ -73,7 +76,7 @@
 }
 
 impl Rollouts {
-    /// Makes the side of an instance; `incarnation` must rise with each restart.
+    /// Creates the rollout state of an instance; `incarnation` must increase with each restart.
     pub fn new(name: InstanceName, incarnation: u64) -> Self {
         Self {
             controller: Mutex::new(RolloutController::new(
@@ -81,48 +84,47 @@
                 incarnation,
                 RolloutConfig::default(),
             )),
-            open: Mutex::default(),
+            open_answers: Mutex::default(),
             shares: Shares::default(),
-            said: Mutex::default(),
-            read: Mutex::default(),
+            last_announced: Mutex::default(),
+            records_read_at: Mutex::default(),
         }
     }
 
-    /// Takes the bundle that has come into force.
-    pub fn set_force(&self, force: &Force) {
+    /// Sets the bundle that has come into force.
+    pub fn set_active_bundle(&self, force: &Force) {
         let mut controller = self.controller();
         controller.set_parts(force.headline.parts.clone());
         self.shares.publish(&controller, &force.bundle);
     }
 
-    /// Lets requests see the shares as they are now, which a brake has just changed, for example.
-    fn publish(&self, node: &Node) {
+    /// Publishes the current shares to the request path, for example after a brake changed them.
+    fn publish_shares(&self, node: &Node) {
         if let Some(force) = node.active_bundle.load_full() {
             self.shares.publish(&self.controller(), &force.bundle);
         }
     }
 
-    /// Chooses the version that takes the next request for a model.
+    /// Chooses the version for the next request for a model.
     ///
-    /// The failure: a bundle names a version that engines have not loaded yet, and its first requests
-    /// are refused. The symptom would be a good version that is taken back. Until an engine reports
-    /// it, the version that it is to replace serves on. So it does while this instance has just
-    /// started and may not know of a brake.
+    /// The base takes the requests of a candidate until an engine reports the candidate as loaded.
+    /// Otherwise engines would refuse its first requests, and a good version would be rolled back. The
+    /// base also takes them after a start until a peer has sent its brakes.
     pub fn choose_version(&self, node: &Node, model: &Model) -> VersionName {
         let chosen = self.shares.choose(model);
-        if self.shares.is_synced() && is_loaded(node, model, &chosen) {
+        if self.shares.is_synced() && is_loaded_on_any_engine(node, model, &chosen) {
             return chosen;
         }
         let force = node.active_bundle.load();
         let part = force
             .as_ref()
             .and_then(|force| force.headline.parts.get(&model.name));
-        let mut moves = part.into_iter().flat_map(|part| &part.increases);
-        let moved = moves.find(|change| change.candidate.version == chosen);
-        moved.map_or(chosen, |change| change.base.clone())
+        let mut increases = part.into_iter().flat_map(|part| &part.increases);
+        let increase = increases.find(|increase| increase.candidate.version == chosen);
+        increase.map_or(chosen, |increase| increase.base.clone())
     }
 
-    /// Counts an answer in at the base or a candidate.
+    /// Counts an answer of a version as open until the returned guard is dropped.
     pub fn track_answer(
         &self,
         node: &Arc<Node>,
@@ -130,14 +132,15 @@
         version: &VersionName,
     ) -> TrackedAnswer {
         let key = (model.clone(), version.clone());
-        *lock(&self.open).entry(key.clone()).or_default() += 1;
+        *lock(&self.open_answers).entry(key.clone()).or_default() += 1;
         TrackedAnswer {
             node: Arc::clone(node),
             key,
         }
     }
 
-    /// Returns the engines that new requests for a version must not use at its present stage.
+    /// Returns the engines that new requests for a version must not use at the current stage of its
+    /// rollout.
     pub fn excluded_engines(
         &self,
         node: &Node,
@@ -155,18 +158,20 @@
             return excluded;
         };
         let part = force.headline.parts.get(&model.name);
-        let engines =
+        let stage_engines =
             part.and_then(|part| self.controller().stage_engines(part.origin, &candidate));
-        let engines = engines.map_or(targets.len(), |engines| engines as usize);
+        let stage_engines = stage_engines.map_or(targets.len(), |engines| engines as usize);
         let view = node.view.load();
-        // All instances leave out the same engines, in the order that the bundle names them.
-        let left_out = targets.iter().skip(engines);
-        excluded.extend(left_out.filter_map(|name| view.target_key(name)));
+        // All instances use the first engines in the order of the bundle, so they exclude the same ones.
+        let excluded_names = targets.iter().skip(stage_engines);
+        excluded.extend(excluded_names.filter_map(|name| view.target_key(name)));
         excluded
     }
 
-    /// Returns the engines that have not loaded a version. Others may go on with answers of it,
-    /// whatever the stage: an answer that has begun must not wait for the next stage.
+    /// Returns the engines that have not loaded a version.
+    ///
+    /// An answer that has begun may continue on any other engine of the version, whatever the stage,
+    /// since it must not wait for the next stage.
     pub fn engines_without_version(
         &self,
         node: &Node,
@@ -177,18 +182,18 @@
         let view = node.view.load();
         let unloaded = targets
             .iter()
-            .filter(|name| !has_loaded(node, name, version));
+            .filter(|name| !may_have_loaded(node, name, version));
         unloaded.filter_map(|name| view.target_key(name)).collect()
     }
 
-    /// Lets the controller note what became of a request.
-    pub fn with_controller(&self, note: impl FnOnce(&mut RolloutController)) {
-        note(&mut self.controller());
+    /// Calls a function with the controller locked, for example to record the result of a request.
+    pub fn with_controller(&self, update: impl FnOnce(&mut RolloutController)) {
+        update(&mut self.controller());
     }
 
-    /// Takes a brake that gossip brought.
-    pub fn braked(&self, node: &Arc<Node>, brake: &Brake) {
-        let Some((model, version)) = brake.version.as_str().split_once(SEPARATOR) else {
+    /// Merges a brake received by gossip.
+    pub fn handle_brake(&self, node: &Arc<Node>, brake: &Brake) {
+        let Some((model, version)) = brake.version.as_str().split_once(BRAKE_NAME_SEPARATOR) else {
             return;
         };
         let candidate = Candidate {
@@ -197,25 +202,25 @@
         };
         let mut brakes = Brakes::default();
         brakes.insert(brake.revision, candidate, Cause::Failures);
-        let news = RolloutSnapshot {
+        let snapshot = RolloutSnapshot {
             rollouts: Vec::new(),
             brakes,
         };
-        let is_new = self.controller().merge_snapshot(&news);
-        self.publish(node);
+        let is_new = self.controller().merge_snapshot(&snapshot);
+        self.publish_shares(node);
         if is_new {
             node.metrics.add(celerypond_telemetry::Counter::Brakes, 1);
             log::warn!(
-                "the brake is on for {} of revision {}",
+                "version {} of revision {} is braked",
                 brake.version,
                 brake.revision
             );
         }
     }
 
-    /// Takes what other instances say they act on.
-    pub fn hear_acting(&self, node: &Node) {
-        let words: Vec<AppliedState> = {
+    /// Merges the applied states of other instances from gossip.
+    pub fn merge_applied_states(&self, node: &Node) {
+        let applied_states: Vec<AppliedState> = {
             let gossip = node.gossip();
             let items = gossip.entries().items(EntryKind::Acting);
             items
@@ -223,100 +228,109 @@
                 .collect()
         };
         let mut controller = self.controller();
-        for word in words {
-            controller.merge_applied_state(word);
+        for applied_state in applied_states {
+            controller.merge_applied_state(applied_state);
         }
     }
 
-    /// Takes a peer's news and answers with the own.
-    pub fn answer(&self, node: &Arc<Node>, talk: &[u8]) -> Vec<u8> {
-        self.hear(node, talk);
-        self.talk()
+    /// Merges the rollout state of a peer and returns the state of this instance.
+    pub fn handle_exchange(&self, node: &Arc<Node>, request: &[u8]) -> Vec<u8> {
+        self.merge_exchange(node, request);
+        self.encode_exchange()
     }
 
-    fn hear(&self, node: &Arc<Node>, talk: &[u8]) {
-        let Ok(talk) = serde_json::from_slice::<Talk>(talk) else {
+    fn merge_exchange(&self, node: &Arc<Node>, exchange: &[u8]) {
+        let Ok(exchange) = serde_json::from_slice::<RolloutExchange>(exchange) else {
             return;
         };
         let is_new = {
             let mut controller = self.controller();
-            for report in talk.reports {
+            for report in exchange.reports {
                 controller.merge_report(report);
             }
-            controller.merge_snapshot(&talk.news)
+            controller.merge_snapshot(&exchange.snapshot)
         };
-        self.publish(node);
+        self.publish_shares(node);
         if is_new {
-            self.spread(node);
+            self.broadcast(node);
         }
     }
 
-    fn talk(&self) -> Vec<u8> {
+    fn encode_exchange(&self) -> Vec<u8> {
         let controller = self.controller();
-        let talk = Talk {
-            news: controller.snapshot(),
+        let exchange = RolloutExchange {
+            snapshot: controller.snapshot(),
             reports: controller.own_reports().cloned().collect(),
         };
-        serde_json::to_vec(&talk).unwrap_or_default()
+        serde_json::to_vec(&exchange).unwrap_or_default()
     }
 
-    /// Passes the brakes on by gossip and all news to some peers, without the store.
-    fn spread(&self, node: &Arc<Node>) {
-        let brakes: Vec<Brake> = brakes(node, &self.controller());
+    /// Sends the brakes by gossip and the whole rollout state to some peers, without the store.
+    fn broadcast(&self, node: &Arc<Node>) {
+        let brakes: Vec<Brake> = active_brakes(node, &self.controller());
         for brake in brakes {
             node.gossip().add_brake(brake);
         }
         gossip::process_events(node);
-        self.push(node, FAN_OUT, |_| true);
+        self.exchange_with_peers(node, FAN_OUT, |_| true);
     }
 
-    /// Exchanges evidence with one of those who weigh it.
-    fn exchange(&self, node: &Arc<Node>) {
-        let live = listed(node);
+    /// Exchanges rollout state with one of the evidence reporters, or with any peer if there is none.
+    fn exchange_evidence(&self, node: &Arc<Node>) {
+        let live = listed_live_instances(node);
         let Some(force) = node.active_bundle.load_full() else {
             return;
         };
         let parts = force.headline.parts.iter();
-        let all: Vec<InstanceName> = parts
+        let reporters: Vec<InstanceName> = parts
             .flat_map(|(model, part)| evidence_reporters(part.origin, model, &live))
             .collect();
-        self.push(node, 1, |name| all.is_empty() || all.contains(name));
+        self.exchange_with_peers(node, 1, |name| {
+            reporters.is_empty() || reporters.contains(name)
+        });
     }
 
-    fn push(&self, node: &Arc<Node>, count: usize, fits: impl Fn(&InstanceName) -> bool) {
+    fn exchange_with_peers(
+        &self,
+        node: &Arc<Node>,
+        count: usize,
+        is_eligible: impl Fn(&InstanceName) -> bool,
+    ) {
         let addresses: Vec<_> = gossip::live_instances(node)
             .into_iter()
-            .filter(|instance| fits(&instance.name))
+            .filter(|instance| is_eligible(&instance.name))
             .filter_map(|instance| instance.address)
             .collect();
-        let talk = self.talk();
+        let request = self.encode_exchange();
         let chosen: Vec<_> = addresses
             .choose_multiple(&mut node.rng(), count)
             .copied()
             .collect();
         for address in chosen {
             let node = Arc::clone(node);
-            let talk = talk.clone();
-            let work = node.background_tasks.clone();
-            work.spawn(async move {
-                if let Ok(answer) = node.peers.exchange_rollouts(address, talk).await {
-                    node.rollouts.hear(&node, &answer);
+            let request = request.clone();
+            let tasks = node.background_tasks.clone();
+            tasks.spawn(async move {
+                if let Ok(response) = node.peers.exchange_rollouts(address, request).await {
+                    node.rollouts.merge_exchange(&node, &response);
                 }
             });
         }
     }
 
-    /// Returns whether others must hear what this instance acts on: it changed, or was long not said.
-    fn is_news(&self, acting: &AppliedState) -> bool {
-        let mut said = lock(&self.said);
-        let is_old = said.as_ref().is_none_or(|(last, at)| {
-            let is_same = (last.revision, &last.shares) == (acting.revision, &acting.shares);
-            !is_same || at.elapsed() >= SAY_AGAIN
+    /// Returns whether to announce the applied state now, and records it as announced if so.
+    ///
+    /// It is announced when it changed and at least once per [`REANNOUNCE_INTERVAL`].
+    fn should_announce(&self, applied: &AppliedState) -> bool {
+        let mut last_announced = lock(&self.last_announced);
+        let is_due = last_announced.as_ref().is_none_or(|(last, at)| {
+            let is_same = (last.revision, &last.shares) == (applied.revision, &applied.shares);
+            !is_same || at.elapsed() >= REANNOUNCE_INTERVAL
         });
-        if is_old {
-            *said = Some((acting.clone(), Instant::now()));
+        if is_due {
+            *last_announced = Some((applied.clone(), Instant::now()));
         }
-        is_old
+        is_due
     }
 
     fn controller(&self) -> MutexGuard<'_, RolloutController> {
@@ -324,53 +338,55 @@
     }
 }
 
+/// Returns the targets of a version, in the order of the bundle.
 fn targets<'a>(model: &'a Model, version: &VersionName) -> Option<&'a [TargetName]> {
     let found = model.versions.iter().find(|found| found.name == *version);
     found.map(|found| found.targets.as_slice())
 }
 
-/// Returns whether any engine of a version reports to have loaded it.
-fn is_loaded(node: &Node, model: &Model, version: &VersionName) -> bool {
-    let left_out = node.rollouts.excluded_engines(node, model, version);
+/// Returns whether an engine that new requests for a version may use has possibly loaded it.
+fn is_loaded_on_any_engine(node: &Node, model: &Model, version: &VersionName) -> bool {
+    let excluded = node.rollouts.excluded_engines(node, model, version);
     let view = node.view.load();
     let targets = targets(model, version).unwrap_or_default().iter();
-    // An instance uses the engines of its group only, and a stage may use none of those.
-    let mut used = targets.filter(|target| {
+    // An instance uses only the engines of its group, and the stage may include none of them.
+    let mut usable = targets.filter(|target| {
         let key = view.target_key(target);
-        key.is_some_and(|key| !left_out.contains(&key))
+        key.is_some_and(|key| !excluded.contains(&key))
     });
-    used.any(|target| has_loaded(node, target, version))
+    usable.any(|target| may_have_loaded(node, target, version))
 }
 
-/// Returns whether an engine may have a version loaded; one that was never asked may.
-fn has_loaded(node: &Node, target: &TargetName, version: &VersionName) -> bool {
-    let reported = node.loaded_versions(target);
-    reported.is_none_or(|versions| versions.contains(version))
+/// Returns whether an engine may have loaded a version: it reported so, or has not reported yet.
+fn may_have_loaded(node: &Node, target: &TargetName, version: &VersionName) -> bool {
+    let loaded = node.loaded_versions(target);
+    loaded.is_none_or(|versions| versions.contains(version))
 }
 
-fn brakes(node: &Node, controller: &RolloutController) -> Vec<Brake> {
+/// Returns the brakes of the share increases in the active bundle.
+fn active_brakes(node: &Node, controller: &RolloutController) -> Vec<Brake> {
     let Some(force) = node.active_bundle.load_full() else {
         return Vec::new();
     };
-    let moves = force.headline.parts.values().flat_map(|part| {
+    let candidates = force.headline.parts.values().flat_map(|part| {
         part.increases
             .iter()
-            .map(|change| (part.origin, change.candidate.clone()))
+            .map(|increase| (part.origin, increase.candidate.clone()))
     });
-    moves
+    candidates
         .filter(|(origin, candidate)| controller.brakes().cause(*origin, candidate).is_some())
         .map(|(revision, candidate)| Brake {
             revision,
             version: VersionName::new(format!(
-                "{}{SEPARATOR}{}",
+                "{}{BRAKE_NAME_SEPARATOR}{}",
                 candidate.model, candidate.version
             )),
         })
         .collect()
 }
 
-/// Returns the live instances by the platform's list.
-fn listed(node: &Node) -> Vec<InstanceName> {
+/// Returns the live instances according to the platform's instance list.
+fn listed_live_instances(node: &Node) -> Vec<InstanceName> {
     let list = node.instance_list.load();
     let live = list
         .instances
@@ -379,12 +395,12 @@
     live.map(|instance| instance.name.clone()).collect()
 }
 
-/// Returns the kind of request that a version's faults may differ by.
+/// Returns the class of a request; the faults of a version may affect only some classes.
 pub fn request_class(adapter: Option<&celerypond_types::AdapterName>) -> RequestClass {
     RequestClass(adapter.map_or("", |adapter| adapter.as_str()).into())
 }
 
-/// Makes the trial of one chunk of an answer.
+/// Returns a trial of the first chunk of an answer that begins now.
 pub fn new_trial(
     model: &ModelName,
     version: &VersionName,
--- a/daemon/src/rollouts/status.rs
+++ b/daemon/src/rollouts/status.rs
@@ -1,4 +1,4 @@
-//! How rollouts stand, as operators are told.
+//! The status of rollouts as reported to operators.
 
 use std::time::Duration;
 
@@ -8,45 +8,45 @@
 use celerypond_types::{InstanceName, ModelName, Revision, VersionName};
 use serde::Serialize;
 
-use super::{listed, lock, Rollouts};
+use super::{listed_live_instances, lock, Rollouts};
 use crate::node::{self, Node};
 
-/// How long ago the store may have been read for an answer that counts as known.
-const FRESH: Duration = Duration::from_secs(10);
+/// The maximum time since the last read of the store for its records to count as current.
+const MAX_RECORD_AGE: Duration = Duration::from_secs(10);
 
-/// How a rollout stands, as operators are told.
+/// The status of the rollout of one version.
 #[derive(Clone, Debug, Serialize)]
 pub struct RolloutStatus {
     /// The model.
     pub model: ModelName,
     /// The version.
     pub version: VersionName,
-    /// How far it has come, or that it is not yet known.
+    /// The stage or the outcome as text, or that it is not yet known.
     pub stage: String,
-    /// How it ended: `done` or `taken_back`.
+    /// How it ended: `done` or `taken_back`, which means rolled back.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub ending: Option<&'static str>,
-    /// Why it is taken back.
+    /// Why the version was rolled back.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cause: Option<Cause>,
-    /// On how many instances the stage acts.
+    /// The live instances that confirm the outcome that the current phase leads to.
     pub acting: Coverage,
-    /// When it must be complete, in milliseconds since 1970.
+    /// When it must be complete, as Unix time in milliseconds.
     pub deadline_ms: u64,
-    /// What was seen of the version since the roll.
+    /// The trials of the version since the roll.
     pub candidate: TrialCounts,
-    /// What was seen of the version that it is compared with, in the same time.
+    /// The trials of the version that it is compared with, in the same time.
     pub base: TrialCounts,
 }
 
-/// What was seen of a version.
+/// The numbers of trials of a version; a trial is one chunk of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TrialCounts {
-    /// Answers and further chunks of answers that were asked for.
+    /// The trials sent, of first and of later chunks.
     pub asked: u64,
-    /// Those that failed.
+    /// The trials that failed.
     pub failed: u64,
-    /// Those that were cut off by the death of an engine, which count neither way.
+    /// The trials cut off by the crash of an engine, which count neither as success nor as failure.
     pub discounted: u64,
 }
 
@@ -63,10 +63,10 @@
 }
 
 impl Rollouts {
-    /// Returns how the rollouts of the bundle in force stand, and on how many instances it acts.
+    /// Returns on which live instances the bundle in force is active, and the status of its rollouts.
     pub fn status(&self, node: &Node) -> (Coverage, Vec<RolloutStatus>) {
-        let live = listed(node);
-        let is_fresh = lock(&self.read).is_some_and(|at| at.elapsed() < FRESH);
+        let live = listed_live_instances(node);
+        let is_fresh = lock(&self.records_read_at).is_some_and(|at| at.elapsed() < MAX_RECORD_AGE);
         let controller = self.controller();
         let Some(force) = node.active_bundle.load_full() else {
             return (
@@ -106,8 +106,8 @@
         origin,
         model: change.candidate.model.clone(),
     };
-    let standing = controller.reported_status(origin, &change.candidate, is_fresh, node::wall_ms());
-    let (stage, ending, cause) = match standing {
+    let reported = controller.reported_status(origin, &change.candidate, is_fresh, node::wall_ms());
+    let (stage, ending, cause) = match reported {
         ReportedStatus::Running { stage, .. } => {
             let text = format!("stage {} of {}", stage + 1, record.stages.len());
             (text, None, None)
