--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -29,7 +29,7 @@
 
 use crate::{
     admission::Admission, force::Force, forward, front::socket::Sockets, ledger::Ledger, limits,
-    orders::Reports, part::part_of, peers::Peers, rollouts::Rollouts, stalls::Stalls,
+    orders::LoadedVersions, part::part_of, peers::Peers, rollouts::Rollouts, stalls::Stalls,
     suspects::Suspects, target_watch::TargetEvent,
 };
 
@@ -103,7 +103,7 @@
     keeper: Mutex<Keeper>,
     drivers: Mutex<HashMap<RequestKey, mpsc::Sender<Input>>>,
     instance_list_read_at: Mutex<Option<Instant>>,
-    loaded_versions: Mutex<Reports>,
+    loaded_versions: Mutex<LoadedVersions>,
     open_requests: AtomicI64,
     rng: Mutex<SmallRng>,
     nonce: AtomicU64,
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: each shard of targets is driven by the instance that holds its lease.
+//! Sends orders to engines. The instance that holds the lease of a shard sends the orders to its targets.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -25,69 +25,72 @@
 
 use crate::{engine, force::Force, gossip, http_call::CallError, node::Node};
 
-/// How many leases cover all targets; the same at every instance for all time.
-const SHARDS: u32 = 8;
-/// How often a shard is looked at.
-const STEP: Duration = Duration::from_millis(500);
-/// How many results may wait for a shard.
-const INPUTS: usize = 256;
+/// The number of shards of targets, each with one lease. It must be the same at all instances and must
+/// never change.
+const SHARD_COUNT: u32 = 8;
+/// The interval at which a shard is reconciled.
+const STEP_INTERVAL: Duration = Duration::from_millis(500);
+/// The number of inputs that may wait for a shard.
+const INPUT_QUEUE_LENGTH: usize = 256;
 
-/// The body of an order, in the form of `docs/design/wire.md`.
+/// The request body of an order; `docs/design/wire.md` specifies it.
 #[derive(Serialize)]
-struct Body<'a> {
+struct OrderBody<'a> {
     fencing: FencingNumber,
     order: &'a Order,
 }
 
-/// One shard at this instance.
-struct Actor {
+/// The task of one shard on this instance.
+struct ShardTask {
     node: Arc<Node>,
     shard: Shard,
     reconciler: Reconciler,
     inputs: mpsc::Sender<Input>,
     received: mpsc::Receiver<Input>,
-    wanted: Wanted,
+    desired_states: DesiredStates,
 }
 
-/// What the bundles want of engines.
+/// The desired states of engines according to the bundles.
 #[derive(Default)]
-struct Wanted {
+struct DesiredStates {
     force: Option<Arc<Force>>,
-    /// The bundle before, whose versions stay until its last answers can have ended.
-    former: Option<(Arc<Force>, Instant)>,
-    known: Vec<TargetName>,
+    /// The previous bundle, and the time by which its last answers have ended. Until then engines keep
+    /// its versions.
+    previous: Option<(Arc<Force>, Instant)>,
+    /// The targets that the reconciler knows.
+    known_targets: Vec<TargetName>,
 }
 
-/// Drives all shards whose leases fall to this instance, until it ends.
+/// Runs the tasks of all shards until the instance shuts down.
 pub async fn run(node: Arc<Node>) {
-    let shards = (0..SHARDS).map(|shard| Actor::new(&node, Shard(shard)).run());
-    futures::future::join_all(shards).await;
+    let tasks = (0..SHARD_COUNT).map(|shard| ShardTask::new(&node, Shard(shard)).run());
+    futures::future::join_all(tasks).await;
 }
 
-impl Actor {
+impl ShardTask {
     fn new(node: &Arc<Node>, shard: Shard) -> Self {
         let settings = OrderSettings::default();
         let name = node.settings.instance.clone();
         let lease_client = LeaseClient::new(name, settings.clone(), node.rng());
-        let (inputs, received) = mpsc::channel(INPUTS);
+        let (inputs, received) = mpsc::channel(INPUT_QUEUE_LENGTH);
         Self {
             node: Arc::clone(node),
             shard,
             reconciler: Reconciler::new(settings, lease_client),
             inputs,
             received,
-            wanted: Wanted::default(),
+            desired_states: DesiredStates::default(),
         }
     }
 
     async fn run(mut self) {
-        let mut tick = time::interval(STEP);
+        let mut tick = time::interval(STEP_INTERVAL);
         loop {
             let input = tokio::select! {
                 () = self.node.shutdown.cancelled() => return,
                 Some(input) = self.received.recv() => input,
                 _ = tick.tick() => {
-                    self.look();
+                    self.update_desired_states();
                     Input::Tick
                 }
             };
@@ -101,25 +104,26 @@
         }
     }
 
-    /// Takes in who drives the shard, what the bundle wants and what the engines report.
-    fn look(&mut self) {
+    /// Updates the reconciler: whether this instance should hold the lease, the desired states by the
+    /// active bundle and the reports of the engines.
+    fn update_desired_states(&mut self) {
         let Some(force) = self.node.active_bundle.load_full() else {
             return;
         };
         self.reconciler
-            .set_wanted(is_driver(&self.node, self.shard));
-        self.wanted.follow(force);
-        let wanted = self.wanted.of_shard(self.shard);
-        for gone in self
-            .wanted
-            .known
+            .set_wanted(is_responsible(&self.node, self.shard));
+        self.desired_states.set_active_bundle(force);
+        let desired_states = self.desired_states.for_shard(self.shard);
+        for removed in self
+            .desired_states
+            .known_targets
             .iter()
-            .filter(|name| !wanted.contains_key(*name))
+            .filter(|name| !desired_states.contains_key(*name))
         {
-            self.reconciler.remove_target(gone);
+            self.reconciler.remove_target(removed);
         }
-        self.wanted.known = wanted.keys().cloned().collect();
-        for (target, (guard, desired)) in wanted {
+        self.desired_states.known_targets = desired_states.keys().cloned().collect();
+        for (target, (guard, desired)) in desired_states {
             if let Some(versions) = self.node.loaded_versions(&target) {
                 self.step(Input::Reported(target.clone(), EngineReport { versions }));
             }
@@ -130,13 +134,13 @@
     fn carry_out(&self, effect: Effect) {
         let node = Arc::clone(&self.node);
         let inputs = self.inputs.clone();
-        let work = node.background_tasks.clone();
+        let tasks = node.background_tasks.clone();
         match effect {
             Effect::Store(call) => {
                 let key = self.shard.object_key();
-                work.spawn(async move {
-                    let reply = store(&node, &key, call).await;
-                    // The shard ends only with the instance.
+                tasks.spawn(async move {
+                    let reply = call_store(&node, &key, call).await;
+                    // This fails only when the instance shuts down.
                     let _ = inputs.send(Input::Store(reply)).await;
                 });
             }
@@ -147,9 +151,9 @@
                 order,
                 write_deadline,
             } => {
-                work.spawn(async move {
-                    let outcome = send(&node, &target, fencing, &order, write_deadline).await;
-                    note(&node, &target, &order, outcome);
+                tasks.spawn(async move {
+                    let outcome = send_order(&node, &target, fencing, &order, write_deadline).await;
+                    record_send(&node, &target, &order, outcome);
                     let _ = inputs
                         .send(Input::SendEnded(target, order_id, outcome))
                         .await;
@@ -159,51 +163,55 @@
     }
 }
 
-impl Wanted {
-    fn follow(&mut self, force: Arc<Force>) {
+impl DesiredStates {
+    /// Sets the active bundle. The one before becomes the previous bundle for as long as the longest
+    /// deadline of its models.
+    fn set_active_bundle(&mut self, force: Arc<Force>) {
         let now = Instant::now();
         let is_new = self
             .force
             .as_ref()
             .is_none_or(|held| held.revision() < force.revision());
-        if is_new && let Some(former) = self.force.replace(force) {
-            let longest = former.bundle.models.iter().map(|model| model.deadline_ms);
-            let longest = Duration::from_millis(longest.max().unwrap_or(0));
-            self.former = Some((former, now + longest));
+        if is_new && let Some(previous) = self.force.replace(force) {
+            let deadlines = previous.bundle.models.iter().map(|model| model.deadline_ms);
+            let longest_deadline = Duration::from_millis(deadlines.max().unwrap_or(0));
+            self.previous = Some((previous, now + longest_deadline));
         }
-        self.former.take_if(|(_, until)| *until <= now);
+        self.previous.take_if(|(_, until)| *until <= now);
     }
 
-    fn of_shard(&self, shard: Shard) -> BTreeMap<TargetName, (StaleOrderGuard, DesiredState)> {
-        let mut wanted = BTreeMap::new();
+    /// Returns the engines of a shard with their guards and desired states.
+    fn for_shard(&self, shard: Shard) -> BTreeMap<TargetName, (StaleOrderGuard, DesiredState)> {
+        let mut desired_states = BTreeMap::new();
         let Some(force) = &self.force else {
-            return wanted;
+            return desired_states;
         };
         for target in &force.bundle.targets {
-            if target.kind == TargetKind::Engine && Shard::of(&target.name, SHARDS) == shard {
+            if target.kind == TargetKind::Engine && Shard::of(&target.name, SHARD_COUNT) == shard {
                 let guard = match target.fencing {
                     Fencing::Checked => StaleOrderGuard::Fencing,
                     Fencing::ClosesIdle => StaleOrderGuard::IdleClose,
                     Fencing::Ignored => StaleOrderGuard::Repair,
                 };
-                wanted.insert(target.name.clone(), (guard, DesiredState::default()));
+                desired_states.insert(target.name.clone(), (guard, DesiredState::default()));
             }
         }
-        let former = self.former.iter().map(|(former, _)| former);
-        for force in former.chain([force]) {
-            add_versions(&force.bundle, &mut wanted);
+        let previous = self.previous.iter().map(|(previous, _)| previous);
+        for force in previous.chain([force]) {
+            add_versions(&force.bundle, &mut desired_states);
         }
-        wanted
+        desired_states
     }
 }
 
+/// Adds the versions of a bundle to the desired states of their targets.
 fn add_versions(
     bundle: &Bundle,
-    wanted: &mut BTreeMap<TargetName, (StaleOrderGuard, DesiredState)>,
+    desired_states: &mut BTreeMap<TargetName, (StaleOrderGuard, DesiredState)>,
 ) {
     for version in bundle.models.iter().flat_map(|model| &model.versions) {
         for target in &version.targets {
-            if let Some((_, desired)) = wanted.get_mut(target) {
+            if let Some((_, desired)) = desired_states.get_mut(target) {
                 let weights = version.weights.clone();
                 desired.versions.insert(version.name.clone(), weights);
             }
@@ -211,14 +219,16 @@
     }
 }
 
-/// Returns whether the lease of a shard falls to this instance. Two may think so for a while; the
-/// store gives the lease to one of them.
-fn is_driver(node: &Node, shard: Shard) -> bool {
-    let driver = gossip::responsible_instance(node, &shard.object_key());
-    driver.is_some_and(|instance| instance.address.is_none())
+/// Returns whether this instance should hold the lease of a shard.
+///
+/// Several instances may consider themselves responsible for a while; the store grants the lease to
+/// only one of them.
+fn is_responsible(node: &Node, shard: Shard) -> bool {
+    let responsible = gossip::responsible_instance(node, &shard.object_key());
+    responsible.is_some_and(|instance| instance.address.is_none())
 }
 
-async fn store(node: &Node, key: &str, call: StoreCall) -> StoreReply {
+async fn call_store(node: &Node, key: &str, call: StoreCall) -> StoreReply {
     node.metrics.add(Counter::LeaseCalls, 1);
     let written = match call {
         StoreCall::Read => {
@@ -243,7 +253,7 @@
     }
 }
 
-async fn send(
+async fn send_order(
     node: &Node,
     target: &TargetName,
     fencing: FencingNumber,
@@ -253,11 +263,11 @@
     let Some(address) = address(node, target) else {
         return SendOutcome::NotSent;
     };
-    let body = Body { fencing, order };
-    let value = serde_json::to_vec(&body).unwrap_or_default();
+    let body = OrderBody { fencing, order };
+    let body = serde_json::to_vec(&body).unwrap_or_default();
     match engine::send_order(
         address,
-        value,
+        body,
         write_deadline,
         OrderSettings::default().send_timeout,
     )
@@ -266,9 +276,10 @@
         Ok(None) => SendOutcome::NotSent,
         Ok(Some((StatusCode::OK, _))) => SendOutcome::Accepted,
         Ok(Some((StatusCode::CONFLICT, _))) => SendOutcome::Fenced,
-        Ok(Some((StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE, after))) => {
-            SendOutcome::Refused(after)
-        }
+        Ok(Some((
+            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE,
+            retry_after,
+        ))) => SendOutcome::Refused(retry_after),
         Ok(Some(_)) => SendOutcome::Unknown,
         Err(report) => match report.current_context() {
             CallError::Connect => SendOutcome::NotSent,
@@ -282,7 +293,7 @@
     Some(view.target(view.target_key(target)?)?.address)
 }
 
-fn note(node: &Node, target: &TargetName, order: &Order, outcome: SendOutcome) {
+fn record_send(node: &Node, target: &TargetName, order: &Order, outcome: SendOutcome) {
     let counter = match outcome {
         SendOutcome::Fenced => Counter::OrdersFenced,
         SendOutcome::NotSent => Counter::OrdersHeld,
@@ -290,9 +301,9 @@
     };
     node.metrics.add(counter, 1);
     if outcome == SendOutcome::Accepted {
-        log::info!("target {target} accepted {order:?}");
+        log::info!("target {target} accepted order {order:?}");
     }
 }
 
-/// What engines last reported to have loaded.
-pub type Reports = HashMap<TargetName, Vec<celerypond_types::VersionName>>;
+/// The versions that each engine reported as loaded when it last reported.
+pub type LoadedVersions = HashMap<TargetName, Vec<celerypond_types::VersionName>>;
