--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -26,12 +26,12 @@
     target_watch::{health_path, is_live, TargetEvent},
 };
 
-/// The largest answer of a service, in bytes.
-const ANSWER: usize = 16 << 20;
-/// When to come back if a service gives no time.
-const COME_BACK: Duration = Duration::from_secs(1);
-/// The headers that go on to a service.
-const PASSED: [HeaderName; 3] = [
+/// The maximum size of a service's response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+/// The retry delay for callers if the service names none.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The request headers that are forwarded to a service.
+const FORWARDED_HEADERS: [HeaderName; 3] = [
     header::CONTENT_TYPE,
     header::ACCEPT,
     HeaderName::from_static("idempotency-key"),
@@ -40,75 +40,79 @@
 /// A call to a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceCall {
-    /// The service, as the bundle declared it when the call came.
+    /// The service, as declared by the bundle that was in force when the call arrived.
     pub service: Arc<Service>,
     /// The method.
     pub method: Method,
-    /// The path and query below the service.
+    /// The path and query, relative to the service.
     pub path: SmolStr,
-    /// The headers that go on.
+    /// The headers to forward.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// When the caller no longer waits.
+    /// When the caller stops waiting.
     pub deadline: Instant,
-    /// The hop that the call came over; the task that sends it is another's.
+    /// The trace context of the span in which the call arrived; another task sends the call.
     pub trace: Option<TraceContext>,
 }
 
-/// A connection to a target that was chosen for a call.
-struct Connected {
+/// A connection to the target that was picked for a call.
+struct TargetConnection {
     route: Route,
     key: TargetKey,
     target: Arc<Target>,
-    fresh: NewConnection,
-    load: InFlight,
+    connection: NewConnection,
+    in_flight: InFlight,
 }
 
-/// What one try brought.
-enum Tried {
-    Answer(ServiceResponse, Option<Duration>),
+/// The result of one attempt.
+enum AttemptResult {
+    /// A response, with its `retry-after`.
+    Response(ServiceResponse, Option<Duration>),
     Failed(Failure),
 }
 
-/// The tries of one call so far.
+/// The attempts of one call so far.
 #[derive(Default)]
-struct Tries {
+struct Attempts {
     excluded: Vec<TargetKey>,
-    /// How many tries were sent.
+    /// The number of attempts sent.
     sent: u32,
-    last: Option<ServiceResponse>,
-    /// The target of the last try.
-    target: Option<Arc<Target>>,
+    /// The response of the last attempt, if it got one.
+    last_response: Option<ServiceResponse>,
+    /// The target of the last attempt.
+    last_target: Option<Arc<Target>>,
 }
 
-impl Tries {
+impl Attempts {
     /// Takes a retry from the budgets of this instance and of the target that failed.
     ///
-    /// The failure: one target fails all its calls, and their retries use up what this instance may
-    /// retry, so that the failures of all others go to their callers.
-    fn may_retry(&self, node: &Node) -> bool {
-        match &self.target {
+    /// Without a budget for each target, the retries of one target that fails all its calls would use
+    /// up the budget of this instance, and the failures of all other targets would reach the callers.
+    fn take_retry(&self, node: &Node) -> bool {
+        match &self.last_target {
             Some(target) => node.retry_budget.try_take_both(&target.state.retry_budget),
             None => node.retry_budget.try_take(),
         }
     }
 
-    /// Ends the call; one that was sent is never said not to have run.
-    fn give_up(self, reason: NotRunReason) -> Outcome<ServiceResponse> {
-        match self.last {
-            Some(reply) => Outcome::Ran(reply),
+    /// Returns the outcome of a call that is not retried again.
+    ///
+    /// A call that was sent is never reported as not run.
+    fn into_outcome(self, reason: NotRunReason) -> Outcome<ServiceResponse> {
+        match self.last_response {
+            Some(response) => Outcome::Ran(response),
             None if self.sent > 0 => Outcome::Unknown,
             None => Outcome::NotRun {
                 reason,
-                retry_after: COME_BACK,
+                retry_after: DEFAULT_RETRY_AFTER,
             },
         }
     }
 }
 
 impl ServiceCall {
-    /// Makes a call with those of the caller's headers that go on.
+    /// Creates a call, with those of the caller's headers that are forwarded.
     pub fn new(
         service: Arc<Service>,
         method: Method,
@@ -117,119 +121,121 @@
         body: Bytes,
         deadline: Instant,
     ) -> Self {
-        let mut kept = HeaderMap::new();
-        for name in PASSED {
+        let mut forwarded = HeaderMap::new();
+        for name in FORWARDED_HEADERS {
             if let Some(value) = headers.get(&name) {
-                kept.insert(name, value.clone());
+                forwarded.insert(name, value.clone());
             }
         }
         Self {
             service,
             method,
             path: path.into(),
-            headers: kept,
+            headers: forwarded,
             body,
             deadline,
             trace: TraceContext::from_span(&Span::current()),
         }
     }
 
-    /// Sends a call that may not be repeated, once.
+    /// Sends a call that may not be repeated, at most once.
     ///
-    /// Until a connection stands no byte can have reached a service, so another target may be
-    /// tried. From the first write on, only an answer tells what became of the call.
+    /// Before a connection is established, no byte can have reached a service, so other targets may
+    /// be tried. From the first write on, only a response tells whether the call ran.
     pub async fn send_once(&self, node: &Node, unsent: UnsentCall) -> FinishedCall {
-        let connected = match self.connect(node, &mut Vec::new()).await {
-            Ok(connected) => connected,
-            Err(reason) => return unsent.not_run(reason, COME_BACK),
+        let connection = match self.connect(node, &mut Vec::new()).await {
+            Ok(connection) => connection,
+            Err(reason) => return unsent.not_run(reason, DEFAULT_RETRY_AFTER),
         };
         let sent = match unsent.mark_sent(Instant::now()) {
             Ok(sent) => sent,
             Err(finished) => return finished,
         };
-        match self.exchange(node, connected).await {
-            Tried::Answer(reply, after) => {
+        match self.exchange(node, connection).await {
+            AttemptResult::Response(response, retry_after) => {
                 let not_run_codes = NotRunCodes::new(&self.service.not_run_codes);
-                sent.answered(reply, after.unwrap_or(COME_BACK), &not_run_codes)
+                let retry_after = retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
+                sent.answered(response, retry_after, &not_run_codes)
             }
-            Tried::Failed(_) => sent.unanswered(),
+            AttemptResult::Failed(_) => sent.unanswered(),
         }
     }
 
-    /// Returns the tag by which the reuse of a key for another call is found.
+    /// Returns the fingerprint that detects the reuse of an idempotency key for a different call.
     pub fn fingerprint(&self) -> RequestFingerprint {
         let path = format!("{}{}", self.service.name, self.path);
         RequestFingerprint::of(self.method.as_str(), &path, &self.body)
     }
 
-    /// Sends a call that may be repeated, again while the deadline and the retry budget allow it.
+    /// Sends a call that may be repeated, and retries it while the deadline and the retry budgets allow.
     pub async fn send_idempotent(&self, node: &Node) -> Outcome<ServiceResponse> {
-        let mut tries = Tries::default();
+        let mut attempts = Attempts::default();
         let mut rng = node.rng();
-        let mut pause = Duration::ZERO;
+        let mut delay = Duration::ZERO;
         loop {
-            let failure = match self.try_once(node, &mut tries).await {
-                Ok(reply) => return Outcome::Ran(reply),
+            let failure = match self.attempt(node, &mut attempts).await {
+                Ok(response) => return Outcome::Ran(response),
                 Err(Some(failure)) => failure,
-                Err(None) => return tries.give_up(NotRunReason::NoTarget),
+                Err(None) => return attempts.into_outcome(NotRunReason::NoTarget),
             };
             let floor = match failure.retry_decision() {
                 RetryDecision::OtherTarget => Duration::ZERO,
                 RetryDecision::AfterBackoff(floor) => floor,
-                RetryDecision::Never => return tries.give_up(NotRunReason::Refused),
+                RetryDecision::Never => return attempts.into_outcome(NotRunReason::Refused),
             };
-            // The failure: a call that ends targets is carried from one to the next.
-            if tries.sent >= failure.max_attempts() {
-                return tries.give_up(NotRunReason::Refused);
+            // Limits how many targets a call that crashes its targets can reach.
+            if attempts.sent >= failure.max_attempts() {
+                return attempts.into_outcome(NotRunReason::Refused);
             }
-            if !tries.may_retry(node) {
+            if !attempts.take_retry(node) {
                 node.metrics.add(Counter::RetriesWithheld, 1);
-                return tries.give_up(NotRunReason::RetryBudget);
+                return attempts.into_outcome(NotRunReason::RetryBudget);
             }
-            pause = node.backoff.next_delay(pause, floor, &mut rng);
-            if Instant::now() + pause >= self.deadline {
-                return tries.give_up(NotRunReason::Overload);
+            delay = node.backoff.next_delay(delay, floor, &mut rng);
+            if Instant::now() + delay >= self.deadline {
+                return attempts.into_outcome(NotRunReason::Overload);
             }
             node.metrics.add(Counter::Retries, 1);
-            time::sleep(pause).await;
+            time::sleep(delay).await;
         }
     }
 
-    /// Tries once; `Err(None)` when no target is left.
-    async fn try_once(
+    /// Makes one attempt; `Err(None)` means that no target is left.
+    async fn attempt(
         &self,
         node: &Node,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
     ) -> Result<ServiceResponse, Option<Failure>> {
-        let connected = self
-            .connect(node, &mut tries.excluded)
+        let connection = self
+            .connect(node, &mut attempts.excluded)
             .await
             .map_err(|_| None)?;
-        let target = Arc::clone(&connected.target);
-        tries.excluded.push(connected.key);
-        tries.sent += 1;
-        tries.last = None;
-        tries.target = Some(Arc::clone(&target));
-        match self.exchange(node, connected).await {
-            Tried::Failed(failure) => Err(Some(failure)),
-            Tried::Answer(reply, after) => {
-                let failure = status(&reply, after);
-                if reply.status < 400 || failure.retry_decision() == RetryDecision::Never {
+        let target = Arc::clone(&connection.target);
+        attempts.excluded.push(connection.key);
+        attempts.sent += 1;
+        attempts.last_response = None;
+        attempts.last_target = Some(Arc::clone(&target));
+        match self.exchange(node, connection).await {
+            AttemptResult::Failed(failure) => Err(Some(failure)),
+            AttemptResult::Response(response, retry_after) => {
+                let failure = status_failure(&response, retry_after);
+                if response.status < 400 || failure.retry_decision() == RetryDecision::Never {
                     node.retry_budget.record_success();
                     target.state.retry_budget.record_success();
-                    return Ok(reply);
+                    return Ok(response);
                 }
-                tries.last = Some(reply);
+                attempts.last_response = Some(response);
                 Err(Some(failure))
             }
         }
     }
 
+    /// Connects to a target that accepts the call, and excludes those that do not.
     async fn connect(
         &self,
         node: &Node,
         excluded: &mut Vec<TargetKey>,
-    ) -> Result<Connected, NotRunReason> {
+    ) -> Result<TargetConnection, NotRunReason> {
         let mut reason = NotRunReason::NoTarget;
         let mut refused = 0;
         while refused < Failure::Refused.max_attempts() && Instant::now() < self.deadline {
@@ -239,19 +245,19 @@
             let key = pick(node, &view, route, excluded).ok_or(reason)?;
             let target = view.target(key).ok_or(reason)?;
             let is_live = is_live(node, key, target).await;
-            let begun = is_live.then(|| target.state.begin_request(node.now_ms()));
-            let Some(load) = begun.flatten() else {
+            let in_flight = is_live.then(|| target.state.begin_request(node.now_ms()));
+            let Some(in_flight) = in_flight.flatten() else {
                 excluded.push(key);
                 continue;
             };
             match NewConnection::connect(target.address).await {
-                Ok(fresh) => {
-                    return Ok(Connected {
+                Ok(connection) => {
+                    return Ok(TargetConnection {
                         route,
                         key,
                         target: Arc::clone(target),
-                        fresh,
-                        load,
+                        connection,
+                        in_flight,
                     });
                 }
                 Err(_) => {
@@ -266,63 +272,67 @@
         Err(reason)
     }
 
-    async fn exchange(&self, node: &Node, connected: Connected) -> Tried {
-        let Connected {
+    /// Sends the call over a connection and reports the result to outlier detection.
+    async fn exchange(&self, node: &Node, connection: TargetConnection) -> AttemptResult {
+        let TargetConnection {
             route,
             key,
             target,
-            fresh,
-            load,
-        } = connected;
-        let began = Instant::now();
-        let tried = self.call(target.address, fresh).await;
-        load.end(node.now_ms());
-        let failure = match &tried {
-            Tried::Answer(reply, _) if reply.status < 400 => {
-                let latency_ms = began.elapsed().as_secs_f64() * 1e3;
+            connection,
+            in_flight,
+        } = connection;
+        let started = Instant::now();
+        let result = self.send(target.address, connection).await;
+        in_flight.end(node.now_ms());
+        let failure = match &result {
+            AttemptResult::Response(response, _) if response.status < 400 => {
+                let latency_ms = started.elapsed().as_secs_f64() * 1e3;
                 node.report_target_event(TargetEvent::Succeeded {
                     route,
                     target: key,
                     latency_ms,
                 });
-                return tried;
+                return result;
+            }
+            AttemptResult::Response(response, retry_after) => {
+                status_failure(response, *retry_after)
             }
-            Tried::Answer(reply, after) => status(reply, *after),
-            Tried::Failed(failure) => *failure,
+            AttemptResult::Failed(failure) => *failure,
         };
-        judge(node, route, key, &target, failure);
-        tried
+        report_failure(node, route, key, &target, failure);
+        result
     }
 
-    async fn call(&self, address: SocketAddr, fresh: NewConnection) -> Tried {
+    async fn send(&self, address: SocketAddr, connection: NewConnection) -> AttemptResult {
         let span = hop("target", self.trace);
         let Ok(request) = self.request(address, &span) else {
-            return Tried::Failed(Failure::Protocol);
+            return AttemptResult::Failed(Failure::Protocol);
         };
-        let left = self.deadline.saturating_duration_since(Instant::now());
+        let time_left = self.deadline.saturating_duration_since(Instant::now());
         let exchange = async {
-            let answer = fresh.send(request, left).instrument(span).await?;
+            let answer = connection.send(request, time_left).instrument(span).await?;
             let (head, body) = answer.response.into_parts();
-            // The connection is closed with its answer, so no later call can meet a late one.
-            let value = body::read(body, ANSWER).await;
+            // The connection is closed after its response, so that no later call can read a late response.
+            let body = body::read(body, MAX_RESPONSE_BYTES).await;
             drop(answer.connection);
-            value
-                .map(|value| (head, value))
+            body.map(|body| (head, body))
                 .map_err(|error| error_stack::Report::new(error).change_context(CallError::Reset))
         };
-        match time::timeout(left, exchange).await {
-            Ok(Ok((head, value))) => {
-                let media = text(&head.headers, &header::CONTENT_TYPE);
-                let after = text(&head.headers, &header::RETRY_AFTER).parse().ok();
-                let reply = ServiceResponse::new(head.status.as_u16(), media, value);
-                Tried::Answer(reply, after.map(Duration::from_secs))
+        match time::timeout(time_left, exchange).await {
+            Ok(Ok((head, body))) => {
+                let content_type = header_text(&head.headers, &header::CONTENT_TYPE);
+                let retry_after = header_text(&head.headers, &header::RETRY_AFTER)
+                    .parse()
+                    .ok();
+                let response = ServiceResponse::new(head.status.as_u16(), content_type, body);
+                AttemptResult::Response(response, retry_after.map(Duration::from_secs))
             }
-            Ok(Err(report)) => Tried::Failed(match report.current_context() {
+            Ok(Err(report)) => AttemptResult::Failed(match report.current_context() {
                 CallError::Connect => Failure::Refused,
                 CallError::Reset => Failure::Reset,
                 CallError::Timeout => Failure::Timeout,
             }),
-            Err(_) => Tried::Failed(Failure::Timeout),
+            Err(_) => AttemptResult::Failed(Failure::Timeout),
         }
     }
 
@@ -345,18 +355,26 @@
     }
 }
 
-fn status(reply: &ServiceResponse, retry_after: Option<Duration>) -> Failure {
+fn status_failure(response: &ServiceResponse, retry_after: Option<Duration>) -> Failure {
     Failure::Status {
-        code: reply.status,
+        code: response.status,
         retry_after,
     }
 }
 
-/// Tells of a failure that speaks against the target; whether it does, a probe may have to say.
-fn judge(node: &Node, route: Route, key: TargetKey, target: &Arc<Target>, failure: Failure) {
+/// Reports a failure to outlier detection if it is attributed to the target.
+///
+/// After a reset or a timeout, a health check decides about the attribution.
+fn report_failure(
+    node: &Node,
+    route: Route,
+    key: TargetKey,
+    target: &Arc<Target>,
+    failure: Failure,
+) {
     let events = node.target_events.clone();
-    let tell = move || {
-        // A full channel means that plenty is known already.
+    let report = move || {
+        // If the channel is full, the detector has many events to handle already; drop this one.
         let _ = events.try_send(TargetEvent::Failed { route, target: key });
     };
     match failure {
@@ -364,18 +382,18 @@
             let target = Arc::clone(target);
             node.background_tasks.spawn(async move {
                 let health = engine::health(target.address, health_path(target.kind)).await;
-                let is_well = matches!(health, Ok(Some(_)));
-                if failure.attribution(Some(is_well)) == Attribution::Target {
-                    tell();
+                let is_healthy = matches!(health, Ok(Some(_)));
+                if failure.attribution(Some(is_healthy)) == Attribution::Target {
+                    report();
                 }
             });
         }
-        _ if failure.attribution(None) == Attribution::Target => tell(),
+        _ if failure.attribution(None) == Attribution::Target => report(),
         _ => {}
     }
 }
 
-/// Chooses a target; one that failed a moment ago only when there is no other.
+/// Picks a target, a suspect only if there is no other.
 fn pick(
     node: &Node,
     view: &RoutingView,
@@ -384,19 +402,20 @@
 ) -> Option<TargetKey> {
     let now = Instant::now();
     let suspects = node.suspects.add_to(excluded.to_vec(), now);
-    let choose = |excluded| {
-        let ask = PickCriteria {
+    let pick_without = |excluded| {
+        let criteria = PickCriteria {
             excluded,
             preferred_data_centre: Some(&node.settings.data_centre),
             ..PickCriteria::default()
         };
-        view.pick(route, &ask, now, &mut node.rng())
+        view.pick(route, &criteria, now, &mut node.rng())
     };
-    let picked = choose(&suspects).or_else(|_| choose(excluded));
+    let picked = pick_without(&suspects).or_else(|_| pick_without(excluded));
     Some(picked.ok()?.target)
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
+/// Returns the value of a header, empty if it is missing or not text.
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
     let value = headers.get(name).map(HeaderValue::to_str);
     value.and_then(Result::ok).unwrap_or_default()
 }
