--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -1,4 +1,4 @@
-//! Watches targets: their health and load, who is leaving, who is ejected.
+//! Polls targets for health and load, tracks which of them are leaving, and ejects outliers.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -25,94 +25,93 @@
     node::Node,
 };
 
-/// How often pools are surveyed and ejections are decided.
-const STEP: Duration = Duration::from_millis(100);
-/// The mean time between two polls of a target.
-const POLL_MS: u64 = 1_000;
-/// How many polls may be under way at once.
-const POLLS: usize = 256;
+/// The interval at which load statistics are updated and outlier detectors are run.
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
+/// The mean time between two polls of a target, in milliseconds.
+const MEAN_POLL_INTERVAL_MS: u64 = 1_000;
+/// The maximum number of polls in flight.
+const MAX_CONCURRENT_POLLS: usize = 256;
 
-/// What requests tell of a target.
+/// The result of a request at a target, as far as it concerns outlier detection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TargetEvent {
-    /// It answered after this time.
+    /// The target responded.
     Succeeded {
-        /// What it was asked for.
+        /// The route of the request.
         route: Route,
         /// The target.
         target: TargetKey,
-        /// The time to the first token, or to the answer of a service, in milliseconds.
+        /// The time to the first token, or to the response of a service, in milliseconds.
         latency_ms: f64,
     },
-    /// It failed in a way that speaks against it.
+    /// The request failed in a way that is attributed to the target.
     Failed {
-        /// What it was asked for.
+        /// The route of the request.
         route: Route,
         /// The target.
         target: TargetKey,
     },
 }
 
-/// What a poll brought.
-struct Polled {
+/// The result of a poll; a part is `None` if its call failed.
+struct PollResult {
     target: TargetKey,
     sent_ms: u64,
-    word: Option<Availability>,
+    availability: Option<Availability>,
     versions: Option<Vec<VersionName>>,
     load: Option<engine::Load>,
-    /// What its cache tells; `None` when it was not heard.
     cache: Option<Vec<CacheChange>>,
 }
 
-struct Watch {
+struct TargetWatcher {
     node: Arc<Node>,
     rng: SmallRng,
     departures: SecondaryMap<TargetKey, DepartureState>,
-    due: SecondaryMap<TargetKey, u64>,
+    next_poll_ms: SecondaryMap<TargetKey, u64>,
     detectors: HashMap<Route, OutlierDetector>,
-    /// Pools in which a target was asked for its health on behalf of their detectors.
-    probed: SecondaryMap<TargetKey, Vec<Route>>,
-    polls: JoinSet<Polled>,
+    /// The routes whose detectors requested a probe of a target that has not completed yet.
+    probed_routes: SecondaryMap<TargetKey, Vec<Route>>,
+    polls: JoinSet<PollResult>,
     prefixes: PrefixTracker,
-    is_cache_new: bool,
+    prefixes_changed: bool,
 }
 
-/// Watches targets until the instance ends.
+/// Watches targets until the instance shuts down.
 pub async fn run(node: Arc<Node>, mut events: mpsc::Receiver<TargetEvent>) {
-    let mut watch = Watch {
+    let mut watcher = TargetWatcher {
         rng: node.rng(),
         departures: SecondaryMap::new(),
-        due: SecondaryMap::new(),
+        next_poll_ms: SecondaryMap::new(),
         detectors: HashMap::new(),
-        probed: SecondaryMap::new(),
+        probed_routes: SecondaryMap::new(),
         polls: JoinSet::new(),
         prefixes: PrefixTracker::default(),
-        is_cache_new: false,
+        prefixes_changed: false,
         node: Arc::clone(&node),
     };
-    let mut step = time::interval(STEP);
+    let mut step = time::interval(STEP_INTERVAL);
     loop {
         tokio::select! {
             () = node.shutdown.cancelled() => break,
-            _ = step.tick() => watch.step(),
-            Some(event) = events.recv() => watch.event(event),
-            () = node.departures_changed.notified() => watch.hear_peers(),
-            Some(Ok(polled)) = watch.polls.join_next() => watch.polled(&polled),
+            _ = step.tick() => watcher.step(),
+            Some(event) = events.recv() => watcher.handle_event(event),
+            () = node.departures_changed.notified() => watcher.merge_peer_notices(),
+            Some(Ok(result)) = watcher.polls.join_next() => watcher.handle_poll_result(&result),
         }
     }
-    watch.polls.shutdown().await;
+    watcher.polls.shutdown().await;
 }
 
-impl Watch {
+impl TargetWatcher {
     fn step(&mut self) {
         let now = Instant::now();
         let view = self.node.view.load_full();
         let now_ms = view.clock().millis(now);
-        self.read_list(&view, now_ms);
-        self.index_caches();
-        self.retain(&view);
+        self.merge_instance_list(&view, now_ms);
+        self.rebuild_prefix_index();
+        self.remove_stale_state(&view);
         view.update_load_stats(now);
-        self.eject(&view, now_ms);
+        self.step_outlier_detectors(&view, now_ms);
         self.poll(&view, now_ms);
         let live = view
             .targets()
@@ -122,7 +121,7 @@
             .set(Gauge::LiveTargets, live.count() as u64);
     }
 
-    fn event(&mut self, event: TargetEvent) {
+    fn handle_event(&mut self, event: TargetEvent) {
         match event {
             TargetEvent::Succeeded {
                 route,
@@ -133,54 +132,54 @@
         }
     }
 
-    fn polled(&mut self, polled: &Polled) {
+    fn handle_poll_result(&mut self, result: &PollResult) {
         let view = self.node.view.load_full();
-        let Some(target) = view.target(polled.target) else {
+        let Some(target) = view.target(result.target) else {
             return;
         };
         let now_ms = view.clock().millis(Instant::now());
-        if let Some(word) = polled.word {
-            self.say(polled.target, target, |departure| {
-                departure.observe_target(word, polled.sent_ms, now_ms)
+        if let Some(availability) = result.availability {
+            self.update_departure(result.target, target, |departure| {
+                departure.observe_target(availability, result.sent_ms, now_ms)
             });
-            if word == Availability::Live {
-                target.state.record_live(polled.sent_ms);
+            if availability == Availability::Live {
+                target.state.record_live(result.sent_ms);
             }
         }
-        if let Some(versions) = &polled.versions {
+        if let Some(versions) = &result.versions {
             self.node
                 .record_loaded_versions(&target.name, versions.clone());
         }
-        if let Some(load) = polled.load {
-            let sampled_ms = polled.sent_ms.saturating_sub(load.age_ms);
+        if let Some(load) = result.load {
+            let sampled_ms = result.sent_ms.saturating_sub(load.age_ms);
             target
                 .state
                 .record_load(sampled_ms, load.running + load.queued);
         }
-        if let Some(changes) = &polled.cache {
+        if let Some(changes) = &result.cache {
             let events: Vec<(u64, CacheEvent)> = changes.iter().map(cache_event).collect();
-            self.is_cache_new |= self.prefixes.apply_poll(polled.target, &events);
+            self.prefixes_changed |= self.prefixes.apply_poll(result.target, &events);
         }
-        for route in self.probed.remove(polled.target).unwrap_or_default() {
-            let alive = polled.word.is_some();
+        for route in self.probed_routes.remove(result.target).unwrap_or_default() {
+            let is_alive = result.availability.is_some();
             self.detector(route)
-                .record_probe(polled.target, alive, now_ms);
+                .record_probe(result.target, is_alive, now_ms);
         }
     }
 
-    fn index_caches(&mut self) {
-        if std::mem::take(&mut self.is_cache_new) {
+    fn rebuild_prefix_index(&mut self) {
+        if std::mem::take(&mut self.prefixes_changed) {
             let index = Arc::new(self.prefixes.build_index());
             let cached = |view: &Arc<RoutingView>| view.with_prefix_index(Arc::clone(&index));
             self.node.view.rcu(cached);
         }
     }
 
-    /// Takes the words of leaving that other instances pass on.
-    fn hear_peers(&mut self) {
+    /// Merges the departure notices that other instances forward by gossip.
+    fn merge_peer_notices(&mut self) {
         let view = self.node.view.load_full();
         let now_ms = view.clock().millis(Instant::now());
-        let words: Vec<(TargetName, Vec<DepartureNotice>)> = {
+        let notices_by_target: Vec<(TargetName, Vec<DepartureNotice>)> = {
             let gossip = self.node.gossip();
             let items = gossip.entries().items(EntryKind::TargetLeaving);
             items
@@ -190,7 +189,7 @@
                 })
                 .collect()
         };
-        for (name, notices) in words {
+        for (name, notices) in notices_by_target {
             let Some((key, target)) = view
                 .target_key(&name)
                 .and_then(|key| Some((key, view.target(key)?)))
@@ -198,51 +197,53 @@
                 continue;
             };
             for notice in notices {
-                self.say(key, target, |departure| {
+                self.update_departure(key, target, |departure| {
                     departure.observe_notice(notice, now_ms)
                 });
             }
         }
     }
 
-    fn read_list(&mut self, view: &RoutingView, now_ms: u64) {
+    fn merge_instance_list(&mut self, view: &RoutingView, now_ms: u64) {
         let list = self.node.instance_list.load_full();
         for listed in &list.targets {
             let Some(key) = view.target_key(&listed.name) else {
                 continue;
             };
-            let word = word(listed.state);
+            let availability = availability(listed.state);
             if let Some(target) = view.target(key) {
-                self.say(key, target, |departure| {
-                    departure.observe_list(word, now_ms)
+                self.update_departure(key, target, |departure| {
+                    departure.observe_list(availability, now_ms)
                 });
             }
         }
     }
 
-    fn say(
+    fn update_departure(
         &mut self,
         key: TargetKey,
         target: &Target,
-        say: impl FnOnce(DepartureState) -> DepartureState,
+        update: impl FnOnce(DepartureState) -> DepartureState,
     ) {
         let before = self.departures.get(key).copied().unwrap_or_default();
-        let after = say(before);
+        let after = update(before);
         self.departures.insert(key, after);
         target.state.set_closed(after.is_leaving());
         if before.is_leaving() != after.is_leaving() {
             let state = if after.is_leaving() {
                 "leaving"
             } else {
-                "back"
+                "no longer leaving"
             };
             log::info!("target {} is {state}", target.name);
-            self.pass_on(target, after);
+            self.announce_departure(target, after);
         }
     }
 
-    /// Tells the other instances that a target leaves; they may be cut off from it and the list.
-    fn pass_on(&self, target: &Target, departure: DepartureState) {
+    /// Sets or clears the gossip entry that tells other instances that a target is leaving.
+    ///
+    /// They may be unable to reach both the target and the platform.
+    fn announce_departure(&self, target: &Target, departure: DepartureState) {
         let name = target.name.as_str();
         let notices: Vec<DepartureNotice> = departure.notices(self.node.now_ms()).collect();
         if notices.is_empty() {
@@ -251,11 +252,12 @@
                 .clear_entry(EntryKind::TargetLeaving, name);
             return;
         }
-        let value = serde_json::to_vec(&relays).unwrap_or_default();
+        let value = serde_json::to_vec(&notices).unwrap_or_default();
         gossip::set_entry(&self.node, EntryKind::TargetLeaving, name, value);
     }
 
-    fn retain(&mut self, view: &RoutingView) {
+    /// Drops the state of targets and routes that the view no longer has.
+    fn remove_stale_state(&mut self, view: &RoutingView) {
         let Self {
             departures,
             prefixes,
@@ -268,12 +270,13 @@
             }
             is_kept
         });
-        self.due.retain(|key, _| view.target(key).is_some());
+        self.next_poll_ms
+            .retain(|key, _| view.target(key).is_some());
         self.detectors
             .retain(|route, _| view.pool(*route).is_some());
     }
 
-    fn eject(&mut self, view: &RoutingView, now_ms: u64) {
+    fn step_outlier_detectors(&mut self, view: &RoutingView, now_ms: u64) {
         let mut probes = Vec::new();
         for (route, detector) in &mut self.detectors {
             let Some(pool) = view.pool(*route) else {
@@ -282,7 +285,7 @@
             for effect in detector.step(pool, now_ms) {
                 match effect {
                     OutlierEffect::SetWeight(target, weight) => {
-                        note(&self.node, view, target, weight);
+                        log_weight_change(&self.node, view, target, weight);
                         pool.set_weight(target, weight);
                     }
                     OutlierEffect::SetPanicMode(panic) => pool.set_panic_mode(panic),
@@ -291,22 +294,25 @@
             }
         }
         for (route, target) in probes {
-            if let Some(entry) = self.probed.entry(target) {
+            if let Some(entry) = self.probed_routes.entry(target) {
                 entry.or_default().push(route);
             }
-            self.due.insert(target, now_ms);
+            self.next_poll_ms.insert(target, now_ms);
         }
     }
 
     fn poll(&mut self, view: &RoutingView, now_ms: u64) {
         for (key, target) in view.targets() {
-            let due = self.due.get(key).copied().unwrap_or(0);
-            if due > now_ms || self.polls.len() >= POLLS {
+            let next_poll_ms = self.next_poll_ms.get(key).copied().unwrap_or(0);
+            if next_poll_ms > now_ms || self.polls.len() >= MAX_CONCURRENT_POLLS {
                 continue;
             }
-            // Jitter keeps instances from asking a target in step.
-            let next = now_ms + self.rng.random_range(POLL_MS / 2..POLL_MS * 3 / 2);
-            self.due.insert(key, next);
+            // Jitter keeps the instances from polling a target at the same time.
+            let next = now_ms
+                + self
+                    .rng
+                    .random_range(MEAN_POLL_INTERVAL_MS / 2..MEAN_POLL_INTERVAL_MS * 3 / 2);
+            self.next_poll_ms.insert(key, next);
             let since = self.prefixes.poll_after(key);
             self.polls
                 .spawn(poll(key, Arc::clone(target), now_ms, since));
@@ -319,7 +325,7 @@
     }
 }
 
-fn note(node: &Node, view: &RoutingView, target: TargetKey, weight: u32) {
+fn log_weight_change(node: &Node, view: &RoutingView, target: TargetKey, weight: u32) {
     let Some(target) = view.target(target) else {
         return;
     };
@@ -330,20 +336,18 @@
         }
         celerypond_route::FULL_WEIGHT => {
             node.metrics.add(Counter::Returns, 1);
-            log::info!(
-                "target {} takes its whole part of the work again",
-                target.name
-            );
+            log::info!("target {} has its full weight again", target.name);
         }
         _ => {}
     }
 }
 
-/// Asks a target whose last word is old whether it takes new work; call it just before work is sent.
+/// Returns whether a target accepts new requests, with a health check if its last report is old.
 ///
-/// The failure: an instance that is cut off from the others and the platform hears neither that a
-/// target leaves nor that it left. Work would be sent there until the list says so. Only a target
-/// that says itself that it is live gets any; one that does not is missed for a moment by all.
+/// Call it just before sending a request. An instance that is partitioned from its peers and the
+/// platform does not learn that a target is leaving or has left, and would continue to send requests
+/// to it. Such an instance uses only targets that report themselves as live. Any other target is added
+/// to the suspects, so that all requests of this instance avoid it for a moment.
 pub async fn is_live(node: &Node, key: TargetKey, target: &Target) -> bool {
     let sent_ms = node.now_ms();
     if !target.state.needs_health_check(sent_ms) {
@@ -358,7 +362,7 @@
     is_live
 }
 
-/// Returns the path under which a target tells of its health.
+/// Returns the path of a target's health check.
 pub fn health_path(kind: TargetKind) -> &'static str {
     match kind {
         TargetKind::Engine => "/v1/health",
@@ -366,7 +370,7 @@
     }
 }
 
-async fn poll(key: TargetKey, target: Arc<Target>, sent_ms: u64, since: u64) -> Polled {
+async fn poll(key: TargetKey, target: Arc<Target>, sent_ms: u64, since: u64) -> PollResult {
     let address = target.address;
     let path = health_path(target.kind);
     let (health, load, cache) = match target.kind {
@@ -384,10 +388,10 @@
         }
     };
     let health = health.ok().flatten();
-    Polled {
+    PollResult {
         target: key,
         sent_ms,
-        word: health.as_ref().map(|health| word(health.state)),
+        availability: health.as_ref().map(|health| availability(health.state)),
         versions: health.map(|health| health.versions),
         load: load.ok().flatten(),
         cache: cache.ok(),
@@ -402,8 +406,8 @@
     (change.sequence, event)
 }
 
-/// Returns what a target's state means for new work.
-pub fn word(state: Presence) -> Availability {
+/// Converts the presence that a target or the platform reports.
+pub fn availability(state: Presence) -> Availability {
     match state {
         Presence::Live => Availability::Live,
         Presence::Leaving => Availability::Leaving,
