--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -78,7 +78,7 @@
 
 /// Returns how many shards fall to this instance.
 pub fn owned_shards(node: &Node) -> usize {
-    let shards = 0..ledger::SHARDS;
+    let shards = 0..ledger::SHARD_COUNT;
     shards
         .filter(|shard| owner_of(node, *shard).is_none())
         .count()
@@ -167,7 +167,7 @@
 }
 
 fn owner(node: &Node, key: CallKey) -> Option<SocketAddr> {
-    owner_of(node, key.shard(ledger::SHARDS))
+    owner_of(node, key.shard(ledger::SHARD_COUNT))
 }
 
 /// Returns where the owner of a shard is, or nothing when it is this instance.
--- a/daemon/src/ledger.rs
+++ b/daemon/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Runs the shards of keyed calls: one task for each shard that this instance uses.
+//! Runs the ledger of keyed calls, with one task for each shard that this instance uses.
 
 use std::{
     collections::HashMap,
@@ -25,98 +25,113 @@
 
 use crate::{node::Node, service_call::ServiceCall};
 
-/// How many shards the key space has; the same at every instance for all time.
+/// The number of shards of the key space. It must be the same at all instances and must never change.
 ///
-/// Few shards make large batches; `docs/design/ledger.md` has the measurement.
-pub const SHARDS: u16 = 4;
-/// The least time between two writes of a shard, so that all shards keep to the store's write rate.
+/// Fewer shards make larger batches; `docs/design/ledger.md` has the measurement.
+pub const SHARD_COUNT: u16 = 4;
+/// The minimum interval between two writes of a shard, so that all shards together stay within the
+/// store's write rate.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(14);
-/// How many commands may wait for a shard.
-const COMMANDS: usize = 1024;
-/// The part of a call's deadline that is left for the service after the intent is recorded.
-const RUN_PART: u32 = 2;
+/// The number of commands that may wait for a shard.
+const COMMAND_QUEUE_LENGTH: usize = 1024;
+/// The time left until a call's deadline is divided by this to get the timeout of the service; the rest
+/// is for recording the intent.
+const SERVICE_TIMEOUT_DIVISOR: u32 = 2;
 
 /// The shards of keyed calls that this instance uses.
 #[derive(Default)]
 pub struct Ledger {
     shards: Mutex<HashMap<u16, mpsc::Sender<Command>>>,
-    calls: AtomicU64,
+    next_call_id: AtomicU64,
 }
 
 enum Command {
     Call {
         call: Call,
-        send: ServiceCall,
+        service_call: ServiceCall,
         answer: oneshot::Sender<Answer>,
     },
     Finish(FinishedCall),
 }
 
-/// The reply to the one store call that a shard may have under way.
-enum Stored {
+/// The reply to a store call; a shard has at most one in flight.
+enum StoreReply {
     Listed(ListReply),
     Read(ReadReply),
     Written(WriteReply),
 }
 
-struct Actor {
+struct ShardTask {
     node: Arc<Node>,
     shard: Shard,
     commands: mpsc::Receiver<Command>,
-    finished: mpsc::WeakSender<Command>,
-    waiting: HashMap<CallId, Wait>,
-    store: Option<BoxFuture<'static, Stored>>,
+    /// Sends finished calls back to this task; weak, so that it does not keep the task from ending.
+    command_sender: mpsc::WeakSender<Command>,
+    waiting: HashMap<CallId, WaitingCall>,
+    /// The store call in flight.
+    store_call: Option<BoxFuture<'static, StoreReply>>,
 }
 
-struct Wait {
-    send: ServiceCall,
+/// A call whose caller waits for the answer.
+struct WaitingCall {
+    service_call: ServiceCall,
     answer: oneshot::Sender<Answer>,
 }
 
 impl Ledger {
-    /// Runs a keyed call at most once and waits for its outcome; `None` when the instance ends.
-    pub async fn call(&self, node: &Arc<Node>, key: CallKey, send: ServiceCall) -> Option<Answer> {
+    /// Runs a keyed call at most once and waits for its outcome; `None` if the instance shuts down.
+    pub async fn call(
+        &self,
+        node: &Arc<Node>,
+        key: CallKey,
+        service_call: ServiceCall,
+    ) -> Option<Answer> {
         let now = Instant::now();
-        let left = send.deadline.saturating_duration_since(now);
-        let service_timeout = left / RUN_PART;
+        let time_left = service_call.deadline.saturating_duration_since(now);
+        let service_timeout = time_left / SERVICE_TIMEOUT_DIVISOR;
         let call = Call {
-            id: CallId(self.calls.fetch_add(1, Relaxed)),
+            id: CallId(self.next_call_id.fetch_add(1, Relaxed)),
             key,
-            fingerprint: send.fingerprint(),
-            send_by: now + (left - service_timeout),
+            fingerprint: service_call.fingerprint(),
+            send_by: now + (time_left - service_timeout),
             service_timeout,
         };
-        let (answer, answered) = oneshot::channel();
-        let command = Command::Call { call, send, answer };
+        let (answer, answer_receiver) = oneshot::channel();
+        let command = Command::Call {
+            call,
+            service_call,
+            answer,
+        };
         node.metrics.add(Counter::LedgerCalls, 1);
-        self.shard(node, key).send(command).await.ok()?;
-        answered.await.ok()
+        self.shard_task(node, key).send(command).await.ok()?;
+        answer_receiver.await.ok()
     }
 
-    fn shard(&self, node: &Arc<Node>, key: CallKey) -> mpsc::Sender<Command> {
-        let number = key.shard(SHARDS);
+    /// Returns the command channel of a key's shard, and starts its task on first use.
+    fn shard_task(&self, node: &Arc<Node>, key: CallKey) -> mpsc::Sender<Command> {
+        let number = key.shard(SHARD_COUNT);
         let mut shards = self.shards.lock().unwrap_or_else(PoisonError::into_inner);
         let sender = shards.entry(number).or_insert_with(|| {
-            let (sender, commands) = mpsc::channel(COMMANDS);
-            let actor = Actor::new(node, number, sender.downgrade(), commands);
-            node.background_tasks.spawn(actor.run());
+            let (sender, commands) = mpsc::channel(COMMAND_QUEUE_LENGTH);
+            let task = ShardTask::new(node, number, sender.downgrade(), commands);
+            node.background_tasks.spawn(task.run());
             sender
         });
         sender.clone()
     }
 
-    /// Lets the shards end once nobody waits for them.
+    /// Lets each shard's task end as soon as all its calls have ended.
     pub fn close(&self) {
         let mut shards = self.shards.lock().unwrap_or_else(PoisonError::into_inner);
         shards.clear();
     }
 }
 
-impl Actor {
+impl ShardTask {
     fn new(
         node: &Arc<Node>,
         number: u16,
-        finished: mpsc::WeakSender<Command>,
+        command_sender: mpsc::WeakSender<Command>,
         commands: mpsc::Receiver<Command>,
     ) -> Self {
         let seed = node.rng().random();
@@ -129,70 +144,82 @@
             node: Arc::clone(node),
             shard: Shard::new(number, settings, seed, Instant::now()),
             commands,
-            finished,
+            command_sender,
             waiting: HashMap::new(),
-            store: None,
+            store_call: None,
         }
     }
 
     async fn run(mut self) {
-        while let Some(effects) = self.next().await {
+        while let Some(effects) = self.next_effects().await {
             for effect in effects {
                 self.carry_out(effect);
             }
         }
     }
 
-    /// Waits for the next input; `None` when the ledger was closed and all calls have ended.
-    async fn next(&mut self) -> Option<Vec<Effect>> {
-        let wake = self.shard.wake_at();
-        // A branch that is never ready would keep the shard from its end.
-        let has_store = self.store.is_some();
-        let store = async {
-            match &mut self.store {
-                Some(store) => store.await,
+    /// Waits for the next input and returns its effects; `None` if the ledger was closed and all calls
+    /// have ended.
+    async fn next_effects(&mut self) -> Option<Vec<Effect>> {
+        let wake_at = self.shard.wake_at();
+        // The branch must be disabled without a store call: `select!` takes its `else` branch, which ends
+        // the task, only if all others are disabled.
+        let has_store_call = self.store_call.is_some();
+        let store_call = async {
+            match &mut self.store_call {
+                Some(store_call) => store_call.await,
                 None => pending().await,
             }
         };
-        let clock = async {
-            match wake {
+        let timer = async {
+            match wake_at {
                 Some(at) => time::sleep_until(at).await,
                 None => pending().await,
             }
         };
         let is_idle = self.shard.is_idle() && self.waiting.is_empty();
         tokio::select! {
-            stored = store, if has_store => {
-                self.store = None;
-                Some(self.stored(stored))
+            reply = store_call, if has_store_call => {
+                self.store_call = None;
+                Some(self.handle_store_reply(reply))
             }
             command = self.commands.recv(), if !self.commands.is_closed() || !self.commands.is_empty() => {
-                command.map(|command| self.command(command)).or(Some(Vec::new()))
+                command.map(|command| self.handle_command(command)).or(Some(Vec::new()))
             }
-            () = clock, if !(is_idle && self.commands.is_closed()) => {
+            () = timer, if !(is_idle && self.commands.is_closed()) => {
                 Some(self.shard.tick(Instant::now()))
             }
             else => None,
         }
     }
 
-    fn command(&mut self, command: Command) -> Vec<Effect> {
+    fn handle_command(&mut self, command: Command) -> Vec<Effect> {
         let now = Instant::now();
         match command {
-            Command::Call { call, send, answer } => {
-                self.waiting.insert(call.id, Wait { send, answer });
+            Command::Call {
+                call,
+                service_call,
+                answer,
+            } => {
+                self.waiting.insert(
+                    call.id,
+                    WaitingCall {
+                        service_call,
+                        answer,
+                    },
+                );
                 self.shard.handle_call(call, now)
             }
             Command::Finish(finished) => self.shard.handle_finished_call(finished, now),
         }
     }
 
-    fn stored(&mut self, stored: Stored) -> Vec<Effect> {
+    fn handle_store_reply(&mut self, reply: StoreReply) -> Vec<Effect> {
         let now = Instant::now();
-        match stored {
-            Stored::Listed(reply) => self.shard.handle_list_reply(reply, now),
-            Stored::Read(reply) => self.shard.handle_read_reply(reply, now),
-            Stored::Written(reply) => {
+        match reply {
+            StoreReply::Listed(reply) => self.shard.handle_list_reply(reply, now),
+            StoreReply::Read(reply) => self.shard.handle_read_reply(reply, now),
+            StoreReply::Written(reply) => {
                 if reply == WriteReply::Conflict {
                     self.node.metrics.add(Counter::LedgerRaces, 1);
                 }
@@ -203,7 +230,7 @@
 
     fn carry_out(&mut self, effect: Effect) {
         let client = self.node.platform.clone();
-        let store = match effect {
+        let store_call = match effect {
             Effect::List { prefix } => list(client, prefix).boxed(),
             Effect::Get { key } => get(client, key).boxed(),
             Effect::Create { key, value } => {
@@ -217,57 +244,59 @@
             } => async move { written(client.update(&key, expected_version, value).await) }.boxed(),
             Effect::Dispatch { id, unsent } => return self.dispatch(id, unsent),
             Effect::Answer { id, answer } => {
-                if let Some(wait) = self.waiting.remove(&id) {
-                    // A caller that went away no longer wants the answer.
-                    let _ = wait.answer.send(answer);
+                if let Some(waiting) = self.waiting.remove(&id) {
+                    // This fails if the caller has disconnected.
+                    let _ = waiting.answer.send(answer);
                 }
                 return;
             }
             Effect::ReportCorruption { error } => {
-                log::error!("the shard cannot be read: {error}");
+                log::error!(
+                    "a ledger shard refuses calls because an object cannot be decoded: {error}"
+                );
                 return;
             }
         };
         self.node.metrics.add(Counter::StoreCalls, 1);
-        self.store = Some(store);
+        self.store_call = Some(store_call);
     }
 
     fn dispatch(&mut self, id: CallId, unsent: celerypond_ledger::UnsentCall) {
-        let Some(wait) = self.waiting.get(&id) else {
+        let Some(waiting) = self.waiting.get(&id) else {
             return;
         };
-        let send = wait.send.clone();
+        let service_call = waiting.service_call.clone();
         let node = Arc::clone(&self.node);
-        // The sender keeps the shard alive until the outcome is in its hands.
-        let Some(sender) = self.finished.upgrade() else {
+        // The sender keeps the task of the shard alive until it has received the finished call.
+        let Some(sender) = self.command_sender.upgrade() else {
             return;
         };
         self.node.background_tasks.spawn(async move {
-            let finished = send.send_once(&node, unsent).await;
-            // A shard ends only after all its calls have.
+            let finished = service_call.send_once(&node, unsent).await;
+            // The task of the shard ends only after all its calls have ended, so this does not fail.
             let _ = sender.send(Command::Finish(finished)).await;
         });
     }
 }
 
-async fn list(client: Client, prefix: smol_str::SmolStr) -> Stored {
-    Stored::Listed(match client.list_all(&prefix).await {
+async fn list(client: Client, prefix: smol_str::SmolStr) -> StoreReply {
+    StoreReply::Listed(match client.list_all(&prefix).await {
         Ok(listing) => ListReply::Listed(listing.objects),
         Err(_) => ListReply::Failed,
     })
 }
 
-async fn get(client: Client, key: smol_str::SmolStr) -> Stored {
+async fn get(client: Client, key: smol_str::SmolStr) -> StoreReply {
     let result = client.get(&key).await;
-    Stored::Read(ReadReply::from(result.map_err(context)))
+    StoreReply::Read(ReadReply::from(result.map_err(error_of)))
 }
 
 fn written(
     result: Result<celerypond_platform::Version, error_stack::Report<PlatformError>>,
-) -> Stored {
-    Stored::Written(WriteReply::from(result.map_err(context)))
+) -> StoreReply {
+    StoreReply::Written(WriteReply::from(result.map_err(error_of)))
 }
 
-fn context(report: error_stack::Report<PlatformError>) -> PlatformError {
+fn error_of(report: error_stack::Report<PlatformError>) -> PlatformError {
     *report.current_context()
 }
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -154,8 +154,11 @@
         match self.exchange(node, connection).await {
             AttemptResult::Response(response, retry_after) => {
                 let not_run_codes = NotRunCodes::new(&self.service.not_run_codes);
-                let retry_after = retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
-                sent.answered(response, retry_after, &not_run_codes)
+                sent.answered(
+                    response,
+                    retry_after.unwrap_or(DEFAULT_RETRY_AFTER),
+                    &not_run_codes,
+                )
             }
             AttemptResult::Failed(_) => sent.unanswered(),
         }
