--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -1,7 +1,8 @@
-//! Passes keyed calls on to the instance that batches for their shard.
+//! Forwards keyed calls to the instance that owns their shard.
 //!
-//! One writer a shard puts all calls that arrive meanwhile into one write. Who writes is decided by
-//! the store alone, so an instance that is wrong about the owner only writes more often.
+//! A single writer per shard batches all calls that arrive during a write into the next one. Only the
+//! store decides which write succeeds, so if instances disagree about the owner there are merely more
+//! writes.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -18,14 +19,15 @@
 
 use crate::{gossip, ledger, node::Node, peers::PeerCallError, service_call::ServiceCall};
 
-/// When to come back if the owner has not heard of the service yet.
-const COME_BACK: Duration = Duration::from_secs(1);
-/// The part of the deadline that is left to go on without an owner that does not answer.
-const OWN_PART: u32 = 3;
+/// The retry delay for callers if the owner does not know the service yet.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The time left until the deadline is divided by this to get the part that is reserved for running the
+/// call here if the owner does not respond.
+const LOCAL_DIVISOR: u32 = 3;
 
-/// A keyed call on its way to the owner of its shard.
+/// A keyed call as it is sent to the owner of its shard.
 #[derive(Serialize, Deserialize)]
-struct Sent {
+struct ForwardedCall {
     key: CallKey,
     service: ServiceName,
     method: SmolStr,
@@ -36,18 +38,21 @@
     trace: Option<SmolStr>,
 }
 
-/// What became of it.
+/// The answer of the owner.
 #[derive(Serialize, Deserialize)]
-enum Came {
+enum ForwardedAnswer {
     Ran(ServiceResponse),
-    NotRun { reason: Reason, retry_after_ms: u64 },
+    NotRun {
+        reason: ForwardedReason,
+        retry_after_ms: u64,
+    },
     Unknown,
     KeyReused,
 }
 
-/// The reasons that an owner gives.
+/// The reasons for a call that has not run, as instances exchange them.
 #[derive(Clone, Copy, Serialize, Deserialize)]
-enum Reason {
+enum ForwardedReason {
     NoTarget,
     StoreDown,
     NotConnected,
@@ -56,126 +61,131 @@
     Stopping,
 }
 
-/// Runs a keyed call at most once, through the owner of its shard if that answers.
+/// Runs a keyed call at most once, at the owner of its shard if it responds and otherwise here.
 ///
-/// An owner that can't be connected to has got nothing. One that was sent the call and does not answer
-/// may run it: the call then goes on here, where the record of the owner, if there is one, is found.
-/// If there is none yet the owner may still write it, so this instance must not say "not run".
-pub async fn call(node: &Arc<Node>, key: CallKey, send: ServiceCall) -> Answer {
+/// An owner that cannot be connected to has not received the call. An owner that was sent the call and
+/// does not respond may still run it. The call is then run here, which finds the record of the owner in
+/// the ledger if there is one. If there is none yet, the owner may still write it, so this instance must
+/// not answer "not run".
+pub async fn call(node: &Arc<Node>, key: CallKey, service_call: ServiceCall) -> Answer {
     let mut is_sent = false;
     if let Some(owner) = owner(node, key) {
-        match pass_on(node, owner, key, &send).await {
+        match forward(node, owner, key, &service_call).await {
             Ok(answer) => return answer,
             Err(error) => is_sent = matches!(error, PeerCallError::NoAnswer(_)),
         }
     }
-    let answer = node.ledger.call(node, key, send).await;
+    let answer = node.ledger.call(node, key, service_call).await;
     match answer.unwrap_or(Answer::Outcome(Outcome::Unknown)) {
         Answer::Outcome(Outcome::NotRun { .. }) if is_sent => Answer::Outcome(Outcome::Unknown),
         answer => answer,
     }
 }
 
-/// Returns how many shards fall to this instance.
+/// Returns the number of shards that this instance owns.
 pub fn owned_shards(node: &Node) -> usize {
     let shards = 0..ledger::SHARD_COUNT;
     shards
-        .filter(|shard| owner_of(node, *shard).is_none())
+        .filter(|shard| shard_owner(node, *shard).is_none())
         .count()
 }
 
-/// Answers a call that another instance passed on.
+/// Handles a call that another instance forwarded.
 pub async fn answer(node: &Arc<Node>, call: &[u8]) -> Vec<u8> {
-    let came = match serde_json::from_slice::<Sent>(call) {
-        Ok(sent) => {
-            let trace = sent.trace.as_ref().and_then(|text| text.parse().ok());
-            run(node, sent).instrument(hop("peer", trace)).await
+    let answer = match serde_json::from_slice::<ForwardedCall>(call) {
+        Ok(call) => {
+            let trace = call.trace.as_ref().and_then(|text| text.parse().ok());
+            run(node, call).instrument(hop("peer", trace)).await
         }
-        Err(_) => not_run(NotRunReason::NoTarget, COME_BACK),
+        Err(_) => not_run(NotRunReason::NoTarget, RETRY_AFTER),
     };
-    serde_json::to_vec(&came).unwrap_or_default()
+    serde_json::to_vec(&answer).unwrap_or_default()
 }
 
-async fn run(node: &Arc<Node>, sent: Sent) -> Came {
+async fn run(node: &Arc<Node>, forwarded: ForwardedCall) -> ForwardedAnswer {
     let force = node.active_bundle.load_full();
     let service = force
         .as_ref()
-        .and_then(|force| force.service(&sent.service));
-    let (Some(service), Ok(method)) = (service, Method::from_bytes(sent.method.as_bytes())) else {
-        return not_run(NotRunReason::NoTarget, COME_BACK);
+        .and_then(|force| force.service(&forwarded.service));
+    let (Some(service), Ok(method)) = (service, Method::from_bytes(forwarded.method.as_bytes()))
+    else {
+        return not_run(NotRunReason::NoTarget, RETRY_AFTER);
     };
     let call = ServiceCall {
         service: Arc::new(service.clone()),
         method,
-        path: sent.path,
-        headers: sent.headers.iter().filter_map(header).collect(),
-        body: Bytes::from(sent.body),
-        deadline: Instant::now() + Duration::from_millis(sent.left_ms),
+        path: forwarded.path,
+        headers: forwarded.headers.iter().filter_map(header).collect(),
+        body: Bytes::from(forwarded.body),
+        deadline: Instant::now() + Duration::from_millis(forwarded.left_ms),
         trace: TraceContext::from_span(&Span::current()),
     };
-    match node.ledger.call(node, sent.key, call).await {
-        Some(Answer::Outcome(Outcome::Ran(reply))) => Came::Ran(reply),
+    match node.ledger.call(node, forwarded.key, call).await {
+        Some(Answer::Outcome(Outcome::Ran(response))) => ForwardedAnswer::Ran(response),
         Some(Answer::Outcome(Outcome::NotRun {
             reason,
             retry_after,
         })) => not_run(reason, retry_after),
-        Some(Answer::KeyReused) => Came::KeyReused,
-        Some(Answer::Outcome(Outcome::Unknown)) | None => Came::Unknown,
+        Some(Answer::KeyReused) => ForwardedAnswer::KeyReused,
+        Some(Answer::Outcome(Outcome::Unknown)) | None => ForwardedAnswer::Unknown,
     }
 }
 
-async fn pass_on(
+async fn forward(
     node: &Node,
     owner: SocketAddr,
     key: CallKey,
-    send: &ServiceCall,
+    service_call: &ServiceCall,
 ) -> Result<Answer, PeerCallError> {
-    let left = send.deadline.saturating_duration_since(Instant::now());
-    let limit = left - left / OWN_PART;
-    let sent = Sent {
+    let time_left = service_call
+        .deadline
+        .saturating_duration_since(Instant::now());
+    let timeout = time_left - time_left / LOCAL_DIVISOR;
+    let forwarded = ForwardedCall {
         key,
-        service: send.service.name.clone(),
-        method: send.method.as_str().into(),
-        path: send.path.clone(),
-        headers: texts(&send.headers),
-        body: send.body.to_vec(),
-        left_ms: limit.as_millis() as u64,
-        trace: send.trace.map(|trace| format_smolstr!("{trace}")),
+        service: service_call.service.name.clone(),
+        method: service_call.method.as_str().into(),
+        path: service_call.path.clone(),
+        headers: header_texts(&service_call.headers),
+        body: service_call.body.to_vec(),
+        left_ms: timeout.as_millis() as u64,
+        trace: service_call.trace.map(|trace| format_smolstr!("{trace}")),
     };
-    let value = serde_json::to_vec(&sent).unwrap_or_default();
-    let result = node.peers.forward_call(owner, value, limit).await;
-    let value = result.map_err(|report| *report.current_context())?;
-    match serde_json::from_slice(&value) {
-        Ok(came) => Ok(came_back(came)),
+    let request = serde_json::to_vec(&forwarded).unwrap_or_default();
+    let result = node.peers.forward_call(owner, request, timeout).await;
+    let response = result.map_err(|report| *report.current_context())?;
+    match serde_json::from_slice(&response) {
+        Ok(answer) => Ok(into_answer(answer)),
         Err(_) => Err(PeerCallError::NoAnswer(owner)),
     }
 }
 
-fn came_back(came: Came) -> Answer {
-    Answer::Outcome(match came {
-        Came::Ran(reply) => Outcome::Ran(reply),
-        Came::NotRun {
+fn into_answer(answer: ForwardedAnswer) -> Answer {
+    Answer::Outcome(match answer {
+        ForwardedAnswer::Ran(response) => Outcome::Ran(response),
+        ForwardedAnswer::NotRun {
             reason,
             retry_after_ms,
         } => Outcome::NotRun {
             reason: reason.into(),
             retry_after: Duration::from_millis(retry_after_ms),
         },
-        Came::Unknown => Outcome::Unknown,
-        Came::KeyReused => return Answer::KeyReused,
+        ForwardedAnswer::Unknown => Outcome::Unknown,
+        ForwardedAnswer::KeyReused => return Answer::KeyReused,
     })
 }
 
+/// Returns the address of the owner of a key's shard; `None` if it is this instance.
 fn owner(node: &Node, key: CallKey) -> Option<SocketAddr> {
-    owner_of(node, key.shard(ledger::SHARD_COUNT))
+    shard_owner(node, key.shard(ledger::SHARD_COUNT))
 }
 
-/// Returns where the owner of a shard is, or nothing when it is this instance.
-fn owner_of(node: &Node, shard: u16) -> Option<SocketAddr> {
+/// Returns the address of the owner of a shard; `None` if it is this instance.
+fn shard_owner(node: &Node, shard: u16) -> Option<SocketAddr> {
     gossip::responsible_instance(node, &format!("ledger shard {shard}"))?.address
 }
 
-fn texts(headers: &HeaderMap) -> Vec<(SmolStr, SmolStr)> {
+fn header_texts(headers: &HeaderMap) -> Vec<(SmolStr, SmolStr)> {
     let text = |(name, value): (&HeaderName, &HeaderValue)| {
         Some((name.as_str().into(), value.to_str().ok()?.into()))
     };
@@ -187,14 +197,14 @@
     Some((name, HeaderValue::from_str(value).ok()?))
 }
 
-fn not_run(reason: NotRunReason, retry_after: Duration) -> Came {
-    Came::NotRun {
+fn not_run(reason: NotRunReason, retry_after: Duration) -> ForwardedAnswer {
+    ForwardedAnswer::NotRun {
         reason: reason.into(),
         retry_after_ms: retry_after.as_millis() as u64,
     }
 }
 
-impl From<NotRunReason> for Reason {
+impl From<NotRunReason> for ForwardedReason {
     fn from(reason: NotRunReason) -> Self {
         match reason {
             NotRunReason::NoTarget => Self::NoTarget,
@@ -209,15 +219,15 @@
     }
 }
 
-impl From<Reason> for NotRunReason {
-    fn from(reason: Reason) -> Self {
+impl From<ForwardedReason> for NotRunReason {
+    fn from(reason: ForwardedReason) -> Self {
         match reason {
-            Reason::NoTarget => Self::NoTarget,
-            Reason::StoreDown => Self::StoreDown,
-            Reason::NotConnected => Self::NotConnected,
-            Reason::Refused => Self::Refused,
-            Reason::Overload => Self::Overload,
-            Reason::Stopping => Self::Stopping,
+            ForwardedReason::NoTarget => Self::NoTarget,
+            ForwardedReason::StoreDown => Self::StoreDown,
+            ForwardedReason::NotConnected => Self::NotConnected,
+            ForwardedReason::Refused => Self::Refused,
+            ForwardedReason::Overload => Self::Overload,
+            ForwardedReason::Stopping => Self::Stopping,
         }
     }
 }
