--- a/daemon/src/suspects.rs
+++ b/daemon/src/suspects.rs
@@ -1,4 +1,4 @@
-//! Targets that refused or broke a connection a moment ago.
+//! Targets that recently refused or broke a connection.
 
 use std::{
     collections::HashMap,
@@ -9,29 +9,29 @@
 use celerypond_types::TargetKey;
 use tokio::time::Instant;
 
-/// How long a target stays suspect. Polls and the ejector decide on anything longer.
-const HOLD: Duration = Duration::from_secs(1);
+/// How long a target stays suspect. Beyond that, polls and outlier detection decide.
+const SUSPECT_DURATION: Duration = Duration::from_secs(1);
 
-/// Targets that refused or broke a connection a moment ago.
+/// Targets that recently refused or broke a connection.
 ///
-/// The failure: an engine dies, and all its answers look for another target at once. Before polls
-/// find out, one in `n` would be sent to the dead engine again, and lose time there. A target that
-/// is suspect for nothing is missed for a second.
+/// When an engine crashes, all its answers look for another target at once. Until a poll detects the
+/// crash, one in `n` of them would be sent to the crashed engine again and lose time. A target that is
+/// suspected wrongly only goes unused for a second.
 #[derive(Debug, Default)]
 pub struct Suspects(Mutex<HashMap<TargetKey, Instant>>);
 
 impl Suspects {
-    /// Suspects a target from now on.
+    /// Adds a target for the next `SUSPECT_DURATION`.
     pub fn add(&self, target: TargetKey, now: Instant) {
-        self.lock().insert(target, now + HOLD);
+        self.lock().insert(target, now + SUSPECT_DURATION);
     }
 
-    /// Returns `others` and all suspects.
-    pub fn add_to(&self, mut others: Vec<TargetKey>, now: Instant) -> Vec<TargetKey> {
+    /// Returns `excluded` with all current suspects added.
+    pub fn add_to(&self, mut excluded: Vec<TargetKey>, now: Instant) -> Vec<TargetKey> {
         let mut suspects = self.lock();
         suspects.retain(|_, until| *until > now);
-        others.extend(suspects.keys());
-        others
+        excluded.extend(suspects.keys());
+        excluded
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<TargetKey, Instant>> {
