--- a/daemon/src/front/operator.rs
+++ b/daemon/src/front/operator.rs
@@ -227,7 +227,7 @@
         OperationOutcome::Approved(approval) => problem::json(StatusCode::OK, &approval),
         OperationOutcome::Rolled(current) => {
             // The roll is accepted whether or not this instance can read it back now.
-            watch::ask_store(node).await;
+            watch::fetch_from_store(node).await;
             problem::json(StatusCode::OK, &current)
         }
         OperationOutcome::LostRace { winner } => {
--- a/daemon/src/peer_server.rs
+++ b/daemon/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of other instances.
+//! Handles the calls of other instances.
 
 use std::sync::Arc;
 
@@ -10,51 +10,51 @@
 use tarpc::context::Context;
 use tokio::{net::TcpListener, time::Instant};
 
-use crate::{forward, gossip, keeping, listening, node::Node, watch::Told};
+use crate::{forward, gossip, keeping, listening, node::Node, watch::BundleMessage};
 
-/// Answers the calls of other instances.
+/// Handles the calls of other instances.
 #[derive(Clone)]
-struct Server(Arc<Node>);
+struct PeerServer(Arc<Node>);
 
-/// Serves peers on a listener until the instance ends.
+/// Serves peers on a listener until the instance shuts down.
 pub async fn run(node: Arc<Node>, listener: TcpListener) {
     let ending = node.shutdown.clone();
     listening::serve(listener, ending, |socket| {
-        let server = Server(Arc::clone(&node));
-        // A peer that goes away in the middle is an ordinary end.
+        let server = PeerServer(Arc::clone(&node));
+        // It is not an error if a peer disconnects during a call.
         serve_connection(socket, server.serve()).map(|_| ())
     })
     .await;
 }
 
-impl Peer for Server {
+impl Peer for PeerServer {
     async fn exchange_gossip(self, _: Context, message: Message) -> Message {
-        let answer = self.0.gossip().handle_request(message, Instant::now());
+        let response = self.0.gossip().handle_request(message, Instant::now());
         self.0.metrics.add(Counter::GossipReceived, 1);
         gossip::process_events(&self.0);
-        answer
+        response
     }
 
     async fn store_record(self, _: Context, record: Vec<u8>) -> Option<Vec<u8>> {
         let record = KeeperRecord::decode(&record).ok()?;
         keeping::tell_driver(&self.0, &record);
-        let kept = self.0.keeper().put(Instant::now(), record);
-        let counter = match kept {
+        let result = self.0.keeper().put(Instant::now(), record);
+        let counter = match result {
             Err(PutError::Full) => Counter::KeeperDropped,
             Ok(()) | Err(PutError::Fenced(_)) => Counter::KeeperRecords,
         };
         self.0.metrics.add(counter, 1);
-        let held = self.0.keeper().len() as u64;
-        self.0.metrics.set(Gauge::KeeperHeld, held);
-        match kept {
+        let count = self.0.keeper().len() as u64;
+        self.0.metrics.set(Gauge::KeeperHeld, count);
+        match result {
             Err(PutError::Fenced(higher)) => Some(higher.encode()),
             Ok(()) | Err(PutError::Full) => None,
         }
     }
 
-    async fn append_to_record(self, _: Context, copy: Vec<u8>) {
-        if let Ok(copy) = RecordExtension::decode(&copy) {
-            self.0.keeper().extend(&copy);
+    async fn append_to_record(self, _: Context, extension: Vec<u8>) {
+        if let Ok(extension) = RecordExtension::decode(&extension) {
+            self.0.keeper().extend(&extension);
         }
     }
 
@@ -71,20 +71,20 @@
 
     async fn fetch_bundle(self, _: Context, revision: Revision) -> Option<Vec<u8>> {
         let force = self.0.active_bundle.load_full()?;
-        let told = Told {
+        let message = BundleMessage {
             headline: force.headline.clone(),
             bundle: (*force.bundle).clone(),
         };
-        (force.headline.revision >= revision).then(|| told.encode())
+        (force.headline.revision >= revision).then(|| message.encode())
     }
 
-    /// Only instances that relay routed requests follow each other.
+    /// Returns nothing: only instances in the relay role fetch changes from each other.
     async fn fetch_changes(self, _: Context, _: u64) -> Option<Vec<u8>> {
         None
     }
 
-    async fn exchange_rollouts(self, _: Context, news: Vec<u8>) -> Vec<u8> {
-        self.0.rollouts.handle_exchange(&self.0, &news)
+    async fn exchange_rollouts(self, _: Context, state: Vec<u8>) -> Vec<u8> {
+        self.0.rollouts.handle_exchange(&self.0, &state)
     }
 
     async fn forward_call(self, _: Context, call: Vec<u8>) -> Vec<u8> {
--- a/daemon/src/server.rs
+++ b/daemon/src/server.rs
@@ -121,7 +121,7 @@
     tasks.spawn(roster::run(Arc::clone(node)));
     tasks.spawn(gossip::run(Arc::clone(node)));
     tasks.spawn(watch::run(Arc::clone(node)));
-    tasks.spawn(watch::hold(Arc::clone(node)));
+    tasks.spawn(watch::watch_store(Arc::clone(node)));
     tasks.spawn(rollouts::run(Arc::clone(node)));
     tasks.spawn(orders::run(Arc::clone(node)));
     tasks.spawn(limits::run(Arc::clone(node)));
--- a/daemon/src/watch.rs
+++ b/daemon/src/watch.rs
@@ -1,4 +1,4 @@
-//! Brings bundles into force, as the store and other instances name them.
+//! Fetches new bundles from the store and from peers, and brings them into force.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -20,35 +20,35 @@
     store,
 };
 
-/// How long one watch waits for a change.
-const WAIT: Duration = Duration::from_secs(10);
-/// How often an instance looks at what it has heard.
-const STEP: Duration = Duration::from_millis(100);
-/// The least pause of a watcher after a failed call.
-const PAUSE_MS: u64 = 300;
+/// The time after which a watch of the store returns without a change.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+/// The interval at which an instance checks for a newer bundle.
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
+/// The minimum delay of a watcher after a failed watch, in milliseconds.
+const MIN_RETRY_DELAY_MS: u64 = 300;
 
-/// What an instance tells a peer of the bundle that it has in force.
+/// The bundle in force at an instance, as it is sent to a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Told {
-    /// The revision, digest and what it changed.
+pub struct BundleMessage {
+    /// The header: the revision, the digest and what changed.
     pub headline: BundleHeader,
-    /// The content.
+    /// The content of the bundle.
     pub bundle: Bundle,
 }
 
-impl Told {
-    /// Encodes it for a peer.
+impl BundleMessage {
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
-        // The types have text keys only, so they always have a JSON form.
+        // Serialization cannot fail, since the types have only text keys.
         serde_json::to_vec(self).unwrap_or_default()
     }
 }
 
-/// Brings bundles into force until the instance ends.
+/// Brings bundles into force until the instance shuts down.
 pub async fn run(node: Arc<Node>) {
     let mut rng = node.rng();
-    ask_all(&node).await;
-    let mut step = time::interval(STEP);
+    query_all(&node).await;
+    let mut step = time::interval(STEP_INTERVAL);
     loop {
         tokio::select! {
             () = node.shutdown.cancelled() => return,
@@ -57,31 +57,36 @@
         }
         let is_due = node.bundle_tracker().poll_due(Instant::now(), &mut rng);
         if is_due || node.active_bundle.load().is_none() {
-            ask_store(&node).await;
+            fetch_from_store(&node).await;
         }
-        let heard = node.gossip().facts().revision();
-        if heard > node.bundle_tracker().revision() {
-            catch_up(&node, heard, &mut rng).await;
+        let known_revision = node.gossip().facts().revision();
+        if known_revision > node.bundle_tracker().revision() {
+            fetch_newer(&node, known_revision, &mut rng).await;
         }
-        settle(&node);
+        activate_newest(&node);
     }
 }
 
-/// Holds a watch on the store while this instance is one of the watchers of its data centre.
-pub async fn hold(node: Arc<Node>) {
+/// Watches the store while this instance is one of the watchers of its data centre.
+pub async fn watch_store(node: Arc<Node>) {
     let mut rng = node.rng();
     let mut since = Version(0);
     loop {
-        let pause = Duration::from_millis(rng.random_range(PAUSE_MS..2 * PAUSE_MS));
-        let is_watcher = is_watcher_here(&node);
+        let delay =
+            Duration::from_millis(rng.random_range(MIN_RETRY_DELAY_MS..2 * MIN_RETRY_DELAY_MS));
+        let is_watcher = is_watching_instance(&node);
         let watched = async {
             if !is_watcher {
-                time::sleep(WAIT / 10).await;
+                time::sleep(WATCH_TIMEOUT / 10).await;
                 return Some(since);
             }
-            let changes = node.platform.watch(CURRENT_KEY, since, WAIT).await.ok()?;
+            let changes = node
+                .platform
+                .watch(CURRENT_KEY, since, WATCH_TIMEOUT)
+                .await
+                .ok()?;
             if !changes.changes.is_empty() {
-                ask_store(&node).await;
+                fetch_from_store(&node).await;
             }
             Some(changes.revision)
         };
@@ -91,14 +96,14 @@
         };
         match watched {
             Some(revision) => since = revision,
-            // Jitter keeps watchers from coming back to a recovered store in step.
-            None => time::sleep(pause).await,
+            // Jitter keeps watchers from calling a recovered store at the same time.
+            None => time::sleep(delay).await,
         }
     }
 }
 
-/// Reads what the store names and brings it into force.
-pub async fn ask_store(node: &Arc<Node>) {
+/// Reads the current bundle of the store and brings it into force if it is newer.
+pub async fn fetch_from_store(node: &Arc<Node>) {
     let call = StoreCall::read(CURRENT_KEY);
     let current: CurrentBundle = match store::call(&node.platform, &node.metrics, &call).await {
         StoreReply::Found { value, .. } => match celerypond_rollout::parse_json(&value) {
@@ -110,15 +115,15 @@
     };
     let headline = current.header();
     let digest = headline.digest;
-    let is_news = node.bundle_tracker().note_header(headline, Source::Store);
-    if is_news || node.bundle_tracker().revision() < current.revision {
+    let is_new = node.bundle_tracker().note_header(headline, Source::Store);
+    if is_new || node.bundle_tracker().revision() < current.revision {
         let Some(bundle) = read_bundle(node, digest).await else {
             return;
         };
-        take(node, bundle);
+        accept_bundle(node, bundle);
     }
     node.bundle_tracker().mark_answered(Source::Store);
-    settle(node);
+    activate_newest(node);
 }
 
 async fn read_bundle(node: &Node, digest: Digest) -> Option<Bundle> {
@@ -132,64 +137,73 @@
     }
 }
 
-/// Asks every instance that answers, and the store, as a starting instance does.
-async fn ask_all(node: &Arc<Node>) {
-    let peers = peers(node);
-    let asks = peers
+/// Fetches the bundle from all live peers and the store, at the start of the instance.
+async fn query_all(node: &Arc<Node>) {
+    let peers = live_peers(node);
+    let fetches = peers
         .iter()
-        .map(|(name, address)| ask_peer(node, name, *address, Revision(0)));
-    futures::future::join_all(asks).await;
-    ask_store(node).await;
-    settle(node);
+        .map(|(name, address)| fetch_from_peer(node, name, *address, Revision(0)));
+    futures::future::join_all(fetches).await;
+    fetch_from_store(node).await;
+    activate_newest(node);
 }
 
-/// Fetches a bundle that others have, from one of them or from the store in turn.
-async fn catch_up(node: &Arc<Node>, revision: Revision, rng: &mut SmallRng) {
-    let peers = peers(node);
+/// Fetches a bundle of at least this revision from a random peer, and from the store if that fails.
+async fn fetch_newer(node: &Arc<Node>, revision: Revision, rng: &mut SmallRng) {
+    let peers = live_peers(node);
     if let Some((name, address)) = peers.choose(rng) {
-        ask_peer(node, name, *address, revision).await;
+        fetch_from_peer(node, name, *address, revision).await;
     }
     if node.bundle_tracker().revision() < revision {
-        ask_store(node).await;
+        fetch_from_store(node).await;
     }
 }
 
-async fn ask_peer(node: &Arc<Node>, name: &InstanceName, address: SocketAddr, least: Revision) {
+async fn fetch_from_peer(
+    node: &Arc<Node>,
+    name: &InstanceName,
+    address: SocketAddr,
+    min_revision: Revision,
+) {
     let source = Source::Peer(name.clone());
-    let Ok(answer) = node.peers.fetch_bundle(address, least).await else {
+    let Ok(response) = node.peers.fetch_bundle(address, min_revision).await else {
         return;
     };
-    let told = answer.and_then(|told| serde_json::from_slice::<Told>(&told).ok());
-    if let Some(told) = told {
-        let is_news = node
+    let message =
+        response.and_then(|message| serde_json::from_slice::<BundleMessage>(&message).ok());
+    if let Some(message) = message {
+        let is_new = node
             .bundle_tracker()
-            .note_header(told.headline, source.clone());
-        if is_news {
-            take(node, told.bundle);
+            .note_header(message.headline, source.clone());
+        if is_new {
+            accept_bundle(node, message.bundle);
         }
     }
-    if least == Revision(0) {
+    // Only without a minimum revision does a peer always answer with the bundle that it has in force.
+    if min_revision == Revision(0) {
         node.bundle_tracker().mark_answered(source);
     }
 }
 
-fn take(node: &Node, bundle: Bundle) {
+fn accept_bundle(node: &Node, bundle: Bundle) {
     let result = node.bundle_tracker().accept_bundle(bundle);
     if let Err(error) = result {
-        log::warn!("a bundle was not taken: {error}");
+        log::warn!("rejected a bundle: {error}");
     }
 }
 
-/// Lets requests see the bundle in force, once a starting instance knows enough.
-fn settle(node: &Arc<Node>) {
-    let peers: Vec<InstanceName> = peers(node).into_iter().map(|(name, _)| name).collect();
-    let held = {
+/// Brings the newest known bundle into force.
+///
+/// A starting instance waits until the tracker has got enough answers from peers and the store.
+fn activate_newest(node: &Arc<Node>) {
+    let peers: Vec<InstanceName> = live_peers(node).into_iter().map(|(name, _)| name).collect();
+    let newest = {
         let tracker: &BundleTracker = &node.bundle_tracker();
-        // An instance that serves already only goes on to later revisions.
+        // Once an instance has a bundle in force, every later one may replace it.
         let is_ready = node.active_bundle.load().is_some() || tracker.is_ready(&peers);
         tracker.active().filter(|_| is_ready).cloned()
     };
-    let Some((headline, bundle)) = held else {
+    let Some((headline, bundle)) = newest else {
         return;
     };
     let revision = headline.revision;
@@ -199,14 +213,14 @@
     }
 }
 
-fn peers(node: &Node) -> Vec<(InstanceName, SocketAddr)> {
+fn live_peers(node: &Node) -> Vec<(InstanceName, SocketAddr)> {
     let live = gossip::live_instances(node);
     live.into_iter()
         .filter_map(|instance| Some((instance.name, instance.address?)))
         .collect()
 }
 
-fn is_watcher_here(node: &Node) -> bool {
+fn is_watching_instance(node: &Node) -> bool {
     let live: Vec<_> = gossip::live_instances(node)
         .into_iter()
         .map(
