--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -14,65 +14,84 @@
 use tokio::time::Instant;
 use tokio_util::task::TaskTracker;
 
-/// How long a connection to a peer may take.
-const CONNECT: Duration = Duration::from_millis(500);
-/// How long a small call may take.
-const SMALL: Duration = Duration::from_millis(800);
-/// How long a call may take that carries a bundle.
-const LARGE: Duration = Duration::from_secs(3);
-
-/// A call to a peer that brought no answer.
+/// The timeout for connecting to a peer.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The timeout of a call with short messages.
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// The timeout of a call whose response may carry a bundle or a list of changes.
+const BUNDLE_CALL_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// The error of a call to a peer that got no response.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum PeerCallError {
-    /// No connection could be made.
-    #[error("the peer {0} cannot be reached")]
+    /// The connection could not be established, so nothing was sent.
+    #[error("failed to connect to peer {0}")]
     Unreachable(SocketAddr),
-    /// No answer came in time, or the connection broke.
-    #[error("the peer {0} did not answer")]
+    /// No response arrived in time, or the connection broke. The call may have been processed.
+    #[error("peer {0} did not respond")]
     NoAnswer(SocketAddr),
 }
 
-type Answer<T> = Result<T, Report<PeerCallError>>;
+type PeerResult<T> = Result<T, Report<PeerCallError>>;
 
-/// Connections to other instances, made when they are needed.
+/// The connections to other instances, established on first use.
 #[derive(Default)]
 pub struct Peers {
     clients: Mutex<HashMap<SocketAddr, PeerClient>>,
-    drivers: TaskTracker,
+    connection_tasks: TaskTracker,
 }
 
 impl Peers {
-    /// Exchanges gossip.
+    /// Sends a gossip message and returns the response.
     ///
     /// # Errors
     ///
     /// A [`PeerCallError`].
-    pub async fn exchange_gossip(&self, to: SocketAddr, message: Message) -> Answer<Message> {
+    pub async fn exchange_gossip(&self, to: SocketAddr, message: Message) -> PeerResult<Message> {
         let client = self.client(to).await?;
-        self.judge(to, client.exchange_gossip(within(SMALL), message).await)
+        self.check(
+            to,
+            client
+                .exchange_gossip(context_with_timeout(SHORT_CALL_TIMEOUT), message)
+                .await,
+        )
     }
 
-    /// Puts a record at a keeper; returns a higher one that it holds instead.
+    /// Stores a record at a keeper; returns the record that it holds instead if that is higher.
     ///
     /// # Errors
     ///
     /// A [`PeerCallError`].
-    pub async fn store_record(&self, to: SocketAddr, record: Vec<u8>) -> Answer<Option<Vec<u8>>> {
+    pub async fn store_record(
+        &self,
+        to: SocketAddr,
+        record: Vec<u8>,
+    ) -> PeerResult<Option<Vec<u8>>> {
         let client = self.client(to).await?;
-        self.judge(to, client.store_record(within(SMALL), record).await)
+        self.check(
+            to,
+            client
+                .store_record(context_with_timeout(SHORT_CALL_TIMEOUT), record)
+                .await,
+        )
     }
 
-    /// Adds tokens to a record at a keeper.
+    /// Appends tokens to a record at a keeper.
     ///
     /// # Errors
     ///
     /// A [`PeerCallError`].
-    pub async fn append_to_record(&self, to: SocketAddr, copy: Vec<u8>) -> Answer<()> {
+    pub async fn append_to_record(&self, to: SocketAddr, extension: Vec<u8>) -> PeerResult<()> {
         let client = self.client(to).await?;
-        self.judge(to, client.append_to_record(within(SMALL), copy).await)
+        self.check(
+            to,
+            client
+                .append_to_record(context_with_timeout(SHORT_CALL_TIMEOUT), extension)
+                .await,
+        )
     }
 
-    /// Asks a keeper for a record.
+    /// Fetches the record of a request from a keeper.
     ///
     /// # Errors
     ///
@@ -81,12 +100,17 @@
         &self,
         to: SocketAddr,
         request: RequestKey,
-    ) -> Answer<Option<Vec<u8>>> {
+    ) -> PeerResult<Option<Vec<u8>>> {
         let client = self.client(to).await?;
-        self.judge(to, client.fetch_record(within(SMALL), request).await)
+        self.check(
+            to,
+            client
+                .fetch_record(context_with_timeout(SHORT_CALL_TIMEOUT), request)
+                .await,
+        )
     }
 
-    /// Removes a record from a keeper, unless it is of a later attempt.
+    /// Removes a record from a keeper, unless it belongs to a later attempt.
     ///
     /// # Errors
     ///
@@ -96,15 +120,17 @@
         to: SocketAddr,
         request: RequestKey,
         attempt: Attempt,
-    ) -> Answer<()> {
+    ) -> PeerResult<()> {
         let client = self.client(to).await?;
-        self.judge(
+        self.check(
             to,
-            client.remove_record(within(SMALL), request, attempt).await,
+            client
+                .remove_record(context_with_timeout(SHORT_CALL_TIMEOUT), request, attempt)
+                .await,
         )
     }
 
-    /// Asks for the bundle in force at a peer, if its revision is at least `revision`.
+    /// Fetches the bundle in force at a peer, if its revision is at least `revision`.
     ///
     /// # Errors
     ///
@@ -113,68 +139,93 @@
         &self,
         to: SocketAddr,
         revision: Revision,
-    ) -> Answer<Option<Vec<u8>>> {
+    ) -> PeerResult<Option<Vec<u8>>> {
         let client = self.client(to).await?;
-        self.judge(to, client.fetch_bundle(within(LARGE), revision).await)
+        self.check(
+            to,
+            client
+                .fetch_bundle(context_with_timeout(BUNDLE_CALL_TIMEOUT), revision)
+                .await,
+        )
     }
 
-    /// Asks for what changed in the platform's store after a revision of the store.
+    /// Fetches the changes in the platform's store after a revision of the store.
     ///
     /// # Errors
     ///
     /// A [`PeerCallError`].
-    pub async fn fetch_changes(&self, to: SocketAddr, since: u64) -> Answer<Option<Vec<u8>>> {
+    pub async fn fetch_changes(&self, to: SocketAddr, since: u64) -> PeerResult<Option<Vec<u8>>> {
         let client = self.client(to).await?;
-        self.judge(to, client.fetch_changes(within(LARGE), since).await)
+        self.check(
+            to,
+            client
+                .fetch_changes(context_with_timeout(BUNDLE_CALL_TIMEOUT), since)
+                .await,
+        )
     }
 
-    /// Passes a keyed call on to the owner of its shard.
+    /// Forwards a keyed call to the owner of its shard.
     ///
     /// # Errors
     ///
-    /// A [`PeerCallError`]; after `Unreachable` nothing was sent.
+    /// A [`PeerCallError`]; after `Unreachable`, nothing was sent.
     pub async fn forward_call(
         &self,
         to: SocketAddr,
         call: Vec<u8>,
-        limit: Duration,
-    ) -> Answer<Vec<u8>> {
+        timeout: Duration,
+    ) -> PeerResult<Vec<u8>> {
         let client = self.client(to).await?;
-        self.judge(to, client.forward_call(within(limit), call).await)
+        self.check(
+            to,
+            client
+                .forward_call(context_with_timeout(timeout), call)
+                .await,
+        )
     }
 
-    /// Exchanges what is known of rollouts.
+    /// Sends the known rollout state and returns that of the peer.
     ///
     /// # Errors
     ///
     /// A [`PeerCallError`].
-    pub async fn exchange_rollouts(&self, to: SocketAddr, news: Vec<u8>) -> Answer<Vec<u8>> {
+    pub async fn exchange_rollouts(&self, to: SocketAddr, state: Vec<u8>) -> PeerResult<Vec<u8>> {
         let client = self.client(to).await?;
-        self.judge(to, client.exchange_rollouts(within(SMALL), news).await)
+        self.check(
+            to,
+            client
+                .exchange_rollouts(context_with_timeout(SHORT_CALL_TIMEOUT), state)
+                .await,
+        )
     }
 
-    /// Closes all connections and joins their tasks.
+    /// Closes all connections and waits until their tasks have ended.
     pub async fn close(&self) {
         self.lock().clear();
-        self.drivers.close();
-        self.drivers.wait().await;
+        self.connection_tasks.close();
+        self.connection_tasks.wait().await;
     }
 
-    async fn client(&self, to: SocketAddr) -> Answer<PeerClient> {
+    async fn client(&self, to: SocketAddr) -> PeerResult<PeerClient> {
         if let Some(client) = self.lock().get(&to) {
             return Ok(client.clone());
         }
-        let (client, drive) = connect(to, CONNECT)
+        let (client, connection_task) = connect(to, CONNECT_TIMEOUT)
             .await
             .change_context(PeerCallError::Unreachable(to))?;
-        self.drivers.spawn(drive);
+        self.connection_tasks.spawn(connection_task);
         self.lock().insert(to, client.clone());
         Ok(client)
     }
 
-    /// Drops the connection of a call that failed: it may have gone silent for good, and the next
-    /// call then goes over a new one.
-    fn judge<T>(&self, to: SocketAddr, result: Result<T, tarpc::client::RpcError>) -> Answer<T> {
+    /// Returns the result of a call, and drops the connection if the call failed.
+    ///
+    /// The connection may have stopped responding permanently, so the next call uses a new one.
+    fn check<T>(
+        &self,
+        to: SocketAddr,
+        result: Result<T, tarpc::client::RpcError>,
+    ) -> PeerResult<T> {
         result.map_err(|error| {
             self.lock().remove(&to);
             Report::new(error).change_context(PeerCallError::NoAnswer(to))
@@ -186,6 +237,6 @@
     }
 }
 
-fn within(limit: Duration) -> tarpc::context::Context {
-    call_context(Instant::now() + limit)
+fn context_with_timeout(timeout: Duration) -> tarpc::context::Context {
+    call_context(Instant::now() + timeout)
 }
