--- a/daemon/src/gossip.rs
+++ b/daemon/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Carries the gossip between instances, and what follows from it.
+//! Runs the gossip protocol: sends its messages and handles its events.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -12,78 +12,80 @@
 
 use crate::node::Node;
 
-/// How many instances keep the record of a request.
-const KEEPERS: usize = 2;
+/// The number of instances that keep the record of a request.
+const KEEPER_COUNT: usize = 2;
 
-/// Takes the turns of gossip until the instance ends.
+/// Runs the gossip rounds until the instance shuts down.
 pub async fn run(node: Arc<Node>) {
-    let mut round = Instant::now();
+    let mut next_round = Instant::now();
     loop {
         tokio::select! {
             () = node.shutdown.cancelled() => return,
-            () = time::sleep_until(round) => {}
+            () = time::sleep_until(next_round) => {}
         }
-        let list = listed(&node);
-        let group = group(&node, &list);
+        let list = listed_members(&node);
+        let group = update_group(&node, &list);
         let now = Instant::now();
         let sends = {
             let mut gossip = node.gossip();
             gossip.update_listed_members(&list, now);
             gossip.set_group(group);
-            round = now + gossip.round_interval(now);
+            next_round = now + gossip.round_interval(now);
             gossip.tick(now)
         };
-        deliver(&node, sends);
+        spawn_sends(&node, sends);
         process_events(&node);
     }
 }
 
-/// Says to all instances that this one takes no new work.
+/// Announces to all instances that this one accepts no new requests.
 pub fn announce_leaving(node: &Arc<Node>) {
     node.gossip().announce_leaving();
     process_events(node);
 }
 
-/// Sets an entry of this instance, which spreads to the others.
+/// Sets an entry of this instance, which gossip spreads to the others.
 pub fn set_entry(node: &Arc<Node>, kind: EntryKind, key: &str, value: Vec<u8>) {
     if let Err(error) = node.gossip().set_entry(kind, key, value.into()) {
-        log::warn!("an entry of kind {kind:?} cannot be spread: {error}");
+        log::warn!("failed to set a gossip entry of kind {kind:?}: {error}");
     }
     process_events(node);
 }
 
-/// Acts on what changed, and pushes what can't wait for the next round.
+/// Handles the pending gossip events, and sends the messages that must not wait for the next round.
 pub fn process_events(node: &Arc<Node>) {
     let (events, sends) = {
         let mut gossip = node.gossip();
         (gossip.take_events(), gossip.urgent_messages(Instant::now()))
     };
-    deliver(node, sends);
+    spawn_sends(node, sends);
     for event in events {
-        act(node, event);
+        handle_event(node, event);
     }
 }
 
-fn act(node: &Arc<Node>, event: Event) {
+fn handle_event(node: &Arc<Node>, event: Event) {
     match event {
         Event::Revision(_) => node.bundle_changed.notify_one(),
         Event::Brake(brake) => node.rollouts.handle_brake(node, &brake),
         Event::Changed(EntryKind::Acting) => node.rollouts.merge_applied_states(node),
         Event::Changed(EntryKind::TargetLeaving) => node.departures_changed.notify_one(),
-        // The store tells of the revision itself.
+        // This instance learns the revision itself from the store.
         Event::Ahead(_) | Event::Changed(_) => {}
-        Event::Joined(name) => log::info!("instance {name} is known"),
+        Event::Joined(name) => log::info!("instance {name} joined"),
         Event::Suspected(name) => {
             node.metrics.add(Counter::Suspicions, 1);
-            log::warn!("instance {name} does not answer");
+            log::warn!("instance {name} does not respond");
         }
-        Event::Returned(name) => log::info!("instance {name} answers again"),
-        Event::Forgotten(name) => log::info!("instance {name} is forgotten"),
-        Event::Renumbered => log::info!("this run took a later ordinal"),
+        Event::Returned(name) => log::info!("instance {name} responds again"),
+        Event::Forgotten(name) => log::info!("instance {name} is removed after a long time without response"),
+        Event::Renumbered => log::info!(
+            "another run of this instance has the same or a higher number; this run took the next one"
+        ),
     }
 }
 
-fn deliver(node: &Arc<Node>, sends: Vec<Outgoing>) {
+fn spawn_sends(node: &Arc<Node>, sends: Vec<Outgoing>) {
     for outgoing in sends {
         node.background_tasks
             .spawn(send(Arc::clone(node), outgoing));
@@ -102,10 +104,10 @@
         node.metrics
             .add(Counter::GossipBytes, message.bytes() as u64);
         match node.peers.exchange_gossip(to, message).await {
-            Ok(answer) => {
+            Ok(response) => {
                 next = node
                     .gossip()
-                    .handle_response(outgoing.member, answer, Instant::now());
+                    .handle_response(outgoing.member, response, Instant::now());
             }
             Err(_) => {
                 node.metrics.add(Counter::GossipFailures, 1);
@@ -117,20 +119,20 @@
     process_events(&node);
 }
 
-/// Returns the instances that share evidence, demand and load with this one.
-fn group(node: &Node, list: &[ListedMember]) -> Vec<InstanceName> {
-    // After a restart in an outage there is no list, only those that were heard of.
+/// Updates the targets of this instance's group, and returns the peers of the group.
+fn update_group(node: &Node, list: &[ListedMember]) -> Vec<InstanceName> {
+    // After a restart during an outage of the platform there is no list, only the gossip members.
     let mut names: Vec<InstanceName> = list.iter().map(|listed| listed.name.clone()).collect();
-    let heard = node.gossip();
+    let gossip = node.gossip();
     names.extend(
-        heard
+        gossip
             .membership()
             .iter()
             .map(|(_, member)| member.name.clone()),
     );
     names.sort();
     names.dedup();
-    drop(heard);
+    drop(gossip);
     let force = node.active_bundle.load_full();
     let targets = force.iter().flat_map(|force| &force.bundle.targets);
     let targets: Vec<TargetName> = targets.map(|target| target.name.clone()).collect();
@@ -139,7 +141,7 @@
     subset.peers
 }
 
-fn listed(node: &Node) -> Vec<ListedMember> {
+fn listed_members(node: &Node) -> Vec<ListedMember> {
     let list = node.instance_list.load();
     let instances = list.instances.iter();
     instances
@@ -152,18 +154,18 @@
         .collect()
 }
 
-/// An instance that answers, as the request path sees it.
+/// A live instance.
 #[derive(Clone, Debug)]
 pub struct LiveInstance {
     /// Its name.
     pub name: InstanceName,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Where peers reach it; `None` for this instance.
+    /// The address at which peers reach it; `None` for this instance.
     pub address: Option<SocketAddr>,
 }
 
-/// Returns the instances that are worth work, this one among them unless it is leaving.
+/// Returns the live instances by gossip, including this one unless it is leaving.
 pub fn live_instances(node: &Node) -> Vec<LiveInstance> {
     let gossip = node.gossip();
     let members = gossip.membership().in_state(MemberState::Live);
@@ -185,10 +187,10 @@
     all
 }
 
-/// Returns the instance that a job falls to, by the view of this one; nothing while it leaves alone.
+/// Returns the instance that is responsible for a job; `None` if no instance is live.
 ///
-/// Instances that know different ones may disagree for a while. So a job that only one may do needs
-/// a condition of the store as well.
+/// Instances that know different members may disagree for a while. A job that must be done by only one
+/// instance therefore needs a conditional write to the store as well.
 pub fn responsible_instance(node: &Node, job: &str) -> Option<LiveInstance> {
     let all = live_instances(node);
     let chosen = choose_instances(job.as_bytes(), &candidates(&all), 1);
@@ -205,16 +207,17 @@
         .collect()
 }
 
-/// Returns the instances that keep the record of a request, this one left out.
+/// Returns the addresses of the instances that keep the record of a request, other than this one.
 pub fn record_keepers(node: &Node, request: &RequestKey) -> Vec<SocketAddr> {
     let all = live_instances(node);
     let candidates = candidates(&all);
-    // One more than needed: the driver itself may be among them, and its own copy dies with it.
-    let chosen = choose_instances(request.as_str().as_bytes(), &candidates, KEEPERS + 1);
+    // Choose one more than needed: this instance may be among them, and a copy here would be lost
+    // together with the answer's driver.
+    let chosen = choose_instances(request.as_str().as_bytes(), &candidates, KEEPER_COUNT + 1);
     let address = |name: &InstanceName| all.iter().find(|instance| instance.name == *name)?.address;
     chosen
         .iter()
         .filter_map(|candidate| address(candidate.name))
-        .take(KEEPERS)
+        .take(KEEPER_COUNT)
         .collect()
 }
