--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -1,4 +1,4 @@
-//! What all tasks of an instance share.
+//! The state that all tasks of an instance share.
 
 use std::{
     collections::HashMap,
@@ -33,70 +33,70 @@
     suspects::Suspects, target_watch::TargetEvent,
 };
 
-/// The platform's rates for all instances together, of which each uses its share.
+/// The platform's rate limits for all instances together; each instance uses a share of them.
 const PLATFORM_RATES: Rates = Rates {
     reads: 1500.0,
     writes: 300.0,
     burst: Duration::from_secs(2),
 };
-/// The part of the writes that is for all but the shards of keyed calls.
-const OTHER_WRITES: f64 = 0.3;
-/// The writes a second of one shard, a little above its pace.
-const SHARD_WRITES: f64 = 75.0;
-const PLATFORM_CONNECT: Duration = Duration::from_millis(500);
-const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
-/// The memory for records that are kept for others, in bytes.
-const KEEPER_BYTES: usize = 32 << 20;
-/// How many instances share the platform's rates until the list of instances is known.
-const FIRST_COUNT: usize = 7;
+/// The fraction of the writes that is for everything except the ledger shards.
+const OTHER_WRITES_FRACTION: f64 = 0.3;
+/// The writes per second for one ledger shard, slightly more than its minimum write interval permits.
+const SHARD_WRITES_PER_S: f64 = 75.0;
+const PLATFORM_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const PLATFORM_CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// The maximum size of the records that this instance keeps for answers of other instances, in bytes.
+const MAX_KEEPER_BYTES: usize = 32 << 20;
+/// The number of instances that is assumed until the instance list has been read.
+const ASSUMED_INSTANCE_COUNT: usize = 7;
 
-/// What all tasks of an instance share.
+/// The state that all tasks of an instance share.
 pub struct Node {
     /// The settings of this instance.
     pub settings: Settings,
     /// Counters and gauges.
     pub metrics: Metrics,
-    /// The platform.
+    /// The client of the platform.
     pub platform: Client,
-    /// The snapshot by which targets are chosen.
+    /// The snapshot by which targets are picked.
     pub view: ArcSwap<RoutingView>,
-    /// The bundle in force; none before the first roll.
+    /// The bundle in force; `None` before the first roll.
     pub active_bundle: ArcSwapOption<Force>,
-    /// The targets of this instance's group; none until the fleet is known.
+    /// The targets of this instance's group; empty until the first gossip round.
     group_targets: ArcSwap<Vec<TargetName>>,
-    /// The last list of instances that the platform gave.
+    /// The instance list that was last read from the platform.
     pub instance_list: ArcSwap<InstanceList>,
-    /// Connections from callers.
+    /// The connections from callers.
     pub sockets: Sockets,
-    /// Cancelled at the beginning of a planned stop.
+    /// Cancelled when a planned stop begins.
     pub leaving: CancellationToken,
-    /// Cancelled when background tasks shall end.
+    /// Cancelled when the background tasks must end.
     pub shutdown: CancellationToken,
-    /// Tasks that outlive the request that began them.
+    /// Tasks that may outlive the request that started them.
     pub background_tasks: TaskTracker,
-    /// The gaps between tokens of each engine.
+    /// The times between the tokens of each engine.
     pub stalls: Stalls,
-    /// Requests that wait to begin.
+    /// The queue of requests that wait to start.
     pub admission: Admission,
-    /// Targets that failed a moment ago.
+    /// The targets that recently failed.
     pub suspects: Suspects,
-    /// What requests tell of targets.
+    /// The channel for the results of requests at targets.
     pub target_events: mpsc::Sender<TargetEvent>,
-    /// Calls that may not be repeated.
+    /// The ledger of keyed calls, which run at most once.
     pub ledger: Ledger,
-    /// The retries that this instance may make.
+    /// The budget of this instance for retries.
     pub retry_budget: RetryBudget,
-    /// The time between retries.
+    /// The delays between retries.
     pub backoff: Backoff,
-    /// The key of the seals of resume tokens.
+    /// The key that authenticates resume tokens.
     pub resume_token_key: ResumeTokenKey,
-    /// Connections to other instances.
+    /// The connections to other instances.
     pub peers: Peers,
-    /// This instance's side in rollouts.
+    /// The rollout state of this instance.
     pub rollouts: Rollouts,
-    /// Wakes the watch of targets when peers say that one leaves.
+    /// Wakes the target watcher when peers have changed their departure notices.
     pub departures_changed: Notify,
-    /// Wakes the task that brings bundles into force.
+    /// Wakes the bundle task when peers know a later revision.
     pub bundle_changed: Notify,
     gossip: Mutex<Gossip>,
     bundle_tracker: Mutex<BundleTracker>,
@@ -110,7 +110,7 @@
 }
 
 impl Node {
-    /// Makes the shared state of an instance.
+    /// Creates the state of an instance.
     pub fn new(
         settings: Settings,
         metrics: Metrics,
@@ -119,9 +119,9 @@
         let now = Instant::now();
         let platform = celerypond_platform::ClientSettings {
             addresses: settings.platform.clone(),
-            connect_timeout: PLATFORM_CONNECT,
-            timeout: PLATFORM_TIMEOUT,
-            rates: PLATFORM_RATES.share(FIRST_COUNT),
+            connect_timeout: PLATFORM_CONNECT_TIMEOUT,
+            timeout: PLATFORM_CALL_TIMEOUT,
+            rates: PLATFORM_RATES.share(ASSUMED_INSTANCE_COUNT),
         };
         let mut rng = SmallRng::from_os_rng();
         let nonce = AtomicU64::new(rand::Rng::random(&mut rng));
@@ -155,7 +155,7 @@
             bundle_changed: Notify::new(),
             gossip: Mutex::new(gossip),
             bundle_tracker: Mutex::default(),
-            keeper: Mutex::new(Keeper::new(KEEPER_BYTES)),
+            keeper: Mutex::new(Keeper::new(MAX_KEEPER_BYTES)),
             drivers: Mutex::default(),
             instance_list_read_at: Mutex::default(),
             loaded_versions: Mutex::default(),
@@ -165,10 +165,10 @@
         })
     }
 
-    /// Brings a bundle into force; an older one than that in force is dropped.
+    /// Brings a bundle into force, unless the one in force is at least as new; returns whether it did.
     ///
-    /// The failure: a late read, or a peer that lags, brings a bundle that was replaced. The symptom
-    /// would be a revision that goes back. The comparison and the swap are one atomic step.
+    /// A delayed read or a lagging peer may supply a bundle that has been replaced already. The
+    /// comparison and the swap are one atomic step, so that the revision never decreases.
     pub fn activate_bundle(&self, force: Force) -> bool {
         let force = Arc::new(force);
         let last = self.active_bundle.rcu(|held| match held {
@@ -193,7 +193,7 @@
         true
     }
 
-    /// Takes the targets of this instance's group, and uses them from now on.
+    /// Sets the targets of this instance's group and updates the routing view.
     pub fn set_group_targets(&self, targets: Vec<TargetName>) {
         let is_same = *self.group_targets.load_full() == targets;
         self.group_targets.store(Arc::new(targets));
@@ -203,14 +203,14 @@
         }
     }
 
-    /// Returns the bundle with the targets that this instance uses.
+    /// Returns the bundle reduced to the targets that this instance uses.
     fn group_bundle(&self, force: &Force) -> Bundle {
         part_of(&force.bundle, &self.group_targets.load())
     }
 
-    /// Gives accounts that are new here a part of their limits.
+    /// Sets the limits of accounts that are new on this instance to a first part of their total limits.
     ///
-    /// The failure: until demand was measured, a second later, each of their requests would be refused.
+    /// Otherwise all their requests would be refused until demand is measured, a second later.
     fn set_initial_limits(&self, before: &RoutingView) {
         let view = self.view.load();
         let part = limits::first_part(self);
@@ -225,91 +225,92 @@
         }
     }
 
-    /// Passes on what a request tells of a target; under a flood some of it is dropped.
+    /// Sends the result of a request to the target watcher; drops it if the channel is full.
     pub fn report_target_event(&self, event: TargetEvent) {
-        // A full channel means that plenty is known already.
+        // With a full channel, the watcher has many events to handle already.
         let _ = self.target_events.try_send(event);
     }
 
-    /// Counts answers that begin or end.
+    /// Adds to the number of open requests; `change` is negative when requests end.
     pub fn adjust_open_requests(&self, change: i64) {
         let open = self.open_requests.fetch_add(change, Relaxed) + change;
         self.metrics.set(Gauge::OpenRequests, open.max(0) as u64);
     }
 
-    /// Returns the time in milliseconds by the clock of the snapshots.
+    /// Returns the current time in milliseconds of the routing view's clock.
     pub fn now_ms(&self) -> u64 {
         self.view.load().clock().millis(Instant::now())
     }
 
-    /// Takes this instance's part of the platform's rates.
+    /// Updates this instance's share of the platform's rate limits.
     ///
-    /// Nearly all writes are those of shards, so the owners of shards get them, and each instance a
-    /// little for operators' steps, leases and rollouts.
+    /// Nearly all writes are those of ledger shards, so they are allotted to the owners of the shards.
+    /// In addition, each instance gets a small share for operators' actions, leases and rollouts.
     pub fn update_platform_rates(&self, instances: usize) {
         let owned = forward::owned_shards(self) as f64;
         let even = PLATFORM_RATES.share(instances);
         let rates = Rates {
-            writes: even.writes * OTHER_WRITES + owned * SHARD_WRITES,
+            writes: even.writes * OTHER_WRITES_FRACTION + owned * SHARD_WRITES_PER_S,
             ..even
         };
         self.platform.set_rates(rates);
     }
 
-    /// Returns the gossip; hold it for a moment only.
+    /// Locks the gossip state; hold the lock only briefly.
     pub fn gossip(&self) -> MutexGuard<'_, Gossip> {
         lock(&self.gossip)
     }
 
-    /// Returns the bundles that are heard of; hold it for a moment only.
+    /// Locks the tracker of known bundles; hold the lock only briefly.
     pub fn bundle_tracker(&self) -> MutexGuard<'_, BundleTracker> {
         lock(&self.bundle_tracker)
     }
 
-    /// Returns the records that are kept for others; hold it for a moment only.
+    /// Locks the records that this instance keeps for others; hold the lock only briefly.
     pub fn keeper(&self) -> MutexGuard<'_, Keeper> {
         lock(&self.keeper)
     }
 
-    /// Returns the drivers of answers by request; hold it for a moment only.
+    /// Locks the input channels of the answers that this instance drives, by request; hold the lock only
+    /// briefly.
     pub fn drivers(&self) -> MutexGuard<'_, HashMap<RequestKey, mpsc::Sender<Input>>> {
         lock(&self.drivers)
     }
 
-    /// Takes what an engine has loaded, by its own word.
+    /// Records the versions that an engine reports as loaded.
     pub fn record_loaded_versions(&self, target: &TargetName, versions: Vec<VersionName>) {
         lock(&self.loaded_versions).insert(target.clone(), versions);
     }
 
-    /// Takes an engine's word that it has not loaded a version, until it is asked again.
+    /// Records that an engine refused a request because it has not loaded a version, until its next report.
     pub fn record_unloaded(&self, target: &TargetName, version: &VersionName) {
-        let mut reports = lock(&self.loaded_versions);
-        let versions = reports.entry(target.clone()).or_default();
+        let mut loaded_versions = lock(&self.loaded_versions);
+        let versions = loaded_versions.entry(target.clone()).or_default();
         versions.retain(|loaded| loaded != version);
     }
 
-    /// Returns what an engine had loaded when it was last asked.
+    /// Returns the versions that an engine last reported as loaded; `None` if it has not reported yet.
     pub fn loaded_versions(&self, target: &TargetName) -> Option<Vec<VersionName>> {
         lock(&self.loaded_versions).get(target).cloned()
     }
 
-    /// Takes the platform's list of instances.
+    /// Sets the instance list and updates what depends on the number of instances.
     pub fn set_instance_list(&self, list: InstanceList) {
         self.update_platform_rates(list.instances.len());
         self.instance_list.store(Arc::new(list));
         *lock(&self.instance_list_read_at) = Some(Instant::now());
     }
 
-    /// Returns when the list of instances was last read.
+    /// Returns when the instance list was last read.
     pub fn instance_list_read_at(&self) -> Option<Instant> {
         *lock(&self.instance_list_read_at)
     }
 
-    /// Returns how many instances there are by the platform's list, this one among them; a guess
-    /// until it was read.
+    /// Returns the number of instances on the platform's list, including this one. Until the list has been
+    /// read, returns an assumed number.
     pub fn expected_instances(&self) -> usize {
         if self.instance_list_read_at().is_none() {
-            return FIRST_COUNT;
+            return ASSUMED_INSTANCE_COUNT;
         }
         let list = self.instance_list.load();
         let others = list.instances.iter();
@@ -317,26 +318,27 @@
         others.count() + 1
     }
 
-    /// Returns a new generator of random numbers.
+    /// Returns a new random number generator.
     pub fn rng(&self) -> SmallRng {
         SmallRng::from_rng(&mut *lock(&self.rng))
     }
 
-    /// Returns a number that no other try has.
+    /// Returns a number that identifies one attempt of an operation. Numbers start at a random value, so
+    /// those of other instances and earlier runs differ.
     pub fn nonce(&self) -> u64 {
         self.nonce.fetch_add(1, Relaxed)
     }
 
-    /// Returns where callers reach this instance.
+    /// Returns the address at which callers reach this instance.
     pub fn address(&self) -> SocketAddr {
         self.settings.address
     }
 }
 
-/// Returns the wall clock in milliseconds since 1970, for records that people read.
+/// Returns the wall clock time as Unix time in milliseconds.
 pub fn wall_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| since.as_millis() as u64)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |since_epoch| since_epoch.as_millis() as u64)
 }
 
 fn new_gossip(settings: &Settings, incarnation: u64, rng: &mut SmallRng, now: Instant) -> Gossip {
@@ -354,7 +356,7 @@
     Gossip::new(identity, settings, SmallRng::from_rng(rng), now)
 }
 
-/// Locks a mutex whose holders leave it whole even when they panic.
+/// Locks a mutex even if it is poisoned: its data stays consistent when a holder panics.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
