--- a/daemon/src/engine_stream.rs
+++ b/daemon/src/engine_stream.rs
@@ -110,13 +110,13 @@
     };
 }
 
-/// Sends the events of a stream to `inputs` until the end event of the attempt or until the connection
-/// closes.
+/// Sends the events of a stream to `inputs` until the end event of the attempt or until the
+/// connection closes.
 ///
-/// Nothing is sent after the end event of this attempt, which always ends the answer or abandons the
-/// connection. An engine closes the connection after the end of an answer; if that close were sent as
-/// well, it would count as a broken connection, and the engine would get no requests for a second. The
-/// end event of an earlier attempt has no effect, so reading continues.
+/// Nothing is sent after the end event of this attempt, which always ends the answer or abandons
+/// the connection. An engine closes the connection after the end of an answer; if that close were
+/// sent as well, it would count as a broken connection, and the engine would get no requests for a
+/// second. The end event of an earlier attempt has no effect, so reading continues.
 async fn read_events(
     connection: ConnectionId,
     attempt: Attempt,
--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -1,8 +1,8 @@
 //! Forwards keyed calls to the instance that owns their shard.
 //!
-//! A single writer per shard batches all calls that arrive during a write into the next one. Only the
-//! store decides which write succeeds, so if instances disagree about the owner there are merely more
-//! writes.
+//! A single writer per shard batches all calls that arrive during a write into the next one. Only
+//! the store decides which write succeeds, so if instances disagree about the owner there are
+//! merely more writes.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -21,8 +21,8 @@
 
 /// The retry delay for callers if the owner does not know the service yet.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// The time left until the deadline is divided by this to get the part that is reserved for running the
-/// call here if the owner does not respond.
+/// The time left until the deadline is divided by this to get the part that is reserved for running
+/// the call here if the owner does not respond.
 const LOCAL_DIVISOR: u32 = 3;
 
 /// A keyed call as it is sent to the owner of its shard.
@@ -63,10 +63,10 @@
 
 /// Runs a keyed call at most once, at the owner of its shard if it responds and otherwise here.
 ///
-/// An owner that cannot be connected to has not received the call. An owner that was sent the call and
-/// does not respond may still run it. The call is then run here, which finds the record of the owner in
-/// the ledger if there is one. If there is none yet, the owner may still write it, so this instance must
-/// not answer "not run".
+/// An owner that cannot be connected to has not received the call. An owner that was sent the call
+/// and does not respond may still run it. The call is then run here, which finds the record of the
+/// owner in the ledger if there is one. If there is none yet, the owner may still write it, so this
+/// instance must not answer "not run".
 pub async fn call(node: &Arc<Node>, key: CallKey, service_call: ServiceCall) -> Answer {
     let mut is_sent = false;
     if let Some(owner) = owner(node, key) {
--- a/daemon/src/gossip.rs
+++ b/daemon/src/gossip.rs
@@ -78,9 +78,9 @@
             log::warn!("instance {name} does not respond");
         }
         Event::Returned(name) => log::info!("instance {name} responds again"),
-        Event::Forgotten(name) => log::info!("instance {name} is removed after a long time without response"),
+        Event::Forgotten(name) => log::info!("removed instance {name} after a long silence"),
         Event::Renumbered => log::info!(
-            "another run of this instance has the same or a higher number; this run took the next one"
+            "another run of this instance has the same or a higher number; this run takes the next"
         ),
     }
 }
@@ -189,8 +189,8 @@
 
 /// Returns the instance that is responsible for a job; `None` if no instance is live.
 ///
-/// Instances that know different members may disagree for a while. A job that must be done by only one
-/// instance therefore needs a conditional write to the store as well.
+/// Instances that know different members may disagree for a while. A job that must be done by only
+/// one instance therefore needs a conditional write to the store as well.
 pub fn responsible_instance(node: &Node, job: &str) -> Option<LiveInstance> {
     let all = live_instances(node);
     let chosen = choose_instances(job.as_bytes(), &candidates(&all), 1);
--- a/daemon/src/http_call.rs
+++ b/daemon/src/http_call.rs
@@ -1,7 +1,7 @@
 //! HTTP calls that each use a connection of their own.
 //!
-//! This distinguishes a failed connection from a request that may have been sent. It also prevents a
-//! call from reading the response to an earlier request.
+//! This distinguishes a failed connection from a request that may have been sent. It also prevents
+//! a call from reading the response to an earlier request.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,7 +17,8 @@
 use thiserror::Error;
 use tokio::{net::TcpStream, task::JoinHandle, time};
 
-/// The timeout for establishing a connection; the latency between data centres is a few milliseconds.
+/// The timeout for establishing a connection; the latency between data centres is a few
+/// milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The reason why a call got no response.
@@ -118,7 +119,8 @@
         .await
         .change_context(CallError::Connect)?
         .change_context(CallError::Connect)?;
-    // With Nagle's algorithm, the second small write of a request would wait for an acknowledgement.
+    // With Nagle's algorithm, the second small write of a request would wait for an
+    // acknowledgement.
     socket
         .set_nodelay(true)
         .change_context(CallError::Connect)?;
--- a/daemon/src/ledger.rs
+++ b/daemon/src/ledger.rs
@@ -25,7 +25,8 @@
 
 use crate::{node::Node, service_call::ServiceCall};
 
-/// The number of shards of the key space. It must be the same at all instances and must never change.
+/// The number of shards of the key space. It must be the same at all instances and must never
+/// change.
 ///
 /// Fewer shards make larger batches; `docs/design/ledger.md` has the measurement.
 pub const SHARD_COUNT: u16 = 4;
@@ -34,8 +35,8 @@
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(14);
 /// The number of commands that may wait for a shard.
 const COMMAND_QUEUE_LENGTH: usize = 1024;
-/// The time left until a call's deadline is divided by this to get the timeout of the service; the rest
-/// is for recording the intent.
+/// The time left until a call's deadline is divided by this to get the timeout of the service; the
+/// rest is for recording the intent.
 const SERVICE_TIMEOUT_DIVISOR: u32 = 2;
 
 /// The shards of keyed calls that this instance uses.
@@ -158,12 +159,12 @@
         }
     }
 
-    /// Waits for the next input and returns its effects; `None` if the ledger was closed and all calls
-    /// have ended.
+    /// Waits for the next input and returns its effects; `None` if the ledger was closed and all
+    /// calls have ended.
     async fn next_effects(&mut self) -> Option<Vec<Effect>> {
         let wake_at = self.shard.wake_at();
-        // The branch must be disabled without a store call: `select!` takes its `else` branch, which ends
-        // the task, only if all others are disabled.
+        // The branch must be disabled without a store call: `select!` takes its `else` branch,
+        // which ends the task, only if all others are disabled.
         let has_store_call = self.store_call.is_some();
         let store_call = async {
             match &mut self.store_call {
@@ -273,7 +274,8 @@
         };
         self.node.background_tasks.spawn(async move {
             let finished = service_call.send_once(&node, unsent).await;
-            // The task of the shard ends only after all its calls have ended, so this does not fail.
+            // The task of the shard ends only after all its calls have ended, so this does not
+            // fail.
             let _ = sender.send(Command::Finish(finished)).await;
         });
     }
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -41,11 +41,13 @@
 };
 /// The fraction of the writes that is for everything except the ledger shards.
 const OTHER_WRITES_FRACTION: f64 = 0.3;
-/// The writes per second for one ledger shard, slightly more than its minimum write interval permits.
+/// The writes per second for one ledger shard, slightly more than its minimum write interval
+/// permits.
 const SHARD_WRITES_PER_S: f64 = 75.0;
 const PLATFORM_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const PLATFORM_CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The maximum size of the records that this instance keeps for answers of other instances, in bytes.
+/// The maximum size of the records that this instance keeps for answers of other instances, in
+/// bytes.
 const MAX_KEEPER_BYTES: usize = 32 << 20;
 /// The number of instances that is assumed until the instance list has been read.
 const ASSUMED_INSTANCE_COUNT: usize = 7;
@@ -165,7 +167,8 @@
         })
     }
 
-    /// Brings a bundle into force, unless the one in force is at least as new; returns whether it did.
+    /// Brings a bundle into force, unless the one in force is at least as new; returns whether it
+    /// did.
     ///
     /// A delayed read or a lagging peer may supply a bundle that has been replaced already. The
     /// comparison and the swap are one atomic step, so that the revision never decreases.
@@ -208,7 +211,8 @@
         part_of(&force.bundle, &self.group_targets.load())
     }
 
-    /// Sets the limits of accounts that are new on this instance to a first part of their total limits.
+    /// Sets the limits of accounts that are new on this instance to a first part of their total
+    /// limits.
     ///
     /// Otherwise all their requests would be refused until demand is measured, a second later.
     fn set_initial_limits(&self, before: &RoutingView) {
@@ -244,8 +248,9 @@
 
     /// Updates this instance's share of the platform's rate limits.
     ///
-    /// Nearly all writes are those of ledger shards, so they are allotted to the owners of the shards.
-    /// In addition, each instance gets a small share for operators' actions, leases and rollouts.
+    /// Nearly all writes are those of ledger shards, so they are allotted to the owners of the
+    /// shards. In addition, each instance gets a small share for operators' actions, leases and
+    /// rollouts.
     pub fn update_platform_rates(&self, instances: usize) {
         let owned = forward::owned_shards(self) as f64;
         let even = PLATFORM_RATES.share(instances);
@@ -271,8 +276,8 @@
         lock(&self.keeper)
     }
 
-    /// Locks the input channels of the answers that this instance drives, by request; hold the lock only
-    /// briefly.
+    /// Locks the input channels of the answers that this instance drives, by request; hold the lock
+    /// only briefly.
     pub fn drivers(&self) -> MutexGuard<'_, HashMap<RequestKey, mpsc::Sender<Input>>> {
         lock(&self.drivers)
     }
@@ -282,14 +287,16 @@
         lock(&self.loaded_versions).insert(target.clone(), versions);
     }
 
-    /// Records that an engine refused a request because it has not loaded a version, until its next report.
+    /// Records that an engine refused a request because it has not loaded a version, until its next
+    /// report.
     pub fn record_unloaded(&self, target: &TargetName, version: &VersionName) {
         let mut loaded_versions = lock(&self.loaded_versions);
         let versions = loaded_versions.entry(target.clone()).or_default();
         versions.retain(|loaded| loaded != version);
     }
 
-    /// Returns the versions that an engine last reported as loaded; `None` if it has not reported yet.
+    /// Returns the versions that an engine last reported as loaded; `None` if it has not reported
+    /// yet.
     pub fn loaded_versions(&self, target: &TargetName) -> Option<Vec<VersionName>> {
         lock(&self.loaded_versions).get(target).cloned()
     }
@@ -306,8 +313,8 @@
         *lock(&self.instance_list_read_at)
     }
 
-    /// Returns the number of instances on the platform's list, including this one. Until the list has been
-    /// read, returns an assumed number.
+    /// Returns the number of instances on the platform's list, including this one. Until the list
+    /// has been read, returns an assumed number.
     pub fn expected_instances(&self) -> usize {
         if self.instance_list_read_at().is_none() {
             return ASSUMED_INSTANCE_COUNT;
@@ -323,8 +330,8 @@
         SmallRng::from_rng(&mut *lock(&self.rng))
     }
 
-    /// Returns a number that identifies one attempt of an operation. Numbers start at a random value, so
-    /// those of other instances and earlier runs differ.
+    /// Returns a number that identifies one attempt of an operation. Numbers start at a random
+    /// value, so those of other instances and earlier runs differ.
     pub fn nonce(&self) -> u64 {
         self.nonce.fetch_add(1, Relaxed)
     }
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -1,4 +1,5 @@
-//! Sends orders to engines. The instance that holds the lease of a shard sends the orders to its targets.
+//! Sends orders to engines. The instance that holds the lease of a shard sends the orders to its
+//! targets.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -25,8 +26,8 @@
 
 use crate::{engine, force::Force, gossip, http_call::CallError, node::Node};
 
-/// The number of shards of targets, each with one lease. It must be the same at all instances and must
-/// never change.
+/// The number of shards of targets, each with one lease. It must be the same at all instances and
+/// must never change.
 const SHARD_COUNT: u32 = 8;
 /// The interval at which a shard is reconciled.
 const STEP_INTERVAL: Duration = Duration::from_millis(500);
@@ -54,8 +55,8 @@
 #[derive(Default)]
 struct DesiredStates {
     force: Option<Arc<Force>>,
-    /// The previous bundle, and the time by which its last answers have ended. Until then engines keep
-    /// its versions.
+    /// The previous bundle, and the time by which its last answers have ended. Until then engines
+    /// keep its versions.
     previous: Option<(Arc<Force>, Instant)>,
     /// The targets that the reconciler knows.
     known_targets: Vec<TargetName>,
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Updates the reconciler: whether this instance should hold the lease, the desired states by the
-    /// active bundle and the reports of the engines.
+    /// Updates the reconciler: whether this instance should hold the lease, the desired states by
+    /// the active bundle and the reports of the engines.
     fn update_desired_states(&mut self) {
         let Some(force) = self.node.active_bundle.load_full() else {
             return;
@@ -164,8 +165,8 @@
 }
 
 impl DesiredStates {
-    /// Sets the active bundle. The one before becomes the previous bundle for as long as the longest
-    /// deadline of its models.
+    /// Sets the active bundle. The one before becomes the previous bundle for as long as the
+    /// longest deadline of its models.
     fn set_active_bundle(&mut self, force: Arc<Force>) {
         let now = Instant::now();
         let is_new = self
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -1,5 +1,5 @@
-//! Rollouts on this instance: chooses the version for each request, collects evidence about versions
-//! and exchanges rollout state with other instances.
+//! Rollouts on this instance: chooses the version for each request, collects evidence about
+//! versions and exchanges rollout state with other instances.
 
 use std::{
     collections::BTreeMap,
@@ -108,8 +108,8 @@
     /// Chooses the version for the next request for a model.
     ///
     /// The base takes the requests of a candidate until an engine reports the candidate as loaded.
-    /// Otherwise engines would refuse its first requests, and a good version would be rolled back. The
-    /// base also takes them after a start until a peer has sent its brakes.
+    /// Otherwise engines would refuse its first requests, and a good version would be rolled back.
+    /// The base also takes them after a start until a peer has sent its brakes.
     pub fn choose_version(&self, node: &Node, model: &Model) -> VersionName {
         let chosen = self.shares.choose(model);
         if self.shares.is_synced() && is_loaded_on_any_engine(node, model, &chosen) {
@@ -162,7 +162,8 @@
             part.and_then(|part| self.controller().stage_engines(part.origin, &candidate));
         let stage_engines = stage_engines.map_or(targets.len(), |engines| engines as usize);
         let view = node.view.load();
-        // All instances use the first engines in the order of the bundle, so they exclude the same ones.
+        // All instances use the first engines in the order of the bundle, so they exclude the same
+        // ones.
         let excluded_names = targets.iter().skip(stage_engines);
         excluded.extend(excluded_names.filter_map(|name| view.target_key(name)));
         excluded
@@ -170,8 +171,8 @@
 
     /// Returns the engines that have not loaded a version.
     ///
-    /// An answer that has begun may continue on any other engine of the version, whatever the stage,
-    /// since it must not wait for the next stage.
+    /// An answer that has begun may continue on any other engine of the version, whatever the
+    /// stage, since it must not wait for the next stage.
     pub fn engines_without_version(
         &self,
         node: &Node,
@@ -275,7 +276,8 @@
         self.exchange_with_peers(node, FAN_OUT, |_| true);
     }
 
-    /// Exchanges rollout state with one of the evidence reporters, or with any peer if there is none.
+    /// Exchanges rollout state with one of the evidence reporters, or with any peer if there is
+    /// none.
     fn exchange_evidence(&self, node: &Arc<Node>) {
         let live = listed_live_instances(node);
         let Some(force) = node.active_bundle.load_full() else {
--- a/daemon/src/rollouts/driver.rs
+++ b/daemon/src/rollouts/driver.rs
@@ -24,7 +24,8 @@
 const RECORD_PREFIX: &str = "rollout/";
 /// The number of steps between two reads of the records by a record reader.
 const READER_STEPS: u32 = 8;
-/// The number of steps between two reads by any other instance, in case an exchange missed something.
+/// The number of steps between two reads by any other instance, in case an exchange missed
+/// something.
 const NON_READER_STEPS: u32 = 240;
 /// The number of instances that read the records often; the others receive them from peers.
 const READERS: usize = 7;
--- a/daemon/src/rollouts/shares.rs
+++ b/daemon/src/rollouts/shares.rs
@@ -28,7 +28,8 @@
 /// How the requests for one model are split.
 struct ModelSplit {
     base: VersionName,
-    /// The other versions; each takes a part of the requests that the versions before it did not take.
+    /// The other versions; each takes a part of the requests that the versions before it did not
+    /// take.
     parts: Vec<VersionPart>,
     /// The number of requests so far; snapshots share the counter.
     request_count: Arc<AtomicU64>,
@@ -41,8 +42,8 @@
     ppm: u32,
     /// The number of requests offered to it.
     ///
-    /// With one counter for all versions, two versions of equal share would select the same requests,
-    /// and the second would get none.
+    /// With one counter for all versions, two versions of equal share would select the same
+    /// requests, and the second would get none.
     offered: Arc<AtomicU64>,
 }
 
--- a/daemon/src/rollouts/status.rs
+++ b/daemon/src/rollouts/status.rs
@@ -63,7 +63,8 @@
 }
 
 impl Rollouts {
-    /// Returns on which live instances the bundle in force is active, and the status of its rollouts.
+    /// Returns on which live instances the bundle in force is active, and the status of its
+    /// rollouts.
     pub fn status(&self, node: &Node) -> (Coverage, Vec<RolloutStatus>) {
         let live = listed_live_instances(node);
         let is_fresh = lock(&self.records_read_at).is_some_and(|at| at.elapsed() < MAX_RECORD_AGE);
--- a/daemon/src/roster.rs
+++ b/daemon/src/roster.rs
@@ -9,8 +9,8 @@
 
 /// The minimum of the mean interval between two reads by an instance, in milliseconds.
 const MIN_MEAN_INTERVAL_MS: u64 = 1_000;
-/// The maximum mean rate of reads of all instances together, so that a growing fleet does not overload
-/// the platform.
+/// The maximum mean rate of reads of all instances together, so that a growing fleet does not
+/// overload the platform.
 const FLEET_READS_PER_S: u64 = 50;
 
 /// Reads the list until the instance shuts down.
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -87,8 +87,9 @@
 impl Attempts {
     /// Takes a retry from the budgets of this instance and of the target that failed.
     ///
-    /// Without a budget for each target, the retries of one target that fails all its calls would use
-    /// up the budget of this instance, and the failures of all other targets would reach the callers.
+    /// Without a budget for each target, the retries of one target that fails all its calls would
+    /// use up the budget of this instance, and the failures of all other targets would reach the
+    /// callers.
     fn take_retry(&self, node: &Node) -> bool {
         match &self.last_target {
             Some(target) => node.retry_budget.try_take_both(&target.state.retry_budget),
@@ -170,7 +171,8 @@
         RequestFingerprint::of(self.method.as_str(), &path, &self.body)
     }
 
-    /// Sends a call that may be repeated, and retries it while the deadline and the retry budgets allow.
+    /// Sends a call that may be repeated, and retries it while the deadline and the retry budgets
+    /// allow.
     pub async fn send_idempotent(&self, node: &Node) -> Outcome<ServiceResponse> {
         let mut attempts = Attempts::default();
         let mut rng = node.rng();
@@ -315,7 +317,8 @@
         let exchange = async {
             let answer = connection.send(request, time_left).instrument(span).await?;
             let (head, body) = answer.response.into_parts();
-            // The connection is closed after its response, so that no later call can read a late response.
+            // The connection is closed after its response, so that no later call can read a late
+            // response.
             let body = body::read(body, MAX_RESPONSE_BYTES).await;
             drop(answer.connection);
             body.map(|body| (head, body))
--- a/daemon/src/suspects.rs
+++ b/daemon/src/suspects.rs
@@ -14,9 +14,9 @@
 
 /// Targets that recently refused or broke a connection.
 ///
-/// When an engine crashes, all its answers look for another target at once. Until a poll detects the
-/// crash, one in `n` of them would be sent to the crashed engine again and lose time. A target that is
-/// suspected wrongly only goes unused for a second.
+/// When an engine crashes, all its answers look for another target at once. Until a poll detects
+/// the crash, one in `n` of them would be sent to the crashed engine again and lose time. A target
+/// that is suspected wrongly only goes unused for a second.
 #[derive(Debug, Default)]
 pub struct Suspects(Mutex<HashMap<TargetKey, Instant>>);
 
--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -345,9 +345,9 @@
 /// Returns whether a target accepts new requests, with a health check if its last report is old.
 ///
 /// Call it just before sending a request. An instance that is partitioned from its peers and the
-/// platform does not learn that a target is leaving or has left, and would continue to send requests
-/// to it. Such an instance uses only targets that report themselves as live. Any other target is added
-/// to the suspects, so that all requests of this instance avoid it for a moment.
+/// platform does not learn that a target is leaving or has left, and would continue to send
+/// requests to it. Such an instance uses only targets that report themselves as live. Any other
+/// target is added to the suspects, so that all requests of this instance avoid it for a moment.
 pub async fn is_live(node: &Node, key: TargetKey, target: &Target) -> bool {
     let sent_ms = node.now_ms();
     if !target.state.needs_health_check(sent_ms) {
--- a/daemon/src/watch.rs
+++ b/daemon/src/watch.rs
@@ -179,7 +179,8 @@
             accept_bundle(node, message.bundle);
         }
     }
-    // Only without a minimum revision does a peer always answer with the bundle that it has in force.
+    // Only without a minimum revision does a peer always answer with the bundle that it has in
+    // force.
     if min_revision == Revision(0) {
         node.bundle_tracker().mark_answered(source);
     }
