--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -21,6 +21,7 @@
 
 use crate::{
     charge::Charge,
+    engine_stream::GenerationRequest,
     force::Force,
     front::{
         auth, headers,
@@ -29,7 +30,6 @@
     },
     generation::{Admitted, Drive, Piece, PIECES},
     keeping,
-    link::Ask,
     node::Node,
 };
 
@@ -76,7 +76,7 @@
 }
 
 async fn begin(node: &Arc<Node>, call: Call) -> Result<Reply, Problem> {
-    let Some(force) = node.force.load_full() else {
+    let Some(force) = node.active_bundle.load_full() else {
         return Err(Problem::not_run(NotRunReason::NoTarget, NO_BUNDLE));
     };
     let account = auth::account(&force, &call.headers)?;
@@ -181,7 +181,7 @@
         let (pieces, received) = mpsc::channel(PIECES);
         let drive = Drive::new(Arc::clone(node), ask, admitted, pieces);
         let drive = drive.run(answer, effects).in_current_span();
-        node.work.spawn(drive);
+        node.background_tasks.spawn(drive);
         Ok(received)
     }
 
@@ -195,7 +195,7 @@
         let tokens = self.completion.max_tokens.into();
         let (account, charge) = Charge::new(node, self.account, tokens)?;
         let view = node.view.load_full();
-        let version = node.rollouts.choose(node, self.model);
+        let version = node.rollouts.choose_version(node, self.model);
         let Some(route) = view
             .version_key(&self.model.name, &version)
             .map(Route::Version)
@@ -203,8 +203,8 @@
             return Err(Problem::not_run(NotRunReason::NoTarget, NO_BUNDLE));
         };
         let prefixes = prefixes(&self.completion.prompt);
-        let held_back = node.rollouts.excluded(node, self.model, &version);
-        let excluded = node.suspects.with(held_back, Instant::now());
+        let held_back = node.rollouts.excluded_engines(node, self.model, &version);
+        let excluded = node.suspects.add_to(held_back, Instant::now());
         let ask = celerypond_route::PickCriteria {
             prefixes: &prefixes,
             adapter: self.adapter_hash(),
@@ -273,8 +273,8 @@
         adapter.map_or(0, |name| celerypond_route::hash(name.as_str().as_bytes()))
     }
 
-    fn ask(self, request: RequestKey, priority: Priority) -> Ask {
-        Ask {
+    fn ask(self, request: RequestKey, priority: Priority) -> GenerationRequest {
+        GenerationRequest {
             request,
             model: self.completion.model,
             adapter: self.completion.adapter,
--- a/daemon/src/front/operator.rs
+++ b/daemon/src/front/operator.rs
@@ -105,7 +105,7 @@
     if let Err(problem) = auth::operator(&node, &call.headers) {
         return problem.reply();
     }
-    let force = node.force.load();
+    let force = node.active_bundle.load();
     let force = force.as_ref();
     let (in_force, rollouts) = node.rollouts.status(&node);
     let status = Status {
@@ -227,7 +227,7 @@
         OperationOutcome::Approved(approval) => problem::json(StatusCode::OK, &approval),
         OperationOutcome::Rolled(current) => {
             // The roll is accepted whether or not this instance can read it back now.
-            watch::ask_store(node).await;
+            watch::fetch_from_store(node).await;
             problem::json(StatusCode::OK, &current)
         }
         OperationOutcome::LostRace { winner } => {
--- a/daemon/src/generation.rs
+++ b/daemon/src/generation.rs
@@ -17,10 +17,10 @@
 use crate::{
     admission::Permit,
     charge::Charge,
+    engine_stream::{self, GenerationRequest},
     keeping,
-    link::{self, Ask},
     node::Node,
-    rollouts::OpenAnswer,
+    rollouts::TrackedAnswer,
     target_watch::TargetEvent,
 };
 
@@ -50,7 +50,7 @@
 /// Drives one answer to its end.
 pub struct Drive {
     node: Arc<Node>,
-    ask: Arc<Ask>,
+    ask: Arc<GenerationRequest>,
     rng: SmallRng,
     inputs: mpsc::Sender<Input>,
     received: mpsc::Receiver<Input>,
@@ -66,7 +66,7 @@
     trying: Option<Trying>,
     /// The chunk of tokens under way, as evidence of the version.
     chunk: Option<Chunk>,
-    open: Option<OpenAnswer>,
+    open: Option<TrackedAnswer>,
     last_token: Instant,
     /// Whether a place among the resumes was asked for and did not come yet.
     resuming: bool,
@@ -90,7 +90,7 @@
 
 impl Drop for Drive {
     fn drop(&mut self) {
-        self.node.open_requests(-1);
+        self.node.adjust_open_requests(-1);
     }
 }
 
@@ -98,7 +98,7 @@
     /// Prepares to drive an answer whose pieces go to `pieces`.
     pub fn new(
         node: Arc<Node>,
-        ask: Ask,
+        ask: GenerationRequest,
         admitted: Option<Admitted>,
         pieces: mpsc::Sender<Piece>,
     ) -> Self {
@@ -110,7 +110,7 @@
             ),
             None => (None, None, None),
         };
-        node.open_requests(1);
+        node.adjust_open_requests(1);
         let (inputs, received) = mpsc::channel(INPUTS);
         Self {
             rng: node.rng(),
@@ -192,7 +192,8 @@
                 let stall = self.node.stalls.of(&stream.target);
                 let request = self.ask.request.clone();
                 let inputs = self.inputs.clone();
-                let task = link::resume(request, address, link, stream, from, stall, inputs);
+                let task =
+                    engine_stream::resume(request, address, link, stream, from, stall, inputs);
                 self.open(link, target, task, None);
                 if let Some(open) = self.links.get_mut(&link) {
                     open.resumed = true;
@@ -256,7 +257,7 @@
                 self.count_token(*link, now);
                 if let Some(trying) = self.take_trying(*link) {
                     let latency_ms = (now - trying.began).as_secs_f64() * 1e3;
-                    self.node.tell(TargetEvent::Succeeded {
+                    self.node.report_target_event(TargetEvent::Succeeded {
                         route: trying.route,
                         target: trying.target,
                         latency_ms,
@@ -283,7 +284,8 @@
             Input::Refused(link, Refusal::VersionNotLoaded) => {
                 self.take_trying(*link);
                 if let Some(chunk) = self.chunk.take_if(|chunk| chunk.link == *link) {
-                    self.node.unload(&chunk.trial.target, &chunk.trial.version);
+                    self.node
+                        .record_unloaded(&chunk.trial.target, &chunk.trial.version);
                 }
             }
             Input::Refused(link, _) => {
@@ -309,7 +311,7 @@
 
     fn failed(&mut self, link: ConnectionId) {
         if let Some(trying) = self.take_trying(link) {
-            self.node.tell(TargetEvent::Failed {
+            self.node.report_target_event(TargetEvent::Failed {
                 route: trying.route,
                 target: trying.target,
             });
--- a/daemon/src/keeping.rs
+++ b/daemon/src/keeping.rs
@@ -10,13 +10,13 @@
 
 /// Puts a record at the keepers of its request, and fences this driver if they hold a higher one.
 pub fn keep(node: &Arc<Node>, record: &KeeperRecord, inputs: &mpsc::Sender<Input>) {
-    for keeper in gossip::keepers(node, &record.key) {
+    for keeper in gossip::record_keepers(node, &record.key) {
         let node = Arc::clone(node);
         let value = record.encode();
         let inputs = inputs.clone();
-        let work = node.work.clone();
+        let work = node.background_tasks.clone();
         work.spawn(async move {
-            let sent = node.peers.keep(keeper, value).await;
+            let sent = node.peers.store_record(keeper, value).await;
             let higher = sent.ok().flatten();
             let higher = higher.and_then(|value| KeeperRecord::decode(&value).ok());
             if let Some(higher) = higher {
@@ -30,49 +30,49 @@
 /// Adds tokens to the record at the keepers.
 pub fn extend(node: &Arc<Node>, copy: &RecordExtension) {
     let value = copy.encode();
-    for keeper in gossip::keepers(node, &copy.key) {
+    for keeper in gossip::record_keepers(node, &copy.key) {
         let node = Arc::clone(node);
         let value = value.clone();
-        let work = node.work.clone();
+        let work = node.background_tasks.clone();
         work.spawn(async move {
             // A keeper that misses a copy takes none of the later ones either.
-            let _ = node.peers.extend(keeper, value).await;
+            let _ = node.peers.append_to_record(keeper, value).await;
         });
     }
 }
 
 /// Removes a record from the keepers, unless it is of a later driver.
 pub fn forget(node: &Arc<Node>, request: &RequestKey, attempt: Attempt) {
-    for keeper in gossip::keepers(node, request) {
+    for keeper in gossip::record_keepers(node, request) {
         let node = Arc::clone(node);
         let request = request.clone();
-        let work = node.work.clone();
+        let work = node.background_tasks.clone();
         work.spawn(async move {
             // A record that stays expires.
-            let _ = node.peers.forget(keeper, request, attempt).await;
+            let _ = node.peers.remove_record(keeper, request, attempt).await;
         });
     }
 }
 
 /// Tells the instance that drove a request before that another one drives it now.
 pub fn tell(node: &Arc<Node>, instance: &InstanceName, record: &KeeperRecord) {
-    let all = gossip::live(node);
-    let address = all.iter().find(|near| near.name == *instance);
-    let Some(address) = address.and_then(|near| near.address) else {
+    let all = gossip::live_instances(node);
+    let address = all.iter().find(|peer| peer.name == *instance);
+    let Some(address) = address.and_then(|peer| peer.address) else {
         return;
     };
     let node = Arc::clone(node);
     let record = record.encode();
-    let work = node.work.clone();
+    let work = node.background_tasks.clone();
     work.spawn(async move {
         // An instance that can't be told meets the higher record at the keepers.
-        let _ = node.peers.keep(address, record).await;
+        let _ = node.peers.store_record(address, record).await;
     });
 }
 
 /// Asks the keepers of a request for its record and returns the highest.
 pub async fn find(node: &Node, request: &RequestKey) -> Option<KeeperRecord> {
-    let keepers = gossip::keepers(node, request);
+    let keepers = gossip::record_keepers(node, request);
     let asks = keepers.into_iter().map(|keeper| ask(node, keeper, request));
     let found = futures::future::join_all(asks).await;
     // This instance may be a keeper itself.
@@ -93,7 +93,11 @@
 }
 
 async fn ask(node: &Node, keeper: SocketAddr, request: &RequestKey) -> Option<KeeperRecord> {
-    let record = node.peers.kept(keeper, request.clone()).await.ok()??;
+    let record = node
+        .peers
+        .fetch_record(keeper, request.clone())
+        .await
+        .ok()??;
     KeeperRecord::decode(&record).ok()
 }
 
--- a/daemon/src/server.rs
+++ b/daemon/src/server.rs
@@ -121,7 +121,7 @@
     tasks.spawn(roster::run(Arc::clone(node)));
     tasks.spawn(gossip::run(Arc::clone(node)));
     tasks.spawn(watch::run(Arc::clone(node)));
-    tasks.spawn(watch::hold(Arc::clone(node)));
+    tasks.spawn(watch::watch_store(Arc::clone(node)));
     tasks.spawn(rollouts::run(Arc::clone(node)));
     tasks.spawn(orders::run(Arc::clone(node)));
     tasks.spawn(limits::run(Arc::clone(node)));
@@ -154,7 +154,7 @@
     match effect {
         Some(DrainEffect::AnnounceLeaving) => {
             node.leaving.cancel();
-            gossip::leave(node);
+            gossip::announce_leaving(node);
             log::info!("leaving: the address is given to nobody, callers who have it are served");
         }
         Some(DrainEffect::CloseListener) => log::info!("leaving: new connections are refused"),
@@ -167,15 +167,15 @@
 async fn finish(node: &Node, mut tasks: JoinSet<()>) {
     node.sockets.drain().await;
     node.ledger.close();
-    node.ending.cancel();
-    node.work.close();
+    node.shutdown.cancel();
+    node.background_tasks.close();
     let joined = async {
         while tasks.join_next().await.is_some() {}
-        node.work.wait().await;
+        node.background_tasks.wait().await;
         node.peers.close().await;
     };
     if time::timeout(JOIN, joined).await.is_err() {
-        let left = tasks.len() + node.work.len();
+        let left = tasks.len() + node.background_tasks.len();
         log::warn!("{left} background tasks did not end in time");
         tasks.shutdown().await;
     }
@@ -211,7 +211,7 @@
     let mut tick = time::interval(PUBLISH);
     loop {
         tokio::select! {
-            () = node.ending.cancelled() => return,
+            () = node.shutdown.cancelled() => return,
             _ = tick.tick() => {
                 // A datagram that can't be sent is lost, and the next interval goes on.
                 let _ = node.metrics.publish();
