--- a/cli/src/caller.rs
+++ b/cli/src/caller.rs
@@ -2,7 +2,7 @@
 
 use std::io::{self, Read, Write};
 
-use celerypond_cli::{Called, Prompt};
+use celerypond_cli::{Prompt, ServiceCall};
 
 use crate::{
     context::Context,
@@ -67,7 +67,7 @@
 /// Calls a plain service and prints its answer.
 pub(crate) async fn call(context: &Context, flags: Call) -> Result<(), Failure> {
     let client = context.client()?;
-    let called = Called {
+    let called = ServiceCall {
         service: flags.service,
         method: flags.method,
         path: flags.path,
--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     connection::{self, Ask},
-    Called, ClientError, Problem, Response,
+    ClientError, Problem, Response, ServiceCall,
 };
 
 /// How long an operator's step may take; it makes several calls to the store.
@@ -131,7 +131,7 @@
     /// A [`ClientError`]; see [`ClientError::is_not_run`].
     pub async fn call(
         &self,
-        called: &Called,
+        called: &ServiceCall,
         limit: Duration,
     ) -> Result<Response, Report<ClientError>> {
         let until = Instant::now() + limit;
@@ -157,7 +157,7 @@
 
     async fn call_once(
         &self,
-        called: &Called,
+        called: &ServiceCall,
         to: SocketAddr,
         limit: Duration,
     ) -> Result<Response, Report<ClientError>> {
--- a/cli/tests/test_calls.rs
+++ b/cli/tests/test_calls.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use celerypond_cli::{Called, Client};
+use celerypond_cli::{Client, ServiceCall};
 
 use crate::instance::serve_then_hang;
 
@@ -16,7 +16,7 @@
     let refusal = r#"{"error":{"kind":"not_run","message":"store","retry_after_ms":390}}"#;
     let replies = vec![entries.clone(), (503, refusal.to_owned()), entries];
     let client = Client::new(vec![serve_then_hang(replies)], "key").unwrap();
-    let call = Called {
+    let call = ServiceCall {
         service: "desk".to_owned(),
         method: "POST".to_owned(),
         path: "/holds".to_owned(),
--- a/daemon/tests/fleet.rs
+++ b/daemon/tests/fleet.rs
@@ -12,7 +12,7 @@
 };
 
 use celerypond_bundle::{Bundle, Settings};
-use celerypond_cli::{Called, Client, Prompt, Token};
+use celerypond_cli::{Client, Prompt, ServiceCall, Token};
 use celerypond_daemon::{force::Force, node::Node, server, target_watch::TargetEvent};
 use celerypond_rollout::BundleHeader;
 use celerypond_telemetry::Metrics;
@@ -310,8 +310,8 @@
 }
 
 /// Returns an idempotent call to the plain service.
-pub(crate) fn stock() -> Called {
-    Called {
+pub(crate) fn stock() -> ServiceCall {
+    ServiceCall {
         service: "desk".into(),
         method: "GET".into(),
         path: "/stock".into(),
--- a/daemon/tests/test_calls.rs
+++ b/daemon/tests/test_calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use celerypond_cli::{Called, Client};
+use celerypond_cli::{Client, ServiceCall};
 use celerypond_testutils::fault::{PlatformFault, ServiceFault};
 
 use crate::fleet::{Fleet, ACCOUNT_KEY};
@@ -10,8 +10,8 @@
 const GAP: Duration = Duration::from_millis(5);
 const LIMIT: Duration = Duration::from_millis(1900);
 
-fn hold(key: Option<&str>) -> Called {
-    Called {
+fn hold(key: Option<&str>) -> ServiceCall {
+    ServiceCall {
         service: "desk".into(),
         method: "POST".into(),
         path: "/holds".into(),
--- a/daemon/tests/test_front.rs
+++ b/daemon/tests/test_front.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerypond_cli::{Called, Client};
+use celerypond_cli::{Client, ServiceCall};
 use http::{Method, Request};
 use http_body_util::{BodyExt, Full};
 use rstest::rstest;
@@ -136,7 +136,7 @@
 async fn an_idempotent_call_passes_through() {
     let fleet = Fleet::start(GAP).await;
     let client = Client::new(vec![fleet.instances[0].address], ACCOUNT_KEY).unwrap();
-    let called = Called {
+    let called = ServiceCall {
         service: "desk".into(),
         method: "GET".into(),
         path: "/stock?item=4".into(),
