--- a/cli/src/caller.rs
+++ b/cli/src/caller.rs
@@ -2,7 +2,7 @@
 
 use std::io::{self, Read, Write};
 
-use celerypond_cli::{Prompt, ServiceCall};
+use celerypond_cli::{CompletionRequest, ServiceCall};
 
 use crate::{
     context::Context,
@@ -29,14 +29,14 @@
 /// Generates an answer and prints its text as it comes.
 pub(crate) async fn generate(context: &Context, flags: Generate) -> Result<(), Failure> {
     let client = context.client()?;
-    let prompt = Prompt {
+    let prompt = CompletionRequest {
         model: flags.model,
         prompt: text(flags.prompt)?,
         max_tokens: flags.max_tokens.unwrap_or(DEFAULT_TOKENS),
         seed: flags.seed,
         adapter: flags.adapter,
         key: flags.key,
-        limit: limit(flags.limit_s),
+        timeout: limit(flags.limit_s),
     };
     let mut answer = client.generate(prompt).await;
     let ended = loop {
--- a/cli/src/generation.rs
+++ b/cli/src/generation.rs
@@ -26,23 +26,23 @@
 const SILENCE: Duration = Duration::from_secs(5);
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// What to generate.
+/// A request to complete a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Prompt {
-    /// The model.
+pub struct CompletionRequest {
+    /// The name of the model.
     pub model: String,
     /// The prompt.
     pub prompt: String,
-    /// How many tokens at most.
+    /// The maximum number of tokens.
     pub max_tokens: u32,
-    /// The seed of the answer, if it shall be repeatable.
+    /// The random seed; the same seed gives the same completion.
     pub seed: Option<u64>,
-    /// The adapter.
+    /// The adapter of the model, if any.
     pub adapter: Option<String>,
-    /// The key of the request; one is made up when left out.
+    /// The idempotency key; generated if `None`.
     pub key: Option<String>,
-    /// How long to wait for the whole answer.
-    pub limit: Duration,
+    /// How long to wait for the complete response.
+    pub timeout: Duration,
 }
 
 /// A token of an answer.
@@ -70,7 +70,7 @@
 /// An answer on its way.
 pub struct Generation<'a> {
     client: &'a Client,
-    prompt: Prompt,
+    request: CompletionRequest,
     key: String,
     addresses: Vec<SocketAddr>,
     until: Instant,
@@ -126,14 +126,14 @@
 
 impl Client {
     /// Begins an answer.
-    pub async fn generate(&self, prompt: Prompt) -> Generation<'_> {
-        let key = prompt.key.clone().unwrap_or_else(made_up_key);
+    pub async fn generate(&self, request: CompletionRequest) -> Generation<'_> {
+        let key = request.key.clone().unwrap_or_else(made_up_key);
         Generation {
             client: self,
             key,
             addresses: self.addresses().await,
-            until: Instant::now() + prompt.limit,
-            prompt,
+            until: Instant::now() + request.timeout,
+            request,
             last: None,
             prefix: Vec::new(),
             reconnects: 0,
@@ -215,12 +215,12 @@
 
     fn ask(&self) -> Result<Ask, Report<ClientError>> {
         let body = Body {
-            model: &self.prompt.model,
-            prompt: &self.prompt.prompt,
-            max_tokens: self.prompt.max_tokens,
+            model: &self.request.model,
+            prompt: &self.request.prompt,
+            max_tokens: self.request.max_tokens,
             stream: true,
-            seed: self.prompt.seed,
-            adapter: self.prompt.adapter.as_deref(),
+            seed: self.request.seed,
+            adapter: self.request.adapter.as_deref(),
             prefix: &self.prefix,
         };
         let left = self.until.saturating_duration_since(Instant::now());
--- a/cli/src/lib.rs
+++ b/cli/src/lib.rs
@@ -11,6 +11,6 @@
 pub use client::{Client, Entries, EntryAddress};
 pub use error::{ClientError, Problem};
 pub use explain::{explain, ExplainError, Line, Source, Story};
-pub use generation::{Ended, Generation, Prompt, Token};
+pub use generation::{CompletionRequest, Ended, Generation, Token};
 pub use losses::{losses, Fate, Loss};
 pub use service_call::{Response, ServiceCall};
--- a/daemon/tests/fleet.rs
+++ b/daemon/tests/fleet.rs
@@ -12,7 +12,7 @@
 };
 
 use celerypond_bundle::{Bundle, Settings};
-use celerypond_cli::{Client, Prompt, ServiceCall, Token};
+use celerypond_cli::{Client, CompletionRequest, ServiceCall, Token};
 use celerypond_daemon::{force::Force, node::Node, server, target_watch::TargetEvent};
 use celerypond_rollout::BundleHeader;
 use celerypond_telemetry::Metrics;
@@ -321,22 +321,22 @@
 }
 
 /// Returns a request for tokens.
-pub(crate) fn prompt(text: &str, seed: u64, tokens: u32) -> Prompt {
-    Prompt {
+pub(crate) fn prompt(text: &str, seed: u64, tokens: u32) -> CompletionRequest {
+    CompletionRequest {
         model: "drafts".into(),
         prompt: text.into(),
         max_tokens: tokens,
         seed: Some(seed),
         adapter: None,
         key: None,
-        limit: PATIENCE,
+        timeout: PATIENCE,
     }
 }
 
 /// Receives an answer to its end, calling `at` with the number of tokens so far.
 pub(crate) async fn receive(
     client: &Client,
-    prompt: Prompt,
+    prompt: CompletionRequest,
     mut at: impl FnMut(usize),
 ) -> Result<Vec<u32>, String> {
     let mut answer = client.generate(prompt).await;
--- a/testutils/src/load.rs
+++ b/testutils/src/load.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use celerypond_cli::{Client, Prompt};
+use celerypond_cli::{Client, CompletionRequest};
 use serde::Serialize;
 use tokio::time::{timeout_at, Instant};
 
@@ -81,14 +81,14 @@
     }
 
     async fn ask(&self, client: &Client, seed: u64, seen: &Mutex<Seen>) {
-        let prompt = Prompt {
+        let prompt = CompletionRequest {
             model: self.model.clone(),
             prompt: format!("cut list {seed}"),
             max_tokens: self.tokens,
             seed: Some(seed),
             adapter: None,
             key: None,
-            limit: LIMIT,
+            timeout: LIMIT,
         };
         let began = Instant::now();
         let mut answer = client.generate(prompt).await;
