--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     ///
-    /// A [`ClientError`]; see [`ClientError::is_not_run`].
+    /// A [`ClientError`]; see [`ClientError::proves_not_run`].
     pub async fn call(
         &self,
         called: &ServiceCall,
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -41,8 +41,8 @@
 }
 
 impl ClientError {
-    /// Returns whether the failure proves that nothing was run.
-    pub fn is_not_run(&self) -> bool {
+    /// Returns whether the error proves that the request did not run.
+    pub fn proves_not_run(&self) -> bool {
         match self {
             Self::Unreachable(_) | Self::Request => true,
             Self::Problem(problem) => problem.kind == "not_run",
--- a/cli/tests/test_calls.rs
+++ b/cli/tests/test_calls.rs
@@ -25,5 +25,5 @@
     };
     let error = client.call(&call, Duration::from_millis(400)).await;
     let error = error.unwrap_err();
-    assert!(error.current_context().is_not_run(), "{error:?}");
+    assert!(error.current_context().proves_not_run(), "{error:?}");
 }
--- a/daemon/tests/test_calls.rs
+++ b/daemon/tests/test_calls.rs
@@ -74,7 +74,7 @@
     });
     for _ in 0..2 {
         let error = client.call(&hold(Some("hold-3")), LIMIT).await.unwrap_err();
-        assert!(!error.current_context().is_not_run(), "{error:?}");
+        assert!(!error.current_context().proves_not_run(), "{error:?}");
     }
     assert_eq!(runs(&fleet, "hold-3"), 1);
 }
@@ -111,7 +111,7 @@
         .call(&hold(Some("hold-4")), Duration::from_millis(150))
         .await;
     let error = error.unwrap_err();
-    assert!(error.current_context().is_not_run(), "{error:?}");
+    assert!(error.current_context().proves_not_run(), "{error:?}");
     assert!(
         started.elapsed() < Duration::from_secs(1),
         "{:?}",
