--- a/cli/src/caller.rs
+++ b/cli/src/caller.rs
@@ -15,7 +15,7 @@
 
 /// Lists the addresses that callers should use.
 pub(crate) async fn entries(context: &Context) -> Result<(), Failure> {
-    let entries = context.anonymous()?.entries().await?;
+    let entries = context.anonymous()?.entry_points().await?;
     if context.json {
         context.print(&entries);
     } else {
--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests of callers and operators.
+//! A client for callers and operators.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,145 +10,154 @@
 use tokio::time::{self, Instant};
 
 use crate::{
-    connection::{self, Ask},
-    ClientError, Problem, Response, ServiceCall,
+    connection::{self, ApiRequest},
+    ApiError, ClientError, Response, ServiceCall,
 };
 
-/// How long an operator's step may take; it makes several calls to the store.
-const STEP: Duration = Duration::from_secs(30);
-const SHORT: Duration = Duration::from_secs(3);
-/// The wait before the next try when an instance does not say how long.
-const PAUSE: Duration = Duration::from_millis(200);
-/// The least time that a call must have left to be sent again; a sound instance answers within some
-/// milliseconds, and a busy machine takes tens.
+/// Timeout of an operator request, for which the instance makes several calls to the store.
+const OPERATOR_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout of a request for the entry points.
+const ENTRY_POINTS_TIMEOUT: Duration = Duration::from_secs(3);
+/// The delay before a retry when the instance does not specify one.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The minimum time before the deadline for a retry. A healthy instance responds within a few
+/// milliseconds, a busy machine within tens of milliseconds.
 ///
-/// The failure: an instance says that a call has not run and when to come back, which is just before
-/// the caller's time ends. Sent once more, the call gets no answer, and the caller is told that it may
-/// have run. Without that send the caller has the proof that it has not.
-const LEAST_LEFT: Duration = Duration::from_millis(100);
+/// If a call is refused with a retry delay that ends just before the deadline, a retry would time
+/// out, and the caller would have to assume that the call may have run. Without the retry, the
+/// refusal proves that it did not run.
+const MIN_RETRY_TIME: Duration = Duration::from_millis(100);
 
-/// The addresses that the system gives out.
+/// The entry points that an instance returns.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entries {
-    /// The addresses, the one to use first at the front.
-    pub entries: Vec<EntryAddress>,
-    /// How long this answer may be kept, in seconds.
+pub struct EntryPoints {
+    /// The entry points, in order of preference.
+    pub entries: Vec<EntryPoint>,
+    /// How long the list may be cached, in seconds.
     pub ttl_s: u64,
 }
 
-/// An address that the system gives out.
+/// An address that clients may connect to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EntryAddress {
-    /// Where to connect.
+pub struct EntryPoint {
+    /// The address to connect to.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// The data centre of the instance.
     pub data_centre: String,
 }
 
-/// A client that knows some addresses of the system and one key.
+/// A client with one key and the addresses of some instances, from which it gets the entry points.
 ///
 /// # Examples
 ///
 /// ```no_run
 /// # async fn example() -> Result<(), error_stack::Report<celerypond_cli::ClientError>> {
 /// let client = celerypond_cli::Client::new(vec!["127.0.0.1:7001".parse().unwrap()], "key")?;
-/// let entries = client.entries().await?;
-/// println!("{} addresses", entries.entries.len());
+/// let list = client.entry_points().await?;
+/// println!("{} entry points", list.entries.len());
 /// # Ok(())
 /// # }
 /// ```
 #[derive(Clone, Debug)]
 pub struct Client {
-    known: Vec<SocketAddr>,
+    bootstrap_addresses: Vec<SocketAddr>,
     authorization: HeaderValue,
 }
 
 impl Client {
-    /// Makes a client that asks the addresses `known`, in order, for those to use.
+    /// Creates a client that requests the entry points from `bootstrap_addresses`, tried in order.
     ///
     /// # Errors
     ///
-    /// `Request` when the key can't stand in a header.
-    pub fn new(known: Vec<SocketAddr>, key: &str) -> Result<Self, Report<ClientError>> {
-        let mut authorization =
-            HeaderValue::from_str(&format!("Bearer {key}")).change_context(ClientError::Request)?;
+    /// Fails with [`ClientError::InvalidRequest`] if the key is not a valid header value.
+    pub fn new(
+        bootstrap_addresses: Vec<SocketAddr>,
+        key: &str,
+    ) -> Result<Self, Report<ClientError>> {
+        let mut authorization = HeaderValue::from_str(&format!("Bearer {key}"))
+            .change_context(ClientError::InvalidRequest)?;
         authorization.set_sensitive(true);
         Ok(Self {
-            known,
+            bootstrap_addresses,
             authorization,
         })
     }
 
-    /// Asks the system which of its addresses to use.
+    /// Requests the entry points.
     ///
     /// # Errors
     ///
-    /// A [`ClientError`] of the last address that was tried.
-    pub async fn entries(&self) -> Result<Entries, Report<ClientError>> {
+    /// Fails with the [`ClientError`] of the last address that was tried.
+    pub async fn entry_points(&self) -> Result<EntryPoints, Report<ClientError>> {
         let body = self
-            .anywhere(&Ask::new(Method::GET, "/v1/entries", SHORT))
+            .send_to_any(&ApiRequest::new(
+                Method::GET,
+                "/v1/entries",
+                ENTRY_POINTS_TIMEOUT,
+            ))
             .await?;
-        serde_json::from_slice(&body).change_context(ClientError::Malformed)
+        serde_json::from_slice(&body).change_context(ClientError::InvalidResponse)
     }
 
-    /// Returns the addresses to use now: those that the system gives out, else those known.
+    /// Returns the addresses of the entry points, or the bootstrap addresses if there are none or the
+    /// request for them fails.
     pub async fn addresses(&self) -> Vec<SocketAddr> {
-        match self.entries().await {
-            Ok(given) if !given.entries.is_empty() => {
-                given.entries.iter().map(|entry| entry.address).collect()
+        match self.entry_points().await {
+            Ok(list) if !list.entries.is_empty() => {
+                list.entries.iter().map(|entry| entry.address).collect()
             }
-            _ => self.known.clone(),
+            _ => self.bootstrap_addresses.clone(),
         }
     }
 
-    /// Sends an operator's step or question and returns the answer.
+    /// Sends an operator request and returns the response.
     ///
     /// # Errors
     ///
-    /// A [`ClientError`].
+    /// Fails with a [`ClientError`].
     pub async fn operator(
         &self,
         method: Method,
         path: &str,
         body: impl Into<Bytes>,
     ) -> Result<Value, Report<ClientError>> {
-        let ask = Ask {
+        let request = ApiRequest {
             body: body.into(),
-            ..Ask::new(method, format!("/v1/operator/{path}"), STEP)
+            ..ApiRequest::new(method, format!("/v1/operator/{path}"), OPERATOR_TIMEOUT)
         };
-        let body = self.anywhere(&ask).await?;
-        serde_json::from_slice(&body).change_context(ClientError::Malformed)
+        let body = self.send_to_any(&request).await?;
+        serde_json::from_slice(&body).change_context(ClientError::InvalidResponse)
     }
 
     /// Calls a plain service.
     ///
-    /// A call with a key is sent again, also to other instances, until it has an answer or
-    /// `limit` has passed: the system runs it at most once. Without a key it is sent again only when
-    /// it is proved that it did not run.
+    /// A call with an idempotency key is retried, also on other instances, until there is a response
+    /// or `timeout` has passed: the system runs it at most once. A call without a key is retried
+    /// only if the error proves that it did not run.
     ///
     /// # Errors
     ///
-    /// A [`ClientError`]; see [`ClientError::proves_not_run`].
+    /// Fails with a [`ClientError`]; see [`ClientError::proves_not_run`].
     pub async fn call(
         &self,
-        called: &ServiceCall,
-        limit: Duration,
+        call: &ServiceCall,
+        timeout: Duration,
     ) -> Result<Response, Report<ClientError>> {
-        let until = Instant::now() + limit;
-        let mut tries = 0;
+        let deadline = Instant::now() + timeout;
+        let mut attempts = 0;
         loop {
             let addresses = self.addresses().await;
-            let to = addresses[tries % addresses.len()];
-            tries += 1;
-            let left = until.saturating_duration_since(Instant::now());
-            let error = match self.call_once(called, to, left).await {
+            let address = addresses[attempts % addresses.len()];
+            attempts += 1;
+            let left = deadline.saturating_duration_since(Instant::now());
+            let error = match self.call_once(call, address, left).await {
                 Ok(response) => return Ok(response),
                 Err(error) => error,
             };
-            let pause = pause(error.current_context(), called.key.is_some());
-            match pause {
-                Some(pause) if Instant::now() + pause + LEAST_LEFT < until => {
-                    time::sleep(pause).await;
+            let delay = retry_delay(error.current_context(), call.key.is_some());
+            match delay {
+                Some(delay) if Instant::now() + delay + MIN_RETRY_TIME < deadline => {
+                    time::sleep(delay).await;
                 }
                 _ => return Err(error),
             }
@@ -157,75 +166,77 @@
 
     async fn call_once(
         &self,
-        called: &ServiceCall,
-        to: SocketAddr,
-        limit: Duration,
+        call: &ServiceCall,
+        address: SocketAddr,
+        timeout: Duration,
     ) -> Result<Response, Report<ClientError>> {
-        let method =
-            Method::from_bytes(called.method.as_bytes()).change_context(ClientError::Request)?;
-        let path = format!("/v1/services/{}{}", called.service, called.path);
-        let limit_ms = limit.as_millis().to_string();
-        let mut ask = Ask {
-            body: called.body.clone(),
-            ..Ask::new(method, path, limit)
+        let method = Method::from_bytes(call.method.as_bytes())
+            .change_context(ClientError::InvalidRequest)?;
+        let path = format!("/v1/services/{}{}", call.service, call.path);
+        let timeout_ms = timeout.as_millis().to_string();
+        let mut request = ApiRequest {
+            body: call.body.clone(),
+            ..ApiRequest::new(method, path, timeout)
         }
-        .header("celerypond-deadline-ms", &limit_ms)?;
-        if let Some(key) = &called.key {
-            ask = ask.header("idempotency-key", key)?;
+        .header("celerypond-deadline-ms", &timeout_ms)?;
+        if let Some(key) = &call.key {
+            request = request.header("idempotency-key", key)?;
         }
-        let mut answer = self.signed(ask).send(to).await?;
-        let ran = answer.response.headers().contains_key("celerypond-outcome");
-        let status = answer.response.status().as_u16();
-        let body = answer.body(limit).await?;
-        if !ran {
-            return Err(connection::problem(&body));
+        let mut response = self.authorize(request).send(address).await?;
+        let has_run = response.inner.headers().contains_key("celerypond-outcome");
+        let status = response.inner.status().as_u16();
+        let body = response.body(timeout).await?;
+        if !has_run {
+            return Err(connection::parse_error(&body));
         }
         Ok(Response { status, body })
     }
 
-    /// Sends a request that changes nothing, or whose repetition is harmless, to the first address
-    /// that answers.
-    async fn anywhere(&self, ask: &Ask) -> Result<Bytes, Report<ClientError>> {
-        let ask = self.signed(ask.clone());
-        let mut last = None;
-        for to in &self.known {
-            match ask.send(*to).await {
-                Ok(mut answer) => {
-                    let status = answer.response.status();
-                    let body = answer.body(ask.limit).await?;
+    /// Sends a request to the bootstrap addresses in order, until one accepts the connection.
+    ///
+    /// The request must have no effect, or be harmless to repeat.
+    async fn send_to_any(&self, request: &ApiRequest) -> Result<Bytes, Report<ClientError>> {
+        let request = self.authorize(request.clone());
+        let mut last_error = None;
+        for address in &self.bootstrap_addresses {
+            match request.send(*address).await {
+                Ok(mut response) => {
+                    let status = response.inner.status();
+                    let body = response.body(request.timeout).await?;
                     return match status {
                         StatusCode::OK => Ok(body),
-                        // An operator who lost a race is told who won.
+                        // The body names the operator whose concurrent `roll` came first.
                         StatusCode::CONFLICT if body.starts_with(b"{\"outrun_by\"") => Ok(body),
-                        _ => Err(connection::problem(&body)),
+                        _ => Err(connection::parse_error(&body)),
                     };
                 }
                 Err(error) => match error.current_context() {
-                    ClientError::Unreachable(_) => last = Some(error),
+                    ClientError::Unreachable(_) => last_error = Some(error),
                     _ => return Err(error),
                 },
             }
         }
-        Err(last.unwrap_or_else(|| Report::new(ClientError::Request)))
+        Err(last_error.unwrap_or_else(|| Report::new(ClientError::InvalidRequest)))
     }
 
-    pub(crate) fn signed(&self, mut ask: Ask) -> Ask {
-        let signature = (http::header::AUTHORIZATION, self.authorization.clone());
-        ask.headers.push(signature);
-        ask
+    /// Adds the key to a request.
+    pub(crate) fn authorize(&self, mut request: ApiRequest) -> ApiRequest {
+        let header = (http::header::AUTHORIZATION, self.authorization.clone());
+        request.headers.push(header);
+        request
     }
 }
 
-/// Returns how long to wait before a call may be sent again, if it may.
-fn pause(error: &ClientError, has_key: bool) -> Option<Duration> {
+/// Returns the delay before a call is retried, or `None` if it must not be.
+fn retry_delay(error: &ClientError, has_key: bool) -> Option<Duration> {
     match error {
-        ClientError::Unreachable(_) => Some(PAUSE),
-        ClientError::Problem(Problem {
+        ClientError::Unreachable(_) => Some(RETRY_DELAY),
+        ClientError::Api(ApiError {
             kind,
             retry_after_ms,
             ..
-        }) if kind == "not_run" => Some(retry_after_ms.map_or(PAUSE, Duration::from_millis)),
-        ClientError::Broken if has_key => Some(PAUSE),
+        }) if kind == "not_run" => Some(retry_after_ms.map_or(RETRY_DELAY, Duration::from_millis)),
+        ClientError::ConnectionClosed if has_key => Some(RETRY_DELAY),
         _ => None,
     }
 }
--- a/cli/src/connection.rs
+++ b/cli/src/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange with an instance.
+//! An HTTP request on a connection of its own.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,50 +10,50 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpStream, task::JoinHandle, time};
 
-use crate::{ClientError, Problem};
+use crate::{ApiError, ClientError};
 
-const CONNECT: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A request to an instance.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct ApiRequest {
     /// The method.
     pub(crate) method: Method,
-    /// The path with its query.
+    /// The path with the query.
     pub(crate) path: String,
-    /// Headers beside those that every request has.
+    /// Headers other than `host`.
     pub(crate) headers: Vec<(HeaderName, HeaderValue)>,
     /// The body.
     pub(crate) body: Bytes,
-    /// How long to wait for the head of the answer.
-    pub(crate) limit: Duration,
+    /// How long to wait for the response headers.
+    pub(crate) timeout: Duration,
 }
 
-/// An answer and its connection.
-pub(crate) struct Answer {
-    /// The answer.
-    pub(crate) response: Response<Incoming>,
-    guard: Guard,
+/// A response and its connection.
+pub(crate) struct ApiResponse {
+    /// The response headers and the unread body.
+    pub(crate) inner: Response<Incoming>,
+    guard: ConnectionGuard,
 }
 
-/// Closes a connection when dropped.
-pub(crate) struct Guard(JoinHandle<()>);
+/// Closes the connection when dropped.
+pub(crate) struct ConnectionGuard(JoinHandle<()>);
 
-impl Drop for Guard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-impl Ask {
-    /// Makes a request without headers and body.
-    pub(crate) fn new(method: Method, path: impl Into<String>, limit: Duration) -> Self {
+impl ApiRequest {
+    /// Creates a request without headers and body.
+    pub(crate) fn new(method: Method, path: impl Into<String>, timeout: Duration) -> Self {
         Self {
             method,
             path: path.into(),
             headers: Vec::new(),
             body: Bytes::new(),
-            limit,
+            timeout,
         }
     }
 
@@ -63,72 +63,75 @@
         name: &'static str,
         value: &str,
     ) -> Result<Self, Report<ClientError>> {
-        let value = HeaderValue::from_str(value).change_context(ClientError::Request)?;
+        let value = HeaderValue::from_str(value).change_context(ClientError::InvalidRequest)?;
         self.headers.push((HeaderName::from_static(name), value));
         Ok(self)
     }
 
-    /// Sends the request to an instance and waits for the head of the answer.
-    pub(crate) async fn send(&self, to: SocketAddr) -> Result<Answer, Report<ClientError>> {
-        let request = self.request(to)?;
-        let socket = time::timeout(CONNECT, TcpStream::connect(to))
+    /// Connects to an instance, sends the request and waits for the response headers.
+    pub(crate) async fn send(
+        &self,
+        address: SocketAddr,
+    ) -> Result<ApiResponse, Report<ClientError>> {
+        let request = self.request(address)?;
+        let socket = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
-            .change_context(ClientError::Unreachable(to))?
-            .change_context(ClientError::Unreachable(to))?;
+            .change_context(ClientError::Unreachable(address))?
+            .change_context(ClientError::Unreachable(address))?;
         let _ = socket.set_nodelay(true);
         let (mut sender, connection) = http1::handshake(TokioIo::new(socket))
             .await
-            .change_context(ClientError::Unreachable(to))?;
-        let guard = Guard(tokio::spawn(async move {
-            // The sender or the body reports the failure to whoever waits for it.
+            .change_context(ClientError::Unreachable(address))?;
+        let guard = ConnectionGuard(tokio::spawn(async move {
+            // The sender and the body report the same error.
             let _ = connection.await;
         }));
-        let response = time::timeout(self.limit, sender.send_request(request))
+        let inner = time::timeout(self.timeout, sender.send_request(request))
             .await
-            .change_context(ClientError::Timeout(self.limit))?
-            .change_context(ClientError::Broken)?;
-        Ok(Answer { response, guard })
+            .change_context(ClientError::Timeout(self.timeout))?
+            .change_context(ClientError::ConnectionClosed)?;
+        Ok(ApiResponse { inner, guard })
     }
 
-    fn request(&self, to: SocketAddr) -> Result<Request<Full<Bytes>>, Report<ClientError>> {
+    fn request(&self, address: SocketAddr) -> Result<Request<Full<Bytes>>, Report<ClientError>> {
         let mut request = Request::builder()
             .method(self.method.clone())
             .uri(&self.path)
-            .header(header::HOST, to.to_string());
+            .header(header::HOST, address.to_string());
         for (name, value) in &self.headers {
             request = request.header(name, value);
         }
         request
             .body(Full::new(self.body.clone()))
-            .change_context(ClientError::Request)
+            .change_context(ClientError::InvalidRequest)
     }
 }
 
-impl Answer {
-    /// Separates the body from what keeps its connection open.
-    pub(crate) fn split(self) -> (Incoming, Guard) {
-        (self.response.into_body(), self.guard)
+impl ApiResponse {
+    /// Returns the body and the guard that keeps its connection open.
+    pub(crate) fn split(self) -> (Incoming, ConnectionGuard) {
+        (self.inner.into_body(), self.guard)
     }
 
     /// Reads the whole body.
-    pub(crate) async fn body(&mut self, limit: Duration) -> Result<Bytes, Report<ClientError>> {
-        let body = time::timeout(limit, self.response.body_mut().collect())
+    pub(crate) async fn body(&mut self, timeout: Duration) -> Result<Bytes, Report<ClientError>> {
+        let body = time::timeout(timeout, self.inner.body_mut().collect())
             .await
-            .change_context(ClientError::Timeout(limit))?
-            .change_context(ClientError::Broken)?;
+            .change_context(ClientError::Timeout(timeout))?
+            .change_context(ClientError::ConnectionClosed)?;
         Ok(body.to_bytes())
     }
 }
 
-/// Reads a failure that an instance reported.
-pub(crate) fn problem(body: &[u8]) -> Report<ClientError> {
+/// Parses the error in a response body.
+pub(crate) fn parse_error(body: &[u8]) -> Report<ClientError> {
     #[derive(serde::Deserialize)]
-    struct Wrapped {
-        error: Problem,
+    struct ErrorBody {
+        error: ApiError,
     }
 
-    match serde_json::from_slice::<Wrapped>(body) {
-        Ok(wrapped) => Report::new(ClientError::Problem(wrapped.error)),
-        Err(_) => Report::new(ClientError::Malformed),
+    match serde_json::from_slice::<ErrorBody>(body) {
+        Ok(body) => Report::new(ClientError::Api(body.error)),
+        Err(_) => Report::new(ClientError::InvalidResponse),
     }
 }
--- a/cli/src/documents.rs
+++ b/cli/src/documents.rs
@@ -74,7 +74,7 @@
     let path = format!("bundles/{digest}");
     let value = context.client()?.operator(Method::GET, &path, "").await?;
     serde_json::from_value(value)
-        .map_err(|_| Failure::Client(celerypond_cli::ClientError::Malformed))
+        .map_err(|_| Failure::Client(celerypond_cli::ClientError::InvalidResponse))
 }
 
 fn report(context: &Context, path: &Path, faults: &[ValidationError]) -> Result<(), Failure> {
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -1,51 +1,51 @@
-//! The ways in which a request to celerypond fails.
+//! Errors of requests to instances.
 
 use std::{net::SocketAddr, time::Duration};
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A failure that an instance reported.
+/// An error that an instance reported in a response body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Problem {
-    /// Its kind, such as `not_run` or `unknown`.
+pub struct ApiError {
+    /// The error code, such as `not_run` or `unknown`.
     pub kind: String,
-    /// What happened.
+    /// A description for people.
     pub message: String,
-    /// When to come back, in milliseconds.
+    /// How long to wait before sending the request again, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
-/// A failed request.
+/// Why a request failed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ClientError {
-    /// No instance accepted a connection; nothing was sent.
+    /// No instance accepted a connection, so nothing was sent. Names the last address tried.
     #[error("no instance could be reached, the last tried was {0}")]
     Unreachable(SocketAddr),
-    /// The connection ended before the answer; the request may have run.
+    /// The connection closed before the response was complete; the request may have run.
     #[error("the connection ended before the answer")]
-    Broken,
-    /// No answer came in time; the request may have run.
+    ConnectionClosed,
+    /// No response came in time; the request may have run.
     #[error("no answer came within {0:?}")]
     Timeout(Duration),
-    /// The answer is not of the agreed form.
+    /// The response does not follow the protocol.
     #[error("the answer is not of the agreed form")]
-    Malformed,
-    /// The request can't be sent as given.
+    InvalidResponse,
+    /// The request cannot be sent: a header or the method is invalid, or there is no address.
     #[error("the request is not valid")]
-    Request,
-    /// The instance answered with a failure.
+    InvalidRequest,
+    /// The instance reported an error.
     #[error("{}: {}", .0.kind, .0.message)]
-    Problem(Problem),
+    Api(ApiError),
 }
 
 impl ClientError {
     /// Returns whether the error proves that the request did not run.
     pub fn proves_not_run(&self) -> bool {
         match self {
-            Self::Unreachable(_) | Self::Request => true,
-            Self::Problem(problem) => problem.kind == "not_run",
+            Self::Unreachable(_) | Self::InvalidRequest => true,
+            Self::Api(error) => error.kind == "not_run",
             _ => false,
         }
     }
--- a/cli/src/exit.rs
+++ b/cli/src/exit.rs
@@ -63,7 +63,7 @@
             Self::Client(ClientError::Unreachable(_)) => {
                 Some("check --at, and that an instance runs there")
             }
-            Self::Client(ClientError::Problem(problem)) => match problem.kind.as_str() {
+            Self::Client(ClientError::Api(error)) => match error.kind.as_str() {
                 "unauthorized" => Some("check --key-file or CELERYPOND_KEY"),
                 "not_run" => Some("nothing was run; the command may be given again"),
                 "unknown" => Some("it may have run; give the command again with the same --key"),
@@ -76,10 +76,10 @@
 
 fn client_code(error: &ClientError) -> u8 {
     match error {
-        ClientError::Request | ClientError::Malformed => 1,
+        ClientError::InvalidRequest | ClientError::InvalidResponse => 1,
         ClientError::Unreachable(_) => 3,
-        ClientError::Broken | ClientError::Timeout(_) => 4,
-        ClientError::Problem(problem) => match problem.kind.as_str() {
+        ClientError::ConnectionClosed | ClientError::Timeout(_) => 4,
+        ClientError::Api(error) => match error.kind.as_str() {
             "bad_request" | "too_large" | "not_found" => 2,
             "not_run" => 3,
             "unknown" => 4,
--- a/cli/src/lib.rs
+++ b/cli/src/lib.rs
@@ -1,16 +1,18 @@
-//! A client of celerypond for callers and operators, which knows nothing of the terminal.
+//! A client library for callers and operators of celerypond, and the analysis of its log files.
+//!
+//! Nothing in this library reads or writes the terminal; that is left to the binary.
 
 mod client;
+mod completion;
 mod connection;
 mod error;
 mod explain;
-mod generation;
 mod losses;
 mod service_call;
 
-pub use client::{Client, Entries, EntryAddress};
-pub use error::{ClientError, Problem};
+pub use client::{Client, EntryPoint, EntryPoints};
+pub use completion::{CompletionRequest, CompletionStream, CompletionSummary, Token};
+pub use error::{ApiError, ClientError};
 pub use explain::{explain, ExplainError, Line, Source, Story};
-pub use generation::{CompletionRequest, Ended, Generation, Token};
 pub use losses::{losses, Fate, Loss};
 pub use service_call::{Response, ServiceCall};
