--- a/cli/src/caller.rs
+++ b/cli/src/caller.rs
@@ -2,7 +2,7 @@
 
 use std::io::{self, Read, Write};
 
-use celerypond_cli::{Called, Prompt};
+use celerypond_cli::{CompletionRequest, ServiceCall};
 
 use crate::{
     context::Context,
@@ -15,7 +15,7 @@
 
 /// Lists the addresses that callers should use.
 pub(crate) async fn entries(context: &Context) -> Result<(), Failure> {
-    let entries = context.anonymous()?.entries().await?;
+    let entries = context.anonymous()?.entry_points().await?;
     if context.json {
         context.print(&entries);
     } else {
@@ -29,14 +29,14 @@
 /// Generates an answer and prints its text as it comes.
 pub(crate) async fn generate(context: &Context, flags: Generate) -> Result<(), Failure> {
     let client = context.client()?;
-    let prompt = Prompt {
+    let prompt = CompletionRequest {
         model: flags.model,
         prompt: text(flags.prompt)?,
         max_tokens: flags.max_tokens.unwrap_or(DEFAULT_TOKENS),
         seed: flags.seed,
         adapter: flags.adapter,
         key: flags.key,
-        limit: limit(flags.limit_s),
+        timeout: limit(flags.limit_s),
     };
     let mut answer = client.generate(prompt).await;
     let ended = loop {
@@ -67,7 +67,7 @@
 /// Calls a plain service and prints its answer.
 pub(crate) async fn call(context: &Context, flags: Call) -> Result<(), Failure> {
     let client = context.client()?;
-    let called = Called {
+    let called = ServiceCall {
         service: flags.service,
         method: flags.method,
         path: flags.path,
--- a/daemon/tests/test_calls.rs
+++ b/daemon/tests/test_calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use celerypond_cli::{Called, Client};
+use celerypond_cli::{Client, ServiceCall};
 use celerypond_testutils::fault::{PlatformFault, ServiceFault};
 
 use crate::fleet::{Fleet, ACCOUNT_KEY};
@@ -10,8 +10,8 @@
 const GAP: Duration = Duration::from_millis(5);
 const LIMIT: Duration = Duration::from_millis(1900);
 
-fn hold(key: Option<&str>) -> Called {
-    Called {
+fn hold(key: Option<&str>) -> ServiceCall {
+    ServiceCall {
         service: "desk".into(),
         method: "POST".into(),
         path: "/holds".into(),
@@ -74,7 +74,7 @@
     });
     for _ in 0..2 {
         let error = client.call(&hold(Some("hold-3")), LIMIT).await.unwrap_err();
-        assert!(!error.current_context().is_not_run(), "{error:?}");
+        assert!(!error.current_context().proves_not_run(), "{error:?}");
     }
     assert_eq!(runs(&fleet, "hold-3"), 1);
 }
@@ -111,7 +111,7 @@
         .call(&hold(Some("hold-4")), Duration::from_millis(150))
         .await;
     let error = error.unwrap_err();
-    assert!(error.current_context().is_not_run(), "{error:?}");
+    assert!(error.current_context().proves_not_run(), "{error:?}");
     assert!(
         started.elapsed() < Duration::from_secs(1),
         "{:?}",
