--- a/daemon/src/relay.rs
+++ b/daemon/src/relay.rs
@@ -1,7 +1,7 @@
-//! An instance that relays routed requests, on the users' platform.
+//! An instance that relays requests on the users' platform.
 //!
-//! The decisions are in `celerypond-relay`, the platform's words in `celerypond-adapter`; here are
-//! the sockets, the tasks and the clock.
+//! The decisions are made in `celerypond-relay`, and the platform's protocols are in
+//! `celerypond-adapter`. This module has the sockets, the tasks and the clock.
 
 mod attempt;
 mod callers;
@@ -44,6 +44,7 @@
 pub use inbox::Inbox;
 pub use start::{run, Instance, RelayError};
 
-/// The bound on log lines: routine ones and those of failures, a second. A request writes about
-/// three lines, so that the lines of 300 requests a second are kept; a line takes some microseconds.
+/// The maximum number of log lines per second, for routine lines and for failures. A request writes
+/// about three lines, so all lines of 300 requests per second are kept. A line takes a few
+/// microseconds.
 pub static LOG_LIMITER: LogRateLimiter = LogRateLimiter::new(1_000, 500);
--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a target, up to the head of its response.
+//! A single attempt at a target, up to the head of its response.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,23 +16,23 @@
     state::RelayState,
 };
 
-/// How soon a connection that was forgotten is reset after something was sent on it: a way there and back,
-/// and the wait for a processor share.
+/// The time within which a target resets a request on a connection that it no longer knows: a
+/// network round trip and the wait for a processor share.
 const IDLE_RESET_WINDOW: Duration = Duration::from_millis(30);
 
-/// A caller's request, read whole.
+/// A caller's request, with its whole body.
 #[derive(Clone, Debug)]
 pub(super) struct CallerRequest {
     pub(super) method: Method,
-    /// Path and query, as the caller sent them.
+    /// The path and query, as the caller sent them.
     pub(super) uri: Uri,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
-    /// The id of the request.
+    /// The request id.
     pub(super) id: smol_str::SmolStr,
 }
 
-/// A response whose body is still to be read.
+/// A response whose body has not been read yet.
 pub(super) struct OpenResponse {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
@@ -42,7 +42,7 @@
 }
 
 impl OpenResponse {
-    /// Keeps the connection for further requests; the body must have been read to its end.
+    /// Keeps the connection for further requests. The body must have been read to its end.
     pub(super) fn keep(self, state: &RelayState, lease: &Lease) {
         let keep_alive = self.head.keep_alive;
         state
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// How the attempt ended, if no response to this request came.
+/// The failure of the attempt if no response to this request arrived.
 pub(super) async fn send(
     state: &Arc<RelayState>,
     lease: &mut Lease,
@@ -70,7 +70,7 @@
             mut sender,
             idle_for,
         } = acquire_connection(state, lease).await?;
-        // The target may have left since it was chosen.
+        // The target may have left since it was selected.
         if !state.view.targets().is_usable(lease.key) {
             return Err(AttemptFailure::Left);
         }
@@ -79,7 +79,7 @@
         {
             Ok(Ok(response)) => response,
             Ok(Err(mut error)) => match error.take_message() {
-                // An idle connection that the target had closed takes nothing of the request.
+                // If the target had closed the idle connection, nothing of the request was sent.
                 Some(unsent) => {
                     request = unsent;
                     continue;
@@ -97,7 +97,7 @@
     }
 }
 
-/// Returns a connection to the target, a kept one if there is one.
+/// Returns a connection to the target, an idle one if there is one.
 async fn acquire_connection(
     state: &RelayState,
     lease: &Lease,
@@ -129,10 +129,11 @@
     request
 }
 
-/// Decides whether a response belongs to the request.
+/// Checks that a response belongs to the request.
 ///
-/// The failure: a target sends a second response, or one that belongs to a request whose caller has
-/// left, and it arrives where this request's is due. Its id tells; the connection is dropped.
+/// A target may send a second response, or one to a request whose caller has left, and it arrives
+/// where this request's response is expected. Its request id reveals that, and the connection is
+/// dropped.
 fn validate_response(
     caller_request: &CallerRequest,
     lease: &mut Lease,
@@ -164,11 +165,11 @@
     })
 }
 
-/// Reads a body whole.
+/// Reads a whole body.
 ///
 /// # Errors
 ///
-/// `Broken` when it ended early, `Silent` when it did not end in time.
+/// `Broken` if the body ended early, `Silent` if it did not end in time.
 pub(super) async fn read_body(
     body: &mut Incoming,
     limit: Duration,
--- a/daemon/src/relay/callers.rs
+++ b/daemon/src/relay/callers.rs
@@ -1,4 +1,4 @@
-//! Connections of callers.
+//! Accepts and serves connections of callers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,12 +8,13 @@
 
 use super::{request, state::RelayState};
 
-/// The least size of the buffer for a request's head that the library takes.
+/// The minimum size that hyper accepts for the buffer of a request's head.
 const MIN_BUFFER: usize = 8 << 10;
-/// How long accepting rests after a failure, which is a lack of descriptors.
+/// The delay before accepting again after a failure, which is usually due to a lack of file
+/// descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts callers until no more connections are taken.
+/// Accepts connections of callers until the instance closes to them.
 pub(super) async fn run(state: Arc<RelayState>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
@@ -35,7 +36,8 @@
 }
 
 async fn serve(state: Arc<RelayState>, stream: TcpStream) {
-    // Without it small events wait for acknowledgements; the connection works all the same.
+    // With Nagle's algorithm small events wait for acknowledgements, but the connection still
+    // works.
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!(error:% = error; "a caller's socket keeps its delay");
     }
@@ -53,7 +55,7 @@
     let mut connection = std::pin::pin!(builder.serve_connection(TokioIo::new(stream), service));
     if !was_stopping {
         tokio::select! {
-            // A caller may leave in any way; its requests have their own lines.
+            // A caller may disconnect at any time. Its requests are logged separately.
             _ = connection.as_mut() => return,
             () = state.killed.cancelled() => return,
             () = state.stopping.cancelled() => connection.as_mut().graceful_shutdown(),
--- a/daemon/src/relay/config_sync.rs
+++ b/daemon/src/relay/config_sync.rs
@@ -1,7 +1,7 @@
 //! Keeps the configuration current, from the store or from other instances.
 //!
-//! One task makes all transfers of an instance, one after the other: two of them share its link, and each is then as
-//! late as both together.
+//! A single task makes all transfers of an instance, one after the other. Two concurrent transfers
+//! would share the link, and each would be as late as both together.
 
 use std::{
     convert::Infallible,
@@ -30,21 +30,22 @@
 const STORE_START: Duration = Duration::from_millis(150);
 /// How long a watch may take to report a version that other instances have.
 const WATCH_LAG: Duration = Duration::from_millis(200);
-/// The largest answer of a watch without changes, in bytes.
+/// The maximum size of a watch's answer without changes, in bytes.
 const EMPTY_ANSWER: u64 = 256;
-/// A watch that was held by the store for so long had nothing to report when it began.
+/// If the store held a watch for at least this time, it had nothing to report when the watch began.
 const WATCH_HELD: Duration = Duration::from_millis(50);
-/// How late the first bytes of a watch's answer may be.
+/// The maximum delay of the first bytes of a watch's answer.
 const ANSWER_DELAY: Duration = Duration::from_millis(300);
-/// How often it is checked that a watch has no answer yet.
+/// The interval at which a watch is checked for the beginning of its answer.
 const ANSWER_POLL: Duration = Duration::from_millis(100);
-/// How often a transfer under way is reported.
+/// The interval at which a transfer in progress is recorded.
 const TRANSFER_POLL: Duration = Duration::from_millis(200);
-/// The time between two rounds of queries of peers.
+/// The interval between two rounds of queries to peers.
 const PEER_ROUND: Duration = Duration::from_millis(300);
-/// How many peers are queried in one round.
+/// The number of peers that are queried in one round.
 const PEERS_PER_ROUND: usize = 4;
-/// How long a peer may take to send a configuration. It sends two at a time, and one has a megabyte at most.
+/// The timeout of a transfer of a configuration from a peer. A peer sends two at a time, and a
+/// configuration has a megabyte at most.
 const PEER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Keeps the configuration current until the instance ends.
@@ -61,10 +62,11 @@
 struct ConfigSync<'a> {
     state: &'a RelayState,
     store: Client,
-    /// What has arrived of the store's answer to the call under way.
+    /// The bytes received of the store's answer to the current call.
     received: TransferProgress,
     backoff: StoreBackoff,
-    /// Whether the history since the known revision is gone, so that a list is needed.
+    /// Whether the store no longer has the history since the known revision, so that a list is
+    /// needed.
     needs_list: bool,
     is_lost: bool,
 }
@@ -99,12 +101,12 @@
         }
     }
 
-    /// Waits until a newer version is known of, and fetches it.
+    /// Waits until a newer version is known to exist, and fetches it.
     async fn sync_with_watchers(&mut self) {
         let state = self.state;
         state.watch_duty.set_config_answer(None);
         self.is_lost = false;
-        // Watchers report a revision to watch from whose history is kept.
+        // Watchers report a revision from which the store still has the history.
         self.needs_list = false;
         if !self.is_outdated() {
             tokio::select! {
@@ -118,13 +120,13 @@
             Ok(_) if state.view.version() > previous || !self.is_outdated() => {
                 self.backoff.answered()
             }
-            // The version that is known of cannot be fetched yet.
+            // The newer version cannot be fetched yet.
             Ok(_) => sleep(*self.backoff.failed(false).start()).await,
             Err(error) => pause(state, error, self.backoff.failed(true)).await,
         }
     }
 
-    /// Waits until a newer version is known of.
+    /// Waits until a newer version is known to exist.
     async fn wait_outdated(&self) {
         while !self.is_outdated() {
             tokio::select! {
@@ -142,7 +144,7 @@
         let wait = self.state.settings.load().bounds.watch_wait();
         let started = Instant::now();
         let answer_sent = OnceLock::new();
-        // What the call before has received must not be taken for the beginning of this answer.
+        // Bytes of the previous call must not be taken for the beginning of this answer.
         self.received.reset();
         let changes = tokio::select! {
             changes = self.store.watch(store::CONFIG_PREFIX, Version(since), wait) => changes,
@@ -151,14 +153,14 @@
         };
         self.state.view.is_receiving.store(false, Relaxed);
         let changes = changes.map_err(|report| *report.current_context())?;
-        // Without a change the store has held the watch for the whole wait.
+        // Without a change, the store held the watch for the whole wait.
         let held_until = (started + wait).min(Instant::now());
         self.apply_changes(changes, answer_sent.get().copied().unwrap_or(held_until));
         Ok(Source::Store)
     }
 
-    /// Reports to the others as soon as a watch begins to send a newer version, so that they fetch it meanwhile and not
-    /// after the transfer.
+    /// Reports to other instances as soon as a watch begins to send a newer version, so that they
+    /// fetch it at the same time and not after the transfer.
     async fn report_transfer(
         &self,
         since: u64,
@@ -167,8 +169,9 @@
     ) -> Infallible {
         let received = self.received.wait_until_above(EMPTY_ANSWER);
         let mut received = std::pin::pin!(received);
-        // A process that was paused reads late what arrived meanwhile: the last moment without an answer counts, and
-        // none at which the process had just been held up.
+        // A process that was paused reads late what arrived during the pause. So the answer is
+        // dated by the last check without an answer, ignoring checks that were themselves delayed
+        // by a pause.
         let (mut last_empty, mut last_poll) = (started, Instant::now());
         while timeout(ANSWER_POLL, received.as_mut()).await.is_err() {
             let now = Instant::now();
@@ -183,7 +186,7 @@
         let view = &self.state.view;
         let now = Instant::now();
         if last_empty.saturating_duration_since(started) > WATCH_HELD {
-            // The store had nothing to report until it sent this.
+            // The store had nothing to report until it sent this answer.
             self.observe(Version(since), sent_at);
         }
         let version = view.version();
@@ -191,7 +194,8 @@
         view.is_receiving.store(true, Relaxed);
         view.unreported_change.notify_one();
         loop {
-            // The store answers all the while, so that the others need not watch for themselves.
+            // The store is answering during the transfer, so other instances do not need to watch
+            // it.
             self.state
                 .watch_duty
                 .set_config_answer(Some(Instant::now()));
@@ -200,7 +204,8 @@
         }
     }
 
-    /// Waits until a version is known of that the watch under way does not begin to send.
+    /// Waits until a newer version is known to exist although the current watch does not begin to
+    /// send one.
     async fn wait_watch_lag(&self) {
         loop {
             sleep(WATCH_LAG).await;
@@ -228,7 +233,8 @@
         Ok(Source::Store)
     }
 
-    /// Fetches the newest version that is known of, from the store or, where that does not send it, from a peer.
+    /// Fetches the newest known version from the store, or from a peer if the store does not send
+    /// it.
     async fn fetch(&mut self) -> Result<Source, PlatformError> {
         let newest = self.state.newest_config();
         let started = Instant::now();
@@ -272,7 +278,8 @@
         self.state.view.freshness().confirm_read(started);
     }
 
-    /// Records that the version in force is the newest one that can be read at this revision of the store.
+    /// Records that the current version is the newest one that can be read at this revision of the
+    /// store.
     fn observe(&self, revision: Version, at: Instant) {
         self.state.view.observe(Observation {
             version: self.state.view.version(),
@@ -293,7 +300,8 @@
     }
 
     async fn handle_failure(&mut self, error: PlatformError) {
-        // The store answers; only its history is too short, and a list makes that good.
+        // The store is available, but it no longer has the history since this revision. A list
+        // replaces it.
         if error == PlatformError::Compacted {
             log::info!(kind = store::CONFIG_PREFIX; "history of a watch gone");
             self.needs_list = true;
@@ -316,7 +324,8 @@
         }
     }
 
-    /// Queries peers, unless the store begins to answer, until one has sent a configuration of at least this version.
+    /// Queries peers until one has sent a configuration of at least this version, while the store
+    /// has not begun to answer.
     async fn poll_peers(&self, version: u64) {
         sleep(STORE_START).await;
         loop {
@@ -327,9 +336,10 @@
         }
     }
 
-    /// Queries a few peers; returns whether one sent a configuration of at least this version.
+    /// Queries a few peers and returns whether one sent a configuration of at least this version.
     ///
-    /// They are drawn at random: if all instances queried the watcher, its link would be full for seconds.
+    /// They are chosen at random. If all instances queried the watcher, its link would be saturated
+    /// for seconds.
     async fn query_peers(&self, version: u64) -> bool {
         let peers = target_sync::peers(self.state);
         for peer in peers.into_iter().take(PEERS_PER_ROUND) {
@@ -340,7 +350,7 @@
         false
     }
 
-    /// Counts a read of the store and writes its line.
+    /// Counts and logs a read from the store.
     fn record_fetch(&self, version: u64, error: Option<PlatformError>, started: Instant) {
         let state = self.state;
         let received = self.received.bytes();
@@ -361,7 +371,7 @@
     }
 }
 
-/// Queries a peer for a configuration of at least this version; returns whether it sent one.
+/// Queries a peer for a configuration of at least this version and returns whether it sent one.
 async fn query_peer(state: &RelayState, peer: SocketAddr, version: u64) -> bool {
     let started = Instant::now();
     let response = timeout(PEER_TIMEOUT, state.peers.bundle(peer, Revision(version))).await;
--- a/daemon/src/relay/connections.rs
+++ b/daemon/src/relay/connections.rs
@@ -16,20 +16,21 @@
 use tokio::{net::TcpStream, time::Instant};
 use tokio_util::task::TaskTracker;
 
-/// How long a connection may take. Targets accept within a few milliseconds; one that does not is
-/// cut off or has lost its power, and says nothing.
+/// The timeout of a connection attempt. Targets accept within a few milliseconds. One that does not
+/// is unreachable or has lost its power, and sends no error.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long written bytes may stay unacknowledged.
+/// How long written bytes may stay unacknowledged before the kernel reports the connection as
+/// broken.
 ///
-/// The failure: a target loses its power, or something on the way has lost track of a connection.
-/// Nothing comes back, and the request would wait until its deadline. The kernel then reports the
-/// connection as broken; acknowledgements come from the kernel, so a busy target is not hit.
+/// When a target loses its power, or a device on the path has dropped the state of a connection,
+/// nothing comes back, and the request would wait until its deadline. Acknowledgements come from
+/// the target's kernel, so a busy target is not affected.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long an idle connection is kept when the target does not say.
+/// How long an idle connection is kept if the target does not specify a limit.
 const DEFAULT_IDLE_TIME: Duration = Duration::from_millis(2_500);
 /// How long before the target's own limit an idle connection is no longer used.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// The most idle connections to one target.
+/// The maximum number of idle connections to one target.
 const MAX_IDLE_CONNECTIONS: usize = 8;
 
 pub(super) type Sender = SendRequest<Full<Bytes>>;
@@ -40,14 +41,14 @@
     expires: Instant,
 }
 
-/// A kept connection that is used again.
+/// A connection that is used for a request, either an idle one or a new one.
 pub(super) struct ReusedConnection {
     pub(super) sender: Sender,
-    /// How long nothing went over it.
+    /// How long the connection was idle; zero for a new one.
     pub(super) idle_for: Duration,
 }
 
-/// Connections to targets, kept for further requests.
+/// A pool of connections to targets, which are kept for further requests.
 #[derive(Default)]
 pub(super) struct Connections {
     idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
@@ -55,7 +56,8 @@
 }
 
 impl Connections {
-    /// Takes an idle connection, the last one that was used, unless it has rested for longer than `most`.
+    /// Takes the idle connection that was used last, unless it has been idle for longer than
+    /// `max_idle_time`.
     pub(super) fn take_idle(
         &self,
         address: SocketAddr,
@@ -79,7 +81,7 @@
         None
     }
 
-    /// Keeps a connection whose response was read to its end.
+    /// Keeps a connection whose response was read completely.
     pub(super) fn keep(
         &self,
         address: SocketAddr,
@@ -107,14 +109,14 @@
 
     /// Closes all idle connections to an address.
     ///
-    /// One connection that went silent is seldom alone: its siblings would take a request each
-    /// before they are found out.
+    /// A connection that became silent is seldom the only one. Each of the others would fail a
+    /// request before it is detected.
     pub(super) fn drop_idle(&self, address: SocketAddr) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.remove(&address);
     }
 
-    /// Closes idle connections that are past their time.
+    /// Closes idle connections that have expired.
     pub(super) fn close_expired(&self, now: Instant) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.retain(|_, reusable| {
@@ -124,7 +126,7 @@
         });
     }
 
-    /// Returns whether a new connection can be made; it is kept for the next request.
+    /// Returns whether a new connection can be made, and keeps it for the next request.
     pub(super) async fn is_alive(&self, address: SocketAddr) -> bool {
         match self.connect(address).await {
             Ok(sender) => {
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Makes a connection.
+    /// Opens a connection.
     pub(super) async fn connect(&self, address: SocketAddr) -> io::Result<Sender> {
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
@@ -147,7 +149,7 @@
             .await
             .map_err(io::Error::other)?;
         self.tasks.spawn(async move {
-            // Whoever sends on the connection learns from its response how it ended.
+            // The sender of a request learns from its response how the connection ended.
             let _ = connection.await;
         });
         Ok(sender)
--- a/daemon/src/relay/datagrams.rs
+++ b/daemon/src/relay/datagrams.rs
@@ -1,5 +1,4 @@
-//! Tells other instances where the streams of this one run and what is new in the store, and hears
-//! of theirs.
+//! Exchanges datagrams with other instances: where streams run, and what is new in the store.
 
 use std::{
     net::SocketAddr,
@@ -17,33 +16,33 @@
 
 use super::{fleet, inbox::Inbox, state::RelayState, target_sync};
 
-/// How long changes are gathered before a list is sent. Streams begin and end in groups when
+/// How long changes are collected before a list is sent. Streams begin and end in groups when
 /// engines are lost.
 const COALESCE_DELAY: Duration = Duration::from_micros(200);
-/// The largest datagram that is read.
+/// The maximum size of a datagram.
 const MAX_DATAGRAM_BYTES: usize = 16 << 10;
-/// How many datagrams are read before anything else has its turn.
+/// The number of datagrams that are read before other events are handled.
 const MAX_BATCH: usize = 256;
 
-/// The time between two notices of an instance that watches the store.
+/// The interval between two notices of an instance that watches the store.
 const NOTICE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What instances tell each other by datagram; what is lost is told again.
+/// The datagrams between instances. What is lost is sent again with a later one.
 #[derive(Serialize, Deserialize)]
 pub(super) enum Datagram {
     /// Where streams run.
     Streams(Placements),
     /// Where prompts were sent.
     Notes(Vec<PromptLocation>),
-    /// What is known of the store.
+    /// The state of the store that an instance knows.
     Notice(Notice),
-    /// How far an order to move a service has come.
+    /// The stage of an order to move a service to another version.
     Stage(Stage),
-    /// What was seen of such an order.
+    /// Evidence about the versions of such an order.
     Report(ServiceName, EvidenceReport),
 }
 
-/// Sends and hears lists until the instance ends.
+/// Sends and receives datagrams until the instance ends.
 pub(super) async fn run(state: Arc<RelayState>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut placement_schedule = PlacementSchedule::new(Instant::now());
@@ -78,7 +77,7 @@
     }
 }
 
-/// Receives what has arrived.
+/// Receives the datagrams that have arrived.
 fn receive_datagrams(state: &Arc<RelayState>, inbox: &mut Inbox, buffer: &mut [u8]) {
     for _ in 0..MAX_BATCH {
         let Some((len, earliest_arrival)) = inbox.next(buffer) else {
@@ -142,7 +141,7 @@
     send(socket, &fleet.group, &Datagram::Streams(placements)).await;
 }
 
-/// Tells those of other groups where prompts were sent.
+/// Sends the locations of prompts to instances of other groups.
 async fn send_prompt_locations(
     state: &RelayState,
     socket: &UdpSocket,
@@ -177,14 +176,15 @@
     }
 }
 
-/// Says what is known of the store, if others are to hear it of this instance.
+/// Sends what is known of the store to the recipients of this instance, if there are any.
 async fn send_notice(state: &RelayState, socket: &UdpSocket) {
     let fleet = state.fleet.load_full();
     if fleet.recipients.is_empty() {
         return;
     }
     let now = Instant::now();
-    // What comes in force meanwhile must not be reported with the age of what was in force before, so ages go first.
+    // The ages are read first: a configuration that becomes current meanwhile must not be reported
+    // with the age of the previous one.
     let freshness = state.view.freshness().clone();
     let targets_age = state.view.targets_freshness().age(now);
     let (revision, config) = (state.view.revision(), state.view.version());
@@ -209,7 +209,8 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// What cannot be sent is left out: the next datagram says the same and more.
+/// Sends a datagram. One that cannot be sent is dropped, since the next one has the same
+/// information and more.
 pub(super) async fn send(socket: &UdpSocket, peers: &[SocketAddr], datagram: &Datagram) {
     match bincode::serialize(datagram) {
         Ok(bytes) if bytes.len() <= MAX_DATAGRAM_BYTES => {
--- a/daemon/src/relay/endpoints.rs
+++ b/daemon/src/relay/endpoints.rs
@@ -1,4 +1,4 @@
-//! Questions beside requests: whether the instance is ready, which addresses to use, and counters.
+//! HTTP endpoints besides requests: readiness, the directory of instances, and metrics.
 
 use std::{convert::Infallible, net::IpAddr, sync::Arc, time::Duration};
 
@@ -16,22 +16,22 @@
 };
 use crate::listening;
 
-/// How long callers keep an answer of the directory. A short time lets them leave a dead instance
-/// soon; asking costs an instance some tens of microseconds.
+/// How long callers cache an answer of the directory. With a short time they leave a dead instance
+/// soon, and a query costs an instance only tens of microseconds.
 const DIRECTORY_TTL: Duration = Duration::from_secs(1);
 /// The path of counters and latencies.
 const METRICS_PATH: &str = "/metrics";
-/// How long a connection may stay without a question.
+/// How long a connection may stay open without a request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers questions on a listener until the instance ends.
+/// Serves the endpoints on a listener until the instance ends.
 pub(super) async fn run(state: Arc<RelayState>, listener: TcpListener) {
     let ending = state.ending.clone();
     listening::serve(listener, ending, |stream| serve(Arc::clone(&state), stream)).await;
 }
 
 async fn serve(state: Arc<RelayState>, stream: tokio::net::TcpStream) {
-    // Who has no address any more is gone as well.
+    // A connection without a peer address is already closed.
     let Ok(caller) = stream.peer_addr() else {
         return;
     };
@@ -43,7 +43,7 @@
         .timer(TokioTimer::new())
         .header_read_timeout(IDLE_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
-    // Whoever asks may leave in any way.
+    // The client may disconnect at any time.
     let _ = connection.await;
 }
 
@@ -63,7 +63,8 @@
     reply
 }
 
-/// An instance that knows nobody to name says so, and the caller asks another one.
+/// Returns the addresses of instances for a caller. An instance that knows none reports that, and
+/// the caller asks another one.
 fn directory_response(state: &RelayState, caller: IpAddr) -> Reply {
     let addresses = members::caller_addresses(state);
     if addresses.is_empty() {
--- a/daemon/src/relay/engine_calls.rs
+++ b/daemon/src/relay/engine_calls.rs
@@ -1,4 +1,4 @@
-//! Questions and orders to engines, beside requests.
+//! Calls to engines other than callers' requests, such as queries and orders to copy.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,15 +9,15 @@
 
 use super::state::RelayState;
 
-/// What an engine answered.
+/// The response of an engine.
 pub(super) struct EngineResponse {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
 }
 
-/// Asks an engine on a new connection, which is closed with the answer; nothing when none comes
-/// within `limit`.
+/// Calls an engine on a new connection, which is closed after the response. Returns `None` if the
+/// call fails or takes longer than `limit`.
 pub(super) async fn call(
     state: &RelayState,
     address: SocketAddr,
--- a/daemon/src/relay/event_buffer.rs
+++ b/daemon/src/relay/event_buffer.rs
@@ -1,4 +1,4 @@
-//! The events of a stream between its engines and its caller.
+//! The events of a stream that were received from engines and not yet sent to the caller.
 
 use std::collections::VecDeque;
 
@@ -6,19 +6,19 @@
 use celerypond_relay::{AttemptFailure, Event, EventSplitter};
 use hyper::body::Frame;
 
-/// The events of a stream between its engines and its caller: whole ones only, each once, in order.
+/// Splits what engines send into events, and returns whole events only, each once and in order.
 pub(super) struct EventBuffer {
     splitter: EventSplitter,
-    /// Whole events that the caller has not had yet.
+    /// Whole events that were not sent to the caller yet.
     pending: VecDeque<Bytes>,
-    /// The id of the last event that was taken in.
+    /// The id of the last event that was received.
     last_id: Option<u64>,
-    /// Events that were passed on.
+    /// The number of events that were sent to the caller.
     forwarded: u64,
 }
 
 impl EventBuffer {
-    /// Begins after the last event that the caller has.
+    /// Creates a buffer that starts after the last event that the caller has.
     pub(super) fn resume_after(last_id: Option<u64>) -> Self {
         Self {
             splitter: EventSplitter::default(),
@@ -28,36 +28,37 @@
         }
     }
 
-    /// Returns the id of the last event that was taken in.
+    /// Returns the id of the last event that was received.
     pub(super) const fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Returns how many events were passed on.
+    /// Returns the number of events that were sent to the caller.
     pub(super) const fn forwarded(&self) -> u64 {
         self.forwarded
     }
 
-    /// Returns whether there is an event to pass on.
+    /// Returns whether there is an event to send to the caller.
     pub(super) fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Returns whether a part of an event is left.
+    /// Returns whether the received bytes end with a part of an event.
     pub(super) fn has_partial(&self) -> bool {
         self.splitter.has_partial()
     }
 
-    /// Drops the part of an event of a run that broke off; another run sends it from its start.
+    /// Discards the partial event of a run that broke off. Another run sends it from its start.
     pub(super) fn discard_partial(&mut self) {
         self.splitter.clear();
     }
 
-    /// Takes in received bytes; events that the caller has are dropped. Returns how many events are new.
+    /// Adds received bytes and drops events that the caller already has. Returns the number of new
+    /// events.
     ///
     /// # Errors
     ///
-    /// `Foreign` when an event is left out.
+    /// `Foreign` if an event is missing.
     pub(super) fn push(&mut self, frame: &Frame<Bytes>) -> Result<u32, AttemptFailure> {
         let Some(bytes) = frame.data_ref() else {
             return Ok(0);
@@ -80,7 +81,7 @@
         Ok(events)
     }
 
-    /// Takes out what is to be passed on.
+    /// Returns all events that are to be sent to the caller.
     pub(super) fn take_pending(&mut self) -> Option<Bytes> {
         self.forwarded += self.pending.len() as u64;
         match self.pending.len() {
--- a/daemon/src/relay/fleet.rs
+++ b/daemon/src/relay/fleet.rs
@@ -1,4 +1,5 @@
-//! What this instance makes of the fleet.
+//! The roles of other instances: which of them this instance sends what, and which one drives
+//! rollouts.
 
 use std::{
     net::SocketAddr,
@@ -12,29 +13,29 @@
 
 use super::state::RelayState;
 
-/// The most instances that tell each other where their streams run. Their lists take up to a sixth of a
-/// link of 10 Mbit/s.
+/// The maximum number of instances that report to each other where their streams run. Their lists
+/// take up to a sixth of a link of 10 Mbit/s.
 const MAX_GROUP: usize = 96;
 
-/// What this instance makes of the fleet: whom it tells what. Worked out anew when members come or go, as
-/// each datagram asks for it.
+/// The other instances by what this one sends them. Updated when members join or leave, and not
+/// computed for each datagram.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Fleet {
-    /// The run of this instance.
+    /// The origin of this instance, which identifies its process.
     pub(super) origin: u64,
-    /// How many instances seem to live, this one included.
+    /// The number of instances that seem to be live, including this one.
     pub(super) size: usize,
-    /// Where all other live ones are.
+    /// The addresses of all other live instances.
     pub(super) others: Vec<SocketAddr>,
-    /// Where the others are that share engines with this one.
+    /// The addresses of the other instances that share engines with this one.
     pub(super) group: Vec<SocketAddr>,
-    /// Where those are that share none.
+    /// The addresses of the instances that share no engines with this one.
     pub(super) strangers: Vec<SocketAddr>,
-    /// Where those are whom this one tells what the store says.
+    /// The addresses of the instances to which this one sends notices about the store.
     pub(super) recipients: Vec<SocketAddr>,
 }
 
-/// Works out anew what this instance makes of the fleet.
+/// Updates the roles of other instances.
 pub(super) fn refresh(state: &RelayState) {
     let settings = state.settings.load();
     let own = &settings.instance;
@@ -78,10 +79,11 @@
     }
 }
 
-/// Returns where the instance is that drives orders of rollouts; nothing when it is this one.
+/// Returns the address of the instance that drives rollouts, or `None` if it is this one.
 ///
-/// While instances disagree, two may drive. Each tells its stage, an end that was told stays, and
-/// the store takes the write of one of them.
+/// While instances disagree about the membership, two of them may drive the same order. Each sends
+/// its stage, a final phase stays once it was sent, and the store accepts the write of only one of
+/// them.
 pub(super) fn driver(state: &RelayState) -> Option<SocketAddr> {
     let gossip = state.gossip();
     let tree = distribution_tree(state, &gossip);
@@ -90,7 +92,7 @@
     address(live.find(|member| member.name == *driver)?)
 }
 
-/// Makes the tree of the instances that seem to live and are not stopping, this one included.
+/// Creates the distribution tree of the live instances that are not stopping, including this one.
 fn distribution_tree<'a>(state: &RelayState, gossip: &'a Gossip) -> DistributionTree<'a> {
     let live = gossip.membership().in_state(MemberState::Live);
     let mut candidates: Vec<Candidate<'a>> = live
--- a/daemon/src/relay/held_prompts.rs
+++ b/daemon/src/relay/held_prompts.rs
@@ -1,4 +1,4 @@
-//! Which prompt parts engines hold.
+//! Queries engines for the prompt parts that they hold.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,10 +9,10 @@
 
 use super::{engine_calls, state::RelayState};
 
-/// How long an engine may take to tell what it holds. It takes a step or two.
+/// The timeout of a query, which an engine answers within one or two of its steps.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Asks an engine which prompt parts it holds.
+/// Queries an engine for the prompt parts that it holds, and records them.
 pub(super) async fn query(state: Arc<RelayState>, key: TargetKey) {
     let (Some(address), Ok(path)) = (state.view.address_of(key), engine::HELD_PATH.parse()) else {
         return;
--- a/daemon/src/relay/inbox.rs
+++ b/daemon/src/relay/inbox.rs
@@ -1,14 +1,14 @@
-//! Datagrams of other instances, with the time since when each may have waited.
+//! Receives datagrams of other instances, with the earliest time at which each may have arrived.
 
 use std::{mem::MaybeUninit, sync::Arc};
 
 use socket2::SockRef;
 use tokio::{net::UdpSocket, time::Instant};
 
-/// Receives datagrams and tells how long each may have waited unread.
+/// Receives datagrams and reports how long each may have waited unread.
 ///
-/// What a process that was paused reads when it goes on was sent during the pause. A datagram may be as old as the last
-/// moment at which none was waiting.
+/// A process that was paused reads datagrams that were sent during the pause. A datagram may be as
+/// old as the last moment at which none was waiting.
 ///
 /// # Examples
 ///
@@ -36,7 +36,7 @@
 }
 
 impl Inbox {
-    /// Makes the inbox of a socket that was just bound.
+    /// Creates the inbox of a socket that was just bound.
     pub fn new(socket: Arc<UdpSocket>) -> Self {
         Self {
             socket,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Receives a datagram that has arrived, with the earliest moment at which it may have.
+    /// Receives a datagram that has arrived, with the earliest moment at which it may have arrived.
     pub fn next(&mut self, buffer: &mut [u8]) -> Option<(usize, Instant)> {
         let now = Instant::now();
         match self.socket.try_recv_from(buffer) {
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Returns whether the system has a datagram, as the runtime does not know of one that arrived after it last polled.
+    /// Returns whether a datagram is waiting in the kernel. The runtime does not know of one that
+    /// arrived after it last polled.
     fn is_waiting(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         SockRef::from(&*self.socket).peek(&mut byte).is_ok()
--- a/daemon/src/relay/lease.rs
+++ b/daemon/src/relay/lease.rs
@@ -1,4 +1,4 @@
-//! A place at a target.
+//! Leases of targets, which count the requests that are open there.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,7 +9,7 @@
 
 use super::state::RelayState;
 
-/// A request's place at a target, counted until it is dropped.
+/// A request's lease of a target. The request counts as open there until the lease is dropped.
 pub(super) struct Lease {
     state: Arc<RelayState>,
     pub(super) key: TargetKey,
@@ -20,12 +20,13 @@
 }
 
 impl Lease {
-    /// Takes a place for a request; nothing when the target is gone.
+    /// Leases a target for a request. Returns `None` if the target is gone.
     pub(super) fn for_request(state: &Arc<RelayState>, key: TargetKey) -> Option<Self> {
         Self::new(state, &mut state.view.targets(), key)
     }
 
-    /// Takes a place for a stream of so many tokens; nothing when the target is gone.
+    /// Leases an engine for a stream with this number of tokens. Returns `None` if the engine is
+    /// gone.
     pub(super) fn for_stream(
         state: &Arc<RelayState>,
         key: TargetKey,
@@ -53,20 +54,20 @@
         })
     }
 
-    /// Takes in a sign of life.
+    /// Records that the target responded, and the load that it reported.
     pub(super) fn record_response(&mut self, load: Option<Load>) {
         if let Some(target) = self.state.view.targets().get_mut(self.key) {
             target.record_response(load, Instant::now());
         }
     }
 
-    /// Takes in the result of a request in one piece.
+    /// Records the result of a request whose response is not a stream.
     pub(super) fn record_result(&self, is_good: bool, time: Duration) {
         let mut targets = self.state.view.targets();
         targets.record_result(self.key, is_good, time, Instant::now());
     }
 
-    /// Takes in that what was sent was reset at once, on a connection that had rested for so long.
+    /// Records that a request was reset at once on a connection that had been idle for this time.
     pub(super) fn record_idle_reset(&self, idle_for: Duration) {
         let mut targets = self.state.view.targets();
         if !targets.record_idle_reset(self.key, idle_for, Instant::now()) {
@@ -81,7 +82,7 @@
         );
     }
 
-    /// Takes in that the prompt was read.
+    /// Records that the engine has read the stream's prompt.
     pub(super) fn record_prompt_read(&mut self) {
         if let Some(stream) = self.stream {
             self.state
@@ -92,14 +93,14 @@
         }
     }
 
-    /// Takes in how the attempt ended.
+    /// Records how the attempt failed.
     pub(super) fn record_failure(&self, failure: AttemptFailure) {
         record_target_failure(&self.state, self.key, failure);
         if failure.suggests_target_down() {
             self.state.connections.drop_idle(self.address);
             self.state.placements_changed.notify_one();
         }
-        // A stream that breaks may be the sign of a dead engine, which others should know of.
+        // A broken stream may mean that the engine is dead, which other instances should be told.
         if failure == AttemptFailure::Broken && self.stream.is_some() {
             let check = check_alive(Arc::clone(&self.state), self.key, self.address);
             self.state.tasks.spawn(check);
@@ -107,7 +108,7 @@
     }
 }
 
-/// Takes in how an attempt at a target ended, or that it was found dead.
+/// Records how an attempt at a target failed, or that the target was found dead.
 fn record_target_failure(state: &RelayState, key: TargetKey, failure: AttemptFailure) {
     let mut targets = state.view.targets();
     let Some(target) = targets.get_mut(key) else {
--- a/daemon/src/relay/members.rs
+++ b/daemon/src/relay/members.rs
@@ -1,4 +1,4 @@
-//! The instances among themselves.
+//! Membership: the gossip among instances.
 
 use std::{
     net::SocketAddr,
@@ -15,14 +15,15 @@
 
 use super::{fleet, state::RelayState};
 
-/// The time between two rounds of gossip. After two failed exchanges a dead instance is no longer
-/// named to callers.
+/// The interval between two rounds of gossip. A dead instance is no longer named to callers after
+/// two failed exchanges.
 const ROUND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Makes the gossip of this instance.
+/// Creates the gossip of this instance.
 pub(super) fn gossip(settings: &Settings, now: Instant) -> Gossip {
     let started = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    // A clock before 1970 gives the first ordinal; peers then let this run take a later one.
+    // With a clock before 1970 the incarnation starts at zero, and peers make this instance take a
+    // later one.
     let started = started.map_or(0, |time| time.as_millis() as u64);
     let identity = Identity {
         name: settings.instance.clone(),
@@ -43,12 +44,12 @@
     Gossip::new(identity, settings, SmallRng::from_os_rng(), now)
 }
 
-/// Returns where peers reach this instance.
+/// Returns the address at which peers reach this instance.
 pub(super) fn address(settings: &Settings) -> SocketAddr {
     SocketAddr::new(settings.ip, settings.peer_ports.0)
 }
 
-/// Returns the addresses for callers of all instances that seem to live. All instances have the
+/// Returns the addresses for callers of all instances that seem to be live. All instances use the
 /// same ports.
 pub(super) fn caller_addresses(state: &RelayState) -> Vec<SocketAddr> {
     let settings = state.settings.load();
@@ -60,14 +61,14 @@
     let others = others.filter_map(|member| member.address.parse::<SocketAddr>().ok());
     let others = others.map(|address| SocketAddr::new(address.ip(), own_address.port()));
     let mut addresses: Vec<SocketAddr> = others.collect();
-    // Where all stop at once, those that still take callers are all that there is.
+    // If all instances stop at once, only those that still accept callers are left.
     if state.is_ready() || (addresses.is_empty() && state.takes_callers()) {
         addresses.insert(0, own_address);
     }
     addresses
 }
 
-/// Returns what is known of the other instances.
+/// Returns the number of other instances by state.
 pub(super) fn peer_counts(state: &RelayState) -> PeerCounts {
     let gossip = state.gossip();
     let count = |state| gossip.membership().in_state(state).count();
@@ -77,7 +78,7 @@
     }
 }
 
-/// Takes the turns of gossip until the instance ends.
+/// Runs the rounds of gossip until the instance ends.
 pub(super) async fn run(state: Arc<RelayState>) {
     let mut next_round = Instant::now();
     loop {
@@ -94,20 +95,20 @@
         };
         spawn_sends(&state, messages);
         process_events(&state);
-        // Once a round, as many are met at once where a fleet starts.
+        // Done once per round, because many members are met at once when a fleet starts.
         if state.membership_changed.swap(false, Relaxed) {
             fleet::refresh(&state);
         }
     }
 }
 
-/// Says to all instances that this one takes no new work.
+/// Announces to all instances that this one accepts no new work.
 pub(super) fn announce_leaving(state: &Arc<RelayState>) {
     state.gossip().announce_leaving();
     process_events(state);
 }
 
-/// Acts on what changed, and pushes what can't wait for the next round.
+/// Handles changes of membership, and sends what cannot wait for the next round.
 pub(super) fn process_events(state: &Arc<RelayState>) {
     let (events, messages) = {
         let mut gossip = state.gossip();
--- a/daemon/src/relay/order_store.rs
+++ b/daemon/src/relay/order_store.rs
@@ -1,4 +1,4 @@
-//! Orders to move services, as the store holds them, and what is said of them there.
+//! Reads orders to move services from the store, and writes their status there.
 
 use celerypond_adapter::rollout;
 use celerypond_platform::{Listing, PlatformError, Version};
@@ -8,35 +8,35 @@
 
 use super::state::RelayState;
 
-/// An order in the store, with what was said of it.
+/// An order in the store, with its stored phase.
 pub(super) struct StoredOrder {
     pub(super) key: SmolStr,
-    /// The version of the order's object.
+    /// The version of the order's object in the store.
     pub(super) version: Version,
     pub(super) order: Order,
     pub(super) stored_phase: Option<Phase>,
 }
 
-/// How far an order has come, where the store does not say so yet.
+/// A phase of an order that the store does not have yet.
 pub(super) struct StatusUpdate {
     /// The key of the order.
     pub(super) key: SmolStr,
-    /// The version of the order's object that is known.
+    /// The last known version of the order's object.
     pub(super) known_version: Version,
     /// The version that the order moves the service to.
     pub(super) version_name: VersionName,
     pub(super) phase: Phase,
 }
 
-/// What came of a unsaid.
+/// The result of a write of an order's status.
 pub(super) struct StatusWrite {
-    /// The version of the order's object.
+    /// The version of the order's object in the store.
     pub(super) version: Version,
-    /// What the store says now; nothing where that is not known.
+    /// The phase that the store has now, or `None` if that is not known.
     pub(super) stored_phase: Option<Phase>,
 }
 
-/// Returns the orders that the store holds; nothing where it does not answer.
+/// Returns the orders in the store, or `None` if it does not answer.
 pub(super) async fn fetch_orders(state: &RelayState) -> Option<Vec<StoredOrder>> {
     match state.store.list_stale(rollout::ORDERS_PREFIX).await {
         Ok(listing) => Some(decode_orders(&listing)),
@@ -59,7 +59,7 @@
             let status_key = rollout::status_key(&object.key);
             let status = listing.objects.iter().find(|status| status.key == status_key);
             let stored_phase = status.and_then(|status| rollout::decode_status(&status.value).ok());
-            // What was said of an earlier order of the service says nothing of this one.
+            // The status of an earlier order of the service does not apply to this one.
             let stored_phase = stored_phase.filter(|(version, _)| *version == order.version);
             Some(StoredOrder {
                 key: object.key.clone(),
@@ -75,10 +75,10 @@
     key.matches('/').count() > 1
 }
 
-/// Says in the store how far an order has come.
+/// Writes the phase of an order to the store.
 ///
-/// A write whose answer was lost may have been done; the next turn reads the object and writes the same
-/// words again, which changes nothing.
+/// A write may have succeeded although its answer was lost. The next round then reads the object
+/// and writes the same value again, which changes nothing.
 pub(super) async fn store_phase(state: &RelayState, status_update: &StatusUpdate) -> StatusWrite {
     let status_key = rollout::status_key(&status_update.key);
     let value = rollout::encode_status(&status_update.version_name, status_update.phase);
@@ -102,7 +102,7 @@
     }
 }
 
-/// Returns the version of the order's object after a write that failed.
+/// Returns the version of the order's object after a failed write.
 async fn current_version(
     state: &RelayState,
     status_update: &StatusUpdate,
@@ -117,7 +117,8 @@
     }
 }
 
-/// Returns whether the store says this of an order. It does not say what share a version has.
+/// Returns whether the store has this phase of an order. The stored status does not include the
+/// share of a version.
 pub(super) const fn is_stored(stored_phase: Option<Phase>, phase: Phase) -> bool {
     matches!(
         (stored_phase, phase),
--- a/daemon/src/relay/peer_service.rs
+++ b/daemon/src/relay/peer_service.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of other instances.
+//! Serves the calls of other instances.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,16 +12,18 @@
 use super::{members, state::RelayState};
 use crate::listening;
 
-/// How many transfers of all targets or of a configuration go to other instances at a time.
+/// The maximum number of concurrent transfers of all targets or of a configuration to other
+/// instances.
 ///
-/// The failure: many ask one instance at once, and each answer takes a part of a second of a narrow link. Several at
-/// once are all too late for those who asked, who then ask the next one, and all links are full of answers that nobody
-/// waits for.
+/// Each transfer takes a fraction of a second of a narrow link. If many instances query one at once
+/// and it served all, every answer would be too late. The others would then query the next
+/// instance, and all links would be full of answers that nobody waits for.
 const MAX_TRANSFERS: usize = 2;
-/// How long a byte of a transfer takes a link of about 8 Mbit/s; by that its turn is over.
+/// The time that one byte of a transfer takes on a link of about 8 Mbit/s. It determines when the
+/// permit of a transfer is returned.
 const LINK_TIME_PER_BYTE: Duration = Duration::from_micros(1);
 
-/// Answers the calls of other instances until the instance ends.
+/// Serves the calls of other instances until the instance ends.
 pub(super) async fn run(state: Arc<RelayState>, listener: TcpListener) {
     let ending = state.ending.clone();
     let transfers = Arc::new(Semaphore::new(MAX_TRANSFERS));
@@ -31,15 +33,15 @@
             transfers: Arc::clone(&transfers),
         };
         async move {
-            // A peer that goes away in the middle is an ordinary end.
+            // A peer may disconnect in the middle of a call.
             let _ = serve_connection(socket, server.serve()).await;
         }
     })
     .await;
 }
 
-/// Answers the calls of other instances. A relaying instance keeps no records for others, and has
-/// no keyed calls.
+/// The service for other instances. A relaying instance keeps no records for others and has no keyed
+/// calls.
 #[derive(Clone)]
 struct Server {
     state: Arc<RelayState>,
@@ -47,7 +49,7 @@
 }
 
 impl Server {
-    /// Packs a large answer, unless as many as the link carries are under way.
+    /// Encodes a large answer. Returns `None` if the maximum number of transfers is in progress.
     fn transfer<T: Serialize>(&self, value: &T) -> Option<Vec<u8>> {
         let permit = Arc::clone(&self.transfers).try_acquire_owned().ok()?;
         let bytes = encode(value);
--- a/daemon/src/relay/probed_wait.rs
+++ b/daemon/src/relay/probed_wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for an engine, with questions whether it lives.
+//! Waits for an engine while probing whether it is alive.
 
 use std::{future::Future, net::SocketAddr, pin::pin, sync::Arc, time::Duration};
 
@@ -8,20 +8,20 @@
 
 use super::{lease::Lease, state::RelayState};
 
-/// What came of waiting.
+/// The outcome of a wait.
 pub(super) enum WaitOutcome<T> {
-    /// What was waited for.
+    /// The awaited event happened.
     Completed(T),
-    /// The engine takes no new connection.
+    /// The engine accepts no new connections.
     Dead,
 }
 
 impl<T> WaitOutcome<T> {
-    /// Returns what was waited for.
+    /// Returns the output of the awaited event.
     ///
     /// # Errors
     ///
-    /// `DeadEngine` when it did not come.
+    /// [`AttemptFailure::Dead`] if the engine was found dead first.
     pub(super) fn into_result(self) -> Result<T, AttemptFailure> {
         match self {
             Self::Completed(output) => Ok(output),
@@ -30,8 +30,8 @@
     }
 }
 
-/// Waiting for an engine. Each time it was silent for a while, or another engine of its data centre
-/// was found dead, it is asked for a sign of life.
+/// A wait for an engine. Each time the engine is silent for a while, or another engine of its data
+/// centre is found dead, it is probed with a new connection.
 pub(super) struct ProbedWait {
     state: Arc<RelayState>,
     data_centre: Option<DataCentre>,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Waits for `event` from the engine at `address` as long as the engine lives.
+    /// Waits for `event` from the engine at `address` as long as the engine is alive.
     pub(super) async fn run<T>(
         mut self,
         address: SocketAddr,
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Lets all who wait for engines of the data centre ask at once: where one falls silent, most
-    /// do.
+    /// Makes all waits for engines of this data centre probe at once, since engines of one data
+    /// centre usually fail together.
     fn report_silence(&self) {
         log::info!(data_centre = self.data_centre.as_ref().map(DataCentre::as_str); "engine silent");
         self.state
--- a/daemon/src/relay/relayed_stream.rs
+++ b/daemon/src/relay/relayed_stream.rs
@@ -1,4 +1,4 @@
-//! A stream on its way from engines to its caller.
+//! Relays streams of events, and resumes them at other engines.
 
 use std::{pin::pin, time::Duration};
 
@@ -26,46 +26,47 @@
     run_copy::{CopiedRun, CopyLocation, RunCopy},
 };
 
-/// A stream on its way from engines to its caller.
+/// A stream of events that is relayed from engines to its caller.
 pub(super) struct RelayedStream {
     pub(super) request: RoutedRequest,
     pub(super) events: EventBuffer,
     pub(super) current: Option<CurrentEngine>,
-    /// Whether the last engine that answered had a copy of the run's memory.
+    /// Whether the engine that answered last resumed from a copy of the run's memory.
     pub(super) from_copy: bool,
     is_complete: bool,
 }
 
-/// The head that a caller gets: that of the first engine, also when the stream goes on elsewhere.
+/// The response head that the caller gets: that of the first engine, also if the stream is resumed
+/// at another one later.
 pub(super) struct ResponseHead {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) target: TargetName,
 }
 
-/// Where a stream runs.
+/// The engine at which a stream currently runs.
 pub(super) struct CurrentEngine {
     pub(super) lease: Lease,
     pub(super) response: OpenResponse,
     silence_limits: SilenceLimits,
-    /// The copy of the run's memory; nothing where engines make none.
+    /// The copy of the run's memory, or `None` if the engines make no copies.
     pub(super) run_copy: Option<RunCopy>,
-    /// When it is next asked whether the stream runs well here.
+    /// When it is checked next whether the stream should move to another engine.
     pub(super) next_check: Instant,
     event_timer: EventTimer,
 }
 
-/// An attempt that ended, and what is left of it.
+/// A failed attempt, with the lease that it still holds.
 struct FailedAttempt {
     lease: Lease,
     failure: AttemptFailure,
 }
 
-/// No engine took the stream.
+/// The error that no engine accepted the stream.
 struct NoEngine {
-    /// What follows.
+    /// What to do next.
     next: NextStep,
-    /// Whether an engine may take it later.
+    /// Whether an engine may accept the stream later.
     is_temporary: bool,
 }
 
@@ -81,7 +82,11 @@
         }
     }
 
-    /// Asks engines until one has sent a first event, or its failure is to be passed on.
+    /// Tries engines until one has sent its first event, or until the failure is final.
+    ///
+    /// # Errors
+    ///
+    /// How the caller's request is to be answered if no engine started the stream.
     pub(super) async fn start(&mut self) -> Result<ResponseHead, NextStep> {
         let started = Instant::now();
         self.check_time().await?;
@@ -96,15 +101,17 @@
         })
     }
 
-    /// Decides whether the stream can still be whole, and on time if it has not begun; engines that hold its prompt need not
-    /// read it.
+    /// Checks that the stream can be completed within its deadline, and that its first event will
+    /// be on time if it has not begun. Engines that hold its prompt do not need to read it, so they
+    /// are looked up first.
     ///
     /// # Errors
     ///
-    /// `TooLate` or `Overloaded` where it cannot.
+    /// `TooLate` or `Overloaded` if it cannot.
     async fn check_time(&self) -> Result<(), NextStep> {
         let last = self.events.last_id().unwrap_or_default();
-        // Who has a part of the answer comes back after its instance was lost, or many were.
+        // A caller that already has a part of the answer retries because its instance was lost,
+        // possibly together with others, so this instance does not know where the prompt is.
         if last > 0 || self.request.lacking_time(last).is_some() {
             self.request.query_prompt_location().await;
         }
@@ -125,8 +132,15 @@
         Err(NextStep::TooLate)
     }
 
-    /// Asks engines until one answers, and waits for one to return when none takes the stream, or for
-    /// budget when that is used up. Engines that hold a copy of the run's memory go first.
+    /// Tries engines until one answers. Waits if no engine accepts the stream, until one returns,
+    /// or until the retry budget allows another round. Engines that hold a copy of the run's memory
+    /// are tried first.
+    ///
+    /// If `may_ask_now` is false, waits before the first round as well.
+    ///
+    /// # Errors
+    ///
+    /// What to do next if no engine was found in time.
     pub(super) async fn find_engine(
         &mut self,
         mut copies: Vec<CopyLocation>,
@@ -146,11 +160,11 @@
         }
     }
 
-    /// Waits until engines may be asked again.
+    /// Waits until engines may be tried again.
     ///
     /// # Errors
     ///
-    /// What follows when the stream has waited for as long as it may.
+    /// Returns `next` once the stream has waited for as long as it may.
     async fn wait_for_retry(&mut self, started: Instant, next: NextStep) -> Result<(), NextStep> {
         let wait = EngineWait::for_route(self.request.route.aim);
         let has_begun = self.events.forwarded() > 0;
@@ -167,7 +181,7 @@
         }
     }
 
-    /// Asks engines until one answers; first those that hold a copy of the run's memory.
+    /// Tries each engine once until one answers, first those that hold a copy of the run's memory.
     async fn try_engines(&mut self, copies: Vec<CopyLocation>) -> Result<(), NoEngine> {
         let mut copies = copies.into_iter();
         let mut is_retry = self.events.forwarded() > 0;
@@ -209,7 +223,7 @@
         }
     }
 
-    /// Takes a place at the next engine that holds a copy and takes new work.
+    /// Leases the next engine that holds a copy and accepts new work.
     fn lease_copy_holder(
         &mut self,
         copies: &mut impl Iterator<Item = CopyLocation>,
@@ -217,7 +231,7 @@
         copies.find_map(|copy| Some((self.request.lease_copy_holder(copy.holder)?, copy)))
     }
 
-    /// Asks one engine, and waits for its first event.
+    /// Sends the request to one engine and waits for its first event.
     async fn try_engine(
         &mut self,
         mut lease: Lease,
@@ -239,7 +253,8 @@
         let failed_attempt = |lease, failure| Err(Box::new(FailedAttempt { lease, failure }));
         let response = match result {
             Ok(response) => response,
-            // An engine that dies while it reads has copied too little; nearly all holders refuse to go on.
+            // The failed attempt's backup copy is not used: an engine that dies while it reads the
+            // prompt has copied too little, and nearly all holders would refuse to resume from it.
             Err(failure) => return failed_attempt(lease, failure),
         };
         if response.status.is_server_error() && self.request.kind().may_repeat() {
@@ -330,7 +345,8 @@
             .await?
     }
 
-    /// Waits for what an engine says first, for as long as it may need for all that it reads.
+    /// Waits for the first event of an engine, for as long as the engine may need for all that it
+    /// has to read. The limit is updated while waiting.
     async fn wait_first_event<T>(
         &self,
         key: TargetKey,
@@ -351,11 +367,12 @@
         }
     }
 
-    /// Waits for a moment that differs from stream to stream.
+    /// Waits for a random time before a retry.
     ///
-    /// The failure: engines die, and several instances place the streams of each again within the same
-    /// millisecond, before they hear of each other. Two prompts then meet at one engine, and both take
-    /// seconds. The wait is short beside a prompt's reading.
+    /// When engines die, several instances place each engine's streams again within the same
+    /// millisecond, before they receive each other's placements. Two prompts would then meet at one
+    /// engine, and both would take seconds. The wait is short compared to the time that a prompt
+    /// takes to be read.
     async fn wait_retry_spread(&self) {
         let max_wait = PlacementSchedule::retry_spread(self.request.state.sharers());
         let wait = rand::rng().random_range(Duration::ZERO..max_wait);
@@ -402,7 +419,7 @@
         Some(RunCopy::start(&self.request.state, source, first))
     }
 
-    /// Reads until there is a whole event to pass on or the stream has ended.
+    /// Reads until there is a whole event to forward or the stream has ended.
     async fn read_events(
         &mut self,
         current: &mut CurrentEngine,
@@ -447,7 +464,7 @@
         self.request.deadline.remaining(since)
     }
 
-    /// Returns the next bytes for the caller; nothing at the end.
+    /// Returns the next bytes for the caller, or `None` at the end of the stream.
     pub(super) async fn next_frame(&mut self) -> Option<Result<Frame<Bytes>, Broken>> {
         loop {
             if let Some(bytes) = self.events.take_pending() {
@@ -475,9 +492,10 @@
         }
     }
 
-    /// Goes on at another engine; returns whether one was found.
+    /// Resumes the stream at another engine, and returns whether that succeeded.
     ///
-    /// The connection to the lost engine is closed first: two engines must not work on one request.
+    /// The connection to the lost engine is closed first, since two engines must not work on one
+    /// request.
     async fn resume(&mut self, current: CurrentEngine, failure: AttemptFailure) -> bool {
         let started = Instant::now();
         let copies = current.run_copy.as_ref().and_then(RunCopy::location);
@@ -513,7 +531,7 @@
         result.is_ok() && has_succeeded
     }
 
-    /// Returns whether the engine at which the stream runs answered with success.
+    /// Returns whether the current engine answered with a success status.
     pub(super) fn has_success_status(&self) -> bool {
         let current = self.current.as_ref();
         current.is_some_and(|current| current.response.status.is_success())
@@ -538,7 +556,7 @@
         );
     }
 
-    /// Takes the response of the engine out, to be read by other means.
+    /// Takes the response of the current engine, which the caller of this method then reads itself.
     pub(super) fn take_response(&mut self) -> Option<OpenResponse> {
         self.current.take().map(|current| current.response)
     }
--- a/daemon/src/relay/reload.rs
+++ b/daemon/src/relay/reload.rs
@@ -1,4 +1,4 @@
-//! Changes of the settings file.
+//! Reloads the settings file.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,10 +7,10 @@
 
 use super::state::RelayState;
 
-/// The time between two looks at the file, which may change without a signal.
+/// The interval at which the file is read, since it may change without a signal.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Takes in changes of the settings file until the instance ends.
+/// Applies changes of the settings file until the instance ends.
 pub(super) async fn run(state: Arc<RelayState>, mut hangup: Signal) {
     let mut text = read_settings();
     loop {
--- a/daemon/src/relay/relocation.rs
+++ b/daemon/src/relay/relocation.rs
@@ -1,4 +1,4 @@
-//! The move of a running stream to another engine.
+//! Moves running streams to other engines.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,29 +20,32 @@
     state::RelayState,
 };
 
-/// The time between two looks whether a stream runs well where it is. Prompts come to its engine at any
-/// time.
+/// The interval between two checks whether a stream should move. Prompts may be sent to its engine
+/// at any time.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a stream stays where it went on, or after a move that did not come about.
+/// The minimum time that a stream stays at an engine after it was resumed there from a copy, or
+/// after an order to move it had no effect.
 pub(super) const MOVE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long an order to move may take. Memory is copied within some ten milliseconds; the events wait
-/// meanwhile.
+/// The timeout of an order to move a run. The memory is copied within tens of milliseconds, during
+/// which the stream's events wait.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long the events that were made before the stop may be on their way.
+/// How long events that the engine made before it stopped the run may take to arrive.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// What came of an order to move a run.
+/// The result of an order to move a run.
 enum MoveResult {
-    /// The run goes on where it was.
+    /// The run continues at its engine.
     Stays,
-    /// The run has stopped; its memory is at the other engine, or still only where it ran.
+    /// The run has stopped. Its memory is at the other engine if it was copied, otherwise only at
+    /// the engine where it ran.
     Stopped { handle: SmolStr, is_copied: bool },
-    /// The engine did not answer in time, so the run may have stopped.
+    /// The engine did not answer in time, so it is unknown whether the run has stopped.
     Unknown,
 }
 
 impl RelayedStream {
-    /// Moves the stream if it would be done sooner elsewhere; returns whether it still runs.
+    /// Moves the stream if it would be completed sooner at another engine. Returns whether the
+    /// stream still runs.
     pub(super) async fn relocate(&mut self) -> bool {
         let now = Instant::now();
         let Some(current) = self
@@ -82,13 +85,14 @@
         }
     }
 
-    /// Returns whether a stream will leave an engine as soon as its prompt is read there, by what is known
-    /// now. The copy that the engine would keep from the start is then made in vain.
+    /// Returns whether a stream is expected to move away from an engine as soon as its prompt is
+    /// read there. A backup copy that this engine makes from the start of the run would then be
+    /// useless.
     pub(super) fn will_move(&self, current: TargetKey, copy: Option<&CopyLocation>) -> bool {
         copy.is_none() && self.request.may_move() && self.better_engine(current).is_some()
     }
 
-    /// Returns the engine that the stream should move to.
+    /// Returns the engine that the stream should move to, if there is a better one.
     fn better_engine(&self, from: TargetKey) -> Option<BetterEngine> {
         let table = self.request.state.view.table();
         let engine = table
@@ -143,7 +147,8 @@
         result
     }
 
-    /// Goes on at the first of the engines that have the run's memory; returns whether the stream runs.
+    /// Resumes the stream at the first of the engines that have the run's memory. Returns whether
+    /// the stream runs.
     async fn resume_at(
         &mut self,
         holders: &[TargetKey],
@@ -158,7 +163,7 @@
         drop(current.response);
         self.request.record_move(current.lease.key);
         drop(current.lease);
-        // The copy that was kept where it ran is worth nothing any more.
+        // The backup copy of the run at its previous engine is no longer useful.
         if let Some(copies) = current.run_copy {
             copies.finish();
         }
@@ -183,8 +188,8 @@
         result.is_ok() && self.has_success_status()
     }
 
-    /// Takes in the events that the engine made before it stopped the run. Its stream ends early, which
-    /// is not the end of the answer.
+    /// Receives the events that the engine made before it stopped the run. The stream of that
+    /// engine ends early, which is not the end of the answer.
     async fn drain(&mut self, current: &mut CurrentEngine) {
         use http_body_util::BodyExt as _;
         let until = Instant::now() + DRAIN_TIMEOUT;
@@ -197,10 +202,10 @@
     }
 }
 
-/// Returns whether the end of a response can be told from a connection that closes early.
+/// Returns whether the end of a response can be distinguished from a connection that closes early.
 ///
-/// The failure: an engine stops a run that is moved, and the answer to the order is lost. Of a response
-/// that ends with its connection, the part that was made would look like the whole.
+/// An engine may stop a run to move it while its answer to the order is lost. If the response ended
+/// with its connection, the part that was made would look like the whole answer.
 fn is_framed(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
--- a/daemon/src/relay/reply.rs
+++ b/daemon/src/relay/reply.rs
@@ -15,8 +15,8 @@
 
 use super::{routed_request::RoutedRequest, state::Outdated};
 
-/// A stream could not go on. The connection to the caller breaks, so that what it has does not look
-/// complete.
+/// The error that a stream could not be resumed. It breaks the connection to the caller, so that
+/// the part that was sent does not look complete.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("the stream could not go on")]
 pub(super) struct Broken;
@@ -24,48 +24,48 @@
 pub(super) type Body = UnsyncBoxBody<Bytes, Broken>;
 pub(super) type Reply = Response<Body>;
 
-/// Why a response is what it is; it goes with the response to the line that tells of it.
+/// The reason of a response. It is attached to the response for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Reason {
     /// A target answered.
     Relayed(TargetName),
     /// No configuration is known yet.
     NoConfig,
-    /// The configuration in force or the list of targets may have been superseded for too long.
+    /// The current configuration or the list of targets may have been superseded for too long.
     Outdated(Outdated),
     /// No route matches, or no account has the key.
     Denied(Denied),
-    /// The request itself has a fault.
+    /// The request is malformed or too large.
     BadRequest,
-    /// No target was left to ask, or those that were asked refused.
+    /// No target was left to try, or those that were tried refused.
     NoTarget,
-    /// Its first event would be late, as engines have too much to read.
+    /// The first event would be late because engines have too much to read.
     Overloaded,
-    /// It has not run, and what is left of its time is too short to serve it.
+    /// The request has not run, and the time left is too short to serve it.
     TooLate,
-    /// The instance stops before the request would be done.
+    /// The instance stops before the request could be completed.
     Stopping,
     /// The last attempt failed, and the request may have run.
     Failed,
-    /// The time of the caller or of the route was over.
+    /// The deadline of the caller or the timeout of the route has expired.
     TimeOver,
 }
 
-/// When a caller whose request has not run may come back, if nothing else is known.
+/// When a caller whose request has not run should retry, if nothing more specific is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// How long after a target is asked again a caller may come back.
+/// How long after a target is used again callers should retry.
 const RETRY_AFTER_SLACK: Duration = Duration::from_millis(100);
-/// The part of its time that a caller waits at most before it comes back.
+/// The divisor of a caller's time left that gives the maximum wait before its retry.
 const RETRY_AFTER_SHARE: u32 = 3;
 
-/// Makes the body of a whole response.
+/// Creates the body of a response that is complete.
 pub(super) fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
 }
 
-/// Makes a response that the instance gives itself.
+/// Creates a response of the instance itself.
 pub(super) fn local(status: StatusCode, id: Option<&str>, reason: Reason) -> Reply {
     let phrase = status.canonical_reason().unwrap_or_default();
     let mut reply = Response::new(full_body(format!("{phrase}\n")));
@@ -79,7 +79,8 @@
     reply
 }
 
-/// Makes the answer to a request that has not run and never will, with when to come back.
+/// Creates the response to a request that has not run and never will, with the time after which to
+/// retry.
 pub(super) fn not_run(
     id: &str,
     time_left: Duration,
@@ -92,14 +93,14 @@
     let wait = wait.min(time_left / RETRY_AFTER_SHARE);
     let mut reply = local(StatusCode::SERVICE_UNAVAILABLE, Some(id), reason);
     let seconds = format!("{:.2}", wait.as_secs_f64());
-    // Digits and a point can stand in a header.
+    // Digits and a decimal point are valid in a header.
     if let Ok(value) = HeaderValue::from_str(&seconds) {
         reply.headers_mut().insert(RETRY_AFTER, value);
     }
     reply
 }
 
-/// Makes the final answer that follows the end of the last attempt.
+/// Creates the final response after the last attempt.
 pub(super) fn final_reply(next: NextStep, request: &RoutedRequest) -> Reply {
     let id = request.caller_request.id.as_str();
     match next {
@@ -123,7 +124,7 @@
     }
 }
 
-/// Makes the response that a target gave.
+/// Creates the response that relays that of a target.
 pub(super) fn relayed(
     status: StatusCode,
     headers: &HeaderMap,
@@ -138,7 +139,7 @@
     reply
 }
 
-/// Says that the connection closes after this response.
+/// Sets the header by which the connection is closed after this response.
 pub(super) fn close_after(reply: &mut Reply) {
     let close = HeaderValue::from_static("close");
     reply.headers_mut().insert(CONNECTION, close);
--- a/daemon/src/relay/request.rs
+++ b/daemon/src/relay/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, from its head to the way it takes.
+//! Receives, admits and answers the requests of callers.
 
 use std::{
     convert::Infallible,
@@ -32,21 +32,23 @@
     stream,
 };
 
-/// How long a request waits for an instance that has just started to know configuration and targets.
+/// How long a request waits until an instance that has just started knows the configuration and the
+/// targets.
 ///
-/// The failure: an instance restarts, callers connect within milliseconds, and are told to come back
-/// though the store's answer is under way. It takes some milliseconds, or a peer's answer some
-/// hundred where the store is away.
+/// Callers connect to a restarted instance within milliseconds and would be told to retry although
+/// the store's answer is about to arrive. That takes some milliseconds, or some hundred for a
+/// peer's answer when the store is unavailable.
 const STARTUP_WAIT: Duration = Duration::from_millis(500);
 
-/// How long a caller that names no deadline is taken to wait.
+/// The deadline that is assumed for a caller that sends none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(2);
 
-/// When a caller may come back to an instance that knows no configuration after that time.
+/// When a caller may retry at an instance that still knows no configuration after `STARTUP_WAIT`.
 ///
-/// The failure: all instances start anew while the store is away, so nobody can tell them anything. Callers come
-/// back after a third of a second, most of them once only, and are refused for good; outages last seconds. A
-/// draft that is read from then on still begins within some four seconds.
+/// If all instances restart while the store is unavailable, none of them can learn the
+/// configuration from another. Outages last seconds, but callers would retry after a third of a
+/// second, most of them only once, and then give up. A draft whose prompt is read after this time
+/// still begins within about four seconds.
 const STARTUP_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Answers a caller's request.
@@ -55,9 +57,9 @@
     request: Request<Incoming>,
 ) -> Result<Reply, Infallible> {
     let started = Instant::now();
-    // A body without a length is read by its chunks. A request that also names a length may be read
-    // differently by whoever stands before us, and what follows it would be a request that no
-    // caller sent; so nothing after such a body is read.
+    // A body without a length is read by its chunks. If the request also has a length, a proxy
+    // before this instance may delimit it differently, and the bytes that follow would look like a
+    // request that no caller sent (request smuggling). So nothing is read after such a body.
     let is_chunked = request.headers().contains_key(TRANSFER_ENCODING);
     let head = headers::read_caller(request.headers());
     let id = head.request.clone();
@@ -71,7 +73,7 @@
     Ok(reply)
 }
 
-/// Writes the line that tells how a request was answered, and by what state of the store.
+/// Logs how a request was answered, and in which state of the store's data.
 fn log_reply(state: &RelayState, request: Option<&str>, reply: &Reply, started: Instant) {
     let status = reply.status().as_u16();
     let took_ms = started.elapsed().as_millis() as u64;
@@ -93,7 +95,7 @@
     }
 }
 
-/// Counts a request as open until it is dropped; a caller may leave at any time.
+/// Counts a request as open until it is dropped, as a caller may disconnect at any time.
 struct OpenRequest(Arc<RelayState>);
 
 impl OpenRequest {
@@ -110,7 +112,7 @@
     }
 }
 
-/// Counts what became of a request; failures of targets that were passed on are the targets'.
+/// Counts how a request ended. Failures of targets that are relayed are not counted here.
 fn count_reply(state: &RelayState, reply: &Reply) {
     let counter = match reply.status() {
         StatusCode::NOT_FOUND | StatusCode::UNAUTHORIZED => Counter::RoutedDenied,
@@ -192,7 +194,7 @@
 
 type Admission = Result<(Route, Option<AccountName>), Denied>;
 
-/// Finds the route and the account; nothing while no configuration is known.
+/// Finds the route and the account. Returns `None` while no configuration is known.
 fn admit(state: &RelayState, host: &str, path: &str, head: &CallerHead) -> Option<Admission> {
     if !state.view.has_config() {
         return None;
@@ -205,8 +207,8 @@
     }))
 }
 
-/// Refuses a request that other instances serve by what is newer. Its caller goes there, and uses this
-/// connection no more.
+/// Refuses a request because other instances may have newer data. Its caller retries at another
+/// instance, and the connection is closed.
 fn refuse_stale(
     state: &RelayState,
     outdated: Outdated,
@@ -258,7 +260,7 @@
     })
 }
 
-/// Draws one of a route's services by their weights.
+/// Chooses one of a route's services at random by their weights.
 fn choose_service(route: &Route) -> Option<ServiceName> {
     let total: u32 = route.backends.iter().map(|backend| backend.weight).sum();
     if total == 0 {
--- a/daemon/src/relay/restarted_engines.rs
+++ b/daemon/src/relay/restarted_engines.rs
@@ -1,4 +1,4 @@
-//! Finds engines that died and started again while the store does not tell.
+//! Finds engines that died and restarted while the store is unavailable.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,20 +12,22 @@
 
 use super::{engine_calls, state::RelayState};
 
-/// The time between two looks at dead engines.
+/// The interval between two checks of dead engines.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// The most by which an instance waits so that another one looks first. The first one that finds an
-/// engine tells the others, so each engine is asked by about one of them.
+/// The maximum time by which an instance delays its check so that another one goes first. The first
+/// instance that finds an engine tells the others, so that each engine is queried by about one of
+/// them.
 const MAX_STAGGER: Duration = Duration::from_millis(400);
-/// How long one question may take.
+/// The timeout of one query.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Looks for engines that started again, until the instance ends.
+/// Checks for restarted engines until the instance ends.
 ///
-/// The failure: engines crash while the store is away. They are back after a second under another
-/// name, which only the store would tell, and each further crash leaves fewer engines for all the
-/// traffic. The engine itself says its name; that it is an engine of the same service is known when
-/// there is only one service with engines, and it reports their memory.
+/// When engines crash while the store is unavailable, they return after about a second under
+/// another name, which only the store would report. Each further crash would leave fewer engines
+/// for all the traffic. The engine itself reports its name. That it belongs to the same service is
+/// known if there is only one service with engines and the engine reports the memory of that
+/// service's engines.
 pub(super) async fn run(state: Arc<RelayState>) {
     loop {
         tokio::select! {
@@ -62,7 +64,7 @@
 }
 
 /// Returns the path of the health check and the memory of the service's engines, if an engine at
-/// the address can only be of this service.
+/// the address can only belong to this service.
 fn adoption_criteria(state: &RelayState, dead: &DeadEngine) -> Option<(Uri, u64)> {
     let table = state.view.table();
     let service = table.only_engine_service()?;
--- a/daemon/src/relay/rollouts.rs
+++ b/daemon/src/relay/rollouts.rs
@@ -1,4 +1,5 @@
-//! Orders to move a service to another version: one instance drives them, all act on them.
+//! Orders to move a service to another version. One instance drives them, and all instances act on
+//! them.
 
 use std::{
     collections::HashMap,
@@ -21,20 +22,21 @@
     state::RelayState,
 };
 
-/// The time between two stages that the driver tells, and between two reports of the others. A bad
-/// version must be found out and left within seconds.
+/// The interval at which the driver sends stages and the other instances send reports. A bad
+/// version must be detected and rolled back within seconds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(250);
-/// The time between two looks for orders; they may run for ten seconds in all.
+/// The interval at which the store is read for orders, which may take ten seconds in all.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// How long all requests go to a version before it is said to be good. The targets of the others stop at
-/// that word, and what is still under way there is lost; calls take some 60 ms.
+/// How long all requests are sent to a version before the order is reported as complete. That
+/// report stops the targets of the old version, and requests that still run there are lost; calls
+/// take about 60 ms.
 const SETTLE_DELAY: Duration = Duration::from_millis(300);
 
-/// This instance's side in rollouts.
+/// This instance's part in rollouts.
 #[derive(Default)]
 pub(super) struct Rollouts {
     versions: Mutex<VersionRouting>,
-    /// The orders that this instance drives; empty while it drives none.
+    /// The orders that this instance drives; empty if another instance is the driver.
     driven: Mutex<HashMap<ServiceName, DrivenOrder>>,
 }
 
@@ -43,7 +45,7 @@
     key: SmolStr,
     /// The version of the order's object in the store.
     version: Version,
-    /// What the store is known to say of it.
+    /// The phase that the store is known to have for the order.
     stored_phase: Option<Phase>,
 }
 
@@ -59,17 +61,17 @@
 }
 
 impl Rollouts {
-    /// Returns which versions take requests.
+    /// Returns which versions requests are sent to.
     pub(super) fn versions(&self) -> MutexGuard<'_, VersionRouting> {
         lock(&self.versions)
     }
 
-    /// Takes in how far an order had come at a moment, from the instance that drives it.
+    /// Records the stage that the driver sent at a moment.
     pub(super) fn record_stage(&self, stage: Stage, at: Instant) {
         self.versions().update(stage, at);
     }
 
-    /// Takes in what another instance saw, if this one drives the order.
+    /// Adds the evidence of another instance, if this one drives the order.
     pub(super) fn record_report(&self, service: &ServiceName, report: EvidenceReport) {
         let mut driven = lock(&self.driven);
         let rollout = driven.get_mut(service).map(|driven| &mut driven.rollout);
@@ -90,7 +92,7 @@
     }
 }
 
-/// Drives orders while it is this instance's turn, and reports to the one that does otherwise.
+/// Drives the orders if this instance is the driver, and otherwise sends reports to the driver.
 pub(super) async fn run(state: Arc<RelayState>, socket: Arc<UdpSocket>) {
     let mut round = tokio::time::interval(ROUND_INTERVAL);
     let mut last_poll: Option<Instant> = None;
@@ -135,7 +137,7 @@
         if driven.get(&service).is_some_and(is_same) {
             continue;
         }
-        // The instance that drove the order before told how long it runs.
+        // The previous driver has reported how long the order has been running.
         let known_stage = stages.iter().find(|stage| stage.order == found.order);
         let age = known_stage.map_or(0, |stage| stage.age_ms);
         let mut rollout = Rollout::new(found.order, Duration::from_millis(age.into()), now);
@@ -162,7 +164,7 @@
     }
 }
 
-/// Decides about all orders, tells the others, and then the store.
+/// Decides on all orders, then reports to the other instances and to the store.
 async fn drive(state: &RelayState, socket: &UdpSocket) {
     let reports = state.rollouts.versions().reports(state.fleet.load().origin);
     for (service, report) in reports {
@@ -176,7 +178,7 @@
     store_phases(state).await;
 }
 
-/// Tells all instances, this one included, how far the orders have come.
+/// Sends the stages of the orders to all instances, including this one.
 async fn send_stages(state: &RelayState, socket: &UdpSocket) {
     let stages = state.rollouts.stages();
     if stages.is_empty() {
@@ -189,7 +191,7 @@
     }
 }
 
-/// Decides how far each order has come; returns whether a version was found good.
+/// Updates the phase of each order. Returns whether a version was found good.
 fn advance_phases(state: &RelayState) -> bool {
     let bounds = state.settings.load().bounds;
     let mut has_any_completed = false;
@@ -232,7 +234,7 @@
     }
 }
 
-/// Says in the store how far each order has come, where the store does not say so yet.
+/// Writes the phase of each order to the store, where it differs from the stored one.
 async fn store_phases(state: &RelayState) {
     let updates: Vec<(ServiceName, StatusUpdate)> = {
         let driven = lock(&state.rollouts.driven);
--- a/daemon/src/relay/routed_request.rs
+++ b/daemon/src/relay/routed_request.rs
@@ -1,4 +1,4 @@
-//! A request on its way through targets.
+//! Routes a request to targets: chooses them, records their failures and decides about retries.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,29 +14,29 @@
 
 use super::{attempt::CallerRequest, held_prompts, lease::Lease, state::RelayState};
 
-/// What a request wants of its targets.
+/// What a request requires of the targets that it may be sent to.
 #[derive(Clone, Debug)]
 pub(super) struct TargetRequirements {
     pub(super) service: ServiceName,
     affinity: Option<u64>,
-    /// Tokens that it takes at most.
+    /// The maximum number of tokens of prompt and answer.
     tokens: u64,
-    /// Tokens of its prompt.
+    /// The number of tokens of the prompt.
     prompt_tokens: u64,
-    /// The prompt part that belongs to the request alone.
+    /// The last part of the prompt, which only this request has.
     prompt_part: Option<PromptPart>,
     /// The memory of one engine, in tokens.
     capacity: Option<u64>,
-    /// The most tokens of other prompts that an engine may have to read first.
+    /// The maximum number of tokens of other prompts that an engine may have to read first.
     max_backlog: Option<u64>,
-    /// The versions that may run it.
+    /// The versions of the service that may run the request.
     version_choice: VersionChoice,
     local_data_centre: DataCentre,
     tie_breaker: u64,
 }
 
 impl TargetRequirements {
-    /// Returns what is wanted of a target besides those that were tried.
+    /// Returns the query for a target that excludes those that were tried already.
     pub(super) fn query<'a>(&'a self, tried: &'a [TargetKey]) -> TargetQuery<'a> {
         TargetQuery {
             service: &self.service,
@@ -52,7 +52,7 @@
     }
 }
 
-/// A request on its way through targets.
+/// A request while it is routed to targets, with the state that decides about retries.
 pub(super) struct RoutedRequest {
     pub(super) state: Arc<RelayState>,
     pub(super) caller_request: CallerRequest,
@@ -61,12 +61,13 @@
     pub(super) deadline: RequestDeadline,
     pub(super) requirements: TargetRequirements,
     tried: Vec<TargetKey>,
-    /// Engines that the run has left, the last one at the end. They have read its prompt.
+    /// Engines that the run has moved away from, the most recent one last. They have read its
+    /// prompt.
     previous_engines: Vec<TargetKey>,
     runs: u32,
     refusals: u32,
     unreached: u32,
-    /// Whether it has reached a target.
+    /// Whether an attempt may have reached a target.
     has_reached_target: bool,
 }
 
@@ -110,7 +111,8 @@
         }
     }
 
-    /// Takes in the prompt of a request to an engine; plain services read none.
+    /// Sets the prompt of a request to an engine. Plain services have no prompts, so it is ignored
+    /// for them.
     pub(super) fn set_prompt(&mut self, prompt: Option<&Prompt>) {
         let table = self.state.view.table();
         let engine = table.service(&self.requirements.service);
@@ -130,7 +132,7 @@
         self.deadline.remaining(Instant::now())
     }
 
-    /// Returns whether another target may be asked if the one that is asked now does not answer.
+    /// Returns whether another target may be asked if the current one does not answer.
     pub(super) const fn may_ask_another(&self) -> bool {
         self.route.kind.may_repeat() && self.runs < self.route.attempts
     }
@@ -139,13 +141,14 @@
         self.route.kind
     }
 
-    /// Waits until targets can be chosen by the list of them, or that takes too long.
+    /// Waits until the list of targets is recent enough to choose from, or until the wait takes too
+    /// long.
     pub(super) async fn wait_targets(&self) {
         let wait = StaleWait::new(Instant::now(), self.time_left());
         self.state.wait_targets(&wait).await;
     }
 
-    /// Takes a place at the best target that was not tried yet.
+    /// Leases the best target that was not tried yet.
     pub(super) fn lease_target(&mut self) -> Option<Lease> {
         let now = Instant::now();
         if let Some(lease) = self.lease_previous_engine(now) {
@@ -176,8 +179,8 @@
         self.acquire_lease(selection.key)
     }
 
-    /// Takes a place at an engine that the run has left and that is not likely to be dead. The prompt
-    /// need not be read there again.
+    /// Leases an engine that the run has moved away from, unless it is likely to be dead. The
+    /// prompt does not have to be read there again.
     fn lease_previous_engine(&mut self, now: Instant) -> Option<Lease> {
         while let Some(key) = self.previous_engines.pop() {
             let targets = self.state.view.targets();
@@ -192,8 +195,8 @@
         None
     }
 
-    /// Chooses a target of the versions that may run the request, or of others where those have none
-    /// left and it is allowed.
+    /// Selects a target of the versions that may run the request, or of other versions if those
+    /// have none left and that is allowed.
     fn select(&mut self, now: Instant) -> Option<Selection> {
         let targets = self.state.view.targets();
         let selection = targets.select(&self.requirements.query(&self.tried), now);
@@ -204,7 +207,7 @@
         targets.select(&self.requirements.query(&self.tried), now)
     }
 
-    /// Takes in that a target gave the answer that its caller gets.
+    /// Records that a target gave the response that is relayed to the caller.
     pub(super) fn record_response(&self, lease: &Lease, status: StatusCode, elapsed: Duration) {
         self.record_version_result(lease, status.is_server_error(), elapsed);
     }
@@ -221,16 +224,17 @@
         );
     }
 
-    /// Takes a place at the engine that holds a copy, unless it takes no new work any more.
+    /// Leases an engine that holds a copy, unless it no longer accepts new work.
     pub(super) fn lease_copy_holder(&mut self, key: TargetKey) -> Option<Lease> {
         let is_usable = self.state.view.targets().is_usable(key);
         let mut lease = is_usable.then(|| self.acquire_lease(key)).flatten()?;
-        // Nearly nothing is read there, so streams beside it need not give way.
+        // With the copy hardly anything is left to read, so the engine's other streams are not
+        // delayed.
         lease.record_prompt_read();
         Some(lease)
     }
 
-    /// Takes in that the answer is complete.
+    /// Records the number of events of a complete answer.
     pub(super) fn record_event_count(&self, events: u64) {
         let mut targets = self.state.view.targets();
         targets
@@ -238,7 +242,8 @@
             .record_event_count(&self.requirements.service, events);
     }
 
-    /// Takes in how long the prompt took at an engine that had so many tokens to read, this stream's among them.
+    /// Records how long it took to read the prompt at an engine that had this number of tokens to
+    /// read, including those of this stream.
     pub(super) fn record_reading_time(&self, reading: u64, elapsed: Duration) {
         let mut targets = self.state.view.targets();
         let history = &mut targets.history;
@@ -247,21 +252,23 @@
             history.record_reading(service, self.requirements.prompt_tokens, took_ms);
             return;
         }
-        // What is read counts with its answer at full length.
+        // `reading` counts each request with the full length of its answer, so it is scaled down to
+        // prompt tokens.
         let prompt_share =
             self.requirements.prompt_tokens as f64 / self.requirements.tokens.max(1) as f64;
         let tokens = (reading as f64 * prompt_share) as u64;
         history.record_queued_reading(service, tokens, took_ms);
     }
 
-    /// Returns whether an engine is known that holds the prompt.
+    /// Returns whether an engine that holds the prompt is known.
     fn locate_prompt(&self) -> bool {
         let mut targets = self.state.view.targets();
         let part = self.requirements.prompt_part;
         part.is_some_and(|part| targets.locate_part(part, Instant::now()))
     }
 
-    /// Asks engines whether they hold the prompt; instances that started a while ago do not know it.
+    /// Queries engines for the prompts that they hold if no holder is known, as in an instance that
+    /// started recently.
     pub(super) async fn query_prompt_location(&self) {
         if self.locate_prompt() {
             return;
@@ -284,7 +291,8 @@
         );
     }
 
-    /// Returns the least time that the stream needs after the event `last`, if that is more than is left.
+    /// Returns the minimum time that the stream needs after the event `last`, if that exceeds the
+    /// time left.
     pub(super) fn lacking_time(&self, last: u64) -> Option<TimeNeeded> {
         let stream_request = StreamRequest {
             prompt_tokens: self.requirements.prompt_tokens,
@@ -300,8 +308,8 @@
         (!needed.fits_within(stream_request.time_left)).then_some(needed)
     }
 
-    /// Returns when the caller of a stream that has not begun may come back if engines have too much to read for it to be on
-    /// time; nothing where it is to be placed.
+    /// Returns when the caller of a stream that has not begun should retry, if engines have too
+    /// much to read for its first event to be on time. Returns `None` if the stream can be placed.
     pub(super) fn overload_backoff(&self) -> Option<Duration> {
         let now = Instant::now();
         let query = self.requirements.query(&[]);
@@ -320,7 +328,7 @@
         Some(backoff)
     }
 
-    /// Returns what the stream has ahead of it after its event `last`.
+    /// Returns the estimated number of events that follow the event `last`.
     pub(super) fn remaining_events(&self, last: u64) -> RemainingEvents {
         let targets = self.state.view.targets();
         let events_left = targets
@@ -331,14 +339,15 @@
         })
     }
 
-    /// Takes in that the run leaves a target for another one, at which it is the same run.
+    /// Records that the run moves from a target to another one, where it continues as the same run.
     pub(super) fn record_move(&mut self, from: TargetKey) {
         self.runs = self.runs.saturating_sub(1);
         self.tried.retain(|key| *key != from);
         self.previous_engines.push(from);
     }
 
-    /// Takes a place at a target; nothing while it may have left without this instance having heard of it.
+    /// Leases a target. Returns `None` while the list of targets is outdated, because the target
+    /// may have left without this instance having been told.
     fn acquire_lease(&mut self, key: TargetKey) -> Option<Lease> {
         if let Some(stale) = self.state.stale_targets() {
             self.state.metrics.add(Counter::PlacementsStale, 1);
@@ -359,7 +368,7 @@
         Some(lease)
     }
 
-    /// Chooses the engine that holds a copy of a run's memory.
+    /// Selects the engine that is to hold the backup copy of a run's memory.
     pub(super) fn select_backup(&self, main: TargetKey) -> Option<TargetKey> {
         self.state.view.targets().select_backup(
             main,
@@ -368,15 +377,15 @@
         )
     }
 
-    /// Returns when a caller whose request has not run may come back: when a target that failed a
-    /// moment ago is asked again.
+    /// Returns when a caller whose request has not run may retry, which is when a target that
+    /// failed recently is used again.
     pub(super) fn retry_after(&self) -> Option<Duration> {
         let targets = self.state.view.targets();
         targets.time_until_usable(&self.requirements.service, Instant::now())
     }
 
-    /// Allows targets to be asked once more, after a wait; returns whether the budget has it. What has
-    /// reached no target so far needs none.
+    /// Starts another round of attempts at all targets, and returns whether the retry budget allows
+    /// it. A request that has not reached any target does not spend from the budget.
     pub(super) fn start_retry_round(&mut self) -> bool {
         if self.has_reached_target && !self.try_spend_retry() {
             return false;
@@ -387,7 +396,7 @@
         true
     }
 
-    /// Returns what follows when no target is left.
+    /// Returns what to do when no target is left to try.
     pub(super) const fn step_without_target(&self) -> NextStep {
         match self.runs {
             0 => NextStep::NotRun,
@@ -395,14 +404,14 @@
         }
     }
 
-    /// Returns whether the stream could be moved now, by the bound on moves.
+    /// Returns whether the budget of moves currently allows one.
     pub(super) fn may_move(&self) -> bool {
         let instances = self.state.instances();
         let mut moves = self.state.moves();
         moves.allows(&self.requirements.service, instances, Instant::now())
     }
 
-    /// Takes a move of the stream; returns whether the bound allows it.
+    /// Spends a move from the budget, and returns whether the budget allows it.
     pub(super) fn try_spend_move(&self) -> bool {
         let instances = self.state.instances();
         let mut moves = self.state.moves();
@@ -415,7 +424,7 @@
         retries.try_spend(&self.requirements.service, instances, Instant::now())
     }
 
-    /// Takes in how an attempt ended and decides what follows.
+    /// Records how an attempt failed and returns what to do next.
     pub(super) fn record_failure(&mut self, lease: &Lease, failure: AttemptFailure) -> NextStep {
         lease.record_failure(failure);
         if failure.blames_version() {
--- a/daemon/src/relay/run_copy.rs
+++ b/daemon/src/relay/run_copy.rs
@@ -1,4 +1,4 @@
-//! The copy of a running stream's memory at another engine.
+//! Backup copies of running streams' memory at other engines.
 
 use std::{
     net::SocketAddr,
@@ -15,28 +15,29 @@
 
 use super::{engine_calls, routed_request::TargetRequirements, state::RelayState};
 
-/// The time between two looks whether the holder of a copy still lives.
+/// The interval between two checks whether the holder of a copy is still alive.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a run may be without any copy before the first one is ordered.
 const FIRST_ORDER_DELAY: Duration = Duration::from_millis(50);
-/// The time between two orders to copy what is new. What is generated meanwhile, some 25 tokens, is
-/// read anew in a few milliseconds.
+/// The interval between two orders to update a copy. What is generated meanwhile, about 25 tokens,
+/// is read again within a few milliseconds.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(800);
-/// How long an order to copy may take: a whole prompt takes some ten milliseconds, behind others.
+/// The timeout of an order to copy. A whole prompt takes tens of milliseconds, and may wait for
+/// others.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Where a copy of a run's memory is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct CopyLocation {
-    /// The engine that holds it.
+    /// The engine that holds the copy.
     pub(super) holder: TargetKey,
-    /// Where it was ordered from and under which name; nothing for a copy that the engine keeps by
-    /// itself since the run began.
+    /// Where the copy was ordered from and its name there; `None` for a copy that the engine makes
+    /// on its own from the start of the run.
     pub(super) ordered: Option<OrderedCopy>,
 }
 
 impl CopyLocation {
-    /// Returns the copy that an engine keeps by itself.
+    /// Returns the location of a copy that an engine makes on its own.
     pub(super) const fn of_engine(holder: TargetKey) -> Self {
         Self {
             holder,
@@ -45,21 +46,21 @@
     }
 }
 
-/// A copy that was ordered.
+/// The source and name of a copy that was ordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct OrderedCopy {
     pub(super) from: SocketAddr,
     pub(super) handle: SmolStr,
 }
 
-/// The copy of one run, kept up while the run goes on.
+/// The copy of one run, which is updated while the run continues.
 pub(super) struct RunCopy {
     location: Arc<Mutex<Option<CopyLocation>>>,
-    /// The work that keeps it up, which ends when this is dropped.
+    /// The task that updates the copy. It ends when this is dropped.
     task: Option<(Arc<CopyTask>, DropGuard)>,
 }
 
-/// The run whose copy is kept up.
+/// The run that is copied.
 pub(super) struct CopiedRun {
     pub(super) request: SmolStr,
     pub(super) engine: TargetKey,
@@ -68,11 +69,11 @@
 }
 
 impl RunCopy {
-    /// Keeps up the copy of a run.
+    /// Starts the task that maintains the copy of a run.
     ///
-    /// The failure: engines of one data centre die, and with them the copies that they hold; seconds
-    /// later those of another one die, whose runs then have no copy and are read anew. A run whose
-    /// copy is lost gets another one by order.
+    /// When engines of one data centre die, the copies that they hold are lost. If engines of
+    /// another data centre die seconds later, runs there without a copy have to be read again. So a
+    /// new copy of a run is ordered as soon as the previous one is lost.
     pub(super) fn start(state: &Arc<RelayState>, run: CopiedRun, first: Option<TargetKey>) -> Self {
         let first = first.map(CopyLocation::of_engine);
         let location = Arc::new(Mutex::new(first));
@@ -90,7 +91,8 @@
         }
     }
 
-    /// Only tells where the copy is that the engine keeps by itself; engines take no orders to copy.
+    /// Creates a copy that the engine makes on its own, for engines that do not accept orders to
+    /// copy.
     pub(super) fn of_engine(holder: TargetKey) -> Self {
         let copy = CopyLocation::of_engine(holder);
         Self {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Gives the memory of an ordered copy back after the run has ended well.
+    /// Releases the memory of an ordered copy after the run has ended successfully.
     pub(super) fn finish(self) {
         if let Some((task, _guard)) = self.task {
             let state = Arc::clone(&task.state);
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Returns where the copy is.
+    /// Returns where the copy is, if there is one.
     pub(super) fn location(&self) -> Option<CopyLocation> {
         current_location(&self.location)
     }
@@ -123,7 +125,8 @@
 impl CopyTask {
     async fn run(self: Arc<Self>) {
         let mut refreshed = Instant::now();
-        // A run without a copy needs one at once, one that moves at its first event does not.
+        // A run without a copy needs one soon, but one that moves at its first event does not, so
+        // the first order is delayed a little.
         let mut wait = match current_location(&self.location) {
             Some(_) => CHECK_INTERVAL,
             None => FIRST_ORDER_DELAY,
@@ -162,8 +165,8 @@
         }
     }
 
-    /// Returns whether the holder of a copy is dead. Where engines of its data centre die, it is asked
-    /// for a sign of life: nobody else may have found out.
+    /// Returns whether the holder of a copy is dead. If other engines of its data centre have died,
+    /// the holder is probed, since no other request may have found out yet.
     async fn is_lost(&self, copy: &CopyLocation) -> bool {
         let (is_lost, is_doubtful) = {
             let targets = self.state.view.targets();
--- a/daemon/src/relay/single_response.rs
+++ b/daemon/src/relay/single_response.rs
@@ -1,4 +1,4 @@
-//! Requests whose response is one piece.
+//! Relays requests whose response is not a stream.
 
 use celerypond_relay::{AttemptFailure, NextStep, SilenceLimits, TargetRequestHead};
 use tokio::time::Instant;
@@ -10,17 +10,17 @@
     routed_request::RoutedRequest,
 };
 
-/// Relays a request whose response is one piece.
+/// Relays a request whose response is not a stream.
 ///
-/// The response is read whole before its first byte goes out: one that breaks off can then be asked
-/// for again where that is allowed, and never looks complete.
+/// The response is read completely before its first byte is sent to the caller. A response that
+/// breaks off can then be retried if that is allowed, and never looks complete.
 pub(super) async fn relay(mut request: RoutedRequest) -> Reply {
     let mut failed_reply = None;
     loop {
-        // Contact may have been lost since the request was admitted.
+        // Contact with the store and the peers may have been lost since the request was admitted.
         request.wait_targets().await;
         let Some(mut lease) = request.lease_target() else {
-            // Targets that took it may have run it, though none is left to ask.
+            // A target that accepted the request may have run it, even if none is left to ask.
             return failed_reply
                 .unwrap_or_else(|| reply::final_reply(request.step_without_target(), &request));
         };
@@ -46,7 +46,7 @@
     }
 }
 
-/// Takes in how well the target did. What it refused says nothing of that.
+/// Records how the target performed. A refusal says nothing about that.
 fn record_result(lease: &Lease, result: &Result<Reply, AttemptFailure>, started: Instant) {
     let is_good = match result {
         Ok(reply) => !reply.status().is_server_error(),
@@ -56,7 +56,8 @@
     lease.record_result(is_good, started.elapsed());
 }
 
-/// A failure of an idempotent request may be the target's alone, so another one is asked.
+/// Returns whether a reply is sent to the caller. The failure of an idempotent request may be due
+/// to this target alone, so another one is tried.
 fn is_final(request: &RoutedRequest, reply: &Reply) -> bool {
     !(request.kind().may_repeat() && reply.status().is_server_error())
 }
@@ -87,8 +88,8 @@
     ))
 }
 
-/// Statuses by which callers understand that the request has not run; a target that does not say so
-/// itself may have run it.
+/// Returns whether callers conclude from this status that the request has not run. A target that
+/// does not say so itself may have run it.
 fn implies_not_run(status: http::StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
--- a/daemon/src/relay/start.rs
+++ b/daemon/src/relay/start.rs
@@ -1,4 +1,4 @@
-//! The start of a relaying instance.
+//! Starts and ends a relaying instance.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,17 +19,18 @@
     stop, target_sync, target_watch,
 };
 
-/// The time between two looks at idle connections and at targets whose entries are missing.
+/// The interval of checks of idle connections, of targets whose entries are missing, and of
+/// staleness.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a port is tried that a process before this one may still hold.
+/// How often binding a port is retried, since a previous process may still hold it.
 const MAX_BIND_RETRIES: usize = 20;
-/// The time between two tries of a port.
+/// The interval between two attempts to bind a port.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long background work may take to end.
+/// How long background tasks may take to end.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The ways in which a relaying instance cannot start.
+/// The errors with which a relaying instance fails to start.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RelayError {
     /// A signal handler cannot be set.
@@ -40,7 +41,7 @@
     Listen(SocketAddr),
 }
 
-/// Relays routed requests until SIGTERM, by settings that are read again when their file changes.
+/// Relays requests until SIGTERM. The settings are read again when their file changes.
 ///
 /// # Errors
 ///
@@ -56,7 +57,7 @@
     Ok(())
 }
 
-/// A running instance that relays routed requests.
+/// A running instance that relays requests.
 pub struct Instance {
     state: Arc<RelayState>,
 }
@@ -90,13 +91,14 @@
         Ok(Self { state })
     }
 
-    /// Stops as planned: no new callers, and what runs ends within the grace.
+    /// Stops as planned: accepts no new callers, and waits for open requests within the grace
+    /// period.
     pub async fn stop(self) {
         stop::run(&self.state).await;
         join_tasks(&self.state).await;
     }
 
-    /// Ends at once, as by a kill: open connections are cut off.
+    /// Ends at once, as if killed: open connections are cut off.
     pub async fn kill(self) {
         self.state.stopping.cancel();
         self.state.closed.cancel();
@@ -106,8 +108,8 @@
     }
 }
 
-/// Joins what was spawned. What callers still have open at the end of the grace is cut off with the
-/// process, so the wait is bounded.
+/// Waits for the spawned tasks. Connections that callers still have open at the end of the grace
+/// period are cut off when the process exits, so the wait is bounded.
 async fn join_tasks(state: &RelayState) {
     state.tasks.close();
     let joined = timeout(JOIN_TIMEOUT, async {
@@ -188,7 +190,7 @@
     }
 }
 
-/// Writes a line when requests begin to be refused for the age of what is known, and when that ends.
+/// Logs when requests begin to be refused because the data is too old, and when that ends.
 fn report_staleness(state: &RelayState, previous: &mut Option<Outdated>) {
     let stale = state.stale();
     if std::mem::replace(previous, stale) == stale {
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a relaying instance share.
+//! The state that all tasks of a relaying instance share.
 
 use std::sync::{
     atomic::{AtomicBool, AtomicU64, Ordering::Relaxed},
@@ -23,26 +23,26 @@
 };
 use crate::peers::Peers;
 
-/// How long a call of the store may take; an answer takes milliseconds when it is sound.
+/// The timeout of a call to the store, which normally answers within milliseconds.
 const STORE_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a connection to the store may take.
+/// The timeout of a connection to the store.
 const STORE_CONNECT: Duration = Duration::from_millis(500);
-/// The share of the store's rates that one instance may use. A few instances may burst at once, and
-/// in steady state each uses a few calls a second.
+/// The share of the store's rate limits that one instance may use. In steady state each instance
+/// makes a few calls per second, and a few instances may burst at once.
 const STORE_SHARE: f64 = 0.1;
-/// What the names of metrics begin with.
+/// The prefix of the names of metrics.
 const METRICS_PREFIX: &str = "celerypond";
 
-/// What is known too long ago for requests to be served by it.
+/// What is too old for requests to be served by it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outdated {
-    /// The configuration in force.
+    /// The current configuration.
     Config(Stale),
     /// The list of targets.
     Targets(Stale),
 }
 
-/// What all tasks of a relaying instance share.
+/// The state that all tasks of a relaying instance share.
 pub(super) struct RelayState {
     pub(super) settings: ArcSwap<Settings>,
     pub(super) view: StoreView,
@@ -50,43 +50,45 @@
     pub(super) connections: Connections,
     pub(super) store: Client,
     retries: Mutex<RetryBudget>,
-    /// Bounds the moves of running streams as repeats are, but apart. A move is no repeat, as the run goes on. Were
-    /// it taken from the same bound, streams that lose their engines would break for those that others only
-    /// gained by. Each instance has its equal part, as none tells of its moves.
+    /// The budget of moves of running streams, with the same limits as that of retries but apart
+    /// from it, because the run continues in a move. If moves were spent from the retries, streams
+    /// that lose their engines would break because other streams were moved for an advantage.
+    /// Instances do not report their moves, so each has an equal share.
     moves: Mutex<RetryBudget>,
     pub(super) peers: Peers,
     pub(super) rollouts: Rollouts,
     pub(super) metrics: Metrics,
     pub(super) latencies: Histograms,
-    /// Requests that are being answered.
+    /// The number of requests that are being answered.
     pub(super) open_requests: AtomicU64,
-    /// Tells that streams of this instance began, were read or ended.
+    /// Notifies that streams of this instance began, that their prompts were read, or that they
+    /// ended.
     pub(super) placements_changed: Notify,
-    /// Counts the lists of streams that were sent.
+    /// The sequence number of the last list of placements that was sent.
     pub(super) placement_sequence: AtomicU64,
-    /// Tells of a data centre in which an engine fell silent.
+    /// The data centre in which an engine was most recently found dead.
     pub(super) silent_data_centre: watch::Sender<Option<DataCentre>>,
-    /// No more callers are wanted.
+    /// Cancelled when the instance begins to stop and wants no more callers.
     pub(super) stopping: CancellationToken,
     /// The planned stop, if one is under way.
     pub(super) planned_stop: ArcSwapOption<PlannedStop>,
-    /// No new connections are taken.
+    /// Cancelled when no more connections of callers are accepted.
     pub(super) closed: CancellationToken,
-    /// Connections of callers are cut off.
+    /// Cancelled when connections of callers are cut off.
     pub(super) killed: CancellationToken,
-    /// All background work ends.
+    /// Cancelled when all background tasks have to end.
     pub(super) ending: CancellationToken,
     pub(super) tasks: TaskTracker,
-    /// Connections of callers.
+    /// The tasks that serve connections of callers.
     pub(super) caller_connections: TaskTracker,
     gossip: Mutex<Gossip>,
-    /// What this instance makes of the fleet.
+    /// The roles of the other instances as seen by this one.
     pub(super) fleet: ArcSwap<Fleet>,
     /// Notifies that other instances have a newer configuration.
     pub(super) newer_config: Notify,
-    /// Whether members came or went since the fleet was worked out.
+    /// Whether members joined or left since `fleet` was updated.
     pub(super) membership_changed: AtomicBool,
-    /// Whether a peer is being asked for news.
+    /// Whether a task is fetching changes of targets from a peer.
     pub(super) is_syncing_targets: AtomicBool,
 }
 
@@ -142,7 +144,7 @@
         self.view.is_complete() && !self.stopping.is_cancelled() && self.stale().is_none()
     }
 
-    /// Returns what is known too long ago for requests to be served by it.
+    /// Returns what is too old for requests to be served by it, if anything is.
     pub(super) fn stale(&self) -> Option<Outdated> {
         let limit = self.settings.load().bounds.stale_limit();
         let stale = self.view.freshness().stale(limit, Instant::now());
@@ -150,12 +152,13 @@
         config.or_else(|| self.stale_targets().map(Outdated::Targets))
     }
 
-    /// Waits until requests can be served by what is known; returns what it is too old for, if that takes too long.
+    /// Waits until requests can be served. If that takes too long, returns what is too old.
     pub(super) async fn wait_current(&self, wait: &StaleWait) -> Option<Outdated> {
         self.wait_while(|| self.stale(), wait).await
     }
 
-    /// Waits until requests can be sent by the list of targets, or that takes too long.
+    /// Waits until the list of targets is recent enough for requests to be sent, or until that
+    /// takes too long.
     pub(super) async fn wait_targets(&self, wait: &StaleWait) {
         let stale = || self.stale_targets().map(Outdated::Targets);
         self.wait_while(stale, wait).await;
@@ -172,12 +175,12 @@
             let Some(until) = self.wait_end(outdated, wait) else {
                 return Some(outdated);
             };
-            // Whatever ended the wait, the state is looked at again.
+            // The state is checked again whatever ended the wait.
             let _ = timeout_at(until, changed).await;
         }
     }
 
-    /// Returns until when a request waits; nothing if it is refused.
+    /// Returns until when a request waits, or `None` if it is refused.
     fn wait_end(&self, outdated: Outdated, wait: &StaleWait) -> Option<Instant> {
         let now = Instant::now();
         let bounds = &self.settings.load().bounds;
@@ -194,29 +197,30 @@
         }
     }
 
-    /// Returns why requests cannot be sent by the list of targets.
+    /// Returns why the list of targets is too old for requests to be sent, if it is.
     pub(super) fn stale_targets(&self) -> Option<Stale> {
         let limit = self.settings.load().bounds.targets_stale_limit();
         let freshness = self.view.targets_freshness();
         freshness.stale(limit, Instant::now())
     }
 
-    /// Returns whether connections of callers are taken, as they are for a while when it stops.
+    /// Returns whether connections of callers are accepted, which they still are for a while during
+    /// a stop.
     pub(super) fn takes_callers(&self) -> bool {
         self.view.is_complete() && !self.closed.is_cancelled()
     }
 
-    /// Returns how many instances seem to live, this one included.
+    /// Returns the number of instances that seem to be live, including this one.
     pub(super) fn instances(&self) -> usize {
         self.fleet.load().size
     }
 
-    /// Returns how many instances share engines, this one included.
+    /// Returns the number of instances that share engines, including this one.
     pub(super) fn sharers(&self) -> usize {
         self.fleet.load().group.len() + 1
     }
 
-    /// Returns the newest version of the configuration that this instance knows of.
+    /// Returns the newest version of the configuration that this instance has heard of.
     pub(super) fn newest_config(&self) -> u64 {
         let newest = self.view.freshness().newest(Instant::now());
         newest.max(self.view.version())
@@ -226,12 +230,12 @@
         self.retries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns what bounds the moves of running streams.
+    /// Returns the budget of moves of running streams.
     pub(super) fn moves(&self) -> MutexGuard<'_, RetryBudget> {
         self.moves.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Renders counters, levels and latencies as text.
+    /// Renders counters, gauges and latencies as text.
     pub(super) fn render_metrics(&self) -> String {
         let levels = [
             (Gauge::ConfigVersion, self.view.version()),
--- a/daemon/src/relay/stop.rs
+++ b/daemon/src/relay/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop.
+//! The planned stop of the instance.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,10 +7,11 @@
 
 use super::{members, state::RelayState};
 
-/// The time between two looks whether others take callers.
+/// The interval between two checks whether other instances accept callers.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Stops the instance: it takes no new callers as soon as others do, and what runs ends within the grace.
+/// Stops the instance. It accepts no new callers as soon as other instances do, and open requests
+/// may be completed within the grace period.
 pub(super) async fn run(state: &Arc<RelayState>) {
     let grace = state.settings.load().bounds.grace;
     let stop = PlannedStop::new(Instant::now(), grace);
@@ -29,8 +30,9 @@
     state.ending.cancel();
 }
 
-/// Waits until no more callers are taken: at first all are, and then as long as others are too few and
-/// something is still served. An instance that has nothing left to do starts anew the sooner.
+/// Waits until no more callers are accepted. All are accepted at first, and then only as long as
+/// there are too few other instances and some connection is still open. An instance without open
+/// connections stops early, so that it restarts sooner.
 async fn accept_until_closed(state: &RelayState, stop: &PlannedStop) {
     let mut is_waiting_for_peers = false;
     loop {
--- a/daemon/src/relay/store_backoff.rs
+++ b/daemon/src/relay/store_backoff.rs
@@ -1,4 +1,4 @@
-//! Pauses between calls of the store.
+//! Pauses between calls to the store.
 
 use std::{ops::RangeInclusive, time::Duration};
 
@@ -8,12 +8,13 @@
 
 use super::state::RelayState;
 
-/// The time between two checks whether this instance has to watch the store.
+/// The interval between two checks whether this instance has to watch the store.
 pub(super) const WATCH_POLL: Duration = Duration::from_millis(100);
-/// The longest Retry-After of the store that is honoured.
+/// The maximum `Retry-After` of the store that is honoured.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Waits after a failed call of the store: its Retry-After, and a time drawn from these limits.
+/// Waits after a failed call to the store: for its `Retry-After`, plus a random time within
+/// `limits`.
 pub(super) async fn pause(
     state: &RelayState,
     error: PlatformError,
--- a/daemon/src/relay/store_view.rs
+++ b/daemon/src/relay/store_view.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of the store, from the store itself or from its peers.
+//! The view that an instance has of the store's data, from the store itself or from its peers.
 
 use std::{
     net::SocketAddr,
@@ -20,18 +20,18 @@
     time::Instant,
 };
 
-/// Where something was heard.
+/// Where data of the store came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
-    /// The store told it.
+    /// The store itself.
     Store,
-    /// The store told it, and had not answered for a while before.
+    /// The store, which had not answered for a while before.
     StoreRegained,
-    /// Another instance told it.
+    /// Another instance.
     Peer,
 }
 
-/// What an instance knows of the store.
+/// The configuration and the targets as this instance knows them, and how recent they are.
 pub(super) struct StoreView {
     table: ArcSwap<RoutingTable>,
     freshness: Mutex<Freshness>,
@@ -44,16 +44,17 @@
     has_targets: AtomicBool,
     /// The store's revision up to which the targets are known.
     revision: Mutex<u64>,
-    /// Tells that something is known that was not before.
+    /// Notifies waiting tasks that the view changed.
     changed: Notify,
-    /// Tells that other instances have to be told of something new.
+    /// Notifies that there is a change that other instances have to be told about.
     pub(super) unreported_change: Notify,
-    /// How long entries may be missing after the store's return.
+    /// How long entries may be missing after the store has returned.
     missing_entry_grace: Duration,
 }
 
 impl StoreView {
-    /// Knows nothing; entries may be missing for so long after the store's return.
+    /// Creates an empty view. Entries may be missing for `missing_entry_grace` after the store has
+    /// returned.
     pub(super) fn new(missing_entry_grace: Duration) -> Self {
         let mut targets = Targets::default();
         targets.lateness = rand::rng().random();
@@ -72,17 +73,17 @@
         }
     }
 
-    /// Returns the configuration in force.
+    /// Returns the current configuration.
     pub(super) fn table(&self) -> arc_swap::Guard<Arc<RoutingTable>> {
         self.table.load()
     }
 
-    /// Returns the version of the configuration in force.
+    /// Returns the version of the current configuration.
     pub(super) fn version(&self) -> u64 {
         self.table.load().config().version
     }
 
-    /// Returns how recent the configuration in force is.
+    /// Returns how recent the current configuration is.
     pub(super) fn freshness(&self) -> MutexGuard<'_, Freshness> {
         self.freshness
             .lock()
@@ -127,18 +128,19 @@
         self.targets_freshness().record_contact(now);
     }
 
-    /// Sets whether there are other instances that have not announced their leaving.
+    /// Sets whether there are other instances that have not announced that they leave.
     pub(super) fn set_has_peers(&self, has_peers: bool) {
         self.freshness().set_has_peers(has_peers);
         self.targets_freshness().set_has_peers(has_peers);
     }
 
-    /// Returns a revision of the store at which the configuration in force was the newest one, if that is known.
+    /// Returns a revision of the store at which the current configuration was the newest one, if
+    /// such a revision is known.
     pub(super) fn config_revision(&self) -> Option<u64> {
         self.freshness().revision()
     }
 
-    /// Returns whether configuration and targets are known.
+    /// Returns whether the configuration and the targets are known.
     pub(super) fn is_complete(&self) -> bool {
         self.has_config() && self.has_targets()
     }
@@ -147,13 +149,13 @@
         self.targets.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns where a target listens; nothing when it is gone.
+    /// Returns the address of a target, or `None` if it is gone.
     pub(super) fn address_of(&self, key: TargetKey) -> Option<SocketAddr> {
         let targets = self.targets();
         targets.get(key).map(|target| target.entry.address)
     }
 
-    /// Returns the data centre of a target; nothing when it is gone.
+    /// Returns the data centre of a target, or `None` if it is gone.
     pub(super) fn data_centre_of(&self, key: TargetKey) -> Option<DataCentre> {
         let targets = self.targets();
         targets
@@ -176,10 +178,10 @@
         self.has_targets.load(Relaxed)
     }
 
-    /// Puts a configuration in force, unless one of its version or a later one is.
+    /// Makes a configuration current, unless the current one has the same or a later version.
     ///
-    /// The failure: a store that answers from the past, or a peer that is behind, tells of an older
-    /// version. A caller would see a removed key or route come back. Versions only rise here.
+    /// A store that serves stale reads, or a peer that lags, may send an older version. With it a
+    /// removed key or route would become valid again, so the version never decreases here.
     pub(super) fn apply(&self, config: Config, source: Source) {
         let previous = self.table.load();
         let previous_version = previous.config().version;
@@ -195,7 +197,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Takes in a whole list of targets of the store's revision, unless a later one is known; returns whether it did.
+    /// Replaces the whole list of targets by that of the store's revision, unless a later one is
+    /// known. Returns whether it did.
     pub(super) fn replace_targets(
         &self,
         entries: Vec<TargetEntry>,
@@ -217,14 +220,15 @@
         if source == Source::StoreRegained {
             targets.await_entries(self.missing_entry_grace, now);
         }
-        // When the store had the list is observed apart.
+        // The time at which the store had this list is recorded separately, by
+        // [`Self::observe_targets`].
         let changes = targets.replace_unverified(entries, now);
         targets.record_full_list(revision);
         drop(targets);
         drop(revision_guard);
         let is_first = !self.has_targets.swap(true, Relaxed);
         log::info!(revision, source:? = source, is_first, changed = changes.len(); "targets listed");
-        // All are news to an instance that starts, and thousands of lines would hold it up.
+        // All targets are new to an instance that starts, and thousands of lines would delay it.
         for change in changes.iter().filter(|_| !is_first) {
             log::info!(revision, source:? = source, change:? = change; "target changed");
         }
@@ -233,7 +237,7 @@
         true
     }
 
-    /// Takes in what a watch saw up to a revision of the store, unless a later one is known.
+    /// Applies changes of targets up to a revision of the store, unless a later one is known.
     pub(super) fn apply_changes(&self, changes: &[(u64, Change)], revision: u64, source: Source) {
         let mut revision_guard = self.lock_revision();
         if revision <= *revision_guard {
@@ -258,7 +262,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Takes in what another instance tells of the targets.
+    /// Applies an update of the targets that another instance sent after `received_after`.
     pub(super) fn apply_update(&self, update: TargetUpdate, received_after: Instant) {
         let age = update.age_ms.map(|age| Duration::from_millis(age.into()));
         let revision = update.revision;
@@ -288,7 +292,8 @@
         }
     }
 
-    /// Returns what another instance that knows the targets up to a revision has to be told.
+    /// Returns the update for an instance that knows the targets up to the revision `since`, or
+    /// `None` if this instance does not know the targets itself.
     pub(super) fn update_since(&self, since: u64) -> Option<TargetUpdate> {
         if !self.has_targets() {
             return None;
@@ -305,7 +310,7 @@
         })
     }
 
-    /// Returns the configuration in force if it has at least this version.
+    /// Returns the current configuration if it has at least this version.
     pub(super) fn config_since(&self, version: u64) -> Option<Arc<RoutingTable>> {
         let table = self.has_config().then(|| self.table.load_full());
         table.filter(|table| table.config().version >= version)
@@ -315,12 +320,12 @@
         self.revision.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until something else is known than now.
+    /// Waits for the next change of the view.
     pub(super) fn changed(&self) -> Notified<'_> {
         self.changed.notified()
     }
 
-    /// Waits until configuration and targets are known, or until `until`.
+    /// Waits until the configuration and the targets are known, or until `until`.
     pub(super) async fn wait_known(&self, until: Instant) {
         loop {
             let changed = self.changed.notified();
@@ -330,7 +335,7 @@
         }
     }
 
-    /// Removes targets whose entries did not come back after the store's return.
+    /// Removes targets whose entries did not return in time after the store did.
     pub(super) fn drop_missing(&self) {
         for name in self.targets().drop_missing(Instant::now()) {
             log::info!(target = name.as_str(), reason = "entry did not come back"; "target gone");
@@ -338,7 +343,7 @@
     }
 }
 
-/// Returns when each of these targets last answered, by the ages that a peer sent after a moment.
+/// Converts ages of the last response of targets, which a peer sent after a moment, to moments.
 fn to_instants(
     observed: Vec<(TargetName, u32)>,
     received_after: Instant,
--- a/daemon/src/relay/stream.rs
+++ b/daemon/src/relay/stream.rs
@@ -1,4 +1,4 @@
-//! Requests whose response is a stream of events.
+//! Relays requests whose response is a stream of events.
 
 use celerypond_relay::NextStep;
 use futures::stream;
@@ -11,7 +11,7 @@
     routed_request::RoutedRequest,
 };
 
-/// Relays a stream, which goes on at another engine when its engine is lost.
+/// Relays a stream, and resumes it at another engine when its engine is lost.
 pub(super) async fn relay(request: RoutedRequest) -> Reply {
     let mut relayed = RelayedStream::new(request);
     match relayed.start().await {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Passes the failure of an engine on.
+/// Relays the failure that an engine answered with.
 async fn relay_failure(mut relayed: RelayedStream, head: &ResponseHead) -> Reply {
     let time_left = relayed.request.time_left();
     let Some(mut response) = relayed.take_response() else {
@@ -43,8 +43,8 @@
     }
 }
 
-/// The body pulls its events out of the flow, so a caller that leaves drops the flow and with it
-/// the connection to the engine, which then stops working.
+/// Returns the body of the response. It pulls events from the stream, so when a caller leaves, the
+/// stream is dropped and with it the connection to the engine, which then stops working on it.
 fn event_body(relayed: RelayedStream) -> Body {
     let frames = stream::unfold(Some(relayed), |relayed| async {
         let mut relayed = relayed?;
--- a/daemon/src/relay/target_sync.rs
+++ b/daemon/src/relay/target_sync.rs
@@ -1,4 +1,4 @@
-//! Targets of the store, from other instances.
+//! Fetches the store's targets from other instances.
 
 use std::{
     net::SocketAddr,
@@ -13,15 +13,15 @@
 
 use super::{members, state::RelayState};
 
-/// The time between two queries of peers while the store does not answer.
+/// The interval between two queries of peers while the store does not answer.
 const QUERY_INTERVAL: Duration = Duration::from_millis(300);
 /// How long the store may take to answer an instance that starts before peers are queried as well.
 const STORE_START: Duration = Duration::from_millis(150);
-/// How long a peer may take to send what changed.
+/// The timeout of a transfer of changes from a peer.
 const CHANGES_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a peer may take to send all targets, a megabyte in a large fleet.
+/// The timeout of a transfer of all targets from a peer, a megabyte in a large fleet.
 const LIST_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How many queries follow one notice at most.
+/// The maximum number of queries that follow one notice.
 const MAX_QUERIES: usize = 4;
 
 /// Queries peers for targets until the instance ends, while none are known and the store does not answer.
@@ -39,10 +39,10 @@
     }
 }
 
-/// Returns whether the store answers this instance, so that its list is under way.
+/// Returns whether the store answers this instance, so that its list is being transferred.
 ///
-/// The failure: a large fleet starts at once. If each instance queries peers beside the store, their lists of targets
-/// take the links from the store's.
+/// When a large fleet starts at once and each instance queries peers besides the store, the peers'
+/// lists of targets take up the links that the store's list needs.
 fn is_store_answering(state: &RelayState) -> bool {
     let wait = state.settings.load().bounds.watch_wait();
     state.watch_duty.store_answers_within(wait + STORE_START)
@@ -56,7 +56,8 @@
     }
 }
 
-/// Queries the instance with the newest targets, if these are newer than what is known here.
+/// Starts to fetch the changes of targets from the instance with the newest ones, if these are
+/// newer than those known here.
 pub(super) fn request_sync(state: &Arc<RelayState>) {
     if state.is_syncing_targets.swap(true, Relaxed) {
         return;
@@ -106,7 +107,8 @@
     true
 }
 
-/// Returns where other instances listen: those that seem to live, in random order, and then the seeds.
+/// Returns the addresses of other instances: those that seem to be live, in random order, and then
+/// the seeds.
 pub(super) fn peers(state: &RelayState) -> Vec<SocketAddr> {
     let settings = state.settings.load();
     let own = members::address(&settings);
--- a/daemon/src/relay/target_watch.rs
+++ b/daemon/src/relay/target_watch.rs
@@ -1,4 +1,4 @@
-//! Watches the targets that the store lists.
+//! Watches the targets that are listed in the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -30,12 +30,12 @@
     state: &'a RelayState,
     store: Client,
     received: TransferProgress,
-    /// The revision up to which the store reported changes to this instance.
+    /// The revision up to which the store reported changes to this instance itself.
     since: Option<Version>,
-    /// Whether the history of a watch is gone.
+    /// Whether the store no longer has the history since `since`, so that a list is needed.
     needs_list: bool,
     is_lost: bool,
-    /// How long changes were gathered after the last call.
+    /// How long changes were collected after the last call.
     coalesced: Duration,
     backoff: StoreBackoff,
 }
@@ -58,7 +58,7 @@
     async fn poll_once(&mut self) {
         let state = self.state;
         if state.view.is_complete() && !state.watch_duty.must_watch() {
-            // Watchers report changes; what they report is newer than what was seen here.
+            // The watchers report changes, which are newer than what was last seen here.
             state.watch_duty.set_targets_answer(None);
             self.is_lost = false;
             state.watch_duty.set_lost(false);
@@ -73,10 +73,10 @@
         }
     }
 
-    /// Returns the revision to watch from; nothing where a list is needed.
+    /// Returns the revision to watch from, or `None` if a list is needed.
     ///
-    /// The failure: the watchers of a large fleet die, and all others watch for themselves. If each began with a list,
-    /// all would fetch at once what they have.
+    /// When the watchers of a large fleet die, all other instances watch the store themselves. If
+    /// each began with a list, all would fetch at once what they already have.
     fn watch_start(&self) -> Option<Version> {
         let view = &self.state.view;
         let cached = view.has_targets().then(|| Version(view.revision()));
@@ -94,15 +94,15 @@
             self.observe(revision, started);
             return Ok(revision);
         };
-        // Others rely on an answer of the store within this time.
+        // Other instances expect an answer of the store within this time.
         let wait = self.state.settings.load().bounds.watch_wait();
         let wait = wait.saturating_sub(self.coalesced);
         let started = Instant::now();
         let changes = self.store.watch(store::TARGETS_PREFIX, since, wait).await;
         let changes = changes.map_err(|report| *report.current_context())?;
         let revision = changes.revision.max(since);
-        // Without a change the store has held the watch for the whole wait. An answer with changes may have been unread
-        // for as long as the process was paused.
+        // Without a change, the store held the watch for the whole wait. An answer with changes may
+        // have been unread for as long as the process was paused.
         let seen = match changes.changes.is_empty() {
             true => (started + wait).min(Instant::now()),
             false => started,
@@ -132,8 +132,8 @@
             log::info!(kind = store::TARGETS_PREFIX, revision = revision.0; "store regained");
         }
         self.coalesced = Watchers::notice_gap(state.fleet.load().recipients.len());
-        // One call then reports all that changed meanwhile: when a data centre's engines restart, each of a hundred
-        // changes would end a watch of its own.
+        // The next call reports all changes of this time at once. When a data centre's engines
+        // restart, each of a hundred changes would otherwise end a watch of its own.
         sleep(self.coalesced).await;
     }
 
@@ -144,7 +144,8 @@
         started: Instant,
     ) {
         let state = self.state;
-        // The store answers; only its history is too short, and a list makes that good.
+        // The store is available, but it no longer has the history since this revision. A list
+        // replaces it.
         if error == PlatformError::Compacted {
             log::info!(kind = store::TARGETS_PREFIX; "history of a watch gone");
             self.needs_list = true;
@@ -191,8 +192,8 @@
         .apply_changes(&seen.collect::<Vec<_>>(), revision, store_source(state));
 }
 
-/// Returns what the store is as a source: its first answer after a time without one may lack entries
-/// that lapsed meanwhile.
+/// Returns the store as a source of data. Its first answer after an outage may lack entries that
+/// expired meanwhile.
 fn store_source(state: &RelayState) -> Source {
     match state.watch_duty.is_lost() {
         true => Source::StoreRegained,
--- a/daemon/src/relay/watch_duty.rs
+++ b/daemon/src/relay/watch_duty.rs
@@ -1,4 +1,4 @@
-//! Whether this instance watches the store, and when the store last answered it.
+//! Whether this instance has to watch the store, and when the store last answered it.
 
 use std::{
     sync::{
@@ -13,22 +13,24 @@
 
 use super::store_view::StoreView;
 
-/// Whether this instance watches the store, and when the store last answered it.
+/// Whether this instance has to watch the store, and when the store last answered it.
 pub(super) struct WatchDuty {
-    /// What instances that watch the store have reported.
+    /// The reports of the instances that watch the store.
     watchers: Mutex<Watchers>,
-    /// Whether this instance is elected to watch the store for all.
+    /// Whether this instance is elected to watch the store for the fleet.
     pub(super) is_chosen: AtomicBool,
-    /// Whether the watch of targets has no answer of the store at present.
+    /// Whether the watch of targets currently gets no answer from the store.
     is_lost: AtomicBool,
-    /// When the store last answered about the configuration; nothing while it is not watched.
+    /// When the store last answered about the configuration, or `None` while this instance does not
+    /// watch it.
     config_answer: Mutex<Option<Instant>>,
-    /// When the store last answered about targets; nothing while they are not watched.
+    /// When the store last answered about targets, or `None` while this instance does not watch
+    /// them.
     targets_answer: Mutex<Option<Instant>>,
 }
 
 impl WatchDuty {
-    /// Makes the duty where a watch of the store waits so long for a change.
+    /// Creates the state for watches that wait this long for a change.
     pub(super) fn new(watch_wait: Duration) -> Self {
         Self {
             watchers: Mutex::new(Watchers::new(watch_wait)),
@@ -49,27 +51,30 @@
         self.watchers().must_watch(is_chosen, Instant::now())
     }
 
-    /// Returns whether the watch of targets has no answer of the store at present.
+    /// Returns whether the watch of targets currently gets no answer from the store.
     pub(super) fn is_lost(&self) -> bool {
         self.is_lost.load(Relaxed)
     }
 
-    /// Records whether the watch of targets has no answer of the store.
+    /// Records whether the watch of targets gets no answer from the store.
     pub(super) fn set_lost(&self, is_lost: bool) {
         self.is_lost.store(is_lost, Relaxed);
     }
 
-    /// Records when the store answered about the configuration; nothing while it is not watched.
+    /// Records when the store answered about the configuration, or `None` while this instance does
+    /// not watch it.
     pub(super) fn set_config_answer(&self, at: Option<Instant>) {
         *lock(&self.config_answer) = at;
     }
 
-    /// Records when the store answered about targets; nothing while they are not watched.
+    /// Records when the store answered about targets, or `None` while this instance does not watch
+    /// them.
     pub(super) fn set_targets_answer(&self, at: Option<Instant>) {
         *lock(&self.targets_answer) = at;
     }
 
-    /// Returns whether others, or this instance's own callers, depend on its calls of the store.
+    /// Returns whether other instances, or this instance's own callers, depend on its calls to the
+    /// store.
     pub(super) fn is_relied_on(&self, view: &StoreView) -> bool {
         self.is_chosen.load(Relaxed) || !view.is_complete()
     }
--- a/daemon/src/relaying.rs
+++ b/daemon/src/relaying.rs
@@ -1,4 +1,4 @@
-//! The daemon as an instance that relays routed requests.
+//! The daemon as an instance that relays requests.
 
 use std::process::ExitCode;
 
@@ -10,7 +10,7 @@
 
 use crate::BAD_SETTINGS;
 
-/// Runs the instance, or only checks its settings.
+/// Runs the instance, or only checks its settings if `check` is set.
 pub(crate) fn main(check: bool) -> ExitCode {
     let path = settings::path();
     let text = match std::fs::read_to_string(&path) {
@@ -42,7 +42,7 @@
         format: LogFormat::Json,
         output: Output::Stdout,
     };
-    // The lines are written to their end when this is dropped.
+    // Pending lines are written when this is dropped.
     let _writing = match logs.install_rate_limited(&relay::LOG_LIMITER) {
         Ok(thread) => thread,
         Err(report) => {
@@ -66,7 +66,7 @@
     }
 }
 
-/// On one core further threads only cost memory and switches.
+/// On one core, further threads only cost memory and context switches.
 fn runtime(cores: usize) -> std::io::Result<Runtime> {
     if cores <= 1 {
         return Builder::new_current_thread().enable_all().build();
