--- a/daemon/src/relay/callers.rs
+++ b/daemon/src/relay/callers.rs
@@ -28,7 +28,7 @@
                     .spawn(serve(Arc::clone(&state), stream));
             }
             Err(error) => {
-                log::warn!(error:% = error; "a caller cannot be accepted");
+                log::warn!(error:% = error; "cannot accept a caller's connection");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -39,7 +39,7 @@
     // With Nagle's algorithm small events wait for acknowledgements, but the connection still
     // works.
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!(error:% = error; "a caller's socket keeps its delay");
+        log::debug!(error:% = error; "cannot disable Nagle's algorithm on a caller's socket");
     }
     let limits = state.view.table().config().limits;
     let mut builder = http1::Builder::new();
--- a/daemon/src/relay/config_sync.rs
+++ b/daemon/src/relay/config_sync.rs
@@ -397,7 +397,7 @@
             state.view.apply(config, Source::Peer);
         }
         Err(error) => {
-            log::warn!(peer:% = peer, error:% = error; "a peer's configuration cannot be read");
+            log::warn!(peer:% = peer, error:% = error; "cannot decode a peer's configuration");
             return false;
         }
     }
@@ -419,6 +419,6 @@
     }
     match config::decode(value) {
         Ok(config) => state.view.apply(config, Source::Store),
-        Err(error) => log::error!(error:% = error; "the configuration cannot be read"),
+        Err(error) => log::error!(error:% = error; "cannot decode the configuration"),
     }
 }
--- a/daemon/src/relay/datagrams.rs
+++ b/daemon/src/relay/datagrams.rs
@@ -104,7 +104,7 @@
         Ok(Datagram::Notice(notice)) => receive_notice(state, notice, earliest_arrival),
         Ok(Datagram::Stage(stage)) => state.rollouts.record_stage(stage, earliest_arrival),
         Ok(Datagram::Report(service, report)) => state.rollouts.record_report(&service, report),
-        Err(error) => log::warn!(error:% = error; "a datagram of a peer cannot be read"),
+        Err(error) => log::warn!(error:% = error; "cannot decode a peer's datagram"),
     }
 }
 
@@ -218,7 +218,7 @@
                 let _ = socket.send_to(&bytes, peer).await;
             }
         }
-        Ok(bytes) => log::warn!(len = bytes.len(); "a datagram is too long"),
-        Err(error) => log::error!(error:% = error; "a datagram cannot be written"),
+        Ok(bytes) => log::warn!(len = bytes.len(); "datagram exceeds the maximum size"),
+        Err(error) => log::error!(error:% = error; "cannot encode a datagram"),
     }
 }
--- a/daemon/src/relay/fleet.rs
+++ b/daemon/src/relay/fleet.rs
@@ -63,7 +63,7 @@
     state.view.set_has_peers(has_peers);
     state.watch_duty.watchers().set_hops(hops);
     if state.watch_duty.is_chosen.swap(is_chosen, Relaxed) != is_chosen {
-        log::info!(is_chosen, live = fleet.size; "watcher of the store");
+        log::info!(is_chosen, live = fleet.size; "election of store watchers changed");
     }
     update_group(state, subset.group, subset.groups);
     state.fleet.store(Arc::new(fleet));
--- a/daemon/src/relay/held_prompts.rs
+++ b/daemon/src/relay/held_prompts.rs
@@ -27,7 +27,7 @@
     )
     .await;
     let Some(answer) = answer.filter(|answer| answer.status == StatusCode::OK) else {
-        log::info!(address:% = address; "an engine does not tell what it holds");
+        log::info!(address:% = address; "engine did not report the prompt parts that it holds");
         return;
     };
     match engine::decode_held(&answer.body) {
@@ -36,7 +36,7 @@
             targets.record_held_parts(key, &parts, Instant::now());
         }
         Err(error) => {
-            log::warn!(address:% = address, error:% = error; "what an engine holds cannot be read");
+            log::warn!(address:% = address, error:% = error; "cannot decode the prompt parts that an engine holds");
         }
     }
 }
--- a/daemon/src/relay/order_store.rs
+++ b/daemon/src/relay/order_store.rs
@@ -42,7 +42,7 @@
         Ok(listing) => Some(decode_orders(&listing)),
         Err(report) => {
             let error = report.current_context();
-            log::info!(error:% = error; "the store told no orders");
+            log::info!(error:% = error; "cannot read orders from the store");
             None
         }
     }
@@ -54,7 +54,7 @@
     orders
         .filter_map(|object| {
             let order = rollout::decode(&object.value)
-                .inspect_err(|error| log::warn!(key = object.key.as_str(), error:% = error; "order not used"))
+                .inspect_err(|error| log::warn!(key = object.key.as_str(), error:% = error; "ignoring an invalid order"))
                 .ok()?;
             let status_key = rollout::status_key(&object.key);
             let status = listing.objects.iter().find(|status| status.key == status_key);
--- a/daemon/src/relay/reload.rs
+++ b/daemon/src/relay/reload.rs
@@ -31,7 +31,7 @@
             }
             Err(faults) => {
                 for fault in faults {
-                    log::error!(fault:% = fault; "the settings stay as they were");
+                    log::error!(fault:% = fault; "invalid settings, keeping the previous ones");
                 }
             }
         }
--- a/daemon/src/relay/reply.rs
+++ b/daemon/src/relay/reply.rs
@@ -18,7 +18,7 @@
 /// The error that a stream could not be resumed. It breaks the connection to the caller, so that
 /// the part that was sent does not look complete.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the stream could not go on")]
+#[error("the stream could not be resumed")]
 pub(super) struct Broken;
 
 pub(super) type Body = UnsyncBoxBody<Bytes, Broken>;
--- a/daemon/src/relay/restarted_engines.rs
+++ b/daemon/src/relay/restarted_engines.rs
@@ -58,7 +58,7 @@
         .add_restarted_engine(dead.name_hash, &name, Instant::now());
     if is_new {
         state.metrics.add(Counter::TargetsFound, 1);
-        log::info!(target = name.as_str(), before = dead.name.as_str(), source = "engine"; "engine found again");
+        log::info!(target = name.as_str(), before = dead.name.as_str(), source = "engine"; "found a restarted engine");
         state.placements_changed.notify_one();
     }
 }
--- a/daemon/src/relay/routed_request.rs
+++ b/daemon/src/relay/routed_request.rs
@@ -355,7 +355,7 @@
                 request = self.caller_request.id.as_str(),
                 stale:? = stale,
                 revision = self.state.view.revision();
-                "no target chosen by an outdated list"
+                "list of targets is outdated, no target chosen"
             );
             return None;
         }
--- a/daemon/src/relay/start.rs
+++ b/daemon/src/relay/start.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RelayError {
     /// A signal handler cannot be set.
-    #[error("signals cannot be handled")]
+    #[error("cannot install signal handlers")]
     Signals,
     /// An address cannot be listened on.
     #[error("cannot listen on {0}")]
@@ -117,7 +117,7 @@
         state.connections.close().await;
     });
     if joined.await.is_err() {
-        log::warn!(tasks = state.tasks.len(); "ends with open connections");
+        log::warn!(tasks = state.tasks.len(); "exiting with open connections");
     }
 }
 
--- a/daemon/src/relay/stop.rs
+++ b/daemon/src/relay/stop.rs
@@ -42,12 +42,12 @@
         let is_needed = has_work && stop.accepts_callers(others, now);
         let has_accept_time_ended = !stop.accepts_all(now);
         if has_accept_time_ended && !is_needed {
-            log::info!(live = others.live, leaving = others.leaving, has_work; "no more callers");
+            log::info!(live = others.live, leaving = others.leaving, has_work; "closed to callers");
             return;
         }
         if has_accept_time_ended && !is_waiting_for_peers {
             is_waiting_for_peers = true;
-            log::info!(live = others.live, leaving = others.leaving; "too few others take callers");
+            log::info!(live = others.live, leaving = others.leaving; "too few other instances accept callers, staying open");
         }
         sleep(POLL_INTERVAL).await;
     }
--- a/daemon/src/relay/target_sync.rs
+++ b/daemon/src/relay/target_sync.rs
@@ -94,13 +94,13 @@
     let started = Instant::now();
     let sent = timeout(limit, state.peers.changes(peer, since)).await;
     let Some(bytes) = sent.ok().and_then(Result::ok).flatten() else {
-        log::info!(peer:% = peer, since; "a peer sent no targets");
+        log::info!(peer:% = peer, since; "peer sent no changes of targets");
         return false;
     };
     match decode::<TargetUpdate>(&bytes) {
         Ok(update) => state.view.apply_update(update, started),
         Err(error) => {
-            log::warn!(peer:% = peer, error:% = error; "a peer's targets cannot be read");
+            log::warn!(peer:% = peer, error:% = error; "cannot decode a peer's targets");
             return false;
         }
     }
--- a/daemon/src/relay/target_watch.rs
+++ b/daemon/src/relay/target_watch.rs
@@ -207,7 +207,9 @@
         return None;
     }
     target::decode(name, value)
-        .inspect_err(|error| log::warn!(target = name, error:% = error; "entry not used"))
+        .inspect_err(
+            |error| log::warn!(target = name, error:% = error; "ignoring an invalid target entry"),
+        )
         .ok()
 }
 
--- a/daemon/src/relaying.rs
+++ b/daemon/src/relaying.rs
@@ -53,14 +53,14 @@
     let runtime = match runtime(settings.cores) {
         Ok(runtime) => runtime,
         Err(error) => {
-            log::error!(error:% = error; "the runtime cannot start");
+            log::error!(error:% = error; "cannot start the runtime");
             return ExitCode::FAILURE;
         }
     };
     match runtime.block_on(relay::run(settings)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
-            log::error!(error:% = report; "the instance cannot run");
+            log::error!(error:% = report; "cannot run the instance");
             ExitCode::FAILURE
         }
     }
