--- a/daemon/src/relay/config_sync.rs
+++ b/daemon/src/relay/config_sync.rs
@@ -21,27 +21,27 @@
 
 use super::{
     state::RelayState,
-    store_backoff::{pause, WATCH_POLL},
+    store_backoff::{pause, WATCH_CHECK_INTERVAL},
     store_view::Source,
     target_sync,
 };
 
 /// How long the store may take to begin its answer before peers are queried as well.
-const STORE_START: Duration = Duration::from_millis(150);
+const MAX_STORE_DELAY: Duration = Duration::from_millis(150);
 /// How long a watch may take to report a version that other instances have.
-const WATCH_LAG: Duration = Duration::from_millis(200);
+const MAX_WATCH_LAG: Duration = Duration::from_millis(200);
 /// The maximum size of a watch's answer without changes, in bytes.
-const EMPTY_ANSWER: u64 = 256;
+const MAX_EMPTY_ANSWER_BYTES: u64 = 256;
 /// If the store held a watch for at least this time, it had nothing to report when the watch began.
-const WATCH_HELD: Duration = Duration::from_millis(50);
+const MIN_HELD_TIME: Duration = Duration::from_millis(50);
 /// The maximum delay of the first bytes of a watch's answer.
-const ANSWER_DELAY: Duration = Duration::from_millis(300);
+const MAX_ANSWER_DELAY: Duration = Duration::from_millis(300);
 /// The interval at which a watch is checked for the beginning of its answer.
-const ANSWER_POLL: Duration = Duration::from_millis(100);
+const ANSWER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// The interval at which a transfer in progress is recorded.
-const TRANSFER_POLL: Duration = Duration::from_millis(200);
+const TRANSFER_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// The interval between two rounds of queries to peers.
-const PEER_ROUND: Duration = Duration::from_millis(300);
+const PEER_ROUND_INTERVAL: Duration = Duration::from_millis(300);
 /// The number of peers that are queried in one round.
 const PEERS_PER_ROUND: usize = 4;
 /// The timeout of a transfer of a configuration from a peer. A peer sends two at a time, and a
@@ -68,6 +68,7 @@
     /// Whether the store no longer has the history since the known revision, so that a list is
     /// needed.
     needs_list: bool,
+    /// Whether the store has not answered since a call to it failed.
     is_lost: bool,
 }
 
@@ -111,13 +112,13 @@
         if !self.is_outdated() {
             tokio::select! {
                 () = state.newer_config.notified() => {}
-                () = sleep(WATCH_POLL) => {}
+                () = sleep(WATCH_CHECK_INTERVAL) => {}
             }
             return;
         }
-        let previous = state.view.version();
+        let previous = state.view.config_version();
         match self.fetch().await {
-            Ok(_) if state.view.version() > previous || !self.is_outdated() => {
+            Ok(_) if state.view.config_version() > previous || !self.is_outdated() => {
                 self.backoff.answered()
             }
             // The newer version cannot be fetched yet.
@@ -131,13 +132,13 @@
         while !self.is_outdated() {
             tokio::select! {
                 () = self.state.newer_config.notified() => {}
-                () = sleep(WATCH_POLL) => {}
+                () = sleep(WATCH_CHECK_INTERVAL) => {}
             }
         }
     }
 
     fn is_outdated(&self) -> bool {
-        self.state.newest_config() > self.state.view.version()
+        self.state.newest_config() > self.state.view.config_version()
     }
 
     async fn watch(&mut self, since: u64) -> Result<Source, PlatformError> {
@@ -167,30 +168,33 @@
         started: Instant,
         answer_sent: &OnceLock<Instant>,
     ) -> Infallible {
-        let received = self.received.wait_until_above(EMPTY_ANSWER);
+        let received = self.received.wait_until_above(MAX_EMPTY_ANSWER_BYTES);
         let mut received = std::pin::pin!(received);
         // A process that was paused reads late what arrived during the pause. So the answer is
         // dated by the last check without an answer, ignoring checks that were themselves delayed
         // by a pause.
         let (mut last_empty, mut last_poll) = (started, Instant::now());
-        while timeout(ANSWER_POLL, received.as_mut()).await.is_err() {
+        while timeout(ANSWER_POLL_INTERVAL, received.as_mut())
+            .await
+            .is_err()
+        {
             let now = Instant::now();
-            if now.saturating_duration_since(last_poll) < ANSWER_POLL * 2 {
+            if now.saturating_duration_since(last_poll) < ANSWER_POLL_INTERVAL * 2 {
                 last_empty = now;
             }
             last_poll = now;
         }
-        let sent_at = last_empty.checked_sub(ANSWER_DELAY);
+        let sent_at = last_empty.checked_sub(MAX_ANSWER_DELAY);
         let sent_at = sent_at.map_or(started, |sent_at| sent_at.max(started));
         answer_sent.get_or_init(|| sent_at);
         let view = &self.state.view;
         let now = Instant::now();
-        if last_empty.saturating_duration_since(started) > WATCH_HELD {
+        if last_empty.saturating_duration_since(started) > MIN_HELD_TIME {
             // The store had nothing to report until it sent this answer.
             self.observe(Version(since), sent_at);
         }
-        let version = view.version();
-        view.freshness().record_transfer(version, now);
+        let version = view.config_version();
+        view.config_freshness().record_transfer(version, now);
         view.is_receiving.store(true, Relaxed);
         view.unreported_change.notify_one();
         loop {
@@ -199,8 +203,9 @@
             self.state
                 .watch_duty
                 .set_config_answer(Some(Instant::now()));
-            sleep(TRANSFER_POLL).await;
-            view.freshness().record_transfer(version, Instant::now());
+            sleep(TRANSFER_REPORT_INTERVAL).await;
+            view.config_freshness()
+                .record_transfer(version, Instant::now());
         }
     }
 
@@ -208,11 +213,11 @@
     /// send one.
     async fn wait_watch_lag(&self) {
         loop {
-            sleep(WATCH_LAG).await;
+            sleep(MAX_WATCH_LAG).await;
             if !self.is_outdated() {
                 continue;
             }
-            sleep(WATCH_LAG).await;
+            sleep(MAX_WATCH_LAG).await;
             if self.is_outdated() && self.received.bytes() == 0 {
                 return;
             }
@@ -259,7 +264,7 @@
             apply_value(self.state, &object.key, &object.value);
         }
         self.observe(listing.revision, started);
-        self.state.view.freshness().confirm_read(started);
+        self.state.view.config_freshness().confirm_read(started);
     }
 
     fn apply_changes(&self, changes: Changes, at: Instant) {
@@ -269,20 +274,23 @@
             }
         }
         self.observe(changes.revision, at);
-        self.state.view.freshness().confirm_read(Instant::now());
+        self.state
+            .view
+            .config_freshness()
+            .confirm_read(Instant::now());
     }
 
     fn apply_object(&self, object: &Object, started: Instant) {
         apply_value(self.state, &object.key, &object.value);
         self.observe(object.version, started);
-        self.state.view.freshness().confirm_read(started);
+        self.state.view.config_freshness().confirm_read(started);
     }
 
     /// Records that the current version is the newest one that can be read at this revision of the
     /// store.
     fn observe(&self, revision: Version, at: Instant) {
-        self.state.view.observe(Observation {
-            version: self.state.view.version(),
+        self.state.view.observe_config(Observation {
+            version: self.state.view.config_version(),
             revision: revision.0,
             at,
         });
@@ -327,12 +335,12 @@
     /// Queries peers until one has sent a configuration of at least this version, while the store
     /// has not begun to answer.
     async fn poll_peers(&self, version: u64) {
-        sleep(STORE_START).await;
+        sleep(MAX_STORE_DELAY).await;
         loop {
             if self.received.bytes() == 0 && self.query_peers(version).await {
                 return;
             }
-            sleep(PEER_ROUND).await;
+            sleep(PEER_ROUND_INTERVAL).await;
         }
     }
 
@@ -362,7 +370,7 @@
         log::info!(
             source = "store",
             wanted = version,
-            known = state.view.version(),
+            known = state.view.config_version(),
             error = error.map(|error| error.to_string()),
             received,
             took_ms = elapsed.as_millis() as u64;
@@ -382,7 +390,7 @@
     log::info!(
         source:% = peer,
         wanted = version,
-        known = state.view.version(),
+        known = state.view.config_version(),
         is_answered,
         received,
         took_ms = started.elapsed().as_millis() as u64;
@@ -394,7 +402,7 @@
     match decode::<Config>(&bytes) {
         Ok(config) => {
             state.view.record_contact(started);
-            state.view.apply(config, Source::Peer);
+            state.view.apply_config(config, Source::Peer);
         }
         Err(error) => {
             log::warn!(peer:% = peer, error:% = error; "cannot decode a peer's configuration");
@@ -418,7 +426,7 @@
         return;
     }
     match config::decode(value) {
-        Ok(config) => state.view.apply(config, Source::Store),
+        Ok(config) => state.view.apply_config(config, Source::Store),
         Err(error) => log::error!(error:% = error; "cannot decode the configuration"),
     }
 }
--- a/daemon/src/relay/datagrams.rs
+++ b/daemon/src/relay/datagrams.rs
@@ -58,7 +58,7 @@
             () = state.ending.cancelled() => return,
             _ = socket.readable() => {}
             () = state.placements_changed.notified(), if !placement_schedule.has_changes => placement_schedule.has_changes = true,
-            () = tokio::time::sleep_until(placement_schedule.due(state.sharers())) => {
+            () = tokio::time::sleep_until(placement_schedule.due(state.group_size())) => {
                 tokio::time::sleep(COALESCE_DELAY).await;
                 send_placements(&state, &socket, &mut placement_schedule).await;
                 send_prompt_locations(&state, &socket, &mut prompt_location_schedule).await;
@@ -113,7 +113,7 @@
     let view = &state.view;
     state.watch_duty.watchers().record(notice, now);
     if let Some(seen) = notice.observation(earliest_arrival) {
-        view.observe(seen);
+        view.observe_config(seen);
     }
     if let Some(seen) = notice.targets_observation(earliest_arrival) {
         view.observe_targets(seen);
@@ -121,9 +121,9 @@
     view.report_config(notice.config, now);
     view.targets_freshness().report(notice.revision, now);
     if notice.is_superseded {
-        view.freshness().record_transfer(notice.config, now);
+        view.config_freshness().record_transfer(notice.config, now);
     }
-    if state.newest_config() > state.view.version() {
+    if state.newest_config() > state.view.config_version() {
         state.newer_config.notify_one();
     }
     target_sync::request_sync(state);
@@ -136,8 +136,8 @@
 ) {
     let sequence = state.placement_sequence.fetch_add(1, Relaxed) + 1;
     let fleet = state.fleet.load_full();
-    let earliest_arrival = placement_schedule.record_sent(state.sharers(), Instant::now());
-    let placements = placements(state, fleet.origin, sequence, earliest_arrival);
+    let since = placement_schedule.record_sent(state.group_size(), Instant::now());
+    let placements = placements(state, fleet.origin, sequence, since);
     send(socket, &fleet.group, &Datagram::Streams(placements)).await;
 }
 
@@ -148,12 +148,12 @@
     prompt_location_schedule: &mut PromptLocationSchedule,
 ) {
     let fleet = state.fleet.load_full();
-    if !prompt_location_schedule.take_due(fleet.strangers.len(), Instant::now()) {
+    if !prompt_location_schedule.take_due(fleet.other_groups.len(), Instant::now()) {
         return;
     }
     let locations = state.view.targets().take_prompt_locations();
     if !locations.is_empty() {
-        send(socket, &fleet.strangers, &Datagram::Notes(locations)).await;
+        send(socket, &fleet.other_groups, &Datagram::Notes(locations)).await;
     }
 }
 
@@ -161,14 +161,14 @@
     state: &RelayState,
     origin: u64,
     sequence: u64,
-    earliest_arrival: Option<Instant>,
+    since: Option<Instant>,
 ) -> Placements {
     let now = Instant::now();
     let mut targets = state.view.targets();
-    if earliest_arrival.is_none() {
+    if since.is_none() {
         targets.sweep(now);
     }
-    let placements = targets.placements(origin, sequence, earliest_arrival, now);
+    let placements = targets.placements(origin, sequence, since, now);
     drop(targets);
     Placements {
         sends: state.retries().sends(now),
@@ -185,9 +185,9 @@
     let now = Instant::now();
     // The ages are read first: a configuration that becomes current meanwhile must not be reported
     // with the age of the previous one.
-    let freshness = state.view.freshness().clone();
+    let freshness = state.view.config_freshness().clone();
     let targets_age = state.view.targets_freshness().age(now);
-    let (revision, config) = (state.view.revision(), state.view.version());
+    let (revision, config) = (state.view.targets_revision(), state.view.config_version());
     let watchers_age = || state.watch_duty.watchers().age(revision, config, now);
     let Some(age) = state.watch_duty.age(now).or_else(watchers_age) else {
         return;
--- a/daemon/src/relay/fleet.rs
+++ b/daemon/src/relay/fleet.rs
@@ -26,11 +26,11 @@
     /// The number of instances that seem to be live, including this one.
     pub(super) size: usize,
     /// The addresses of all other live instances.
-    pub(super) others: Vec<SocketAddr>,
+    pub(super) live_peers: Vec<SocketAddr>,
     /// The addresses of the other instances that share engines with this one.
     pub(super) group: Vec<SocketAddr>,
     /// The addresses of the instances that share no engines with this one.
-    pub(super) strangers: Vec<SocketAddr>,
+    pub(super) other_groups: Vec<SocketAddr>,
     /// The addresses of the instances to which this one sends notices about the store.
     pub(super) recipients: Vec<SocketAddr>,
 }
@@ -48,9 +48,9 @@
     let fleet = Fleet {
         origin: gossip.origin().0,
         size: live.len() + 1,
-        others: live.iter().filter_map(|member| address(member)).collect(),
+        live_peers: live.iter().filter_map(|member| address(member)).collect(),
         group: addresses(&live, |name| subset.peers.contains(name)),
-        strangers: addresses(&live, |name| !subset.peers.contains(name)),
+        other_groups: addresses(&live, |name| !subset.peers.contains(name)),
         recipients: addresses(&live, |name| recipients.contains(&name)),
     };
     let is_chosen = tree.watchers().iter().any(|watcher| watcher.name == own);
--- a/daemon/src/relay/members.rs
+++ b/daemon/src/relay/members.rs
@@ -89,7 +89,7 @@
         let now = Instant::now();
         let messages = {
             let mut gossip = state.gossip();
-            gossip.raise_acting_revision(Revision(state.view.version()));
+            gossip.raise_acting_revision(Revision(state.view.config_version()));
             next_round = now + gossip.round_interval(now);
             gossip.tick(now)
         };
--- a/daemon/src/relay/relayed_stream.rs
+++ b/daemon/src/relay/relayed_stream.rs
@@ -33,6 +33,7 @@
     pub(super) current: Option<CurrentEngine>,
     /// Whether the engine that answered last resumed from a copy of the run's memory.
     pub(super) from_copy: bool,
+    /// Whether the last engine's stream has ended completely.
     is_complete: bool,
 }
 
@@ -191,7 +192,7 @@
                 self.wait_retry_spread().await;
             }
             is_retry = true;
-            let (lease, from) = match copy_holder {
+            let (lease, copy) = match copy_holder {
                 Some((lease, copy)) => (Some(lease), Some(copy)),
                 None => (self.request.lease_target(), None),
             };
@@ -201,7 +202,7 @@
                     is_temporary: true,
                 });
             };
-            let failed_attempt = match self.try_engine(lease, from).await {
+            let failed_attempt = match self.try_engine(lease, copy).await {
                 Ok(()) => return Ok(()),
                 Err(failed_attempt) => failed_attempt,
             };
@@ -235,10 +236,10 @@
     async fn try_engine(
         &mut self,
         mut lease: Lease,
-        from: Option<CopyLocation>,
+        copy: Option<CopyLocation>,
     ) -> Result<(), Box<FailedAttempt>> {
         let started = Instant::now();
-        let backup = match self.will_move(lease.key, from.as_ref()) {
+        let backup = match self.will_move(lease.key, copy.as_ref()) {
             true => None,
             false => self.choose_backup_engine(lease.key),
         };
@@ -248,8 +249,8 @@
             .view
             .targets()
             .reading(lease.key, started);
-        let result = self.send(&mut lease, backup, from.as_ref()).await;
-        let from_copy = from.is_some();
+        let result = self.send(&mut lease, backup, copy.as_ref()).await;
+        let from_copy = copy.is_some();
         let failed_attempt = |lease, failure| Err(Box::new(FailedAttempt { lease, failure }));
         let response = match result {
             Ok(response) => response,
@@ -308,10 +309,10 @@
         &self,
         lease: &mut Lease,
         backup: Option<TargetKey>,
-        from: Option<&CopyLocation>,
+        copy: Option<&CopyLocation>,
     ) -> Result<OpenResponse, AttemptFailure> {
         let address = |key| self.request.state.view.address_of(key);
-        let resume_from = from.and_then(|copy| match &copy.ordered {
+        let resume_from = copy.and_then(|copy| match &copy.ordered {
             Some(ordered) => Some(CopyName {
                 address: ordered.from,
                 handle: Some(&ordered.handle),
@@ -374,7 +375,7 @@
     /// engine, and both would take seconds. The wait is short compared to the time that a prompt
     /// takes to be read.
     async fn wait_retry_spread(&self) {
-        let max_wait = PlacementSchedule::retry_spread(self.request.state.sharers());
+        let max_wait = PlacementSchedule::retry_spread(self.request.state.group_size());
         let wait = rand::rng().random_range(Duration::ZERO..max_wait);
         tokio::time::sleep(wait).await;
     }
@@ -401,14 +402,14 @@
         self.request.select_backup(main)
     }
 
-    fn start_copy(&self, lease: &Lease, first: Option<TargetKey>) -> Option<RunCopy> {
+    fn start_copy(&self, lease: &Lease, backup_holder: Option<TargetKey>) -> Option<RunCopy> {
         let table = self.request.state.view.table();
         let engine = table
             .service(&self.request.requirements.service)?
             .engine
             .as_ref()?;
         if !engine.copies || !self.request.kind().may_repeat() {
-            return first.map(RunCopy::of_engine);
+            return backup_holder.map(RunCopy::of_engine);
         }
         let source = CopiedRun {
             request: self.request.caller_request.id.clone(),
@@ -416,7 +417,7 @@
             address: lease.address,
             requirements: self.request.requirements.clone(),
         };
-        Some(RunCopy::start(&self.request.state, source, first))
+        Some(RunCopy::start(&self.request.state, source, backup_holder))
     }
 
     /// Reads until there is a whole event to forward or the stream has ended.
--- a/daemon/src/relay/request.rs
+++ b/daemon/src/relay/request.rs
@@ -85,9 +85,9 @@
             request,
             status,
             why = reason.map(|reason| format!("{reason:?}")),
-            config = state.view.version(),
+            config = state.view.config_version(),
             newest_config = state.newest_config(),
-            targets_revision = state.view.revision(),
+            targets_revision = state.view.targets_revision(),
             store_lost = state.watch_duty.is_lost(),
             took_ms;
             "answered"
--- a/daemon/src/relay/rollouts.rs
+++ b/daemon/src/relay/rollouts.rs
@@ -186,7 +186,7 @@
     }
     let fleet = state.fleet.load_full();
     for stage in stages {
-        datagrams::send(socket, &fleet.others, &Datagram::Stage(stage.clone())).await;
+        datagrams::send(socket, &fleet.live_peers, &Datagram::Stage(stage.clone())).await;
         state.rollouts.record_stage(stage, Instant::now());
     }
 }
--- a/daemon/src/relay/routed_request.rs
+++ b/daemon/src/relay/routed_request.rs
@@ -354,7 +354,7 @@
             log::info!(
                 request = self.caller_request.id.as_str(),
                 stale:? = stale,
-                revision = self.state.view.revision();
+                revision = self.state.view.targets_revision();
                 "list of targets is outdated, no target chosen"
             );
             return None;
@@ -406,20 +406,20 @@
 
     /// Returns whether the budget of moves currently allows one.
     pub(super) fn may_move(&self) -> bool {
-        let instances = self.state.instances();
+        let instances = self.state.instance_count();
         let mut moves = self.state.moves();
         moves.allows(&self.requirements.service, instances, Instant::now())
     }
 
     /// Spends a move from the budget, and returns whether the budget allows it.
     pub(super) fn try_spend_move(&self) -> bool {
-        let instances = self.state.instances();
+        let instances = self.state.instance_count();
         let mut moves = self.state.moves();
         moves.try_spend(&self.requirements.service, instances, Instant::now())
     }
 
     fn try_spend_retry(&self) -> bool {
-        let instances = self.state.instances();
+        let instances = self.state.instance_count();
         let mut retries = self.state.retries();
         retries.try_spend(&self.requirements.service, instances, Instant::now())
     }
--- a/daemon/src/relay/run_copy.rs
+++ b/daemon/src/relay/run_copy.rs
@@ -74,9 +74,13 @@
     /// When engines of one data centre die, the copies that they hold are lost. If engines of
     /// another data centre die seconds later, runs there without a copy have to be read again. So a
     /// new copy of a run is ordered as soon as the previous one is lost.
-    pub(super) fn start(state: &Arc<RelayState>, run: CopiedRun, first: Option<TargetKey>) -> Self {
-        let first = first.map(CopyLocation::of_engine);
-        let location = Arc::new(Mutex::new(first));
+    pub(super) fn start(
+        state: &Arc<RelayState>,
+        run: CopiedRun,
+        backup_holder: Option<TargetKey>,
+    ) -> Self {
+        let backup_holder = backup_holder.map(CopyLocation::of_engine);
+        let location = Arc::new(Mutex::new(backup_holder));
         let cancellation = CancellationToken::new();
         let task = Arc::new(CopyTask {
             state: Arc::clone(state),
--- a/daemon/src/relay/start.rs
+++ b/daemon/src/relay/start.rs
@@ -196,13 +196,13 @@
     if std::mem::replace(previous, stale) == stale {
         return;
     }
-    let age = state.view.freshness().age(Instant::now());
+    let age = state.view.config_freshness().age(Instant::now());
     let targets_age = state.view.targets_freshness().age(Instant::now());
     log::warn!(
         stale = stale.map(|stale| format!("{stale:?}")),
-        targets_revision = state.view.revision(),
+        targets_revision = state.view.targets_revision(),
         targets_age_ms = targets_age.map(|age| age.as_millis() as u64),
-        config = state.view.version(),
+        config = state.view.config_version(),
         newest = state.newest_config(),
         age_ms = age.map(|age| age.as_millis() as u64);
         "staleness changed"
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -26,10 +26,10 @@
 /// The timeout of a call to the store, which normally answers within milliseconds.
 const STORE_TIMEOUT: Duration = Duration::from_millis(700);
 /// The timeout of a connection to the store.
-const STORE_CONNECT: Duration = Duration::from_millis(500);
+const STORE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The share of the store's rate limits that one instance may use. In steady state each instance
 /// makes a few calls per second, and a few instances may burst at once.
-const STORE_SHARE: f64 = 0.1;
+const STORE_RATE_SHARE: f64 = 0.1;
 /// The prefix of the names of metrics.
 const METRICS_PREFIX: &str = "celerypond";
 
@@ -96,11 +96,11 @@
     pub(super) fn new(settings: Settings, gossip: Gossip) -> Self {
         let store = celerypond_platform::Settings {
             addresses: vec![settings.store.address],
-            connect: STORE_CONNECT,
+            connect: STORE_CONNECT_TIMEOUT,
             timeout: STORE_TIMEOUT,
             rates: Rates {
-                reads: settings.store.reads_per_second * STORE_SHARE,
-                writes: settings.store.writes_per_second * STORE_SHARE,
+                reads: settings.store.reads_per_second * STORE_RATE_SHARE,
+                writes: settings.store.writes_per_second * STORE_RATE_SHARE,
                 burst: Duration::from_secs(1),
             },
         };
@@ -147,7 +147,7 @@
     /// Returns what is too old for requests to be served by it, if anything is.
     pub(super) fn stale(&self) -> Option<Outdated> {
         let limit = self.settings.load().bounds.stale_limit();
-        let stale = self.view.freshness().stale(limit, Instant::now());
+        let stale = self.view.config_freshness().stale(limit, Instant::now());
         let config = stale.map(Outdated::Config);
         config.or_else(|| self.stale_targets().map(Outdated::Targets))
     }
@@ -186,7 +186,7 @@
         let bounds = &self.settings.load().bounds;
         match outdated {
             Outdated::Config(stale) => {
-                let freshness = self.view.freshness();
+                let freshness = self.view.config_freshness();
                 wait.for_config(stale, freshness.current_at(bounds.stale_limit(), now), now)
             }
             Outdated::Targets(stale) => {
@@ -211,19 +211,19 @@
     }
 
     /// Returns the number of instances that seem to be live, including this one.
-    pub(super) fn instances(&self) -> usize {
+    pub(super) fn instance_count(&self) -> usize {
         self.fleet.load().size
     }
 
     /// Returns the number of instances that share engines, including this one.
-    pub(super) fn sharers(&self) -> usize {
+    pub(super) fn group_size(&self) -> usize {
         self.fleet.load().group.len() + 1
     }
 
     /// Returns the newest version of the configuration that this instance has heard of.
     pub(super) fn newest_config(&self) -> u64 {
-        let newest = self.view.freshness().newest(Instant::now());
-        newest.max(self.view.version())
+        let newest = self.view.config_freshness().newest(Instant::now());
+        newest.max(self.view.config_version())
     }
 
     pub(super) fn retries(&self) -> MutexGuard<'_, RetryBudget> {
@@ -237,24 +237,24 @@
 
     /// Renders counters, gauges and latencies as text.
     pub(super) fn render_metrics(&self) -> String {
-        let levels = [
-            (Gauge::ConfigVersion, self.view.version()),
+        let gauges = [
+            (Gauge::ConfigVersion, self.view.config_version()),
             (Gauge::ConfigNewest, self.newest_config()),
             (Gauge::RoutedTargets, self.view.targets().len() as u64),
             (Gauge::OpenRequests, self.open_requests.load(Relaxed)),
             (Gauge::Connections, self.caller_connections.len() as u64),
-            (Gauge::LiveInstances, self.instances() as u64),
+            (Gauge::LiveInstances, self.instance_count() as u64),
         ];
         if let Some(age) = self.watch_duty.age(Instant::now()) {
             let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
             self.metrics.set(Gauge::TargetsAge, age);
         }
-        if let Some(age) = self.view.freshness().age(Instant::now()) {
+        if let Some(age) = self.view.config_freshness().age(Instant::now()) {
             let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
             self.metrics.set(Gauge::ConfigAge, age);
         }
-        for (gauge, level) in levels {
-            self.metrics.set(gauge, level);
+        for (gauge, value) in gauges {
+            self.metrics.set(gauge, value);
         }
         let mut text = self.metrics.render();
         text.push_str(&self.latencies.render(METRICS_PREFIX));
--- a/daemon/src/relay/store_backoff.rs
+++ b/daemon/src/relay/store_backoff.rs
@@ -9,7 +9,7 @@
 use super::state::RelayState;
 
 /// The interval between two checks whether this instance has to watch the store.
-pub(super) const WATCH_POLL: Duration = Duration::from_millis(100);
+pub(super) const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The maximum `Retry-After` of the store that is honoured.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
--- a/daemon/src/relay/store_view.rs
+++ b/daemon/src/relay/store_view.rs
@@ -34,7 +34,7 @@
 /// The configuration and the targets as this instance knows them, and how recent they are.
 pub(super) struct StoreView {
     table: ArcSwap<RoutingTable>,
-    freshness: Mutex<Freshness>,
+    config_freshness: Mutex<Freshness>,
     /// How recent the list of targets is, by revisions of the store.
     targets_freshness: Mutex<Freshness>,
     /// Whether the store is sending this instance a newer configuration.
@@ -43,7 +43,7 @@
     has_config: AtomicBool,
     has_targets: AtomicBool,
     /// The store's revision up to which the targets are known.
-    revision: Mutex<u64>,
+    targets_revision: Mutex<u64>,
     /// Notifies waiting tasks that the view changed.
     changed: Notify,
     /// Notifies that there is a change that other instances have to be told about.
@@ -60,13 +60,13 @@
         targets.lateness = rand::rng().random();
         Self {
             table: ArcSwap::default(),
-            freshness: Mutex::new(Freshness::new(Instant::now())),
+            config_freshness: Mutex::new(Freshness::new(Instant::now())),
             targets_freshness: Mutex::new(Freshness::new(Instant::now())),
             is_receiving: AtomicBool::new(false),
             targets: Mutex::new(targets),
             has_config: AtomicBool::new(false),
             has_targets: AtomicBool::new(false),
-            revision: Mutex::default(),
+            targets_revision: Mutex::default(),
             changed: Notify::new(),
             unreported_change: Notify::new(),
             missing_entry_grace,
@@ -79,13 +79,13 @@
     }
 
     /// Returns the version of the current configuration.
-    pub(super) fn version(&self) -> u64 {
+    pub(super) fn config_version(&self) -> u64 {
         self.table.load().config().version
     }
 
     /// Returns how recent the current configuration is.
-    pub(super) fn freshness(&self) -> MutexGuard<'_, Freshness> {
-        self.freshness
+    pub(super) fn config_freshness(&self) -> MutexGuard<'_, Freshness> {
+        self.config_freshness
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
@@ -98,8 +98,8 @@
     }
 
     /// Records which configuration the store was seen to hold.
-    pub(super) fn observe(&self, observation: Observation) {
-        self.freshness().observe(observation);
+    pub(super) fn observe_config(&self, observation: Observation) {
+        self.config_freshness().observe(observation);
         self.changed.notify_waiters();
     }
 
@@ -119,25 +119,25 @@
 
     /// Records that another instance has this version of the configuration.
     pub(super) fn report_config(&self, version: u64, now: Instant) {
-        self.freshness().report(version, now);
+        self.config_freshness().report(version, now);
     }
 
     /// Records a contact with the store or another instance.
     pub(super) fn record_contact(&self, now: Instant) {
-        self.freshness().record_contact(now);
+        self.config_freshness().record_contact(now);
         self.targets_freshness().record_contact(now);
     }
 
     /// Sets whether there are other instances that have not announced that they leave.
     pub(super) fn set_has_peers(&self, has_peers: bool) {
-        self.freshness().set_has_peers(has_peers);
+        self.config_freshness().set_has_peers(has_peers);
         self.targets_freshness().set_has_peers(has_peers);
     }
 
     /// Returns a revision of the store at which the current configuration was the newest one, if
     /// such a revision is known.
     pub(super) fn config_revision(&self) -> Option<u64> {
-        self.freshness().revision()
+        self.config_freshness().revision()
     }
 
     /// Returns whether the configuration and the targets are known.
@@ -169,7 +169,7 @@
     }
 
     /// Returns the store's revision up to which the targets are known.
-    pub(super) fn revision(&self) -> u64 {
+    pub(super) fn targets_revision(&self) -> u64 {
         *self.lock_revision()
     }
 
@@ -182,7 +182,7 @@
     ///
     /// A store that serves stale reads, or a peer that lags, may send an older version. With it a
     /// removed key or route would become valid again, so the version never decreases here.
-    pub(super) fn apply(&self, config: Config, source: Source) {
+    pub(super) fn apply_config(&self, config: Config, source: Source) {
         let previous = self.table.load();
         let previous_version = previous.config().version;
         if self.has_config() && config.version <= previous_version {
@@ -190,7 +190,7 @@
         }
         let version = config.version;
         self.table.store(Arc::new(RoutingTable::new(config)));
-        self.freshness().set_current(version);
+        self.config_freshness().set_current(version);
         self.has_config.store(true, Relaxed);
         self.unreported_change.notify_one();
         log::info!(version, before = previous_version, source:? = source; "configuration in force");
@@ -205,15 +205,15 @@
         revision: u64,
         source: Source,
     ) -> bool {
-        let mut revision_guard = self.lock_revision();
+        let mut current_revision = self.lock_revision();
         let is_outdated = match source {
-            Source::Peer => revision <= *revision_guard,
-            _ => revision < *revision_guard,
+            Source::Peer => revision <= *current_revision,
+            _ => revision < *current_revision,
         };
         if self.has_targets() && is_outdated {
             return false;
         }
-        *revision_guard = revision;
+        *current_revision = revision;
         self.targets_freshness().set_current(revision);
         let now = Instant::now();
         let mut targets = self.targets();
@@ -225,7 +225,7 @@
         let changes = targets.replace_unverified(entries, now);
         targets.record_full_list(revision);
         drop(targets);
-        drop(revision_guard);
+        drop(current_revision);
         let is_first = !self.has_targets.swap(true, Relaxed);
         log::info!(revision, source:? = source, is_first, changed = changes.len(); "targets listed");
         // All targets are new to an instance that starts, and thousands of lines would delay it.
@@ -239,11 +239,11 @@
 
     /// Applies changes of targets up to a revision of the store, unless a later one is known.
     pub(super) fn apply_changes(&self, changes: &[(u64, Change)], revision: u64, source: Source) {
-        let mut revision_guard = self.lock_revision();
-        if revision <= *revision_guard {
+        let mut current_revision = self.lock_revision();
+        if revision <= *current_revision {
             return;
         }
-        *revision_guard = revision;
+        *current_revision = revision;
         self.targets_freshness().set_current(revision);
         let now = Instant::now();
         let mut targets = self.targets();
@@ -257,7 +257,7 @@
             }
         }
         drop(targets);
-        drop(revision_guard);
+        drop(current_revision);
         self.unreported_change.notify_one();
         self.changed.notify_waiters();
     }
@@ -298,7 +298,7 @@
         if !self.has_targets() {
             return None;
         }
-        let revision_guard = self.lock_revision();
+        let current_revision = self.lock_revision();
         let now = Instant::now();
         let age = self.targets_freshness().age(now);
         let age_ms = age.and_then(|age| u32::try_from(age.as_millis()).ok());
@@ -306,7 +306,7 @@
         Some(TargetUpdate {
             age_ms,
             observed: targets.unlisted_targets(now),
-            ..targets.update_since(since, *revision_guard)
+            ..targets.update_since(since, *current_revision)
         })
     }
 
@@ -317,7 +317,9 @@
     }
 
     fn lock_revision(&self) -> MutexGuard<'_, u64> {
-        self.revision.lock().unwrap_or_else(PoisonError::into_inner)
+        self.targets_revision
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Waits for the next change of the view.
--- a/daemon/src/relay/target_sync.rs
+++ b/daemon/src/relay/target_sync.rs
@@ -16,7 +16,7 @@
 /// The interval between two queries of peers while the store does not answer.
 const QUERY_INTERVAL: Duration = Duration::from_millis(300);
 /// How long the store may take to answer an instance that starts before peers are queried as well.
-const STORE_START: Duration = Duration::from_millis(150);
+const MAX_STORE_DELAY: Duration = Duration::from_millis(150);
 /// The timeout of a transfer of changes from a peer.
 const CHANGES_TIMEOUT: Duration = Duration::from_millis(400);
 /// The timeout of a transfer of all targets from a peer, a megabyte in a large fleet.
@@ -26,7 +26,7 @@
 
 /// Queries peers for targets until the instance ends, while none are known and the store does not answer.
 pub(super) async fn run(state: Arc<RelayState>) {
-    let started = Instant::now() + STORE_START;
+    let started = Instant::now() + MAX_STORE_DELAY;
     let mut interval = tokio::time::interval_at(started, QUERY_INTERVAL);
     loop {
         tokio::select! {
@@ -45,7 +45,9 @@
 /// lists of targets take up the links that the store's list needs.
 fn is_store_answering(state: &RelayState) -> bool {
     let wait = state.settings.load().bounds.watch_wait();
-    state.watch_duty.store_answers_within(wait + STORE_START)
+    state
+        .watch_duty
+        .store_answers_within(wait + MAX_STORE_DELAY)
 }
 
 async fn query_peers(state: &RelayState) {
@@ -67,7 +69,7 @@
 
 async fn sync(state: Arc<RelayState>) {
     for _ in 0..MAX_QUERIES {
-        let revision = state.view.revision();
+        let revision = state.view.targets_revision();
         let newer = state.watch_duty.watchers().newer(revision, Instant::now());
         let Some(notice) = newer else {
             break;
@@ -112,7 +114,7 @@
 pub(super) fn peers(state: &RelayState) -> Vec<SocketAddr> {
     let settings = state.settings.load();
     let own = members::address(&settings);
-    let mut peers = state.fleet.load().others.clone();
+    let mut peers = state.fleet.load().live_peers.clone();
     peers.shuffle(&mut rand::rng());
     for seed in &settings.seeds {
         let seed = SocketAddr::new(seed.0, own.port());
--- a/daemon/src/relay/target_watch.rs
+++ b/daemon/src/relay/target_watch.rs
@@ -11,7 +11,7 @@
 
 use super::{
     state::RelayState,
-    store_backoff::{pause, WATCH_POLL},
+    store_backoff::{pause, WATCH_CHECK_INTERVAL},
     store_view::Source,
 };
 
@@ -34,9 +34,10 @@
     since: Option<Version>,
     /// Whether the store no longer has the history since `since`, so that a list is needed.
     needs_list: bool,
+    /// Whether the store has not answered since a call to it failed.
     is_lost: bool,
     /// How long changes were collected after the last call.
-    coalesced: Duration,
+    coalesce_time: Duration,
     backoff: StoreBackoff,
 }
 
@@ -50,7 +51,7 @@
             since: None,
             needs_list: false,
             is_lost: false,
-            coalesced: Duration::ZERO,
+            coalesce_time: Duration::ZERO,
             backoff: StoreBackoff::default(),
         }
     }
@@ -62,7 +63,7 @@
             state.watch_duty.set_targets_answer(None);
             self.is_lost = false;
             state.watch_duty.set_lost(false);
-            sleep(WATCH_POLL).await;
+            sleep(WATCH_CHECK_INTERVAL).await;
             return;
         }
         let started = Instant::now();
@@ -79,7 +80,7 @@
     /// each began with a list, all would fetch at once what they already have.
     fn watch_start(&self) -> Option<Version> {
         let view = &self.state.view;
-        let cached = view.has_targets().then(|| Version(view.revision()));
+        let cached = view.has_targets().then(|| Version(view.targets_revision()));
         self.since.max(cached).filter(|_| !self.needs_list)
     }
 
@@ -96,7 +97,7 @@
         };
         // Other instances expect an answer of the store within this time.
         let wait = self.state.settings.load().bounds.watch_wait();
-        let wait = wait.saturating_sub(self.coalesced);
+        let wait = wait.saturating_sub(self.coalesce_time);
         let started = Instant::now();
         let changes = self.store.watch(store::TARGETS_PREFIX, since, wait).await;
         let changes = changes.map_err(|report| *report.current_context())?;
@@ -131,10 +132,10 @@
             state.watch_duty.set_lost(false);
             log::info!(kind = store::TARGETS_PREFIX, revision = revision.0; "store regained");
         }
-        self.coalesced = Watchers::notice_gap(state.fleet.load().recipients.len());
+        self.coalesce_time = Watchers::notice_gap(state.fleet.load().recipients.len());
         // The next call reports all changes of this time at once. When a data centre's engines
         // restart, each of a hundred changes would otherwise end a watch of its own.
-        sleep(self.coalesced).await;
+        sleep(self.coalesce_time).await;
     }
 
     async fn handle_failure(
