--- a/daemon/src/relay/order_store.rs
+++ b/daemon/src/relay/order_store.rs
@@ -12,7 +12,7 @@
 pub(super) struct StoredOrder {
     pub(super) key: SmolStr,
     /// The version of the order's object in the store.
-    pub(super) version: Version,
+    pub(super) object_version: Version,
     pub(super) order: Order,
     pub(super) stored_phase: Option<Phase>,
 }
@@ -22,16 +22,16 @@
     /// The key of the order.
     pub(super) key: SmolStr,
     /// The last known version of the order's object.
-    pub(super) known_version: Version,
+    pub(super) known_object_version: Version,
     /// The version that the order moves the service to.
-    pub(super) version_name: VersionName,
+    pub(super) target_version: VersionName,
     pub(super) phase: Phase,
 }
 
 /// The result of a write of an order's status.
 pub(super) struct StatusWrite {
     /// The version of the order's object in the store.
-    pub(super) version: Version,
+    pub(super) object_version: Version,
     /// The phase that the store has now, or `None` if that is not known.
     pub(super) stored_phase: Option<Phase>,
 }
@@ -63,7 +63,7 @@
             let stored_phase = stored_phase.filter(|(version, _)| *version == order.version);
             Some(StoredOrder {
                 key: object.key.clone(),
-                version: object.version,
+                object_version: object.version,
                 order,
                 stored_phase: stored_phase.map(|(_, phase)| phase),
             })
@@ -81,21 +81,25 @@
 /// and writes the same value again, which changes nothing.
 pub(super) async fn store_phase(state: &RelayState, status_update: &StatusUpdate) -> StatusWrite {
     let status_key = rollout::status_key(&status_update.key);
-    let value = rollout::encode_status(&status_update.version_name, status_update.phase);
+    let value = rollout::encode_status(&status_update.target_version, status_update.phase);
     match state
         .store
-        .update(&status_key, status_update.known_version, value.into())
+        .update(
+            &status_key,
+            status_update.known_object_version,
+            value.into(),
+        )
         .await
     {
-        Ok(version) => StatusWrite {
-            version,
+        Ok(object_version) => StatusWrite {
+            object_version,
             stored_phase: Some(status_update.phase),
         },
         Err(report) => {
             let error = *report.current_context();
             log::warn!(key = status_update.key.as_str(), phase:? = status_update.phase, error:% = error; "order not reported");
             StatusWrite {
-                version: current_version(state, status_update, error).await,
+                object_version: current_object_version(state, status_update, error).await,
                 stored_phase: None,
             }
         }
@@ -103,7 +107,7 @@
 }
 
 /// Returns the version of the order's object after a failed write.
-async fn current_version(
+async fn current_object_version(
     state: &RelayState,
     status_update: &StatusUpdate,
     error: PlatformError,
@@ -111,9 +115,9 @@
     match error {
         PlatformError::Conflict | PlatformError::Ambiguous => {
             let found = state.store.get(&status_update.key).await;
-            found.map_or(status_update.known_version, |object| object.version)
+            found.map_or(status_update.known_object_version, |object| object.version)
         }
-        _ => status_update.known_version,
+        _ => status_update.known_object_version,
     }
 }
 
--- a/daemon/src/relay/rollouts.rs
+++ b/daemon/src/relay/rollouts.rs
@@ -44,7 +44,7 @@
     rollout: Rollout,
     key: SmolStr,
     /// The version of the order's object in the store.
-    version: Version,
+    object_version: Version,
     /// The phase that the store is known to have for the order.
     stored_phase: Option<Phase>,
 }
@@ -53,8 +53,8 @@
     fn status_update(&self) -> StatusUpdate {
         StatusUpdate {
             key: self.key.clone(),
-            known_version: self.version,
-            version_name: self.rollout.order.version.clone(),
+            known_object_version: self.object_version,
+            target_version: self.rollout.order.version.clone(),
             phase: self.rollout.phase,
         }
     }
@@ -157,7 +157,7 @@
         let driven_order = DrivenOrder {
             rollout,
             key: found.key,
-            version: found.version,
+            object_version: found.object_version,
             stored_phase: found.stored_phase,
         };
         driven.insert(service, driven_order);
@@ -248,7 +248,7 @@
     for (service, status_update) in updates {
         let write = order_store::store_phase(state, &status_update).await;
         if let Some(driven) = lock(&state.rollouts.driven).get_mut(&service) {
-            driven.version = write.version;
+            driven.object_version = write.object_version;
             driven.stored_phase = write.stored_phase.or(driven.stored_phase);
         }
     }
--- a/daemon/src/relay/stop.rs
+++ b/daemon/src/relay/stop.rs
@@ -14,15 +14,15 @@
 /// may be completed within the grace period.
 pub(super) async fn run(state: &Arc<RelayState>) {
     let grace = state.settings.load().bounds.grace;
-    let stop = PlannedStop::new(Instant::now(), grace);
+    let planned_stop = PlannedStop::new(Instant::now(), grace);
     log::info!(grace_ms = grace.as_millis() as u64, open = state.caller_connections.len(); "stopping");
-    state.planned_stop.store(Some(Arc::new(stop)));
+    state.planned_stop.store(Some(Arc::new(planned_stop)));
     state.stopping.cancel();
     members::announce_leaving(state);
-    accept_until_closed(state, &stop).await;
+    accept_until_closed(state, &planned_stop).await;
     state.closed.cancel();
     state.caller_connections.close();
-    let is_done = timeout_at(stop.cutoff(), state.caller_connections.wait())
+    let is_done = timeout_at(planned_stop.cutoff(), state.caller_connections.wait())
         .await
         .is_ok();
     log::info!(is_done, open = state.caller_connections.len(); "stopped");
@@ -33,14 +33,14 @@
 /// Waits until no more callers are accepted. All are accepted at first, and then only as long as
 /// there are too few other instances and some connection is still open. An instance without open
 /// connections stops early, so that it restarts sooner.
-async fn accept_until_closed(state: &RelayState, stop: &PlannedStop) {
+async fn accept_until_closed(state: &RelayState, planned_stop: &PlannedStop) {
     let mut is_waiting_for_peers = false;
     loop {
         let now = Instant::now();
         let others = members::peer_counts(state);
         let has_work = !state.caller_connections.is_empty();
-        let is_needed = has_work && stop.accepts_callers(others, now);
-        let has_accept_time_ended = !stop.accepts_all(now);
+        let is_needed = has_work && planned_stop.accepts_callers(others, now);
+        let has_accept_time_ended = !planned_stop.accepts_all(now);
         if has_accept_time_ended && !is_needed {
             log::info!(live = others.live, leaving = others.leaving, has_work; "closed to callers");
             return;
--- a/daemon/src/relay/target_sync.rs
+++ b/daemon/src/relay/target_sync.rs
@@ -94,8 +94,8 @@
 /// Queries a peer for the changes of targets since a revision; returns whether it sent them.
 async fn query_changes(state: &RelayState, peer: SocketAddr, since: u64, limit: Duration) -> bool {
     let started = Instant::now();
-    let sent = timeout(limit, state.peers.changes(peer, since)).await;
-    let Some(bytes) = sent.ok().and_then(Result::ok).flatten() else {
+    let response = timeout(limit, state.peers.changes(peer, since)).await;
+    let Some(bytes) = response.ok().and_then(Result::ok).flatten() else {
         log::info!(peer:% = peer, since; "peer sent no changes of targets");
         return false;
     };
