--- a/daemon/src/relay/config_sync.rs
+++ b/daemon/src/relay/config_sync.rs
@@ -1,7 +1,7 @@
 //! Keeps the configuration current, from the store or from other instances.
 //!
-//! One task makes all transfers of an instance, one after the other: two of them share its link, and each is then as
-//! late as both together.
+//! A single task makes all transfers of an instance, one after the other. Two concurrent transfers
+//! would share the link, and each would be as late as both together.
 
 use std::{
     convert::Infallible,
@@ -21,30 +21,31 @@
 
 use super::{
     state::RelayState,
-    store_backoff::{pause, WATCH_POLL},
+    store_backoff::{pause, WATCH_CHECK_INTERVAL},
     store_view::Source,
     target_sync,
 };
 
 /// How long the store may take to begin its answer before peers are queried as well.
-const STORE_START: Duration = Duration::from_millis(150);
+const MAX_STORE_DELAY: Duration = Duration::from_millis(150);
 /// How long a watch may take to report a version that other instances have.
-const WATCH_LAG: Duration = Duration::from_millis(200);
-/// The largest answer of a watch without changes, in bytes.
-const EMPTY_ANSWER: u64 = 256;
-/// A watch that was held by the store for so long had nothing to report when it began.
-const WATCH_HELD: Duration = Duration::from_millis(50);
-/// How late the first bytes of a watch's answer may be.
-const ANSWER_DELAY: Duration = Duration::from_millis(300);
-/// How often it is checked that a watch has no answer yet.
-const ANSWER_POLL: Duration = Duration::from_millis(100);
-/// How often a transfer under way is reported.
-const TRANSFER_POLL: Duration = Duration::from_millis(200);
-/// The time between two rounds of queries of peers.
-const PEER_ROUND: Duration = Duration::from_millis(300);
-/// How many peers are queried in one round.
+const MAX_WATCH_LAG: Duration = Duration::from_millis(200);
+/// The maximum size of a watch's answer without changes, in bytes.
+const MAX_EMPTY_ANSWER_BYTES: u64 = 256;
+/// If the store held a watch for at least this time, it had nothing to report when the watch began.
+const MIN_HELD_TIME: Duration = Duration::from_millis(50);
+/// The maximum delay of the first bytes of a watch's answer.
+const MAX_ANSWER_DELAY: Duration = Duration::from_millis(300);
+/// The interval at which a watch is checked for the beginning of its answer.
+const ANSWER_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The interval at which a transfer in progress is recorded.
+const TRANSFER_REPORT_INTERVAL: Duration = Duration::from_millis(200);
+/// The interval between two rounds of queries to peers.
+const PEER_ROUND_INTERVAL: Duration = Duration::from_millis(300);
+/// The number of peers that are queried in one round.
 const PEERS_PER_ROUND: usize = 4;
-/// How long a peer may take to send a configuration. It sends two at a time, and one has a megabyte at most.
+/// The timeout of a transfer of a configuration from a peer. A peer sends two at a time, and a
+/// configuration has a megabyte at most.
 const PEER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Keeps the configuration current until the instance ends.
@@ -61,11 +62,13 @@
 struct ConfigSync<'a> {
     state: &'a RelayState,
     store: Client,
-    /// What has arrived of the store's answer to the call under way.
+    /// The bytes received of the store's answer to the current call.
     received: TransferProgress,
     backoff: StoreBackoff,
-    /// Whether the history since the known revision is gone, so that a list is needed.
+    /// Whether the store no longer has the history since the known revision, so that a list is
+    /// needed.
     needs_list: bool,
+    /// Whether the store has not answered since a call to it failed.
     is_lost: bool,
 }
 
@@ -99,50 +102,50 @@
         }
     }
 
-    /// Waits until a newer version is known of, and fetches it.
+    /// Waits until a newer version is known to exist, and fetches it.
     async fn sync_with_watchers(&mut self) {
         let state = self.state;
         state.watch_duty.set_config_answer(None);
         self.is_lost = false;
-        // Watchers report a revision to watch from whose history is kept.
+        // Watchers report a revision from which the store still has the history.
         self.needs_list = false;
         if !self.is_outdated() {
             tokio::select! {
                 () = state.newer_config.notified() => {}
-                () = sleep(WATCH_POLL) => {}
+                () = sleep(WATCH_CHECK_INTERVAL) => {}
             }
             return;
         }
-        let previous = state.view.version();
+        let previous = state.view.config_version();
         match self.fetch().await {
-            Ok(_) if state.view.version() > previous || !self.is_outdated() => {
+            Ok(_) if state.view.config_version() > previous || !self.is_outdated() => {
                 self.backoff.answered()
             }
-            // The version that is known of cannot be fetched yet.
+            // The newer version cannot be fetched yet.
             Ok(_) => sleep(*self.backoff.failed(false).start()).await,
             Err(error) => pause(state, error, self.backoff.failed(true)).await,
         }
     }
 
-    /// Waits until a newer version is known of.
+    /// Waits until a newer version is known to exist.
     async fn wait_outdated(&self) {
         while !self.is_outdated() {
             tokio::select! {
                 () = self.state.newer_config.notified() => {}
-                () = sleep(WATCH_POLL) => {}
+                () = sleep(WATCH_CHECK_INTERVAL) => {}
             }
         }
     }
 
     fn is_outdated(&self) -> bool {
-        self.state.newest_config() > self.state.view.version()
+        self.state.newest_config() > self.state.view.config_version()
     }
 
     async fn watch(&mut self, since: u64) -> Result<Source, PlatformError> {
         let wait = self.state.settings.load().bounds.watch_wait();
         let started = Instant::now();
         let answer_sent = OnceLock::new();
-        // What the call before has received must not be taken for the beginning of this answer.
+        // Bytes of the previous call must not be taken for the beginning of this answer.
         self.received.reset();
         let changes = tokio::select! {
             changes = self.store.watch(store::CONFIG_PREFIX, Version(since), wait) => changes,
@@ -151,63 +154,70 @@
         };
         self.state.view.is_receiving.store(false, Relaxed);
         let changes = changes.map_err(|report| *report.current_context())?;
-        // Without a change the store has held the watch for the whole wait.
+        // Without a change, the store held the watch for the whole wait.
         let held_until = (started + wait).min(Instant::now());
         self.apply_changes(changes, answer_sent.get().copied().unwrap_or(held_until));
         Ok(Source::Store)
     }
 
-    /// Reports to the others as soon as a watch begins to send a newer version, so that they fetch it meanwhile and not
-    /// after the transfer.
+    /// Reports to other instances as soon as a watch begins to send a newer version, so that they
+    /// fetch it at the same time and not after the transfer.
     async fn report_transfer(
         &self,
         since: u64,
         started: Instant,
         answer_sent: &OnceLock<Instant>,
     ) -> Infallible {
-        let received = self.received.wait_until_above(EMPTY_ANSWER);
+        let received = self.received.wait_until_above(MAX_EMPTY_ANSWER_BYTES);
         let mut received = std::pin::pin!(received);
-        // A process that was paused reads late what arrived meanwhile: the last moment without an answer counts, and
-        // none at which the process had just been held up.
+        // A process that was paused reads late what arrived during the pause. So the answer is
+        // dated by the last check without an answer, ignoring checks that were themselves delayed
+        // by a pause.
         let (mut last_empty, mut last_poll) = (started, Instant::now());
-        while timeout(ANSWER_POLL, received.as_mut()).await.is_err() {
+        while timeout(ANSWER_POLL_INTERVAL, received.as_mut())
+            .await
+            .is_err()
+        {
             let now = Instant::now();
-            if now.saturating_duration_since(last_poll) < ANSWER_POLL * 2 {
+            if now.saturating_duration_since(last_poll) < ANSWER_POLL_INTERVAL * 2 {
                 last_empty = now;
             }
             last_poll = now;
         }
-        let sent_at = last_empty.checked_sub(ANSWER_DELAY);
+        let sent_at = last_empty.checked_sub(MAX_ANSWER_DELAY);
         let sent_at = sent_at.map_or(started, |sent_at| sent_at.max(started));
         answer_sent.get_or_init(|| sent_at);
         let view = &self.state.view;
         let now = Instant::now();
-        if last_empty.saturating_duration_since(started) > WATCH_HELD {
-            // The store had nothing to report until it sent this.
+        if last_empty.saturating_duration_since(started) > MIN_HELD_TIME {
+            // The store had nothing to report until it sent this answer.
             self.observe(Version(since), sent_at);
         }
-        let version = view.version();
-        view.freshness().record_transfer(version, now);
+        let version = view.config_version();
+        view.config_freshness().record_transfer(version, now);
         view.is_receiving.store(true, Relaxed);
         view.unreported_change.notify_one();
         loop {
-            // The store answers all the while, so that the others need not watch for themselves.
+            // The store is answering during the transfer, so other instances do not need to watch
+            // it.
             self.state
                 .watch_duty
                 .set_config_answer(Some(Instant::now()));
-            sleep(TRANSFER_POLL).await;
-            view.freshness().record_transfer(version, Instant::now());
+            sleep(TRANSFER_REPORT_INTERVAL).await;
+            view.config_freshness()
+                .record_transfer(version, Instant::now());
         }
     }
 
-    /// Waits until a version is known of that the watch under way does not begin to send.
+    /// Waits until a newer version is known to exist although the current watch does not begin to
+    /// send one.
     async fn wait_watch_lag(&self) {
         loop {
-            sleep(WATCH_LAG).await;
+            sleep(MAX_WATCH_LAG).await;
             if !self.is_outdated() {
                 continue;
             }
-            sleep(WATCH_LAG).await;
+            sleep(MAX_WATCH_LAG).await;
             if self.is_outdated() && self.received.bytes() == 0 {
                 return;
             }
@@ -228,7 +238,8 @@
         Ok(Source::Store)
     }
 
-    /// Fetches the newest version that is known of, from the store or, where that does not send it, from a peer.
+    /// Fetches the newest known version from the store, or from a peer if the store does not send
+    /// it.
     async fn fetch(&mut self) -> Result<Source, PlatformError> {
         let newest = self.state.newest_config();
         let started = Instant::now();
@@ -253,7 +264,7 @@
             apply_value(self.state, &object.key, &object.value);
         }
         self.observe(listing.revision, started);
-        self.state.view.freshness().confirm_read(started);
+        self.state.view.config_freshness().confirm_read(started);
     }
 
     fn apply_changes(&self, changes: Changes, at: Instant) {
@@ -263,19 +274,23 @@
             }
         }
         self.observe(changes.revision, at);
-        self.state.view.freshness().confirm_read(Instant::now());
+        self.state
+            .view
+            .config_freshness()
+            .confirm_read(Instant::now());
     }
 
     fn apply_object(&self, object: &Object, started: Instant) {
         apply_value(self.state, &object.key, &object.value);
         self.observe(object.version, started);
-        self.state.view.freshness().confirm_read(started);
+        self.state.view.config_freshness().confirm_read(started);
     }
 
-    /// Records that the version in force is the newest one that can be read at this revision of the store.
+    /// Records that the current version is the newest one that can be read at this revision of the
+    /// store.
     fn observe(&self, revision: Version, at: Instant) {
-        self.state.view.observe(Observation {
-            version: self.state.view.version(),
+        self.state.view.observe_config(Observation {
+            version: self.state.view.config_version(),
             revision: revision.0,
             at,
         });
@@ -293,7 +308,8 @@
     }
 
     async fn handle_failure(&mut self, error: PlatformError) {
-        // The store answers; only its history is too short, and a list makes that good.
+        // The store is available, but it no longer has the history since this revision. A list
+        // replaces it.
         if error == PlatformError::Compacted {
             log::info!(kind = store::CONFIG_PREFIX; "history of a watch gone");
             self.needs_list = true;
@@ -316,20 +332,22 @@
         }
     }
 
-    /// Queries peers, unless the store begins to answer, until one has sent a configuration of at least this version.
+    /// Queries peers until one has sent a configuration of at least this version, while the store
+    /// has not begun to answer.
     async fn poll_peers(&self, version: u64) {
-        sleep(STORE_START).await;
+        sleep(MAX_STORE_DELAY).await;
         loop {
             if self.received.bytes() == 0 && self.query_peers(version).await {
                 return;
             }
-            sleep(PEER_ROUND).await;
+            sleep(PEER_ROUND_INTERVAL).await;
         }
     }
 
-    /// Queries a few peers; returns whether one sent a configuration of at least this version.
+    /// Queries a few peers and returns whether one sent a configuration of at least this version.
     ///
-    /// They are drawn at random: if all instances queried the watcher, its link would be full for seconds.
+    /// They are chosen at random. If all instances queried the watcher, its link would be saturated
+    /// for seconds.
     async fn query_peers(&self, version: u64) -> bool {
         let peers = target_sync::peers(self.state);
         for peer in peers.into_iter().take(PEERS_PER_ROUND) {
@@ -340,7 +358,7 @@
         false
     }
 
-    /// Counts a read of the store and writes its line.
+    /// Counts and logs a read from the store.
     fn record_fetch(&self, version: u64, error: Option<PlatformError>, started: Instant) {
         let state = self.state;
         let received = self.received.bytes();
@@ -352,7 +370,7 @@
         log::info!(
             source = "store",
             wanted = version,
-            known = state.view.version(),
+            known = state.view.config_version(),
             error = error.map(|error| error.to_string()),
             received,
             took_ms = elapsed.as_millis() as u64;
@@ -361,7 +379,7 @@
     }
 }
 
-/// Queries a peer for a configuration of at least this version; returns whether it sent one.
+/// Queries a peer for a configuration of at least this version and returns whether it sent one.
 async fn query_peer(state: &RelayState, peer: SocketAddr, version: u64) -> bool {
     let started = Instant::now();
     let response = timeout(
@@ -376,7 +394,7 @@
     log::info!(
         source:% = peer,
         wanted = version,
-        known = state.view.version(),
+        known = state.view.config_version(),
         is_answered,
         received,
         took_ms = started.elapsed().as_millis() as u64;
@@ -388,10 +406,10 @@
     match decode::<Config>(&bytes) {
         Ok(config) => {
             state.view.record_contact(started);
-            state.view.apply(config, Source::Peer);
+            state.view.apply_config(config, Source::Peer);
         }
         Err(error) => {
-            log::warn!(peer:% = peer, error:% = error; "a peer's configuration cannot be read");
+            log::warn!(peer:% = peer, error:% = error; "cannot decode a peer's configuration");
             return false;
         }
     }
@@ -412,7 +430,7 @@
         return;
     }
     match config::decode(value) {
-        Ok(config) => state.view.apply(config, Source::Store),
-        Err(error) => log::error!(error:% = error; "the configuration cannot be read"),
+        Ok(config) => state.view.apply_config(config, Source::Store),
+        Err(error) => log::error!(error:% = error; "cannot decode the configuration"),
     }
 }
--- a/daemon/src/relay/datagrams.rs
+++ b/daemon/src/relay/datagrams.rs
@@ -1,5 +1,4 @@
-//! Tells other instances where the streams of this one run and what is new in the store, and hears
-//! of theirs.
+//! Exchanges datagrams with other instances: where streams run, and what is new in the store.
 
 use std::{
     net::SocketAddr,
@@ -17,33 +16,33 @@
 
 use super::{fleet, inbox::Inbox, state::RelayState, target_sync};
 
-/// How long changes are gathered before a list is sent. Streams begin and end in groups when
+/// How long changes are collected before a list is sent. Streams begin and end in groups when
 /// engines are lost.
 const COALESCE_DELAY: Duration = Duration::from_micros(200);
-/// The largest datagram that is read.
+/// The maximum size of a datagram.
 const MAX_DATAGRAM_BYTES: usize = 16 << 10;
-/// How many datagrams are read before anything else has its turn.
+/// The number of datagrams that are read before other events are handled.
 const MAX_BATCH: usize = 256;
 
-/// The time between two notices of an instance that watches the store.
+/// The interval between two notices of an instance that watches the store.
 const NOTICE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What instances tell each other by datagram; what is lost is told again.
+/// The datagrams between instances. What is lost is sent again with a later one.
 #[derive(Serialize, Deserialize)]
 pub(super) enum Datagram {
     /// Where streams run.
     Streams(Placements),
     /// Where prompts were sent.
     Notes(Vec<PromptLocation>),
-    /// What is known of the store.
+    /// The state of the store that an instance knows.
     Notice(Notice),
-    /// How far an order to move a service has come.
+    /// The stage of an order to move a service to another version.
     Stage(Stage),
-    /// What was seen of such an order.
+    /// Evidence about the versions of such an order.
     Report(ServiceName, EvidenceReport),
 }
 
-/// Sends and hears lists until the instance ends.
+/// Sends and receives datagrams until the instance ends.
 pub(super) async fn run(state: Arc<RelayState>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut placement_schedule = PlacementSchedule::new(Instant::now());
@@ -59,7 +58,7 @@
             () = state.ending.cancelled() => return,
             _ = socket.readable() => {}
             () = state.placements_changed.notified(), if !placement_schedule.has_changes => placement_schedule.has_changes = true,
-            () = tokio::time::sleep_until(placement_schedule.due(state.sharers())) => {
+            () = tokio::time::sleep_until(placement_schedule.due(state.group_size())) => {
                 tokio::time::sleep(COALESCE_DELAY).await;
                 send_placements(&state, &socket, &mut placement_schedule).await;
                 send_prompt_locations(&state, &socket, &mut prompt_location_schedule).await;
@@ -78,7 +77,7 @@
     }
 }
 
-/// Receives what has arrived.
+/// Receives the datagrams that have arrived.
 fn receive_datagrams(state: &Arc<RelayState>, inbox: &mut Inbox, buffer: &mut [u8]) {
     for _ in 0..MAX_BATCH {
         let Some((len, earliest_arrival)) = inbox.next(buffer) else {
@@ -105,7 +104,7 @@
         Ok(Datagram::Notice(notice)) => receive_notice(state, notice, earliest_arrival),
         Ok(Datagram::Stage(stage)) => state.rollouts.record_stage(stage, earliest_arrival),
         Ok(Datagram::Report(service, report)) => state.rollouts.record_report(&service, report),
-        Err(error) => log::warn!(error:% = error; "a datagram of a peer cannot be read"),
+        Err(error) => log::warn!(error:% = error; "cannot decode a peer's datagram"),
     }
 }
 
@@ -114,7 +113,7 @@
     let view = &state.view;
     state.watch_duty.watchers().record(notice, now);
     if let Some(seen) = notice.observation(earliest_arrival) {
-        view.observe(seen);
+        view.observe_config(seen);
     }
     if let Some(seen) = notice.targets_observation(earliest_arrival) {
         view.observe_targets(seen);
@@ -122,9 +121,9 @@
     view.report_config(notice.config, now);
     view.targets_freshness().report(notice.revision, now);
     if notice.is_superseded {
-        view.freshness().record_transfer(notice.config, now);
+        view.config_freshness().record_transfer(notice.config, now);
     }
-    if state.newest_config() > state.view.version() {
+    if state.newest_config() > state.view.config_version() {
         state.newer_config.notify_one();
     }
     target_sync::request_sync(state);
@@ -137,24 +136,24 @@
 ) {
     let sequence = state.placement_sequence.fetch_add(1, Relaxed) + 1;
     let fleet = state.fleet.load_full();
-    let earliest_arrival = placement_schedule.record_sent(state.sharers(), Instant::now());
-    let placements = placements(state, fleet.origin, sequence, earliest_arrival);
+    let since = placement_schedule.record_sent(state.group_size(), Instant::now());
+    let placements = placements(state, fleet.origin, sequence, since);
     send(socket, &fleet.group, &Datagram::Streams(placements)).await;
 }
 
-/// Tells those of other groups where prompts were sent.
+/// Sends the locations of prompts to instances of other groups.
 async fn send_prompt_locations(
     state: &RelayState,
     socket: &UdpSocket,
     prompt_location_schedule: &mut PromptLocationSchedule,
 ) {
     let fleet = state.fleet.load_full();
-    if !prompt_location_schedule.take_due(fleet.strangers.len(), Instant::now()) {
+    if !prompt_location_schedule.take_due(fleet.other_groups.len(), Instant::now()) {
         return;
     }
     let locations = state.view.targets().take_prompt_locations();
     if !locations.is_empty() {
-        send(socket, &fleet.strangers, &Datagram::Notes(locations)).await;
+        send(socket, &fleet.other_groups, &Datagram::Notes(locations)).await;
     }
 }
 
@@ -162,14 +161,14 @@
     state: &RelayState,
     origin: u64,
     sequence: u64,
-    earliest_arrival: Option<Instant>,
+    since: Option<Instant>,
 ) -> Placements {
     let now = Instant::now();
     let mut targets = state.view.targets();
-    if earliest_arrival.is_none() {
+    if since.is_none() {
         targets.sweep(now);
     }
-    let placements = targets.placements(origin, sequence, earliest_arrival, now);
+    let placements = targets.placements(origin, sequence, since, now);
     drop(targets);
     Placements {
         sends: state.retries().sends(now),
@@ -177,17 +176,18 @@
     }
 }
 
-/// Says what is known of the store, if others are to hear it of this instance.
+/// Sends what is known of the store to the recipients of this instance, if there are any.
 async fn send_notice(state: &RelayState, socket: &UdpSocket) {
     let fleet = state.fleet.load_full();
     if fleet.recipients.is_empty() {
         return;
     }
     let now = Instant::now();
-    // What comes in force meanwhile must not be reported with the age of what was in force before, so ages go first.
-    let freshness = state.view.freshness().clone();
+    // The ages are read first: a configuration that becomes current meanwhile must not be reported
+    // with the age of the previous one.
+    let freshness = state.view.config_freshness().clone();
     let targets_age = state.view.targets_freshness().age(now);
-    let (revision, config) = (state.view.revision(), state.view.version());
+    let (revision, config) = (state.view.targets_revision(), state.view.config_version());
     let watchers_age = || state.watch_duty.watchers().age(revision, config, now);
     let Some(age) = state.watch_duty.age(now).or_else(watchers_age) else {
         return;
@@ -209,7 +209,8 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// What cannot be sent is left out: the next datagram says the same and more.
+/// Sends a datagram. One that cannot be sent is dropped, since the next one has the same
+/// information and more.
 pub(super) async fn send(socket: &UdpSocket, peers: &[SocketAddr], datagram: &Datagram) {
     match bincode::serialize(datagram) {
         Ok(bytes) if bytes.len() <= MAX_DATAGRAM_BYTES => {
@@ -217,7 +218,7 @@
                 let _ = socket.send_to(&bytes, peer).await;
             }
         }
-        Ok(bytes) => log::warn!(len = bytes.len(); "a datagram is too long"),
-        Err(error) => log::error!(error:% = error; "a datagram cannot be written"),
+        Ok(bytes) => log::warn!(len = bytes.len(); "datagram exceeds the maximum size"),
+        Err(error) => log::error!(error:% = error; "cannot encode a datagram"),
     }
 }
--- a/daemon/src/relay/held_prompts.rs
+++ b/daemon/src/relay/held_prompts.rs
@@ -1,4 +1,4 @@
-//! Which prompt parts engines hold.
+//! Queries engines for the prompt parts that they hold.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,10 +9,10 @@
 
 use super::{engine_calls, state::RelayState};
 
-/// How long an engine may take to tell what it holds. It takes a step or two.
+/// The timeout of a query, which an engine answers within one or two of its steps.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Asks an engine which prompt parts it holds.
+/// Queries an engine for the prompt parts that it holds, and records them.
 pub(super) async fn query(state: Arc<RelayState>, key: TargetKey) {
     let (Some(address), Ok(path)) = (state.view.address_of(key), engine::HELD_PARTS_PATH.parse())
     else {
@@ -28,7 +28,7 @@
     )
     .await;
     let Some(answer) = answer.filter(|answer| answer.status == StatusCode::OK) else {
-        log::info!(address:% = address; "an engine does not tell what it holds");
+        log::info!(address:% = address; "engine did not report the prompt parts that it holds");
         return;
     };
     match engine::decode_held_parts(&answer.body) {
@@ -37,7 +37,7 @@
             targets.record_held_parts(key, &parts, Instant::now());
         }
         Err(error) => {
-            log::warn!(address:% = address, error:% = error; "what an engine holds cannot be read");
+            log::warn!(address:% = address, error:% = error; "cannot decode the prompt parts that an engine holds");
         }
     }
 }
--- a/daemon/src/relay/rollouts.rs
+++ b/daemon/src/relay/rollouts.rs
@@ -1,4 +1,5 @@
-//! Orders to move a service to another version: one instance drives them, all act on them.
+//! Orders to move a service to another version. One instance drives them, and all instances act on
+//! them.
 
 use std::{
     collections::HashMap,
@@ -21,20 +22,21 @@
     state::RelayState,
 };
 
-/// The time between two stages that the driver tells, and between two reports of the others. A bad
-/// version must be found out and left within seconds.
+/// The interval at which the driver sends stages and the other instances send reports. A bad
+/// version must be detected and rolled back within seconds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(250);
-/// The time between two looks for orders; they may run for ten seconds in all.
+/// The interval at which the store is read for orders, which may take ten seconds in all.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// How long all requests go to a version before it is said to be good. The targets of the others stop at
-/// that word, and what is still under way there is lost; calls take some 60 ms.
+/// How long all requests are sent to a version before the order is reported as complete. That
+/// report stops the targets of the old version, and requests that still run there are lost; calls
+/// take about 60 ms.
 const SETTLE_DELAY: Duration = Duration::from_millis(300);
 
-/// This instance's side in rollouts.
+/// This instance's part in rollouts.
 #[derive(Default)]
 pub(super) struct Rollouts {
     versions: Mutex<VersionRouting>,
-    /// The orders that this instance drives; empty while it drives none.
+    /// The orders that this instance drives; empty if another instance is the driver.
     driven: Mutex<HashMap<ServiceName, DrivenOrder>>,
 }
 
@@ -42,8 +44,8 @@
     rollout: Rollout,
     key: SmolStr,
     /// The version of the order's object in the store.
-    version: Version,
-    /// What the store is known to say of it.
+    object_version: Version,
+    /// The phase that the store is known to have for the order.
     stored_phase: Option<Phase>,
 }
 
@@ -51,25 +53,25 @@
     fn status_update(&self) -> StatusUpdate {
         StatusUpdate {
             key: self.key.clone(),
-            known_version: self.version,
-            version_name: self.rollout.order.version.clone(),
+            known_object_version: self.object_version,
+            target_version: self.rollout.order.version.clone(),
             phase: self.rollout.phase,
         }
     }
 }
 
 impl Rollouts {
-    /// Returns which versions take requests.
+    /// Returns which versions requests are sent to.
     pub(super) fn versions(&self) -> MutexGuard<'_, VersionRouting> {
         lock(&self.versions)
     }
 
-    /// Takes in how far an order had come at a moment, from the instance that drives it.
+    /// Records the stage that the driver sent at a moment.
     pub(super) fn record_stage(&self, stage: Stage, at: Instant) {
         self.versions().update(stage, at);
     }
 
-    /// Takes in what another instance saw, if this one drives the order.
+    /// Adds the evidence of another instance, if this one drives the order.
     pub(super) fn record_report(&self, service: &ServiceName, report: EvidenceReport) {
         let mut driven = lock(&self.driven);
         let rollout = driven.get_mut(service).map(|driven| &mut driven.rollout);
@@ -90,7 +92,7 @@
     }
 }
 
-/// Drives orders while it is this instance's turn, and reports to the one that does otherwise.
+/// Drives the orders if this instance is the driver, and otherwise sends reports to the driver.
 pub(super) async fn run(state: Arc<RelayState>, socket: Arc<UdpSocket>) {
     let mut round = tokio::time::interval(ROUND_INTERVAL);
     let mut last_poll: Option<Instant> = None;
@@ -135,7 +137,7 @@
         if driven.get(&service).is_some_and(is_same) {
             continue;
         }
-        // The instance that drove the order before told how long it runs.
+        // The previous driver has reported how long the order has been running.
         let known_stage = stages.iter().find(|stage| stage.order == found.order);
         let age = known_stage.map_or(0, |stage| stage.age_ms);
         let mut rollout = Rollout::new(found.order, Duration::from_millis(age.into()), now);
@@ -155,14 +157,14 @@
         let driven_order = DrivenOrder {
             rollout,
             key: found.key,
-            version: found.version,
+            object_version: found.object_version,
             stored_phase: found.stored_phase,
         };
         driven.insert(service, driven_order);
     }
 }
 
-/// Decides about all orders, tells the others, and then the store.
+/// Decides on all orders, then reports to the other instances and to the store.
 async fn drive(state: &RelayState, socket: &UdpSocket) {
     let reports = state.rollouts.versions().reports(state.fleet.load().origin);
     for (service, report) in reports {
@@ -176,7 +178,7 @@
     store_phases(state).await;
 }
 
-/// Tells all instances, this one included, how far the orders have come.
+/// Sends the stages of the orders to all instances, including this one.
 async fn send_stages(state: &RelayState, socket: &UdpSocket) {
     let stages = state.rollouts.stages();
     if stages.is_empty() {
@@ -184,12 +186,12 @@
     }
     let fleet = state.fleet.load_full();
     for stage in stages {
-        datagrams::send(socket, &fleet.others, &Datagram::Stage(stage.clone())).await;
+        datagrams::send(socket, &fleet.live_peers, &Datagram::Stage(stage.clone())).await;
         state.rollouts.record_stage(stage, Instant::now());
     }
 }
 
-/// Decides how far each order has come; returns whether a version was found good.
+/// Updates the phase of each order. Returns whether a version was found good.
 fn advance_phases(state: &RelayState) -> bool {
     let bounds = state.settings.load().bounds;
     let mut has_any_completed = false;
@@ -232,7 +234,7 @@
     }
 }
 
-/// Says in the store how far each order has come, where the store does not say so yet.
+/// Writes the phase of each order to the store, where it differs from the stored one.
 async fn store_phases(state: &RelayState) {
     let updates: Vec<(ServiceName, StatusUpdate)> = {
         let driven = lock(&state.rollouts.driven);
@@ -246,7 +248,7 @@
     for (service, status_update) in updates {
         let write = order_store::store_phase(state, &status_update).await;
         if let Some(driven) = lock(&state.rollouts.driven).get_mut(&service) {
-            driven.version = write.version;
+            driven.object_version = write.object_version;
             driven.stored_phase = write.stored_phase.or(driven.stored_phase);
         }
     }
--- a/daemon/src/relay/store_view.rs
+++ b/daemon/src/relay/store_view.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of the store, from the store itself or from its peers.
+//! The view that an instance has of the store's data, from the store itself or from its peers.
 
 use std::{
     net::SocketAddr,
@@ -20,21 +20,21 @@
     time::Instant,
 };
 
-/// Where something was heard.
+/// Where data of the store came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
-    /// The store told it.
+    /// The store itself.
     Store,
-    /// The store told it, and had not answered for a while before.
+    /// The store, which had not answered for a while before.
     StoreRegained,
-    /// Another instance told it.
+    /// Another instance.
     Peer,
 }
 
-/// What an instance knows of the store.
+/// The configuration and the targets as this instance knows them, and how recent they are.
 pub(super) struct StoreView {
     table: ArcSwap<RoutingTable>,
-    freshness: Mutex<Freshness>,
+    config_freshness: Mutex<Freshness>,
     /// How recent the list of targets is, by revisions of the store.
     targets_freshness: Mutex<Freshness>,
     /// Whether the store is sending this instance a newer configuration.
@@ -43,48 +43,49 @@
     has_config: AtomicBool,
     has_targets: AtomicBool,
     /// The store's revision up to which the targets are known.
-    revision: Mutex<u64>,
-    /// Tells that something is known that was not before.
+    targets_revision: Mutex<u64>,
+    /// Notifies waiting tasks that the view changed.
     changed: Notify,
-    /// Tells that other instances have to be told of something new.
+    /// Notifies that there is a change that other instances have to be told about.
     pub(super) unreported_change: Notify,
-    /// How long entries may be missing after the store's return.
+    /// How long entries may be missing after the store has returned.
     missing_entry_grace: Duration,
 }
 
 impl StoreView {
-    /// Knows nothing; entries may be missing for so long after the store's return.
+    /// Creates an empty view. Entries may be missing for `missing_entry_grace` after the store has
+    /// returned.
     pub(super) fn new(missing_entry_grace: Duration) -> Self {
         let mut targets = Targets::default();
         targets.lateness = rand::rng().random();
         Self {
             table: ArcSwap::default(),
-            freshness: Mutex::new(Freshness::new(Instant::now())),
+            config_freshness: Mutex::new(Freshness::new(Instant::now())),
             targets_freshness: Mutex::new(Freshness::new(Instant::now())),
             is_receiving: AtomicBool::new(false),
             targets: Mutex::new(targets),
             has_config: AtomicBool::new(false),
             has_targets: AtomicBool::new(false),
-            revision: Mutex::default(),
+            targets_revision: Mutex::default(),
             changed: Notify::new(),
             unreported_change: Notify::new(),
             missing_entry_grace,
         }
     }
 
-    /// Returns the configuration in force.
+    /// Returns the current configuration.
     pub(super) fn table(&self) -> arc_swap::Guard<Arc<RoutingTable>> {
         self.table.load()
     }
 
-    /// Returns the version of the configuration in force.
-    pub(super) fn version(&self) -> u64 {
+    /// Returns the version of the current configuration.
+    pub(super) fn config_version(&self) -> u64 {
         self.table.load().config().version
     }
 
-    /// Returns how recent the configuration in force is.
-    pub(super) fn freshness(&self) -> MutexGuard<'_, Freshness> {
-        self.freshness
+    /// Returns how recent the current configuration is.
+    pub(super) fn config_freshness(&self) -> MutexGuard<'_, Freshness> {
+        self.config_freshness
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
@@ -97,8 +98,8 @@
     }
 
     /// Records which configuration the store was seen to hold.
-    pub(super) fn observe(&self, observation: Observation) {
-        self.freshness().observe(observation);
+    pub(super) fn observe_config(&self, observation: Observation) {
+        self.config_freshness().observe(observation);
         self.changed.notify_waiters();
     }
 
@@ -118,27 +119,28 @@
 
     /// Records that another instance has this version of the configuration.
     pub(super) fn report_config(&self, version: u64, now: Instant) {
-        self.freshness().report(version, now);
+        self.config_freshness().report(version, now);
     }
 
     /// Records a contact with the store or another instance.
     pub(super) fn record_contact(&self, now: Instant) {
-        self.freshness().record_contact(now);
+        self.config_freshness().record_contact(now);
         self.targets_freshness().record_contact(now);
     }
 
-    /// Sets whether there are other instances that have not announced their leaving.
+    /// Sets whether there are other instances that have not announced that they leave.
     pub(super) fn set_has_peers(&self, has_peers: bool) {
-        self.freshness().set_has_peers(has_peers);
+        self.config_freshness().set_has_peers(has_peers);
         self.targets_freshness().set_has_peers(has_peers);
     }
 
-    /// Returns a revision of the store at which the configuration in force was the newest one, if that is known.
+    /// Returns a revision of the store at which the current configuration was the newest one, if
+    /// such a revision is known.
     pub(super) fn config_revision(&self) -> Option<u64> {
-        self.freshness().revision()
+        self.config_freshness().revision()
     }
 
-    /// Returns whether configuration and targets are known.
+    /// Returns whether the configuration and the targets are known.
     pub(super) fn is_complete(&self) -> bool {
         self.has_config() && self.has_targets()
     }
@@ -147,13 +149,13 @@
         self.targets.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns where a target listens; nothing when it is gone.
+    /// Returns the address of a target, or `None` if it is gone.
     pub(super) fn address_of(&self, key: TargetKey) -> Option<SocketAddr> {
         let targets = self.targets();
         targets.get(key).map(|target| target.entry.address)
     }
 
-    /// Returns the data centre of a target; nothing when it is gone.
+    /// Returns the data centre of a target, or `None` if it is gone.
     pub(super) fn data_centre_of(&self, key: TargetKey) -> Option<DataCentre> {
         let targets = self.targets();
         targets
@@ -167,7 +169,7 @@
     }
 
     /// Returns the store's revision up to which the targets are known.
-    pub(super) fn revision(&self) -> u64 {
+    pub(super) fn targets_revision(&self) -> u64 {
         *self.lock_revision()
     }
 
@@ -176,11 +178,11 @@
         self.has_targets.load(Relaxed)
     }
 
-    /// Puts a configuration in force, unless one of its version or a later one is.
+    /// Makes a configuration current, unless the current one has the same or a later version.
     ///
-    /// The failure: a store that answers from the past, or a peer that is behind, tells of an older
-    /// version. A caller would see a removed key or route come back. Versions only rise here.
-    pub(super) fn apply(&self, config: Config, source: Source) {
+    /// A store that serves stale reads, or a peer that lags, may send an older version. With it a
+    /// removed key or route would become valid again, so the version never decreases here.
+    pub(super) fn apply_config(&self, config: Config, source: Source) {
         let previous = self.table.load();
         let previous_version = previous.config().version;
         if self.has_config() && config.version <= previous_version {
@@ -188,43 +190,45 @@
         }
         let version = config.version;
         self.table.store(Arc::new(RoutingTable::new(config)));
-        self.freshness().set_current(version);
+        self.config_freshness().set_current(version);
         self.has_config.store(true, Relaxed);
         self.unreported_change.notify_one();
         log::info!(version, before = previous_version, source:? = source; "configuration in force");
         self.changed.notify_waiters();
     }
 
-    /// Takes in a whole list of targets of the store's revision, unless a later one is known; returns whether it did.
+    /// Replaces the whole list of targets by that of the store's revision, unless a later one is
+    /// known. Returns whether it did.
     pub(super) fn replace_targets(
         &self,
         entries: Vec<TargetEntry>,
         revision: u64,
         source: Source,
     ) -> bool {
-        let mut revision_guard = self.lock_revision();
+        let mut current_revision = self.lock_revision();
         let is_outdated = match source {
-            Source::Peer => revision <= *revision_guard,
-            _ => revision < *revision_guard,
+            Source::Peer => revision <= *current_revision,
+            _ => revision < *current_revision,
         };
         if self.has_targets() && is_outdated {
             return false;
         }
-        *revision_guard = revision;
+        *current_revision = revision;
         self.targets_freshness().set_current(revision);
         let now = Instant::now();
         let mut targets = self.targets();
         if source == Source::StoreRegained {
             targets.await_entries(self.missing_entry_grace, now);
         }
-        // When the store had the list is observed apart.
+        // The time at which the store had this list is recorded separately, by
+        // [`Self::observe_targets`].
         let changes = targets.replace_unverified(entries, now);
         targets.record_full_list(revision);
         drop(targets);
-        drop(revision_guard);
+        drop(current_revision);
         let is_first = !self.has_targets.swap(true, Relaxed);
         log::info!(revision, source:? = source, is_first, changed = changes.len(); "targets listed");
-        // All are news to an instance that starts, and thousands of lines would hold it up.
+        // All targets are new to an instance that starts, and thousands of lines would delay it.
         for change in changes.iter().filter(|_| !is_first) {
             log::info!(revision, source:? = source, change:? = change; "target changed");
         }
@@ -233,13 +237,13 @@
         true
     }
 
-    /// Takes in what a watch saw up to a revision of the store, unless a later one is known.
+    /// Applies changes of targets up to a revision of the store, unless a later one is known.
     pub(super) fn apply_changes(&self, changes: &[(u64, Change)], revision: u64, source: Source) {
-        let mut revision_guard = self.lock_revision();
-        if revision <= *revision_guard {
+        let mut current_revision = self.lock_revision();
+        if revision <= *current_revision {
             return;
         }
-        *revision_guard = revision;
+        *current_revision = revision;
         self.targets_freshness().set_current(revision);
         let now = Instant::now();
         let mut targets = self.targets();
@@ -253,12 +257,12 @@
             }
         }
         drop(targets);
-        drop(revision_guard);
+        drop(current_revision);
         self.unreported_change.notify_one();
         self.changed.notify_waiters();
     }
 
-    /// Takes in what another instance tells of the targets.
+    /// Applies an update of the targets that another instance sent after `received_after`.
     pub(super) fn apply_update(&self, update: TargetUpdate, received_after: Instant) {
         let age = update.age_ms.map(|age| Duration::from_millis(age.into()));
         let revision = update.revision;
@@ -288,12 +292,13 @@
         }
     }
 
-    /// Returns what another instance that knows the targets up to a revision has to be told.
+    /// Returns the update for an instance that knows the targets up to the revision `since`, or
+    /// `None` if this instance does not know the targets itself.
     pub(super) fn update_since(&self, since: u64) -> Option<TargetUpdate> {
         if !self.has_targets() {
             return None;
         }
-        let revision_guard = self.lock_revision();
+        let current_revision = self.lock_revision();
         let now = Instant::now();
         let age = self.targets_freshness().age(now);
         let age_ms = age.and_then(|age| u32::try_from(age.as_millis()).ok());
@@ -301,26 +306,28 @@
         Some(TargetUpdate {
             age_ms,
             observed: targets.unlisted_targets(now),
-            ..targets.update_since(since, *revision_guard)
+            ..targets.update_since(since, *current_revision)
         })
     }
 
-    /// Returns the configuration in force if it has at least this version.
+    /// Returns the current configuration if it has at least this version.
     pub(super) fn config_since(&self, version: u64) -> Option<Arc<RoutingTable>> {
         let table = self.has_config().then(|| self.table.load_full());
         table.filter(|table| table.config().version >= version)
     }
 
     fn lock_revision(&self) -> MutexGuard<'_, u64> {
-        self.revision.lock().unwrap_or_else(PoisonError::into_inner)
+        self.targets_revision
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until something else is known than now.
+    /// Waits for the next change of the view.
     pub(super) fn changed(&self) -> Notified<'_> {
         self.changed.notified()
     }
 
-    /// Waits until configuration and targets are known, or until `until`.
+    /// Waits until the configuration and the targets are known, or until `until`.
     pub(super) async fn wait_known(&self, until: Instant) {
         loop {
             let changed = self.changed.notified();
@@ -330,7 +337,7 @@
         }
     }
 
-    /// Removes targets whose entries did not come back after the store's return.
+    /// Removes targets whose entries did not return in time after the store did.
     pub(super) fn drop_missing(&self) {
         for name in self.targets().drop_missing(Instant::now()) {
             log::info!(target = name.as_str(), reason = "entry did not come back"; "target gone");
@@ -338,7 +345,7 @@
     }
 }
 
-/// Returns when each of these targets last answered, by the ages that a peer sent after a moment.
+/// Converts ages of the last response of targets, which a peer sent after a moment, to moments.
 fn to_instants(
     observed: Vec<(TargetName, u32)>,
     received_after: Instant,
--- a/daemon/src/relay/target_watch.rs
+++ b/daemon/src/relay/target_watch.rs
@@ -1,4 +1,4 @@
-//! Watches the targets that the store lists.
+//! Watches the targets that are listed in the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,7 +11,7 @@
 
 use super::{
     state::RelayState,
-    store_backoff::{pause, WATCH_POLL},
+    store_backoff::{pause, WATCH_CHECK_INTERVAL},
     store_view::Source,
 };
 
@@ -30,13 +30,14 @@
     state: &'a RelayState,
     store: Client,
     received: TransferProgress,
-    /// The revision up to which the store reported changes to this instance.
+    /// The revision up to which the store reported changes to this instance itself.
     since: Option<Version>,
-    /// Whether the history of a watch is gone.
+    /// Whether the store no longer has the history since `since`, so that a list is needed.
     needs_list: bool,
+    /// Whether the store has not answered since a call to it failed.
     is_lost: bool,
-    /// How long changes were gathered after the last call.
-    coalesced: Duration,
+    /// How long changes were collected after the last call.
+    coalesce_time: Duration,
     backoff: StoreBackoff,
 }
 
@@ -50,7 +51,7 @@
             since: None,
             needs_list: false,
             is_lost: false,
-            coalesced: Duration::ZERO,
+            coalesce_time: Duration::ZERO,
             backoff: StoreBackoff::default(),
         }
     }
@@ -58,11 +59,11 @@
     async fn poll_once(&mut self) {
         let state = self.state;
         if state.view.is_complete() && !state.watch_duty.must_watch() {
-            // Watchers report changes; what they report is newer than what was seen here.
+            // The watchers report changes, which are newer than what was last seen here.
             state.watch_duty.set_targets_answer(None);
             self.is_lost = false;
             state.watch_duty.set_lost(false);
-            sleep(WATCH_POLL).await;
+            sleep(WATCH_CHECK_INTERVAL).await;
             return;
         }
         let started = Instant::now();
@@ -73,13 +74,13 @@
         }
     }
 
-    /// Returns the revision to watch from; nothing where a list is needed.
+    /// Returns the revision to watch from, or `None` if a list is needed.
     ///
-    /// The failure: the watchers of a large fleet die, and all others watch for themselves. If each began with a list,
-    /// all would fetch at once what they have.
+    /// When the watchers of a large fleet die, all other instances watch the store themselves. If
+    /// each began with a list, all would fetch at once what they already have.
     fn watch_start(&self) -> Option<Version> {
         let view = &self.state.view;
-        let cached = view.has_targets().then(|| Version(view.revision()));
+        let cached = view.has_targets().then(|| Version(view.targets_revision()));
         self.since.max(cached).filter(|_| !self.needs_list)
     }
 
@@ -94,15 +95,15 @@
             self.observe(revision, started);
             return Ok(revision);
         };
-        // Others rely on an answer of the store within this time.
+        // Other instances expect an answer of the store within this time.
         let wait = self.state.settings.load().bounds.watch_wait();
-        let wait = wait.saturating_sub(self.coalesced);
+        let wait = wait.saturating_sub(self.coalesce_time);
         let started = Instant::now();
         let changes = self.store.watch(store::TARGETS_PREFIX, since, wait).await;
         let changes = changes.map_err(|report| *report.current_context())?;
         let revision = changes.revision.max(since);
-        // Without a change the store has held the watch for the whole wait. An answer with changes may have been unread
-        // for as long as the process was paused.
+        // Without a change, the store held the watch for the whole wait. An answer with changes may
+        // have been unread for as long as the process was paused.
         let seen = match changes.changes.is_empty() {
             true => (started + wait).min(Instant::now()),
             false => started,
@@ -131,10 +132,10 @@
             state.watch_duty.set_lost(false);
             log::info!(kind = store::TARGETS_PREFIX, revision = revision.0; "store regained");
         }
-        self.coalesced = Watchers::notice_gap(state.fleet.load().recipients.len());
-        // One call then reports all that changed meanwhile: when a data centre's engines restart, each of a hundred
-        // changes would end a watch of its own.
-        sleep(self.coalesced).await;
+        self.coalesce_time = Watchers::notice_gap(state.fleet.load().recipients.len());
+        // The next call reports all changes of this time at once. When a data centre's engines
+        // restart, each of a hundred changes would otherwise end a watch of its own.
+        sleep(self.coalesce_time).await;
     }
 
     async fn handle_failure(
@@ -144,7 +145,8 @@
         started: Instant,
     ) {
         let state = self.state;
-        // The store answers; only its history is too short, and a list makes that good.
+        // The store is available, but it no longer has the history since this revision. A list
+        // replaces it.
         if error == PlatformError::Compacted {
             log::info!(kind = store::TARGETS_PREFIX; "history of a watch gone");
             self.needs_list = true;
@@ -191,8 +193,8 @@
         .apply_changes(&seen.collect::<Vec<_>>(), revision, store_source(state));
 }
 
-/// Returns what the store is as a source: its first answer after a time without one may lack entries
-/// that lapsed meanwhile.
+/// Returns the store as a source of data. Its first answer after an outage may lack entries that
+/// expired meanwhile.
 fn store_source(state: &RelayState) -> Source {
     match state.watch_duty.is_lost() {
         true => Source::StoreRegained,
@@ -206,7 +208,9 @@
         return None;
     }
     target::decode(name, value)
-        .inspect_err(|error| log::warn!(target = name, error:% = error; "entry not used"))
+        .inspect_err(
+            |error| log::warn!(target = name, error:% = error; "ignoring an invalid target entry"),
+        )
         .ok()
 }
 
