--- a/cli/src/exit.rs
+++ b/cli/src/exit.rs
@@ -26,7 +26,7 @@
     /// The rollout ended by being taken back.
     #[error("the rollout was taken back")]
     TakenBack,
-    /// No story can be told.
+    /// The request cannot be explained.
     #[error("{0}")]
     Explain(ExplainError),
     /// The request failed.
--- a/cli/src/explain.rs
+++ b/cli/src/explain.rs
@@ -1,4 +1,4 @@
-//! The story of one request, joined from the log lines of several instances.
+//! Explains what became of one request from the log lines of several instances.
 
 use std::collections::BTreeSet;
 
@@ -6,10 +6,10 @@
 use serde_json::{Map, Value};
 use thiserror::Error;
 
-/// How long before a request what happened may still explain it.
-const BEFORE_MS: i64 = 3_000;
-/// Messages that may explain what became of any request of their instance.
-const CONTEXT: [&str; 8] = [
+/// How long before the first line of a request an event may still have affected it.
+const CONTEXT_BEFORE_MS: i64 = 3_000;
+/// Messages of events that may affect any request of the same instance.
+const CONTEXT_MESSAGES: [&str; 8] = [
     "store lost",
     "store regained",
     "configuration in force",
@@ -20,173 +20,194 @@
     "lines left out, the reader is slow",
 ];
 
-/// Why no story can be told.
+/// Why a request cannot be explained.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ExplainError {
-    /// No line names the request.
+    /// No log line has the id of the request.
     #[error("no line names the request {0}")]
-    Unknown(String),
+    UnknownRequest(String),
 }
 
-/// The lines of one instance.
+/// A log file, usually of one instance.
 #[derive(Clone, Copy, Debug)]
-pub struct Source<'a> {
-    /// The name of the instance or of its file.
+pub struct LogSource<'a> {
+    /// The name of the instance or of the file.
     pub name: &'a str,
-    /// The lines, of which those that are no JSON are passed over.
+    /// The log lines. Lines that are not in the JSON format of the instances are skipped.
     pub text: &'a str,
 }
 
-/// One line of a log.
+/// A log line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Line {
-    /// When it was written, as the line says.
+pub struct LogLine {
+    /// The time of the line as written there, in RFC 3339 format.
     pub time: String,
     /// The instance that wrote it.
     pub instance: String,
-    /// What happened.
+    /// The message, which identifies the event.
     pub message: String,
-    /// The inputs and the outcome.
+    /// All other fields of the line.
     pub values: Map<String, Value>,
     #[serde(skip)]
     at_ms: i64,
 }
 
-/// The story of one request.
+/// What became of one request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Story {
+pub struct Explanation {
     /// The id of the request.
     pub request: String,
-    /// What became of it and why.
+    /// The outcome of the request and its cause.
     pub cause: String,
-    /// Its lines, and those of its instances and targets that may explain them, in order of time.
-    pub lines: Vec<Line>,
+    /// The lines of the request, and nearby lines about its instances and targets, ordered by time.
+    pub lines: Vec<LogLine>,
 }
 
 #[derive(Deserialize)]
-struct Form {
+struct RawLine {
     time: String,
     message: String,
     #[serde(flatten)]
     values: Map<String, Value>,
 }
 
-/// Joins the lines that tell of a request.
+/// Explains a request by the lines that have its id and the lines of related events.
 ///
 /// # Errors
 ///
-/// Fails with [`ExplainError::Unknown`].
+/// Fails with [`ExplainError::UnknownRequest`] if no line has its id.
 ///
 /// # Examples
 ///
 /// ```
-/// use celerypond_cli::{explain, Source};
+/// use celerypond_cli::{explain, LogSource};
 ///
 /// let text = r#"{"time":"2026-01-01T00:00:00.000Z","message":"answered","request":"r1","status":200,"target":"t"}"#;
-/// let story = explain("r1", &[Source { name: "a", text }]).unwrap();
-/// assert_eq!(story.cause, "answered with 200 by t");
-/// assert_eq!(story.lines[0].instance, "a");
+/// let explanation = explain("r1", &[LogSource { name: "a", text }]).unwrap();
+/// assert_eq!(explanation.cause, "answered with 200 by t");
+/// assert_eq!(explanation.lines[0].instance, "a");
 /// ```
-pub fn explain(request: &str, sources: &[Source<'_>]) -> Result<Story, ExplainError> {
-    let all: Vec<Line> = sources.iter().flat_map(lines).collect();
-    let own: Vec<&Line> = all.iter().filter(|line| line.is_of(request)).collect();
-    let (Some(first), Some(last)) = (
-        own.iter().map(|line| line.at_ms).min(),
-        own.iter().map(|line| line.at_ms).max(),
+pub fn explain(request: &str, sources: &[LogSource<'_>]) -> Result<Explanation, ExplainError> {
+    let all: Vec<LogLine> = sources.iter().flat_map(parse_lines).collect();
+    let request_lines: Vec<&LogLine> = all
+        .iter()
+        .filter(|line| line.has_request_id(request))
+        .collect();
+    let (Some(first_ms), Some(last_ms)) = (
+        request_lines.iter().map(|line| line.at_ms).min(),
+        request_lines.iter().map(|line| line.at_ms).max(),
     ) else {
-        return Err(ExplainError::Unknown(request.to_owned()));
+        return Err(ExplainError::UnknownRequest(request.to_owned()));
     };
-    let instances: BTreeSet<&str> = own.iter().map(|line| line.instance.as_str()).collect();
-    let targets: BTreeSet<&str> = own.iter().filter_map(|line| line.value("target")).collect();
-    let explains = |line: &Line| {
-        let is_near = (first - BEFORE_MS..=last).contains(&line.at_ms);
-        let is_here = instances.contains(line.instance.as_str());
-        is_near && is_here && line.is_context(&targets)
+    let instances: BTreeSet<&str> = request_lines
+        .iter()
+        .map(|line| line.instance.as_str())
+        .collect();
+    let targets: BTreeSet<&str> = request_lines
+        .iter()
+        .filter_map(|line| line.str_value("target"))
+        .collect();
+    let is_related = |line: &LogLine| {
+        let is_near = (first_ms - CONTEXT_BEFORE_MS..=last_ms).contains(&line.at_ms);
+        let is_same_instance = instances.contains(line.instance.as_str());
+        is_near && is_same_instance && line.is_context(&targets)
     };
-    let is_wanted = |line: &&Line| line.is_of(request) || explains(line);
-    let mut lines: Vec<Line> = all.iter().filter(is_wanted).cloned().collect();
+    let is_included = |line: &&LogLine| line.has_request_id(request) || is_related(line);
+    let mut lines: Vec<LogLine> = all.iter().filter(is_included).cloned().collect();
     lines.sort_by_key(|line| line.at_ms);
-    Ok(Story {
+    Ok(Explanation {
         request: request.to_owned(),
-        cause: cause(&own),
+        cause: cause(&request_lines),
         lines,
     })
 }
 
-impl Line {
+impl LogLine {
     pub(crate) const fn at_ms(&self) -> i64 {
         self.at_ms
     }
 
-    fn is_of(&self, request: &str) -> bool {
-        self.value("request") == Some(request)
+    fn has_request_id(&self, request: &str) -> bool {
+        self.str_value("request") == Some(request)
     }
 
     fn is_context(&self, targets: &BTreeSet<&str>) -> bool {
         if self.values.contains_key("request") {
             return false;
         }
-        let is_of_target = || {
+        let mentions_target = || {
             let text = Value::Object(self.values.clone()).to_string();
             targets.iter().any(|target| text.contains(target))
         };
-        CONTEXT.contains(&self.message.as_str()) || is_of_target()
+        CONTEXT_MESSAGES.contains(&self.message.as_str()) || mentions_target()
     }
 
-    pub(crate) fn value(&self, name: &str) -> Option<&str> {
+    pub(crate) fn str_value(&self, name: &str) -> Option<&str> {
         self.values.get(name)?.as_str()
     }
 }
 
-/// Reads the lines of a source. What stands before the JSON of a line may end with the name of the
-/// instance, as where the lines of several are collected.
-pub(crate) fn lines<'a>(source: &'a Source<'_>) -> impl Iterator<Item = Line> + 'a {
+/// Parses the lines of a log file.
+///
+/// In a file with the lines of several instances, each line has a prefix before the JSON object whose
+/// last word is the name of the instance.
+pub(crate) fn parse_lines<'a>(source: &'a LogSource<'_>) -> impl Iterator<Item = LogLine> + 'a {
     source.text.lines().filter_map(|text| {
-        let (before, json) = text.split_at(text.find('{')?);
-        let form: Form = serde_json::from_str(json).ok()?;
-        let at = humantime::parse_rfc3339(&form.time).ok()?;
+        let (prefix, json) = text.split_at(text.find('{')?);
+        let raw: RawLine = serde_json::from_str(json).ok()?;
+        let at = humantime::parse_rfc3339(&raw.time).ok()?;
         let at = at.duration_since(std::time::UNIX_EPOCH).ok()?;
-        let instance = before.split_whitespace().last().unwrap_or(source.name);
-        Some(Line {
-            time: form.time,
+        let instance = prefix.split_whitespace().last().unwrap_or(source.name);
+        Some(LogLine {
+            time: raw.time,
             instance: instance.to_owned(),
-            message: form.message,
-            values: form.values,
+            message: raw.message,
+            values: raw.values,
             at_ms: i64::try_from(at.as_millis()).ok()?,
         })
     })
 }
 
-fn cause(own: &[&Line]) -> String {
-    let last = |message: &str| own.iter().rev().find(|line| line.message == message);
-    let ended = last("attempt ended").map(|line| {
-        let target = line.value("target").unwrap_or("a target");
-        let how = line.value("ended").unwrap_or("in a way that is not told");
-        format!("; the last attempt, at {target}, ended {how}")
+fn cause(request_lines: &[&LogLine]) -> String {
+    let last_line = |message: &str| {
+        request_lines
+            .iter()
+            .rev()
+            .find(|line| line.message == message)
+    };
+    let attempt = last_line("attempt ended").map(|line| {
+        let target = line.str_value("target").unwrap_or("a target");
+        let end = line
+            .str_value("ended")
+            .unwrap_or("in a way that is not told");
+        format!("; the last attempt, at {target}, ended {end}")
     });
-    let ended = ended.unwrap_or_default();
-    if let Some(left) = last("caller left its stream") {
-        let events = left
+    let attempt = attempt.unwrap_or_default();
+    if let Some(line) = last_line("caller left its stream") {
+        let events = line
             .values
             .get("events")
             .map_or(0, |n| n.as_u64().unwrap_or(0));
-        return format!("its caller left after {events} events{ended}");
+        return format!("its caller left after {events} events{attempt}");
     }
-    let broken = own.iter().rev().find(|line| {
-        line.message == "stream goes on" && line.value("failed").is_some_and(|how| how != "None")
+    let broken = request_lines.iter().rev().find(|line| {
+        line.message == "stream goes on"
+            && line
+                .str_value("failed")
+                .is_some_and(|failure| failure != "None")
     });
     if let Some(broken) = broken {
-        let how = broken.value("failed").unwrap_or_default();
-        return format!("the stream was broken off: {how}{ended}");
+        let failure = broken.str_value("failed").unwrap_or_default();
+        return format!("the stream was broken off: {failure}{attempt}");
     }
-    let Some(answered) = last("answered") else {
-        return format!("no answer is told of: its caller left, or the instance died{ended}");
+    let Some(answered) = last_line("answered") else {
+        return format!("no answer is told of: its caller left, or the instance died{attempt}");
     };
     let status = answered.values.get("status").map(Value::to_string);
     let status = status.unwrap_or_else(|| "no status".to_owned());
-    match (answered.value("target"), answered.value("why")) {
+    match (answered.str_value("target"), answered.str_value("why")) {
         (Some(target), _) => format!("answered with {status} by {target}"),
-        (None, Some(why)) => format!("answered with {status} by the instance: {why}{ended}"),
-        (None, None) => format!("answered with {status}{ended}"),
+        (None, Some(why)) => format!("answered with {status} by the instance: {why}{attempt}"),
+        (None, None) => format!("answered with {status}{attempt}"),
     }
 }
--- a/cli/src/lib.rs
+++ b/cli/src/lib.rs
@@ -7,12 +7,12 @@
 mod connection;
 mod error;
 mod explain;
-mod losses;
+mod outcomes;
 mod service_call;
 
 pub use client::{Client, EntryPoint, EntryPoints};
 pub use completion::{CompletionRequest, CompletionStream, CompletionSummary, Token};
 pub use error::{ApiError, ClientError};
-pub use explain::{explain, ExplainError, Line, Source, Story};
-pub use losses::{losses, Fate, Loss};
+pub use explain::{explain, ExplainError, Explanation, LogLine, LogSource};
+pub use outcomes::{count_outcomes, Outcome, OutcomeCount};
 pub use service_call::{Response, ServiceCall};
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -7,8 +7,8 @@
 mod documents;
 mod exit;
 mod flags;
+mod log_commands;
 mod operator;
-mod stories;
 
 use context::Context;
 use exit::Failure;
@@ -40,8 +40,8 @@
         CelerypondCmd::Roll(roll) => operator::roll(&context, &roll).await,
         CelerypondCmd::Status(_) => operator::status(&context).await,
         CelerypondCmd::History(_) => operator::history(&context).await,
-        CelerypondCmd::Explain(explain) => stories::explain(&context, &explain),
-        CelerypondCmd::Losses(losses) => stories::losses(&context, &losses),
+        CelerypondCmd::Explain(explain) => log_commands::explain(&context, &explain),
+        CelerypondCmd::Losses(losses) => log_commands::losses(&context, &losses),
         CelerypondCmd::Entries(_) => caller::entries(&context).await,
         CelerypondCmd::Generate(generate) => caller::generate(&context, generate).await,
         CelerypondCmd::Call(call) => caller::call(&context, call).await,
--- a/cli/tests/test_explain.rs
+++ b/cli/tests/test_explain.rs
@@ -1,75 +1,75 @@
-//! The story of a request.
+//! Tests of the explanation of a request.
 
-use celerypond_cli::{explain, ExplainError, Source};
+use celerypond_cli::{explain, ExplainError, LogSource};
 use rstest::rstest;
 
-const FIRST: &str = r#"{"time":"2026-01-01T00:00:01.000Z","level":"WARN","message":"store lost","kind":"servers/"}
+const LOG_A: &str = r#"{"time":"2026-01-01T00:00:01.000Z","level":"WARN","message":"store lost","kind":"servers/"}
 {"time":"2026-01-01T00:00:02.000Z","level":"INFO","message":"attempt ended","request":"r1","target":"i-7","ended":"Broken"}
 {"time":"2026-01-01T00:00:02.001Z","level":"WARN","message":"answered","request":"r1","status":502,"why":"Failed"}
 {"time":"2026-01-01T00:00:02.002Z","level":"INFO","message":"answered","request":"r2","status":200,"target":"i-8"}
-not a line of ours
+not a log line
 {"time":"2026-01-01T00:00:09.000Z","level":"INFO","message":"store regained","kind":"servers/"}
 "#;
 
-const SECOND: &str = r#"   1.0 b {"time":"2026-01-01T00:00:01.500Z","level":"INFO","message":"stopping"}
+const COLLECTED_LOG: &str = r#"   1.0 b {"time":"2026-01-01T00:00:01.500Z","level":"INFO","message":"stopping"}
    2.0 b {"time":"2026-01-01T00:00:02.500Z","level":"INFO","message":"answered","request":"r3","status":200,"target":"i-8"}
 "#;
 
-fn sources() -> [Source<'static>; 2] {
+fn sources() -> [LogSource<'static>; 2] {
     [
-        Source {
+        LogSource {
             name: "a",
-            text: FIRST,
+            text: LOG_A,
         },
-        Source {
+        LogSource {
             name: "all",
-            text: SECOND,
+            text: COLLECTED_LOG,
         },
     ]
 }
 
 #[test]
-fn a_request_is_told_with_what_its_instance_knew() {
-    let story = explain("r1", &sources()).unwrap();
-    let messages: Vec<&str> = story
+fn explanation_includes_related_lines_of_the_same_instance() {
+    let explanation = explain("r1", &sources()).unwrap();
+    let messages: Vec<&str> = explanation
         .lines
         .iter()
         .map(|line| line.message.as_str())
         .collect();
     assert_eq!(messages, ["store lost", "attempt ended", "answered"]);
     assert_eq!(
-        story.cause,
+        explanation.cause,
         "answered with 502 by the instance: Failed; the last attempt, at i-7, ended Broken"
     );
 }
 
 #[test]
-fn collected_lines_name_their_instance() {
-    let story = explain("r3", &sources()).unwrap();
-    assert!(story.lines.iter().all(|line| line.instance == "b"));
-    assert_eq!(story.lines[0].message, "stopping");
+fn instance_name_is_read_from_line_prefix() {
+    let explanation = explain("r3", &sources()).unwrap();
+    assert!(explanation.lines.iter().all(|line| line.instance == "b"));
+    assert_eq!(explanation.lines[0].message, "stopping");
 }
 
 #[test]
-fn a_request_that_no_line_names_is_said_to_be_unknown() {
+fn request_without_lines_is_unknown() {
     let error = explain("r9", &sources()).unwrap_err();
-    assert_eq!(error, ExplainError::Unknown("r9".to_owned()));
+    assert_eq!(error, ExplainError::UnknownRequest("r9".to_owned()));
 }
 
 #[rstest]
-#[case::left(
+#[case::caller_left(
     r#"{"time":"2026-01-01T00:00:02.000Z","message":"caller left its stream","request":"r","events":4}"#,
     "its caller left after 4 events"
 )]
-#[case::broken(
+#[case::stream_broken_off(
     r#"{"time":"2026-01-01T00:00:02.000Z","message":"stream goes on","request":"r","failed":"Some(Failed)"}"#,
     "the stream was broken off: Some(Failed)"
 )]
-#[case::no_end(
+#[case::no_answer(
     r#"{"time":"2026-01-01T00:00:02.000Z","message":"engine began","request":"r","target":"i-7"}"#,
     "no answer is told of: its caller left, or the instance died"
 )]
-fn each_kind_of_end_has_its_cause(#[case] text: &str, #[case] cause: &str) {
-    let story = explain("r", &[Source { name: "a", text }]).unwrap();
-    assert_eq!(story.cause, cause);
+fn cause_names_how_the_request_ended(#[case] text: &str, #[case] cause: &str) {
+    let explanation = explain("r", &[LogSource { name: "a", text }]).unwrap();
+    assert_eq!(explanation.cause, cause);
 }
--- a/cli/tests/test_losses.rs
+++ b/cli/tests/test_losses.rs
@@ -1,17 +1,22 @@
-//! What became of requests, by moment and reason.
+//! Tests of the counts of outcomes over time.
 
-use celerypond_cli::{losses, Fate, Source};
+use celerypond_cli::{count_outcomes, LogSource, Outcome};
 
-/// Lines of two instances. A stream is whole, one was cut by the loss of its instance, one came back too late, one was
-/// broken off, a call failed at its target, and one was refused.
-const FIRST: &str = r#"{"time":"2026-01-01T00:00:00.000Z","level":"INFO","message":"started"}
+// The logs of two instances:
+// - `whole`: a complete stream
+// - `cut`: a stream without an end, because its instance crashed
+// - `late`: a request refused because too little time was left before its deadline
+// - `bad`: a call that failed at its target
+// - `no-1`, `no-2`: requests refused by the instance
+// - `broken`: a stream that the instance ended early
+const LOG_A: &str = r#"{"time":"2026-01-01T00:00:00.000Z","level":"INFO","message":"started"}
 {"time":"2026-01-01T00:00:00.100Z","level":"INFO","message":"engine began","request":"whole","target":"i-1","status":200}
 {"time":"2026-01-01T00:00:00.101Z","level":"INFO","message":"answered","request":"whole","status":200,"target":"i-1"}
 {"time":"2026-01-01T00:00:00.900Z","level":"INFO","message":"engine began","request":"cut","target":"i-1","status":200}
 {"time":"2026-01-01T00:00:00.901Z","level":"INFO","message":"answered","request":"cut","status":200,"target":"i-1"}
 {"time":"2026-01-01T00:00:04.000Z","level":"INFO","message":"stream complete","request":"whole","events":140}
 "#;
-const SECOND: &str = r#"not a line of ours
+const LOG_B: &str = r#"not a log line
 {"time":"2026-01-01T00:00:02.500Z","level":"INFO","message":"too late to be served","request":"late","left_ms":900}
 {"time":"2026-01-01T00:00:02.501Z","level":"WARN","message":"answered","request":"late","status":503,"why":"TooLate"}
 {"time":"2026-01-01T00:00:02.600Z","level":"INFO","message":"answered","request":"bad","status":500,"target":"i-9"}
@@ -22,37 +27,37 @@
 "#;
 
 #[test]
-fn requests_are_counted_by_moment_and_fate() {
+fn requests_are_counted_by_interval_and_outcome() {
     let sources = [
-        Source {
+        LogSource {
             name: "a",
-            text: FIRST,
+            text: LOG_A,
         },
-        Source {
+        LogSource {
             name: "b",
-            text: SECOND,
+            text: LOG_B,
         },
     ];
-    let losses = losses(&sources, 2);
-    let rows: Vec<(u64, Fate, usize)> = losses
+    let counts = count_outcomes(&sources, 2);
+    let rows: Vec<(u64, Outcome, usize)> = counts
         .iter()
-        .map(|loss| (loss.from_s, loss.fate, loss.count))
+        .map(|row| (row.from_s, row.fate, row.count))
         .collect();
     assert_eq!(
         rows,
         [
-            (0, Fate::Answered, 1),
-            (0, Fate::NoEnd, 1),
-            (2, Fate::FailedAtTarget, 1),
-            (2, Fate::Refused, 2),
-            (2, Fate::TooLate, 1),
-            (4, Fate::BrokenOff, 1),
+            (0, Outcome::Answered, 1),
+            (0, Outcome::NoEnd, 1),
+            (2, Outcome::FailedAtTarget, 1),
+            (2, Outcome::Refused, 2),
+            (2, Outcome::TooLate, 1),
+            (4, Outcome::BrokenOff, 1),
         ]
     );
-    assert_eq!(losses[1].example, "cut");
+    assert_eq!(counts[1].example, "cut");
 }
 
 #[test]
-fn no_lines_have_no_losses() {
-    assert!(losses(&[], 2).is_empty());
+fn empty_logs_give_no_counts() {
+    assert!(count_outcomes(&[], 2).is_empty());
 }
