--- a/cli/src/caller.rs
+++ b/cli/src/caller_commands.rs
@@ -1,4 +1,4 @@
-//! The callers' commands.
+//! The subcommands for callers.
 
 use std::io::{self, Read, Write};
 
@@ -6,75 +6,75 @@
 
 use crate::{
     context::Context,
-    exit::Failure,
+    failure::Failure,
     flags::{Call, Generate},
-    limit,
+    timeout,
 };
 
-const DEFAULT_TOKENS: u32 = 256;
+const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// Lists the addresses that callers should use.
+/// Prints the entry points.
 pub(crate) async fn entries(context: &Context) -> Result<(), Failure> {
-    let entries = context.anonymous()?.entry_points().await?;
+    let list = context.anonymous()?.entry_points().await?;
     if context.json {
-        context.print(&entries);
+        context.print(&list);
     } else {
-        for entry in &entries.entries {
+        for entry in &list.entries {
             println!("{} {}", entry.address, entry.data_centre);
         }
     }
     Ok(())
 }
 
-/// Generates an answer and prints its text as it comes.
+/// Requests a completion and prints its tokens as they arrive.
 pub(crate) async fn generate(context: &Context, flags: Generate) -> Result<(), Failure> {
     let client = context.client()?;
-    let prompt = CompletionRequest {
+    let request = CompletionRequest {
         model: flags.model,
-        prompt: text(flags.prompt)?,
-        max_tokens: flags.max_tokens.unwrap_or(DEFAULT_TOKENS),
+        prompt: read_argument(flags.prompt)?,
+        max_tokens: flags.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
         seed: flags.seed,
         adapter: flags.adapter,
         key: flags.key,
-        timeout: limit(flags.limit_s),
+        timeout: timeout(flags.limit_s),
     };
-    let mut answer = client.generate(prompt).await;
-    let ended = loop {
-        match answer.next().await {
+    let mut stream = client.generate(request).await;
+    let summary = loop {
+        match stream.next().await {
             Ok(token) if context.json => {
                 println!("{}", serde_json::to_string(&token).unwrap_or_default())
             }
             Ok(token) => {
                 print!("{}", token.text);
-                // A terminal that is gone shows at the next print.
+                // If stdout is closed, the next `print!` reports it.
                 let _ = io::stdout().flush();
             }
-            Err(ended) => break ended?,
+            Err(end) => break end?,
         }
     };
     if context.json {
-        println!("{}", serde_json::to_string(&ended).unwrap_or_default());
+        println!("{}", serde_json::to_string(&summary).unwrap_or_default());
     } else {
         println!();
         eprintln!(
             "{} tokens of version {}, connected again {} times",
-            ended.tokens, ended.version, ended.reconnects
+            summary.tokens, summary.version, summary.reconnects
         );
     }
     Ok(())
 }
 
-/// Calls a plain service and prints its answer.
+/// Calls a plain service and prints its response.
 pub(crate) async fn call(context: &Context, flags: Call) -> Result<(), Failure> {
     let client = context.client()?;
-    let called = ServiceCall {
+    let call = ServiceCall {
         service: flags.service,
         method: flags.method,
         path: flags.path,
-        body: text(flags.body.unwrap_or_default())?.into(),
+        body: read_argument(flags.body.unwrap_or_default())?.into(),
         key: flags.key,
     };
-    let response = client.call(&called, limit(flags.limit_s)).await?;
+    let response = client.call(&call, timeout(flags.limit_s)).await?;
     let body = String::from_utf8_lossy(&response.body);
     if context.json {
         context.print(&serde_json::json!({ "status": response.status, "body": body }));
@@ -84,9 +84,10 @@
     Ok(())
 }
 
-fn text(given: String) -> Result<String, Failure> {
-    if given != "-" {
-        return Ok(given);
+/// Returns the argument, or the standard input if the argument is `-`.
+fn read_argument(argument: String) -> Result<String, Failure> {
+    if argument != "-" {
+        return Ok(argument);
     }
     let mut text = String::new();
     io::stdin()
--- a/cli/src/context.rs
+++ b/cli/src/context.rs
@@ -1,52 +1,62 @@
-//! Where the system is, who asks, and how to print.
+//! The global options: addresses of instances, the key and the output format.
 
 use std::{env, fs, path::PathBuf};
 
 use celerypond_cli::Client;
 use serde::Serialize;
 
-use crate::exit::Failure;
+use crate::failure::Failure;
 
-const AT: &str = "CELERYPOND_AT";
-const KEY: &str = "CELERYPOND_KEY";
+const ADDRESSES_VARIABLE: &str = "CELERYPOND_AT";
+const KEY_VARIABLE: &str = "CELERYPOND_KEY";
 
-/// Where the system is, who asks, and how to print.
+/// The values of the global flags.
 pub(crate) struct Context {
-    at: Option<String>,
+    addresses: Option<String>,
     key_file: Option<PathBuf>,
     /// Whether to print JSON.
     pub(crate) json: bool,
 }
 
 impl Context {
-    /// Makes a context from the global flags.
-    pub(crate) fn new(at: Option<String>, key_file: Option<PathBuf>, json: bool) -> Self {
-        Self { at, key_file, json }
+    /// Creates a context from the global flags.
+    pub(crate) fn new(addresses: Option<String>, key_file: Option<PathBuf>, json: bool) -> Self {
+        Self {
+            addresses,
+            key_file,
+            json,
+        }
     }
 
-    /// Makes a client.
+    /// Creates a client with the key of the user.
     pub(crate) fn client(&self) -> Result<Client, Failure> {
-        self.client_of(self.key()?.trim())
+        self.client_with_key(self.key()?.trim())
     }
 
-    /// Makes a client for questions that need no key.
+    /// Creates a client for requests that need no key.
     pub(crate) fn anonymous(&self) -> Result<Client, Failure> {
-        self.client_of("")
+        self.client_with_key("")
     }
 
-    fn client_of(&self, key: &str) -> Result<Client, Failure> {
-        let at = self.at.clone().or_else(|| env::var(AT).ok());
-        let at = at.ok_or(Failure::Usage(
+    fn client_with_key(&self, key: &str) -> Result<Client, Failure> {
+        let addresses = self
+            .addresses
+            .clone()
+            .or_else(|| env::var(ADDRESSES_VARIABLE).ok());
+        let addresses = addresses.ok_or(Failure::Usage(
             "--at or CELERYPOND_AT must say where the system is",
         ))?;
-        let known = at
+        let addresses = addresses
             .split(',')
             .map(|text| match text.trim().parse() {
                 Ok(address) => Ok(address),
-                Err(_) => Err(Failure::Form(text.to_owned(), "an IP number and port")),
+                Err(_) => Err(Failure::InvalidArgument(
+                    text.to_owned(),
+                    "an IP number and port",
+                )),
             })
             .collect::<Result<Vec<_>, _>>()?;
-        Ok(Client::new(known, key)?)
+        Ok(Client::new(addresses, key)?)
     }
 
     /// Prints a value as JSON.
@@ -62,7 +72,7 @@
             Some(path) => {
                 fs::read_to_string(path).map_err(|error| Failure::File(path.clone(), error))
             }
-            None => env::var(KEY)
+            None => env::var(KEY_VARIABLE)
                 .map_err(|_| Failure::Usage("--key-file or CELERYPOND_KEY must give the key")),
         }
     }
--- a/cli/src/exit.rs
+++ b/cli/src/failure.rs
@@ -1,31 +1,31 @@
-//! Exit codes and hints for the person at the terminal.
+//! Errors of subcommands, with their exit codes and hints.
 
 use std::process::ExitCode;
 
 use celerypond_cli::{ClientError, ExplainError};
 use thiserror::Error;
 
-/// Why a command failed.
+/// Why a subcommand failed.
 #[derive(Debug, Error)]
 pub(crate) enum Failure {
-    /// The command line or the environment is not complete.
+    /// A required flag or environment variable is missing.
     #[error("{0}")]
     Usage(&'static str),
     /// A file could not be read.
     #[error("{0}: {1}")]
     File(std::path::PathBuf, #[source] std::io::Error),
-    /// A document has faults, which were printed.
+    /// A document is invalid; its errors have been printed.
     #[error("{0} faults")]
-    Faults(usize),
-    /// A digest, an address or a number is not of its form.
+    InvalidDocument(usize),
+    /// An argument is not valid: the argument, and what was expected.
     #[error("{0} is not {1}")]
-    Form(String, &'static str),
-    /// Another operator came first.
+    InvalidArgument(String, &'static str),
+    /// Another operator rolled a bundle first.
     #[error("another roll came first; `celerypond status` shows it")]
-    Outrun,
-    /// The rollout ended by being taken back.
+    Superseded,
+    /// The rollout was rolled back.
     #[error("the rollout was taken back")]
-    TakenBack,
+    RolledBack,
     /// The request cannot be explained.
     #[error("{0}")]
     Explain(ExplainError),
@@ -41,23 +41,23 @@
 }
 
 impl Failure {
-    /// Returns the exit code, as `docs/cli.md` lists them.
-    pub(crate) fn code(&self) -> ExitCode {
+    /// Returns the exit code; `docs/cli.md` lists all codes.
+    pub(crate) fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             Self::File(..) | Self::Explain(_) => 1,
-            Self::Usage(_) | Self::Faults(_) | Self::Form(..) => 2,
-            Self::Outrun => 6,
-            Self::TakenBack => 8,
-            Self::Client(error) => client_code(error),
+            Self::Usage(_) | Self::InvalidDocument(_) | Self::InvalidArgument(..) => 2,
+            Self::Superseded => 6,
+            Self::RolledBack => 8,
+            Self::Client(error) => client_exit_code(error),
         })
     }
 
-    /// Returns what the person may do next.
+    /// Returns a hint on what to do next.
     pub(crate) fn hint(&self) -> Option<&'static str> {
         match self {
             Self::Usage(_) => Some("celerypond --help lists all commands"),
             Self::Explain(_) => Some("give the files of all instances, and the id of one attempt"),
-            Self::Outrun => {
+            Self::Superseded => {
                 Some("compare with `celerypond diff`, then roll again if it still fits")
             }
             Self::Client(ClientError::Unreachable(_)) => {
@@ -74,7 +74,7 @@
     }
 }
 
-fn client_code(error: &ClientError) -> u8 {
+fn client_exit_code(error: &ClientError) -> u8 {
     match error {
         ClientError::InvalidRequest | ClientError::InvalidResponse => 1,
         ClientError::Unreachable(_) => 3,
--- a/cli/src/log_commands.rs
+++ b/cli/src/log_commands.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     context::Context,
-    exit::Failure,
+    failure::Failure,
     flags::{Explain, Losses},
 };
 
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,17 +1,17 @@
-//! The command line tool `celerypond`.
+//! The command line tool `celerypond` for operators and callers.
 
 use std::{process::ExitCode, time::Duration};
 
-mod caller;
+mod caller_commands;
 mod context;
-mod documents;
-mod exit;
+mod document_commands;
+mod failure;
 mod flags;
 mod log_commands;
-mod operator;
+mod operator_commands;
 
 use context::Context;
-use exit::Failure;
+use failure::Failure;
 use flags::{Celerypond, CelerypondCmd};
 
 #[tokio::main(flavor = "current_thread")]
@@ -24,7 +24,7 @@
             if let Some(hint) = failure.hint() {
                 eprintln!("hint: {hint}");
             }
-            failure.code()
+            failure.exit_code()
         }
     }
 }
@@ -32,24 +32,24 @@
 async fn run(flags: Celerypond) -> Result<(), Failure> {
     let context = Context::new(flags.at, flags.key_file, flags.json);
     match flags.subcommand {
-        CelerypondCmd::Check(check) => documents::check(&context, &check),
-        CelerypondCmd::Diff(diff) => documents::diff(&context, &diff).await,
-        CelerypondCmd::Schema(schema) => documents::schema(&schema),
-        CelerypondCmd::Submit(submit) => operator::submit(&context, &submit).await,
-        CelerypondCmd::Approve(approve) => operator::approve(&context, &approve).await,
-        CelerypondCmd::Roll(roll) => operator::roll(&context, &roll).await,
-        CelerypondCmd::Status(_) => operator::status(&context).await,
-        CelerypondCmd::History(_) => operator::history(&context).await,
+        CelerypondCmd::Check(check) => document_commands::check(&context, &check),
+        CelerypondCmd::Diff(diff) => document_commands::diff(&context, &diff).await,
+        CelerypondCmd::Schema(schema) => document_commands::schema(&schema),
+        CelerypondCmd::Submit(submit) => operator_commands::submit(&context, &submit).await,
+        CelerypondCmd::Approve(approve) => operator_commands::approve(&context, &approve).await,
+        CelerypondCmd::Roll(roll) => operator_commands::roll(&context, &roll).await,
+        CelerypondCmd::Status(_) => operator_commands::status(&context).await,
+        CelerypondCmd::History(_) => operator_commands::history(&context).await,
         CelerypondCmd::Explain(explain) => log_commands::explain(&context, &explain),
         CelerypondCmd::Losses(losses) => log_commands::losses(&context, &losses),
-        CelerypondCmd::Entries(_) => caller::entries(&context).await,
-        CelerypondCmd::Generate(generate) => caller::generate(&context, generate).await,
-        CelerypondCmd::Call(call) => caller::call(&context, call).await,
+        CelerypondCmd::Entries(_) => caller_commands::entries(&context).await,
+        CelerypondCmd::Generate(generate) => caller_commands::generate(&context, generate).await,
+        CelerypondCmd::Call(call) => caller_commands::call(&context, call).await,
     }
 }
 
-/// Returns a limit in seconds, or the one that fits most commands.
-fn limit(seconds: Option<u64>) -> Duration {
+/// Returns the timeout for `--limit-s`, or the default.
+fn timeout(seconds: Option<u64>) -> Duration {
     const DEFAULT_S: u64 = 600;
     Duration::from_secs(seconds.unwrap_or(DEFAULT_S))
 }
--- a/cli/tests/runner.rs
+++ b/cli/tests/runner.rs
@@ -1,6 +1,6 @@
 //! Tests of the command line tool.
 
-mod instance;
+mod harness;
 mod test_calls;
 mod test_documents;
 mod test_explain;
--- a/cli/tests/test_calls.rs
+++ b/cli/tests/test_calls.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use celerypond_cli::{Client, ServiceCall};
 
-use crate::instance::serve_then_hang;
+use crate::harness::serve_then_hang;
 
 // The caller reads that its call has not run. An instance says so, and that it may come back in 390
 // ms; 10 ms later its time is over. Sent once more just then, the call would get no answer, and the
--- a/cli/tests/test_documents.rs
+++ b/cli/tests/test_documents.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 
-use crate::instance::{run, text};
+use crate::harness::{run, text};
 
 const DEMO: &str = include_str!("../../examples/demo.json");
 
--- a/cli/tests/test_failures.rs
+++ b/cli/tests/test_failures.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 
-use crate::instance::{run, serve, text};
+use crate::harness::{run, serve, text};
 
 #[rstest]
 #[case::no_command(&[], 2, "subcommand is required")]
--- a/cli/tests/test_waiting.rs
+++ b/cli/tests/test_waiting.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 use serde_json::{json, Value};
 
-use crate::instance::{run, serve, text};
+use crate::harness::{run, serve, text};
 
 const DIGEST: &str = "b570fe52e605e049281c2d8b13ec6d2b7f967b99f6d4777f7e4030ea70308e16";
 
