--- a/cli/src/flags.rs
+++ b/cli/src/flags.rs
@@ -1,26 +1,26 @@
-//! The command line of the tool.
+//! The command line, declared with `xflags`.
 
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Drives celerypond as an operator, or calls it.
+    /// Operates celerypond, or sends requests to it.
     ///
-    /// The addresses come from --at or CELERYPOND_AT, the key from --key-file or CELERYPOND_KEY.
+    /// The addresses are taken from --at or CELERYPOND_AT, the key from --key-file or CELERYPOND_KEY.
     cmd celerypond {
-        /// Addresses of the system, separated by commas.
+        /// Addresses of instances, separated by commas.
         optional --at at: String
-        /// The file that holds the key.
+        /// The file with the key.
         optional --key-file key_file: PathBuf
-        /// Prints JSON.
+        /// Print JSON.
         optional --json
-        /// Checks a bundle offline and prints every fault.
+        /// Validates a bundle without an instance and prints all errors.
         cmd check {
-            /// The bundle.
+            /// The file with the bundle.
             required file: PathBuf
-            /// The file holds settings of an instance instead.
+            /// The file contains the settings of an instance instead of a bundle.
             optional --settings
         }
-        /// Lists what differs between two bundles.
+        /// Prints the differences between two bundles.
         cmd diff {
             /// The first bundle: a file or a digest.
             required before: String
@@ -34,73 +34,73 @@
         }
         /// Submits a bundle for approval.
         cmd submit {
-            /// The bundle.
+            /// The file with the bundle.
             required file: PathBuf
         }
         /// Approves a bundle that another operator submitted.
         cmd approve {
-            /// The digest that the submission gave.
+            /// The digest that `submit` printed.
             required digest: String
         }
         /// Puts an approved bundle in force.
         cmd roll {
-            /// The digest.
+            /// The digest of the bundle.
             required digest: String
-            /// Refuse if another revision than this is in force.
+            /// Fail if the revision in force is not this one.
             optional --expected expected: u64
-            /// Wait until the rollout has ended, and show its progress.
+            /// Wait until the rollout has ended, and print its progress.
             optional --wait
         }
-        /// Tells what is in force where, and how the rollout stands.
+        /// Prints which bundle is in force on how many instances, and the state of its rollout.
         cmd status {}
-        /// Lists the operators' steps.
+        /// Prints the steps of operators.
         cmd history {}
-        /// Tells what became of a routed request and why, from the log lines of instances.
+        /// Prints what became of a routed request and why, from the log files of instances.
         cmd explain {
             /// The id of the request.
             required request: String
-            /// Files of log lines, one or several an instance.
+            /// Log files, one or more for each instance.
             repeated files: PathBuf
         }
-        /// Counts what became of routed requests and when, from the log lines of instances.
+        /// Counts the outcomes of routed requests over time, from the log files of instances.
         cmd losses {
-            /// Seconds of a row; 2 if it is left out.
+            /// The time interval of a row in seconds, 2 by default.
             optional --part part: u64
-            /// Files of log lines, one or several an instance.
+            /// Log files, one or more for each instance.
             repeated files: PathBuf
         }
-        /// Lists the addresses that callers should use.
+        /// Prints the entry points, the addresses that callers should connect to.
         cmd entries {}
-        /// Generates an answer.
+        /// Requests a completion and prints it as it is generated.
         cmd generate {
-            /// The model.
+            /// The name of the model.
             required model: String
             /// The prompt; `-` reads standard input.
             required prompt: String
-            /// How many tokens at most.
+            /// The maximum number of tokens.
             optional --max-tokens max_tokens: u32
-            /// The seed.
+            /// The random seed.
             optional --seed seed: u64
-            /// The adapter.
+            /// The adapter of the model.
             optional --adapter adapter: String
-            /// The key of the request.
+            /// The idempotency key of the request.
             optional --key key: String
-            /// How many seconds to wait.
+            /// The timeout in seconds.
             optional --limit-s limit_s: u64
         }
         /// Calls a plain service.
         cmd call {
-            /// The service.
+            /// The name of the service.
             required service: String
             /// The HTTP method.
             required method: String
-            /// The path below the service.
+            /// The path within the service.
             required path: String
             /// The body; `-` reads standard input.
             optional body: String
-            /// The key by which the call runs at most once.
+            /// The idempotency key; calls with the same key run at most once.
             optional --key key: String
-            /// How many seconds to wait.
+            /// The timeout in seconds.
             optional --limit-s limit_s: u64
         }
     }
--- a/cli/tests/harness.rs
+++ b/cli/tests/harness.rs
@@ -1,4 +1,4 @@
-//! The tool, and an instance that gives prepared replies.
+//! Runs the tool, and a mock instance that returns prepared responses.
 
 use std::{
     io::{BufRead, BufReader, Read, Write},
@@ -8,7 +8,7 @@
     thread,
 };
 
-/// Runs the tool with a key and returns what it gave.
+/// Runs the tool with a key and returns its output.
 pub(crate) fn run(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_celerypond"))
         .args(args)
@@ -18,39 +18,41 @@
         .unwrap()
 }
 
-/// Returns what the tool wrote, as text.
+/// Returns output of the tool as text.
 pub(crate) fn text(bytes: &[u8]) -> String {
     String::from_utf8(bytes.to_vec()).unwrap()
 }
 
-/// Answers one request after the other with `replies`, the last of them for ever.
-pub(crate) fn serve(replies: Vec<(u16, String)>) -> SocketAddr {
-    let last = replies.last().unwrap().clone();
-    listen(replies.into_iter().chain(iter::repeat(last)))
+/// Starts a mock instance that responds to requests in turn with `responses`, and to all later ones
+/// with the last of them.
+pub(crate) fn serve(responses: Vec<(u16, String)>) -> SocketAddr {
+    let last = responses.last().unwrap().clone();
+    listen(responses.into_iter().chain(iter::repeat(last)))
 }
 
-/// Answers one request after the other with `replies`, and those after them not at all.
-pub(crate) fn serve_then_hang(replies: Vec<(u16, String)>) -> SocketAddr {
-    listen(replies.into_iter())
+/// Starts a mock instance that responds to requests in turn with `responses`, and never to later
+/// ones.
+pub(crate) fn serve_then_hang(responses: Vec<(u16, String)>) -> SocketAddr {
+    listen(responses.into_iter())
 }
 
-fn listen(mut replies: impl Iterator<Item = (u16, String)> + Send + 'static) -> SocketAddr {
+fn listen(mut responses: impl Iterator<Item = (u16, String)> + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
-        let mut hanging = Vec::new();
+        let mut unanswered = Vec::new();
         for stream in listener.incoming() {
             let stream = stream.unwrap();
-            match replies.next() {
-                Some((status, body)) => answer(stream, status, &body),
-                None => hanging.push(stream),
+            match responses.next() {
+                Some((status, body)) => respond(stream, status, &body),
+                None => unanswered.push(stream),
             }
         }
     });
     address
 }
 
-fn answer(stream: TcpStream, status: u16, body: &str) {
+fn respond(stream: TcpStream, status: u16, body: &str) {
     let mut reader = BufReader::new(stream);
     let mut length = 0;
     let mut line = String::new();
@@ -62,6 +64,6 @@
     }
     reader.read_exact(&mut vec![0; length]).unwrap();
     let size = body.len();
-    let reply = format!("HTTP/1.1 {status} x\r\ncontent-length: {size}\r\n\r\n{body}");
-    reader.get_mut().write_all(reply.as_bytes()).unwrap();
+    let response = format!("HTTP/1.1 {status} x\r\ncontent-length: {size}\r\n\r\n{body}");
+    reader.get_mut().write_all(response.as_bytes()).unwrap();
 }
--- a/cli/tests/runner.rs
+++ b/cli/tests/runner.rs
@@ -1,4 +1,4 @@
-//! Tests of the command line tool.
+//! Tests of the command line tool and its library.
 
 mod harness;
 mod test_calls;
--- a/cli/tests/test_calls.rs
+++ b/cli/tests/test_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services that the client sends again.
+//! Tests of retries of calls to plain services.
 
 use std::time::Duration;
 
@@ -7,15 +7,19 @@
 
 use crate::harness::serve_then_hang;
 
-// The caller reads that its call has not run. An instance says so, and that it may come back in 390
-// ms; 10 ms later its time is over. Sent once more just then, the call would get no answer, and the
-// caller would have to take it for one that may have run.
+// Guards against a retry just before the deadline. An instance refuses the call without running it
+// and asks for a retry after 390 ms, which is 10 ms before the deadline. A retry would time out, and
+// the caller would have to assume that the call may have run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_near_the_end_of_the_time_stays_a_refusal() {
-    let entries = (200, r#"{"entries":[],"ttl_s":1}"#.to_owned());
+async fn no_retry_just_before_the_deadline() {
+    let entry_points = (200, r#"{"entries":[],"ttl_s":1}"#.to_owned());
     let refusal = r#"{"error":{"kind":"not_run","message":"store","retry_after_ms":390}}"#;
-    let replies = vec![entries.clone(), (503, refusal.to_owned()), entries];
-    let client = Client::new(vec![serve_then_hang(replies)], "key").unwrap();
+    let responses = vec![
+        entry_points.clone(),
+        (503, refusal.to_owned()),
+        entry_points,
+    ];
+    let client = Client::new(vec![serve_then_hang(responses)], "key").unwrap();
     let call = ServiceCall {
         service: "desk".to_owned(),
         method: "POST".to_owned(),
--- a/cli/tests/test_documents.rs
+++ b/cli/tests/test_documents.rs
@@ -1,4 +1,4 @@
-//! Commands that need no instance.
+//! Tests of the subcommands for bundles and settings.
 
 use std::fs;
 
@@ -13,7 +13,7 @@
 #[case::holding("holding.json", &[])]
 #[case::harrowgate("harrowgate.json", &[])]
 #[case::settings("settings.json", &["--settings"])]
-fn examples_have_no_fault(#[case] file: &str, #[case] flags: &[&str]) {
+fn examples_are_valid(#[case] file: &str, #[case] flags: &[&str]) {
     let path = format!("{}/../examples/{file}", env!("CARGO_MANIFEST_DIR"));
     let output = run(&[&["check", &path], flags].concat());
     assert_eq!(
@@ -23,13 +23,13 @@
 }
 
 #[test]
-fn every_fault_is_printed_with_path_found_and_expected() {
+fn check_prints_all_errors() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("bad.json");
-    let bad = DEMO
+    let invalid = DEMO
         .replace("\"title\"", "\"titel\"")
         .replace("\"base\": \"v1\"", "\"base\": \"v9\"");
-    fs::write(&path, bad).unwrap();
+    fs::write(&path, invalid).unwrap();
     let path = path.to_str().unwrap();
     let output = run(&["check", path]);
     let expected = [
@@ -45,13 +45,13 @@
         (output.status.code(), text(&output.stdout)),
         (Some(2), expected)
     );
-    let faults: serde_json::Value =
+    let errors: serde_json::Value =
         serde_json::from_slice(&run(&["--json", "check", path]).stdout).unwrap();
-    assert_eq!(faults[2]["found"], "\"v9\"");
+    assert_eq!(errors[2]["found"], "\"v9\"");
 }
 
 #[test]
-fn a_difference_names_the_entry_and_both_values() {
+fn diff_prints_the_entry_and_both_values() {
     let directory = tempfile::tempdir().unwrap();
     let [before, after] = ["before.json", "after.json"].map(|name| directory.path().join(name));
     fs::write(&before, DEMO).unwrap();
@@ -66,7 +66,7 @@
 #[rstest]
 #[case::bundle("bundle", include_str!("../../docs/schema/bundle.json"))]
 #[case::settings("settings", include_str!("../../docs/schema/settings.json"))]
-fn a_schema_is_the_published_one(#[case] kind: &str, #[case] published: &str) {
+fn schema_matches_the_published_file(#[case] kind: &str, #[case] published: &str) {
     assert_eq!(
         text(&run(&["schema", kind]).stdout).trim(),
         published.trim()
--- a/cli/tests/test_failures.rs
+++ b/cli/tests/test_failures.rs
@@ -1,4 +1,4 @@
-//! Exit codes and hints, as `docs/cli.md` lists them.
+//! Tests of the exit codes and hints that `docs/cli.md` lists.
 
 use rstest::rstest;
 
@@ -12,12 +12,16 @@
 #[case::bad_digest(&["--at", "127.0.0.1:1", "approve", "ab"], 2, "ab is not a digest")]
 #[case::bad_kind(&["schema", "x"], 2, "x is not `bundle` or `settings`")]
 #[case::no_file(&["check", "/nowhere"], 1, "/nowhere: No such file")]
-#[case::nobody_there(&["--at", "127.0.0.1:1", "entries"], 3, "hint: check --at")]
-fn a_command_that_cannot_be_sent(#[case] args: &[&str], #[case] code: i32, #[case] said: &str) {
+#[case::no_listener(&["--at", "127.0.0.1:1", "entries"], 3, "hint: check --at")]
+fn exit_code_and_message_of_local_errors(
+    #[case] args: &[&str],
+    #[case] code: i32,
+    #[case] message: &str,
+) {
     let output = run(args);
     let error = text(&output.stderr);
     assert_eq!(output.status.code(), Some(code), "{error}");
-    assert!(error.contains(said), "{error}");
+    assert!(error.contains(message), "{error}");
 }
 
 #[rstest]
@@ -29,12 +33,16 @@
 #[case::not_run("not_run", 3, "hint: nothing was run")]
 #[case::unknown("unknown", 4, "hint: it may have run")]
 #[case::incomplete("incomplete", 5, "incomplete: why")]
-#[case::of_a_later_version("new_kind", 1, "new_kind: why")]
-fn a_failure_that_an_instance_reports(#[case] kind: &str, #[case] code: i32, #[case] said: &str) {
+#[case::kind_of_later_version("new_kind", 1, "new_kind: why")]
+fn exit_code_and_message_of_errors_from_instances(
+    #[case] kind: &str,
+    #[case] code: i32,
+    #[case] message: &str,
+) {
     let body = format!(r#"{{"error":{{"kind":"{kind}","message":"why"}}}}"#);
     let at = serve(vec![(500, body)]).to_string();
     let output = run(&["--at", &at, "status"]);
     let error = text(&output.stderr);
     assert_eq!(output.status.code(), Some(code), "{error}");
-    assert!(error.contains(said), "{error}");
+    assert!(error.contains(message), "{error}");
 }
