--- a/cli/tests/test_explain.rs
+++ b/cli/tests/test_explain.rs
@@ -65,7 +65,7 @@
     r#"{"time":"2026-01-01T00:00:02.000Z","message":"stream goes on","request":"r","failed":"Some(Failed)"}"#,
     "the stream was broken off: Some(Failed)"
 )]
-#[case::no_answer(
+#[case::no_end(
     r#"{"time":"2026-01-01T00:00:02.000Z","message":"engine began","request":"r","target":"i-7"}"#,
     "no answer is told of: its caller left, or the instance died"
 )]
