--- a/cli/src/outcomes.rs
+++ b/cli/src/outcomes.rs
@@ -33,7 +33,7 @@
 /// The number of requests with the same outcome whose first line is in the same interval.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct OutcomeCount {
-    /// The start of the interval, in seconds since the first line of all.
+    /// The start of the interval, in seconds since the first line of all files.
     pub from_s: u64,
     /// The outcome.
     pub fate: Outcome,
@@ -43,13 +43,13 @@
     pub example: String,
 }
 
-/// Counts requests by outcome and by the interval of `interval_s` seconds in which their first line
-/// is.
+/// Counts requests by outcome and by the time of their first line, in intervals of `interval_s`
+/// seconds.
 ///
 /// # Examples
 ///
 /// ```
-/// use celerypond_cli::{count_outcomes, Outcome, LogSource};
+/// use celerypond_cli::{count_outcomes, LogSource, Outcome};
 ///
 /// let text = r#"{"time":"2026-01-01T00:00:00.000Z","message":"answered","request":"r1","status":503,"why":"NoTarget"}"#;
 /// let counts = count_outcomes(&[LogSource { name: "a", text }], 2);
