--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -103,10 +103,10 @@
 }
 
 async fn run(node: &Arc<Node>, forwarded: ForwardedCall) -> ForwardedAnswer {
-    let force = node.active_bundle.load_full();
-    let service = force
+    let active = node.active_bundle.load_full();
+    let service = active
         .as_ref()
-        .and_then(|force| force.service(&forwarded.service));
+        .and_then(|active| active.service(&forwarded.service));
     let (Some(service), Ok(method)) = (service, Method::from_bytes(forwarded.method.as_bytes()))
     else {
         return not_run(NotRunReason::NoTarget, RETRY_AFTER);
--- a/daemon/src/gossip.rs
+++ b/daemon/src/gossip.rs
@@ -133,8 +133,8 @@
     names.sort();
     names.dedup();
     drop(gossip);
-    let force = node.active_bundle.load_full();
-    let targets = force.iter().flat_map(|force| &force.bundle.targets);
+    let active = node.active_bundle.load_full();
+    let targets = active.iter().flat_map(|active| &active.bundle.targets);
     let targets: Vec<TargetName> = targets.map(|target| target.name.clone()).collect();
     let subset = Subset::of(&node.settings.instance, &names, &targets);
     node.set_group_targets(subset.targets);
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -172,26 +172,26 @@
     ///
     /// A delayed read or a lagging peer may supply a bundle that has been replaced already. The
     /// comparison and the swap are one atomic step, so that the revision never decreases.
-    pub fn activate_bundle(&self, force: Force) -> bool {
-        let force = Arc::new(force);
+    pub fn activate_bundle(&self, active: Force) -> bool {
+        let active = Arc::new(active);
         let last = self.active_bundle.rcu(|held| match held {
-            Some(held) if held.revision() >= force.revision() => Some(Arc::clone(held)),
-            _ => Some(Arc::clone(&force)),
+            Some(held) if held.revision() >= active.revision() => Some(Arc::clone(held)),
+            _ => Some(Arc::clone(&active)),
         });
-        if last.is_some_and(|last| last.revision() >= force.revision()) {
+        if last.is_some_and(|last| last.revision() >= active.revision()) {
             return false;
         }
-        self.rollouts.set_active_bundle(&force);
+        self.rollouts.set_active_bundle(&active);
         let before = self
             .view
-            .rcu(|view| view.with_bundle(&self.group_bundle(&force), Instant::now()));
+            .rcu(|view| view.with_bundle(&self.group_bundle(&active), Instant::now()));
         self.set_initial_limits(&before);
         self.metrics.add(Counter::Bundles, 1);
-        self.metrics.set(Gauge::Revision, force.revision().0);
+        self.metrics.set(Gauge::Revision, active.revision().0);
         log::info!(
             "revision {} is in force, bundle {}",
-            force.revision(),
-            force.headline.digest.short()
+            active.revision(),
+            active.headline.digest.short()
         );
         true
     }
@@ -200,15 +200,15 @@
     pub fn set_group_targets(&self, targets: Vec<TargetName>) {
         let is_same = *self.group_targets.load_full() == targets;
         self.group_targets.store(Arc::new(targets));
-        if let Some(force) = self.active_bundle.load_full().filter(|_| !is_same) {
+        if let Some(active) = self.active_bundle.load_full().filter(|_| !is_same) {
             self.view
-                .rcu(|view| view.with_bundle(&self.group_bundle(&force), Instant::now()));
+                .rcu(|view| view.with_bundle(&self.group_bundle(&active), Instant::now()));
         }
     }
 
     /// Returns the bundle reduced to the targets that this instance uses.
-    fn group_bundle(&self, force: &Force) -> Bundle {
-        part_of(&force.bundle, &self.group_targets.load())
+    fn group_bundle(&self, active: &Force) -> Bundle {
+        part_of(&active.bundle, &self.group_targets.load())
     }
 
     /// Sets the limits of accounts that are new on this instance to a first part of their total
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -54,7 +54,7 @@
 /// The desired states of engines according to the bundles.
 #[derive(Default)]
 struct DesiredStates {
-    force: Option<Arc<Force>>,
+    active: Option<Arc<Force>>,
     /// The previous bundle, and the time by which its last answers have ended. Until then engines
     /// keep its versions.
     previous: Option<(Arc<Force>, Instant)>,
@@ -108,12 +108,12 @@
     /// Updates the reconciler: whether this instance should hold the lease, the desired states by
     /// the active bundle and the reports of the engines.
     fn update_desired_states(&mut self) {
-        let Some(force) = self.node.active_bundle.load_full() else {
+        let Some(active) = self.node.active_bundle.load_full() else {
             return;
         };
         self.reconciler
             .set_wanted(is_responsible(&self.node, self.shard));
-        self.desired_states.set_active_bundle(force);
+        self.desired_states.set_active_bundle(active);
         let desired_states = self.desired_states.for_shard(self.shard);
         for removed in self
             .desired_states
@@ -167,13 +167,13 @@
 impl DesiredStates {
     /// Sets the active bundle. The one before becomes the previous bundle for as long as the
     /// longest deadline of its models.
-    fn set_active_bundle(&mut self, force: Arc<Force>) {
+    fn set_active_bundle(&mut self, active: Arc<Force>) {
         let now = Instant::now();
         let is_new = self
-            .force
+            .active
             .as_ref()
-            .is_none_or(|held| held.revision() < force.revision());
-        if is_new && let Some(previous) = self.force.replace(force) {
+            .is_none_or(|held| held.revision() < active.revision());
+        if is_new && let Some(previous) = self.active.replace(active) {
             let deadlines = previous.bundle.models.iter().map(|model| model.deadline_ms);
             let longest_deadline = Duration::from_millis(deadlines.max().unwrap_or(0));
             self.previous = Some((previous, now + longest_deadline));
@@ -184,10 +184,10 @@
     /// Returns the engines of a shard with their guards and desired states.
     fn for_shard(&self, shard: Shard) -> BTreeMap<TargetName, (StaleOrderGuard, DesiredState)> {
         let mut desired_states = BTreeMap::new();
-        let Some(force) = &self.force else {
+        let Some(active) = &self.active else {
             return desired_states;
         };
-        for target in &force.bundle.targets {
+        for target in &active.bundle.targets {
             if target.kind == TargetKind::Engine && Shard::of(&target.name, SHARD_COUNT) == shard {
                 let guard = match target.fencing {
                     Fencing::Checked => StaleOrderGuard::Fencing,
@@ -198,8 +198,8 @@
             }
         }
         let previous = self.previous.iter().map(|(previous, _)| previous);
-        for force in previous.chain([force]) {
-            add_versions(&force.bundle, &mut desired_states);
+        for active in previous.chain([active]) {
+            add_versions(&active.bundle, &mut desired_states);
         }
         desired_states
     }
--- a/daemon/src/peer_server.rs
+++ b/daemon/src/peer_server.rs
@@ -70,12 +70,12 @@
     }
 
     async fn fetch_bundle(self, _: Context, revision: Revision) -> Option<Vec<u8>> {
-        let force = self.0.active_bundle.load_full()?;
+        let active = self.0.active_bundle.load_full()?;
         let message = BundleMessage {
-            headline: force.headline.clone(),
-            bundle: (*force.bundle).clone(),
+            headline: active.headline.clone(),
+            bundle: (*active.bundle).clone(),
         };
-        (force.headline.revision >= revision).then(|| message.encode())
+        (active.headline.revision >= revision).then(|| message.encode())
     }
 
     /// Returns nothing: only instances in the relay role fetch changes from each other.
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -92,16 +92,16 @@
     }
 
     /// Sets the bundle that has come into force.
-    pub fn set_active_bundle(&self, force: &Force) {
+    pub fn set_active_bundle(&self, active: &Force) {
         let mut controller = self.controller();
-        controller.set_parts(force.headline.parts.clone());
-        self.shares.publish(&controller, &force.bundle);
+        controller.set_parts(active.headline.parts.clone());
+        self.shares.publish(&controller, &active.bundle);
     }
 
     /// Publishes the current shares to the request path, for example after a brake changed them.
     fn publish_shares(&self, node: &Node) {
-        if let Some(force) = node.active_bundle.load_full() {
-            self.shares.publish(&self.controller(), &force.bundle);
+        if let Some(active) = node.active_bundle.load_full() {
+            self.shares.publish(&self.controller(), &active.bundle);
         }
     }
 
@@ -115,10 +115,10 @@
         if self.shares.is_synced() && is_loaded_on_any_engine(node, model, &chosen) {
             return chosen;
         }
-        let force = node.active_bundle.load();
-        let part = force
+        let active = node.active_bundle.load();
+        let part = active
             .as_ref()
-            .and_then(|force| force.headline.parts.get(&model.name));
+            .and_then(|active| active.headline.parts.get(&model.name));
         let mut increases = part.into_iter().flat_map(|part| &part.increases);
         let increase = increases.find(|increase| increase.candidate.version == chosen);
         increase.map_or(chosen, |increase| increase.base.clone())
@@ -152,12 +152,12 @@
             version: version.clone(),
         };
         let mut excluded = self.engines_without_version(node, model, version);
-        let (Some(targets), Some(force)) =
+        let (Some(targets), Some(active)) =
             (targets(model, version), node.active_bundle.load_full())
         else {
             return excluded;
         };
-        let part = force.headline.parts.get(&model.name);
+        let part = active.headline.parts.get(&model.name);
         let stage_engines =
             part.and_then(|part| self.controller().stage_engines(part.origin, &candidate));
         let stage_engines = stage_engines.map_or(targets.len(), |engines| engines as usize);
@@ -280,10 +280,10 @@
     /// none.
     fn exchange_evidence(&self, node: &Arc<Node>) {
         let live = listed_live_instances(node);
-        let Some(force) = node.active_bundle.load_full() else {
+        let Some(active) = node.active_bundle.load_full() else {
             return;
         };
-        let parts = force.headline.parts.iter();
+        let parts = active.headline.parts.iter();
         let reporters: Vec<InstanceName> = parts
             .flat_map(|(model, part)| evidence_reporters(part.origin, model, &live))
             .collect();
@@ -367,10 +367,10 @@
 
 /// Returns the brakes of the share increases in the active bundle.
 fn active_brakes(node: &Node, controller: &RolloutController) -> Vec<Brake> {
-    let Some(force) = node.active_bundle.load_full() else {
+    let Some(active) = node.active_bundle.load_full() else {
         return Vec::new();
     };
-    let candidates = force.headline.parts.values().flat_map(|part| {
+    let candidates = active.headline.parts.values().flat_map(|part| {
         part.increases
             .iter()
             .map(|increase| (part.origin, increase.candidate.clone()))
--- a/daemon/src/rollouts/driver.rs
+++ b/daemon/src/rollouts/driver.rs
@@ -55,25 +55,25 @@
 }
 
 fn step(node: &Arc<Node>) {
-    let Some(force) = node.active_bundle.load_full() else {
+    let Some(active) = node.active_bundle.load_full() else {
         return;
     };
     let live = listed_live_instances(node);
     let (is_braked, applied, has_running) = {
         let mut controller = node.rollouts.controller();
         controller.set_live(&live);
-        let engines = |increase: &ShareIncrease| count_base_engines(&force, increase);
+        let engines = |increase: &ShareIncrease| count_base_engines(&active, increase);
         let is_braked = controller.evaluate(engines, node::wall_ms());
         let open_answers = lock(&node.rollouts.open_answers);
-        let applied = controller.update_applied_state(force.revision(), |model, version| {
+        let applied = controller.update_applied_state(active.revision(), |model, version| {
             let key = (model.clone(), version.clone());
             open_answers.get(&key).copied().unwrap_or(0)
         });
-        let has_running = force.headline.parts.values().any(|part| {
+        let has_running = active.headline.parts.values().any(|part| {
             let rollout = controller.rollout(part.origin);
             rollout.is_some_and(|rollout| rollout.versions.iter().any(|it| !it.phase.is_ended()))
         });
-        node.rollouts.shares.publish(&controller, &force.bundle);
+        node.rollouts.shares.publish(&controller, &active.bundle);
         (is_braked, applied, has_running || !controller.is_synced())
     };
     if node.rollouts.should_announce(&applied) {
@@ -121,7 +121,7 @@
     due_since: &mut HashMap<Revision, Instant>,
     record_versions: &mut HashMap<Revision, Version>,
 ) {
-    let Some(force) = node.active_bundle.load_full() else {
+    let Some(active) = node.active_bundle.load_full() else {
         return;
     };
     let due = {
@@ -130,7 +130,7 @@
         let is_list_fresh = node
             .instance_list_read_at()
             .is_some_and(|at| at.elapsed() < MAX_LIST_AGE);
-        controller.due_records(&force.bundle.models, rates, is_list_fresh, node::wall_ms())
+        controller.due_records(&active.bundle.models, rates, is_list_fresh, node::wall_ms())
     };
     due_since.retain(|origin, _| due.iter().any(|rollout| rollout.origin == *origin));
     for rollout in due {
@@ -182,8 +182,8 @@
 }
 
 /// Returns the number of engines that serve the base of a share increase.
-fn count_base_engines(force: &Force, increase: &ShareIncrease) -> u32 {
-    let model = force.model(&increase.candidate.model);
+fn count_base_engines(active: &Force, increase: &ShareIncrease) -> u32 {
+    let model = active.model(&increase.candidate.model);
     let versions = model.into_iter().flat_map(|model| &model.versions);
     let base = versions
         .filter(|version| version.name == increase.base)
--- a/daemon/src/rollouts/status.rs
+++ b/daemon/src/rollouts/status.rs
@@ -69,7 +69,7 @@
         let live = listed_live_instances(node);
         let is_fresh = lock(&self.records_read_at).is_some_and(|at| at.elapsed() < MAX_RECORD_AGE);
         let controller = self.controller();
-        let Some(force) = node.active_bundle.load_full() else {
+        let Some(active) = node.active_bundle.load_full() else {
             return (
                 controller
                     .applied_states()
@@ -79,8 +79,8 @@
         };
         let in_force = controller
             .applied_states()
-            .bundle_coverage(force.revision(), &live);
-        let parts = force.headline.parts.values();
+            .bundle_coverage(active.revision(), &live);
+        let parts = active.headline.parts.values();
         let rollouts = parts.filter_map(|part| controller.rollout(part.origin));
         let statuses = rollouts
             .flat_map(|rollout| {
