--- a/daemon/src/rollouts/driver.rs
+++ b/daemon/src/rollouts/driver.rs
@@ -59,7 +59,7 @@
         return;
     };
     let live = listed_live_instances(node);
-    let (is_braked, applied, has_running) = {
+    let (is_braked, applied, needs_exchange) = {
         let mut controller = node.rollouts.controller();
         controller.set_live(&live);
         let engines = |increase: &ShareIncrease| count_base_engines(&active, increase);
@@ -82,7 +82,7 @@
     }
     if is_braked {
         node.rollouts.broadcast(node);
-    } else if has_running {
+    } else if needs_exchange {
         node.rollouts.exchange_evidence(node);
     }
 }
--- a/daemon/src/service_call.rs
+++ b/daemon/src/service_call.rs
@@ -142,7 +142,7 @@
     /// Sends a call that may not be repeated, at most once.
     ///
     /// Before a connection is established, no byte can have reached a service, so other targets may
-    /// be tried. From the first write on, only a response tells whether the call ran.
+    /// be tried. From the first write on, only a response shows whether the call ran.
     pub async fn send_once(&self, node: &Node, unsent: UnsentCall) -> FinishedCall {
         let connection = match self.connect(node, &mut Vec::new()).await {
             Ok(connection) => connection,
--- a/daemon/src/target_watch.rs
+++ b/daemon/src/target_watch.rs
@@ -285,7 +285,7 @@
             for effect in detector.step(pool, now_ms) {
                 match effect {
                     OutlierEffect::SetWeight(target, weight) => {
-                        log_weight_change(&self.node, view, target, weight);
+                        record_weight_change(&self.node, view, target, weight);
                         pool.set_weight(target, weight);
                     }
                     OutlierEffect::SetPanicMode(panic) => pool.set_panic_mode(panic),
@@ -325,7 +325,7 @@
     }
 }
 
-fn log_weight_change(node: &Node, view: &RoutingView, target: TargetKey, weight: u32) {
+fn record_weight_change(node: &Node, view: &RoutingView, target: TargetKey, weight: u32) {
     let Some(target) = view.target(target) else {
         return;
     };
