--- a/bench/src/path/stand.rs
+++ b/bench/src/path/stand.rs
@@ -10,8 +10,8 @@
 use celerypond_daemon::{engine, server};
 use celerypond_testutils::{
     engine::{Engine, EngineSettings},
+    instances::{InstanceList, ListedInstance},
     platform::Platform,
-    roster::{ListedInstance, Listing},
     server::Server,
     service::Service,
 };
@@ -68,7 +68,7 @@
     pub(super) async fn start(gap: Duration, workers: usize) -> Result<Self, Report<PathError>> {
         let stand_ins = runtime("path-stand-in", STAND_IN_THREADS)?;
         let [port, peer_port] = free_ports()?;
-        let listing = Listing {
+        let listing = InstanceList {
             instances: vec![listed(port, peer_port)],
             targets: Vec::new(),
         };
--- a/crates/ledger/tests/test_sockets.rs
+++ b/crates/ledger/tests/test_sockets.rs
@@ -11,7 +11,7 @@
     ServiceResponse, Settings, Shard, ShardNumber,
 };
 use celerypond_platform::{Client, ClientSettings, Rates};
-use celerypond_testutils::{fault::PlatformFault, platform::Platform, roster::Listing};
+use celerypond_testutils::{fault::PlatformFault, instances::InstanceList, platform::Platform};
 use celerypond_types::Outcome;
 use tokio::time::Instant;
 
@@ -29,7 +29,7 @@
 // callers get its response.
 #[tokio::test]
 async fn call_runs_once_if_store_replies_are_lost() {
-    let platform = Platform::new(Listing::default(), Duration::ZERO);
+    let platform = Platform::new(InstanceList::default(), Duration::ZERO);
     let server = platform
         .serve("127.0.0.1:0".parse().unwrap())
         .await
--- a/daemon/tests/fleet.rs
+++ b/daemon/tests/fleet.rs
@@ -19,8 +19,8 @@
 use celerypond_testutils::{
     engine::{Engine, EngineSettings},
     generator::{Generator, Source},
+    instances::{InstanceList, ListedInstance},
     platform::Platform,
-    roster::{ListedInstance, Listing},
     server::Server,
     service::Service,
 };
@@ -128,7 +128,7 @@
 
     async fn without_bundle(gap: Duration) -> Self {
         let ports = free_ports(6);
-        let listing = Listing {
+        let listing = InstanceList {
             instances: (0..3)
                 .map(|i| listed(i, ports[2 * i], ports[2 * i + 1]))
                 .collect(),
--- a/testutils/src/roster.rs
+++ b/testutils/src/instances.rs
@@ -8,7 +8,7 @@
 /// One state of the list, as the platform gives it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Listing {
+pub struct InstanceList {
     /// The instances.
     #[serde(default)]
     pub instances: Vec<ListedInstance>,
@@ -43,17 +43,17 @@
 
 /// The list over time.
 #[derive(Clone, Debug)]
-pub struct Roster {
+pub struct DelayedInstanceList {
     lag: Duration,
-    states: Vec<(Instant, Listing)>,
+    versions: Vec<(Instant, InstanceList)>,
 }
 
-impl Roster {
+impl DelayedInstanceList {
     /// Starts with a list that has always been there.
-    pub fn new(listing: Listing, lag: Duration, now: Instant) -> Self {
+    pub fn new(listing: InstanceList, lag: Duration, now: Instant) -> Self {
         Self {
             lag,
-            states: vec![(now, listing)],
+            versions: vec![(now, listing)],
         }
     }
 
@@ -63,17 +63,17 @@
     }
 
     /// Replaces the list; readers see it after the lag.
-    pub fn set(&mut self, listing: Listing, now: Instant) {
-        self.states.push((now, listing));
+    pub fn set(&mut self, listing: InstanceList, now: Instant) {
+        self.versions.push((now, listing));
     }
 
     /// Returns the list as readers see it.
-    pub fn seen(&self, now: Instant) -> Listing {
-        self.states
+    pub fn visible(&self, now: Instant) -> InstanceList {
+        self.versions
             .iter()
             .rev()
             .find(|(since, _)| now.saturating_duration_since(*since) >= self.lag)
-            .or(self.states.first())
+            .or(self.versions.first())
             .map(|(_, listing)| listing.clone())
             .unwrap_or_default()
     }
--- a/testutils/src/lib.rs
+++ b/testutils/src/lib.rs
@@ -5,11 +5,11 @@
 pub mod engine;
 pub mod fault;
 pub mod generator;
+pub mod instances;
 pub mod load;
 pub mod objects;
 pub mod platform;
 pub mod reply;
-pub mod roster;
 pub mod server;
 pub mod service;
 pub mod stream;
--- a/testutils/src/platform.rs
+++ b/testutils/src/platform.rs
@@ -17,9 +17,9 @@
 
 use crate::{
     fault::{self, PlatformFault},
+    instances::{DelayedInstanceList, InstanceList},
     objects::{Condition, Object, Objects, Refusal},
     reply::{self, Reply},
-    roster::{Listing, Roster},
     server::Server,
 };
 
@@ -41,7 +41,7 @@
 
 struct Inner {
     objects: Objects,
-    roster: Roster,
+    instances: DelayedInstanceList,
     down: bool,
     slow: Duration,
     lose: u32,
@@ -78,10 +78,10 @@
 
 impl Platform {
     /// Makes a platform that lists these instances.
-    pub fn new(listing: Listing, lag: Duration) -> Self {
+    pub fn new(listing: InstanceList, lag: Duration) -> Self {
         let inner = Inner {
             objects: Objects::default(),
-            roster: Roster::new(listing, lag, Instant::now()),
+            instances: DelayedInstanceList::new(listing, lag, Instant::now()),
             down: false,
             slow: Duration::ZERO,
             lose: 0,
@@ -125,15 +125,15 @@
             inner.lose = lose;
         }
         if let Some(lag) = change.instance_lag_ms {
-            inner.roster.set_lag(Duration::from_millis(lag));
+            inner.instances.set_lag(Duration::from_millis(lag));
         }
         drop(inner);
         self.shared.written.notify_waiters();
     }
 
     /// Replaces the instance list; readers see it after the lag.
-    pub fn list(&self, listing: Listing) {
-        self.lock().roster.set(listing, Instant::now());
+    pub fn list(&self, listing: InstanceList) {
+        self.lock().instances.set(listing, Instant::now());
     }
 
     async fn answer(&self, request: Request<Bytes>) -> Reply {
@@ -152,9 +152,10 @@
         match path.as_str() {
             "/v1/objects" => self.objects(request.uri()),
             "/v1/watch" => self.watch(request.uri()).await,
-            "/v1/instances" => {
-                reply::json(StatusCode::OK, &self.lock().roster.seen(Instant::now()))
-            }
+            "/v1/instances" => reply::json(
+                StatusCode::OK,
+                &self.lock().instances.visible(Instant::now()),
+            ),
             _ if path.starts_with("/v1/weights/") => self.weights(),
             _ => reply::empty(StatusCode::NOT_FOUND),
         }
