--- a/bench/src/path/stand.rs
+++ b/bench/src/path/stand.rs
@@ -75,8 +75,8 @@
         let platform = Platform::new(listing, Duration::ZERO);
         let engine = Engine::new(EngineSettings {
             versions: vec!["v1".into()],
-            gap,
-            prefill: Duration::ZERO,
+            token_interval: gap,
+            prefill_per_token: Duration::ZERO,
             slots: SLOTS,
             checks_fencing: true,
         });
--- a/daemon/tests/fleet.rs
+++ b/daemon/tests/fleet.rs
@@ -140,8 +140,8 @@
         for _ in 0..3 {
             let stand_in = Engine::new(EngineSettings {
                 versions: vec!["v1".into()],
-                gap,
-                prefill: Duration::ZERO,
+                token_interval: gap,
+                prefill_per_token: Duration::ZERO,
                 slots: 256,
                 checks_fencing: true,
             });
--- a/daemon/tests/test_links.rs
+++ b/daemon/tests/test_links.rs
@@ -20,8 +20,8 @@
 async fn an_engine_closes_the_connection_after_the_end_of_its_answer() {
     let engine = Engine::new(EngineSettings {
         versions: vec!["v1".into()],
-        gap: Duration::ZERO,
-        prefill: Duration::ZERO,
+        token_interval: Duration::ZERO,
+        prefill_per_token: Duration::ZERO,
         slots: 4,
         checks_fencing: true,
     });
--- a/testutils/src/engine.rs
+++ b/testutils/src/engine.rs
@@ -36,9 +36,9 @@
     /// The versions that are loaded at the start.
     pub versions: Vec<VersionName>,
     /// The time between tokens.
-    pub gap: Duration,
+    pub token_interval: Duration,
     /// The time to read one token of the prompt or prefix.
-    pub prefill: Duration,
+    pub prefill_per_token: Duration,
     /// How many streams run at once; more are refused.
     pub slots: usize,
     /// Whether orders with an old fencing number are refused.
@@ -496,9 +496,9 @@
         .iter()
         .for_each(|token| generator.absorb(*token));
     let words = call.prompt.split_whitespace().count() + call.prefix.len();
-    time::sleep(engine.shared.settings.prefill * words as u32).await;
+    time::sleep(engine.shared.settings.prefill_per_token * words as u32).await;
     for _ in call.prefix.len() as u32..call.max_tokens {
-        time::sleep(gap(&engine, &call.version)).await;
+        time::sleep(token_interval(&engine, &call.version)).await;
         engine.running().await;
         if !stream.push(generator.step()) {
             return;
@@ -507,11 +507,11 @@
     stream.end();
 }
 
-fn gap(engine: &Engine, version: &VersionName) -> Duration {
+fn token_interval(engine: &Engine, version: &VersionName) -> Duration {
     let inner = engine.lock();
     let bad = inner.bad.as_ref().filter(|bad| bad.version == *version);
     let extra = bad.map_or(0, |bad| bad.slow_ms);
-    engine.shared.settings.gap + inner.slow + Duration::from_millis(extra)
+    engine.shared.settings.token_interval + inner.slow + Duration::from_millis(extra)
 }
 
 fn fails(inner: &mut Inner, version: &VersionName) -> bool {
--- a/testutils/src/main.rs
+++ b/testutils/src/main.rs
@@ -15,12 +15,12 @@
 
 use flags::{CelerypondStandin, CelerypondStandinCmd};
 
-const DEFAULT_GAP_MS: u64 = 20;
+const DEFAULT_TOKEN_INTERVAL_MS: u64 = 20;
 const DEFAULT_SLOTS: usize = 64;
 const DEFAULT_CALLERS: u64 = 12;
 const DEFAULT_SECONDS: u64 = 10;
 const DEFAULT_TOKENS: u32 = 8;
-const PREFILL: Duration = Duration::from_micros(50);
+const PREFILL_PER_TOKEN: Duration = Duration::from_micros(50);
 
 #[tokio::main]
 async fn main() -> ExitCode {
@@ -52,8 +52,10 @@
         CelerypondStandinCmd::Engine(flags) => {
             let settings = EngineSettings {
                 versions: flags.versions.iter().map(VersionName::new).collect(),
-                gap: Duration::from_millis(flags.gap_ms.unwrap_or(DEFAULT_GAP_MS)),
-                prefill: PREFILL,
+                token_interval: Duration::from_millis(
+                    flags.gap_ms.unwrap_or(DEFAULT_TOKEN_INTERVAL_MS),
+                ),
+                prefill_per_token: PREFILL_PER_TOKEN,
                 slots: flags.slots.unwrap_or(DEFAULT_SLOTS),
                 checks_fencing: flags.checks_fencing,
             };
