--- a/bench/src/path.rs
+++ b/bench/src/path.rs
@@ -206,7 +206,7 @@
         Row::of("service call", "idempotent, over an instance", "us", over),
     ];
     for (slow_ms, name) in STORE_MS {
-        stand.platform.fault(PlatformFault {
+        stand.platform.set_faults(PlatformFault {
             slow_ms: Some(slow_ms),
             ..PlatformFault::default()
         });
--- a/crates/ledger/tests/test_sockets.rs
+++ b/crates/ledger/tests/test_sockets.rs
@@ -34,7 +34,7 @@
         .serve("127.0.0.1:0".parse().unwrap())
         .await
         .unwrap();
-    platform.fault(PlatformFault {
+    platform.set_faults(PlatformFault {
         lose_replies: Some(2),
         ..PlatformFault::default()
     });
--- a/daemon/tests/test_answers.rs
+++ b/daemon/tests/test_answers.rs
@@ -40,7 +40,7 @@
     let tokens = receive(&client, prompt("letter", 8, 120), |count| {
         if count == 40 {
             for engine in &fleet.engines {
-                engine.stand_in.fault(EngineFault {
+                engine.stand_in.set_faults(EngineFault {
                     silent: Some(true),
                     ..EngineFault::default()
                 });
@@ -60,7 +60,7 @@
     let pause = |paused| {
         for engine in &fleet.engines {
             if !engine.stand_in.log().starts.is_empty() {
-                engine.stand_in.fault(EngineFault {
+                engine.stand_in.set_faults(EngineFault {
                     paused: Some(paused),
                     ..EngineFault::default()
                 });
--- a/daemon/tests/test_bundles.rs
+++ b/daemon/tests/test_bundles.rs
@@ -10,7 +10,7 @@
 const GAP: Duration = Duration::from_millis(5);
 
 fn down(fleet: &Fleet, down: bool) {
-    fleet.platform.fault(PlatformFault {
+    fleet.platform.set_faults(PlatformFault {
         down: Some(down),
         ..PlatformFault::default()
     });
--- a/daemon/tests/test_calls.rs
+++ b/daemon/tests/test_calls.rs
@@ -50,7 +50,7 @@
 async fn replies_of_the_store_are_lost() {
     let fleet = Fleet::start(GAP).await;
     let client = fleet.client(ACCOUNT_KEY);
-    fleet.platform.fault(PlatformFault {
+    fleet.platform.set_faults(PlatformFault {
         lose_replies: Some(2),
         ..PlatformFault::default()
     });
@@ -68,7 +68,7 @@
 async fn a_service_runs_a_hold_and_does_not_answer() {
     let fleet = Fleet::start(GAP).await;
     let client = fleet.client(ACCOUNT_KEY);
-    fleet.desk.stand_in.fault(ServiceFault {
+    fleet.desk.stand_in.set_faults(ServiceFault {
         swallow: Some(1),
         ..ServiceFault::default()
     });
@@ -85,7 +85,7 @@
 async fn a_service_fails_after_it_has_run_a_hold() {
     let fleet = Fleet::start(GAP).await;
     let client = fleet.client(ACCOUNT_KEY);
-    fleet.desk.stand_in.fault(ServiceFault {
+    fleet.desk.stand_in.set_faults(ServiceFault {
         fail_after_run: Some(1),
         ..ServiceFault::default()
     });
@@ -101,7 +101,7 @@
     let fleet = Fleet::start(GAP).await;
     let known = vec![fleet.instances[0].address];
     let client = Client::new(known, ACCOUNT_KEY).unwrap();
-    fleet.platform.fault(PlatformFault {
+    fleet.platform.set_faults(PlatformFault {
         down: Some(true),
         ..PlatformFault::default()
     });
@@ -125,7 +125,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_dies_while_it_runs_a_hold() {
     let mut fleet = Fleet::start(GAP).await;
-    fleet.desk.stand_in.fault(ServiceFault {
+    fleet.desk.stand_in.set_faults(ServiceFault {
         slow_ms: Some(100),
         ..ServiceFault::default()
     });
--- a/daemon/tests/test_rollouts.rs
+++ b/daemon/tests/test_rollouts.rs
@@ -62,7 +62,7 @@
 async fn a_bad_version_is_taken_back() {
     let fleet = Fleet::start(Duration::from_millis(1)).await;
     for engine in &fleet.engines {
-        engine.stand_in.fault(EngineFault {
+        engine.stand_in.set_faults(EngineFault {
             bad: Some(BadVersion {
                 version: "v2".into(),
                 fail_percent: 60,
--- a/daemon/tests/test_targets.rs
+++ b/daemon/tests/test_targets.rs
@@ -37,7 +37,7 @@
 async fn a_leaving_engine_gets_no_new_work_after_three_seconds() {
     let fleet = Fleet::start(GAP).await;
     let client = fleet.client(ACCOUNT_KEY);
-    fleet.engines[0].stand_in.fault(EngineFault {
+    fleet.engines[0].stand_in.set_faults(EngineFault {
         leaving: Some(true),
         ..EngineFault::default()
     });
@@ -142,7 +142,7 @@
     let digest = fleet.sign(&bundle).await;
     fleet.roll(digest).await;
     fleet.await_revision(2).await;
-    fleet.engines[0].stand_in.fault(EngineFault {
+    fleet.engines[0].stand_in.set_faults(EngineFault {
         fail: Some(true),
         ..EngineFault::default()
     });
@@ -224,7 +224,7 @@
         let busy = |engine: &&mut Target<Engine>| !engine.stand_in.log().starts.is_empty();
         let engine = fleet.engines.iter_mut().find(busy).unwrap();
         match is_silent {
-            true if count == 40 => engine.stand_in.fault(EngineFault {
+            true if count == 40 => engine.stand_in.set_faults(EngineFault {
                 silent: Some(true),
                 ..EngineFault::default()
             }),
--- a/testutils/src/engine.rs
+++ b/testutils/src/engine.rs
@@ -239,7 +239,7 @@
     }
 
     /// Changes the faults.
-    pub fn fault(&self, change: EngineFault) {
+    pub fn set_faults(&self, change: EngineFault) {
         if let Some(paused) = change.paused {
             self.shared.paused.send_replace(paused);
         }
@@ -280,7 +280,7 @@
         if path == "/_fault" {
             return match serde_json::from_slice(request.body()) {
                 Ok(change) => {
-                    self.fault(change);
+                    self.set_faults(change);
                     reply::empty(StatusCode::NO_CONTENT)
                 }
                 Err(error) => reply::bytes(StatusCode::BAD_REQUEST, error.to_string()),
--- a/testutils/src/platform.rs
+++ b/testutils/src/platform.rs
@@ -113,7 +113,7 @@
     }
 
     /// Changes the faults.
-    pub fn fault(&self, change: PlatformFault) {
+    pub fn set_faults(&self, change: PlatformFault) {
         let mut inner = self.lock();
         if let Some(down) = change.down {
             inner.down = down;
@@ -132,7 +132,7 @@
     }
 
     /// Replaces the instance list; readers see it after the lag.
-    pub fn list(&self, listing: InstanceList) {
+    pub fn set_instances(&self, listing: InstanceList) {
         self.lock().instances.set(listing, Instant::now());
     }
 
@@ -165,14 +165,14 @@
         match path {
             "/_fault" => Some(match serde_json::from_slice(request.body()) {
                 Ok(change) => {
-                    self.fault(change);
+                    self.set_faults(change);
                     reply::empty(StatusCode::NO_CONTENT)
                 }
                 Err(error) => reply::bytes(StatusCode::BAD_REQUEST, error.to_string()),
             }),
             "/_instances" => Some(match serde_json::from_slice(request.body()) {
                 Ok(listing) => {
-                    self.list(listing);
+                    self.set_instances(listing);
                     reply::empty(StatusCode::NO_CONTENT)
                 }
                 Err(error) => reply::bytes(StatusCode::BAD_REQUEST, error.to_string()),
--- a/testutils/src/service.rs
+++ b/testutils/src/service.rs
@@ -86,7 +86,7 @@
     }
 
     /// Changes the faults.
-    pub fn fault(&self, change: ServiceFault) {
+    pub fn set_faults(&self, change: ServiceFault) {
         let mut inner = self.lock();
         inner.fail_after_run = change.fail_after_run.unwrap_or(inner.fail_after_run);
         inner.swallow = change.swallow.unwrap_or(inner.swallow);
@@ -104,7 +104,7 @@
         match request.uri().path() {
             "/_fault" => match serde_json::from_slice(request.body()) {
                 Ok(change) => {
-                    self.fault(change);
+                    self.set_faults(change);
                     reply::empty(StatusCode::NO_CONTENT)
                 }
                 Err(error) => reply::bytes(StatusCode::BAD_REQUEST, error.to_string()),
