--- a/daemon/tests/fleet.rs
+++ b/daemon/tests/fleet.rs
@@ -18,11 +18,11 @@
 use celerypond_telemetry::Metrics;
 use celerypond_testutils::{
     engine::{Engine, EngineSettings},
-    generator::{Generator, Source},
     instances::{InstanceList, ListedInstance},
     platform::Platform,
     server::Server,
     service::Service,
+    token_sequence::{SequenceInputs, TokenSequence},
 };
 use celerypond_types::{Digest, Revision};
 use http::Method;
@@ -298,14 +298,14 @@
 
 /// Returns the tokens that an engine of `version` gives for a prompt.
 pub(crate) fn reference(version: &str, prompt: &str, seed: u64, count: usize) -> Vec<u32> {
-    let source = Source {
+    let inputs = SequenceInputs {
         model: "drafts",
         version,
         adapter: "",
         prompt,
         seed,
     };
-    let tokens = Generator::new(&source).take(count);
+    let tokens = TokenSequence::new(&inputs).take(count);
     tokens.into_iter().map(|token| token.0).collect()
 }
 
--- a/testutils/src/engine.rs
+++ b/testutils/src/engine.rs
@@ -21,10 +21,10 @@
 
 use crate::{
     fault::{BadVersion, EngineFault},
-    generator::{self, Generator, Source},
     reply::{self, Reply},
     server::Server,
     stream::{Next, Stream},
+    token_sequence::{self, SequenceInputs, TokenSequence},
 };
 
 /// The lengths of the prompt beginnings that the cache tells of, in bytes.
@@ -465,7 +465,7 @@
             version: self.stream.version().clone(),
             position,
             token,
-            text: generator::text(token),
+            text: token_sequence::token_text(token),
         };
         serde_json::to_string(&event).unwrap_or_default()
     }
@@ -485,7 +485,7 @@
 
 async fn write(engine: Engine, call: Generate, stream: Arc<Stream>) {
     let adapter = call.adapter.as_ref().map_or("", AdapterName::as_str);
-    let mut generator = Generator::new(&Source {
+    let mut sequence = TokenSequence::new(&SequenceInputs {
         model: call.model.as_str(),
         version: call.version.as_str(),
         adapter,
@@ -494,13 +494,13 @@
     });
     call.prefix
         .iter()
-        .for_each(|token| generator.absorb(*token));
+        .for_each(|token| sequence.advance(*token));
     let words = call.prompt.split_whitespace().count() + call.prefix.len();
     time::sleep(engine.shared.settings.prefill_per_token * words as u32).await;
     for _ in call.prefix.len() as u32..call.max_tokens {
         time::sleep(token_interval(&engine, &call.version)).await;
         engine.running().await;
-        if !stream.push(generator.step()) {
+        if !stream.push(sequence.next_token()) {
             return;
         }
     }
--- a/testutils/src/lib.rs
+++ b/testutils/src/lib.rs
@@ -4,7 +4,6 @@
 
 pub mod engine;
 pub mod fault;
-pub mod generator;
 pub mod instances;
 pub mod load;
 pub mod objects;
@@ -13,3 +12,4 @@
 pub mod server;
 pub mod service;
 pub mod stream;
+pub mod token_sequence;
--- a/testutils/src/generator.rs
+++ b/testutils/src/token_sequence.rs
@@ -10,7 +10,7 @@
 
 /// What decides a token sequence.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Source<'a> {
+pub struct SequenceInputs<'a> {
     /// The model.
     pub model: &'a str,
     /// The version of the model.
@@ -25,28 +25,28 @@
 
 /// The state of a token sequence at one position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Generator {
+pub struct TokenSequence {
     state: u64,
 }
 
-impl Generator {
-    /// Begins the sequence of `source`.
+impl TokenSequence {
+    /// Begins the sequence of `inputs`.
     ///
     /// # Examples
     ///
     /// ```
-    /// use celerypond_testutils::generator::{Generator, Source};
+    /// use celerypond_testutils::token_sequence::{SequenceInputs, TokenSequence};
     ///
-    /// let source = Source { model: "m", version: "v1", adapter: "", prompt: "cut list", seed: 7 };
-    /// let all = Generator::new(&source).take(5);
-    /// let mut rest = Generator::new(&source);
-    /// all[..2].iter().for_each(|token| rest.absorb(*token));
+    /// let inputs = SequenceInputs { model: "m", version: "v1", adapter: "", prompt: "cut list", seed: 7 };
+    /// let all = TokenSequence::new(&inputs).take(5);
+    /// let mut rest = TokenSequence::new(&inputs);
+    /// all[..2].iter().for_each(|token| rest.advance(*token));
     /// assert_eq!(rest.take(3), all[2..]);
     /// ```
-    pub fn new(source: &Source<'_>) -> Self {
+    pub fn new(inputs: &SequenceInputs<'_>) -> Self {
         let text = format!(
             "{}\0{}\0{}\0{}\0{}",
-            source.model, source.version, source.adapter, source.prompt, source.seed
+            inputs.model, inputs.version, inputs.adapter, inputs.prompt, inputs.seed
         );
         Self {
             state: rapidhash_v3(text.as_bytes()),
@@ -54,14 +54,14 @@
     }
 
     /// Returns the token that comes next and moves past it.
-    pub fn step(&mut self) -> TokenId {
+    pub fn next_token(&mut self) -> TokenId {
         let token = TokenId((rapidhash_v3(&self.state.to_le_bytes()) % VOCABULARY) as u32);
-        self.absorb(token);
+        self.advance(token);
         token
     }
 
     /// Moves past a token that is given, whatever it is.
-    pub fn absorb(&mut self, token: TokenId) {
+    pub fn advance(&mut self, token: TokenId) {
         let mut bytes = [0; 12];
         bytes[..8].copy_from_slice(&self.state.to_le_bytes());
         bytes[8..].copy_from_slice(&token.0.to_le_bytes());
@@ -70,11 +70,11 @@
 
     /// Returns the next `count` tokens.
     pub fn take(mut self, count: usize) -> Vec<TokenId> {
-        (0..count).map(|_| self.step()).collect()
+        (0..count).map(|_| self.next_token()).collect()
     }
 }
 
 /// Returns the text of a token.
-pub fn text(token: TokenId) -> String {
+pub fn token_text(token: TokenId) -> String {
     format!("w{} ", token.0)
 }
