--- a/testutils/src/objects.rs
+++ b/testutils/src/objects.rs
@@ -18,7 +18,7 @@
 
 /// Why a write had no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum WriteError {
     /// The condition does not hold.
     Conflict,
     /// The object does not exist.
@@ -38,13 +38,13 @@
 
 /// Versioned objects with conditional writes and a record of changes.
 #[derive(Clone, Debug, Default)]
-pub struct Objects {
+pub struct ObjectStore {
     revision: u64,
     objects: BTreeMap<String, Object>,
     changes: BTreeMap<u64, String>,
 }
 
-impl Objects {
+impl ObjectStore {
     /// Returns the revision: the number of writes so far.
     pub fn revision(&self) -> u64 {
         self.revision
@@ -59,10 +59,15 @@
     ///
     /// # Errors
     ///
-    /// Gives a [`Refusal`] when nothing was written.
-    pub fn put(&mut self, key: &str, value: Bytes, condition: Condition) -> Result<u64, Refusal> {
+    /// Gives a [`WriteError`] when nothing was written.
+    pub fn put(
+        &mut self,
+        key: &str,
+        value: Bytes,
+        condition: Condition,
+    ) -> Result<u64, WriteError> {
         if value.len() > VALUE_LIMIT {
-            return Err(Refusal::TooLarge);
+            return Err(WriteError::TooLarge);
         }
         let held = self.objects.get(key).map(|object| object.version);
         let holds = match condition {
@@ -70,7 +75,7 @@
             Condition::Version(version) => held == Some(version),
         };
         if !holds {
-            return Err(Refusal::Conflict);
+            return Err(WriteError::Conflict);
         }
         let version = self.record(key);
         self.objects
@@ -82,11 +87,11 @@
     ///
     /// # Errors
     ///
-    /// Gives a [`Refusal`] when nothing was deleted.
-    pub fn delete(&mut self, key: &str, version: u64) -> Result<(), Refusal> {
+    /// Gives a [`WriteError`] when nothing was deleted.
+    pub fn delete(&mut self, key: &str, version: u64) -> Result<(), WriteError> {
         match self.objects.get(key) {
-            None => Err(Refusal::Missing),
-            Some(object) if object.version != version => Err(Refusal::Conflict),
+            None => Err(WriteError::Missing),
+            Some(object) if object.version != version => Err(WriteError::Conflict),
             Some(_) => {
                 self.objects.remove(key);
                 self.record(key);
@@ -107,7 +112,7 @@
     }
 
     /// Returns keys under a prefix that changed after a revision, each once, oldest change first.
-    pub fn changed(&self, prefix: &str, since: u64) -> Vec<&str> {
+    pub fn changed_keys(&self, prefix: &str, since: u64) -> Vec<&str> {
         self.changes
             .range(since + 1..)
             .map(|(_, key)| key.as_str())
--- a/testutils/src/platform.rs
+++ b/testutils/src/platform.rs
@@ -18,7 +18,7 @@
 use crate::{
     fault::{self, PlatformFault},
     instances::{DelayedInstanceList, InstanceList},
-    objects::{Condition, Object, Objects, Refusal},
+    objects::{Condition, Object, ObjectStore, WriteError},
     reply::{self, Reply},
     server::Server,
 };
@@ -40,7 +40,7 @@
 }
 
 struct Inner {
-    objects: Objects,
+    objects: ObjectStore,
     instances: DelayedInstanceList,
     down: bool,
     slow: Duration,
@@ -80,7 +80,7 @@
     /// Makes a platform that lists these instances.
     pub fn new(listing: InstanceList, lag: Duration) -> Self {
         let inner = Inner {
-            objects: Objects::default(),
+            objects: ObjectStore::default(),
             instances: DelayedInstanceList::new(listing, lag, Instant::now()),
             down: false,
             slow: Duration::ZERO,
@@ -231,7 +231,7 @@
         let lost = result.is_ok() && fault::take(&mut inner.lose);
         drop(inner);
         self.shared.written.notify_waiters();
-        (result.unwrap_or_else(refusal), lost)
+        (result.unwrap_or_else(write_error_reply), lost)
     }
 
     fn objects(&self, uri: &Uri) -> Reply {
@@ -272,7 +272,7 @@
         if inner.down {
             return Some(reply::unavailable(1));
         }
-        let keys = inner.objects.changed(prefix, since);
+        let keys = inner.objects.changed_keys(prefix, since);
         if keys.is_empty() && !even_none {
             return None;
         }
@@ -334,11 +334,11 @@
     }
 }
 
-fn refusal(refusal: Refusal) -> Reply {
-    reply::empty(match refusal {
-        Refusal::Conflict => StatusCode::PRECONDITION_FAILED,
-        Refusal::Missing => StatusCode::NOT_FOUND,
-        Refusal::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+fn write_error_reply(error: WriteError) -> Reply {
+    reply::empty(match error {
+        WriteError::Conflict => StatusCode::PRECONDITION_FAILED,
+        WriteError::Missing => StatusCode::NOT_FOUND,
+        WriteError::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
     })
 }
 
