--- a/testutils/src/engine.rs
+++ b/testutils/src/engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in engine.
+//! A stand-in for an engine, which generates tokens on request.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -23,29 +23,30 @@
     fault::{BadVersion, EngineFault},
     reply::{self, Reply},
     server::Server,
-    stream::{Next, Stream},
+    stream::{Stream, StreamItem},
     token_sequence::{self, SequenceInputs, TokenSequence},
 };
 
-/// The lengths of the prompt beginnings that the cache tells of, in bytes.
-const PREFIXES: [usize; 3] = [512, 2048, 8192];
+/// The lengths of the prompt prefixes that the cache events report, in bytes.
+const CACHED_PREFIX_BYTES: [usize; 3] = [512, 2048, 8192];
 
-/// What an engine is and how fast.
+/// The settings of a stand-in engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// The versions that are loaded at the start.
+    /// The model versions that are loaded at the start.
     pub versions: Vec<VersionName>,
-    /// The time between tokens.
+    /// The time to generate one token.
     pub token_interval: Duration,
-    /// The time to read one token of the prompt or prefix.
+    /// The time to process one token of the prompt or of the prefix given in the request. A word
+    /// of the prompt counts as one token.
     pub prefill_per_token: Duration,
-    /// How many streams run at once; more are refused.
+    /// The maximum number of concurrent streams. Further ones are refused.
     pub slots: usize,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether to refuse orders whose fencing number is lower than that of the last accepted order.
     pub checks_fencing: bool,
 }
 
-/// The state of the stand-in engine, shared by its connections.
+/// A stand-in engine. Clones share its state.
 #[derive(Clone)]
 pub struct Engine {
     shared: Arc<Shared>,
@@ -53,24 +54,28 @@
 
 struct Shared {
     settings: EngineSettings,
-    inner: Mutex<Inner>,
+    state: Mutex<State>,
     paused: watch::Sender<bool>,
-    epoch: watch::Sender<u64>,
+    /// The number of times that the fault `silent` was set. A connection that began to read a
+    /// stream at a lower number sends nothing more.
+    silence_epoch: watch::Sender<u64>,
 }
 
 #[derive(Default)]
-struct Inner {
+struct State {
     versions: BTreeSet<VersionName>,
     streams: HashMap<(RequestKey, Attempt), Arc<Stream>>,
-    fail: bool,
-    slow: Duration,
+    fail_generations: bool,
+    extra_token_time: Duration,
     leaving: bool,
-    bad: Option<BadVersion>,
-    fencing: FencingNumber,
+    bad_version: Option<BadVersion>,
+    last_fencing: FencingNumber,
     orders: Vec<OrderRequest>,
     starts: Vec<SmolStr>,
-    failures: u32,
-    cached: Vec<CacheEvent>,
+    /// The sum of the failure percentages of the requests since the last failure. At 100, the next
+    /// failure is due.
+    failure_percent_sum: u32,
+    cache_events: Vec<CacheEvent>,
 }
 
 #[derive(Clone, Debug, Serialize)]
@@ -85,17 +90,17 @@
     events: Vec<CacheEvent>,
 }
 
-impl Inner {
-    /// Remembers the beginnings of a prompt, as an engine's prefix cache does.
-    fn remember(&mut self, prompt: &str) {
-        for length in PREFIXES {
+impl State {
+    /// Records cache events for the prefixes of a prompt, as an engine with a prefix cache does.
+    fn cache_prefixes(&mut self, prompt: &str) {
+        for length in CACHED_PREFIX_BYTES {
             let Some(prefix) = prompt.as_bytes().get(..length) else {
                 continue;
             };
             let prefix = rapidhash_v3(prefix);
-            if self.cached.iter().all(|event| event.prefix != prefix) {
-                self.cached.push(CacheEvent {
-                    sequence: self.cached.len() as u64 + 1,
+            if self.cache_events.iter().all(|event| event.prefix != prefix) {
+                self.cache_events.push(CacheEvent {
+                    sequence: self.cache_events.len() as u64 + 1,
                     kind: "stored",
                     prefix,
                 });
@@ -105,7 +110,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-struct Generate {
+struct GenerateRequest {
     request: RequestKey,
     attempt: Attempt,
     model: ModelName,
@@ -117,20 +122,20 @@
     max_tokens: u32,
     seed: u64,
     #[serde(default)]
-    #[expect(dead_code, reason = "the stand-in serves all priorities alike")]
+    #[expect(dead_code, reason = "the stand-in treats all priorities alike")]
     priority: Priority,
 }
 
-/// An order as an engine received it.
+/// An order as received by an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OrderRequest {
-    /// The order holder's number.
+    /// The fencing number of the instance that sent the order.
     pub fencing: FencingNumber,
-    /// What to do.
+    /// The requested change.
     pub order: Order,
 }
 
-/// What an order asks for.
+/// The change that an order requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Order {
@@ -146,7 +151,7 @@
         /// The version.
         version: VersionName,
     },
-    /// Change the role.
+    /// Change the role of the engine. The stand-in records the order and does nothing else.
     Role {
         /// The role.
         role: SmolStr,
@@ -154,7 +159,7 @@
 }
 
 #[derive(Serialize)]
-struct Token {
+struct TokenEvent {
     request: RequestKey,
     attempt: Attempt,
     version: VersionName,
@@ -164,7 +169,7 @@
 }
 
 #[derive(Serialize)]
-struct Done {
+struct EndEvent {
     request: RequestKey,
     attempt: Attempt,
     done: bool,
@@ -185,97 +190,98 @@
     age_ms: u64,
 }
 
-/// What an engine has done, as `GET /_log` gives it.
+/// What an engine has done, as returned by `GET /_log`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EngineLog {
-    /// Request and attempt of each generation that was started.
+    /// The request key and attempt of each generation that was started, as `key/attempt`.
     pub starts: Vec<SmolStr>,
-    /// The orders that took effect.
+    /// The orders that were accepted.
     pub orders: Vec<OrderRequest>,
-    /// Tokens generated in all streams still known.
+    /// The number of tokens generated in all streams. Of streams with the same request key and
+    /// attempt, only the last one counts.
     pub tokens: usize,
 }
 
-struct Reader {
+struct StreamReader {
     engine: Engine,
     stream: Arc<Stream>,
     request: RequestKey,
     attempt: Attempt,
     position: u32,
-    epoch: u64,
-    over: bool,
+    silence_epoch: u64,
+    is_finished: bool,
 }
 
 impl Engine {
-    /// Makes an engine.
+    /// Creates an engine.
     pub fn new(settings: EngineSettings) -> Self {
-        let inner = Inner {
+        let state = State {
             versions: settings.versions.iter().cloned().collect(),
-            ..Inner::default()
+            ..State::default()
         };
         let shared = Shared {
             settings,
-            inner: Mutex::new(inner),
+            state: Mutex::new(state),
             paused: watch::Sender::new(false),
-            epoch: watch::Sender::new(0),
+            silence_epoch: watch::Sender::new(0),
         };
         Self {
             shared: Arc::new(shared),
         }
     }
 
-    /// Serves on an address.
+    /// Starts serving on `address`.
     ///
     /// # Errors
     ///
-    /// Gives the system's error when the address cannot be bound.
+    /// Returns an I/O error if the address cannot be bound.
     pub async fn serve(&self, address: SocketAddr) -> std::io::Result<Server> {
         let engine = self.clone();
         let handle = move |request| {
             let engine = engine.clone();
-            async move { engine.answer(request).await }
+            async move { engine.handle_request(request).await }
         };
         Server::start(address, handle).await
     }
 
-    /// Changes the faults.
+    /// Changes the faults that the engine simulates.
     pub fn set_faults(&self, change: EngineFault) {
         if let Some(paused) = change.paused {
             self.shared.paused.send_replace(paused);
         }
         if change.silent == Some(true) {
-            self.shared.epoch.send_modify(|epoch| *epoch += 1);
+            self.shared.silence_epoch.send_modify(|epoch| *epoch += 1);
         }
-        let mut inner = self.lock();
+        let mut state = self.lock();
         if let Some(fail) = change.fail {
-            inner.fail = fail;
+            state.fail_generations = fail;
         }
         if let Some(slow) = change.slow_ms {
-            inner.slow = Duration::from_millis(slow);
+            state.extra_token_time = Duration::from_millis(slow);
         }
         if let Some(leaving) = change.leaving {
-            inner.leaving = leaving;
+            state.leaving = leaving;
         }
         if change.bad.is_some() {
-            inner.bad = change.bad;
+            state.bad_version = change.bad;
         }
     }
 
     /// Returns what the engine has done.
     pub fn log(&self) -> EngineLog {
-        let inner = self.lock();
+        let state = self.lock();
         EngineLog {
-            starts: inner.starts.clone(),
-            orders: inner.orders.clone(),
-            tokens: inner
+            starts: state.starts.clone(),
+            orders: state.orders.clone(),
+            tokens: state
                 .streams
                 .values()
-                .map(|stream| stream.generated())
+                .map(|stream| stream.token_count())
                 .sum(),
         }
     }
 
-    async fn answer(&self, request: Request<Bytes>) -> Reply {
+    async fn handle_request(&self, request: Request<Bytes>) -> Reply {
         let path = request.uri().path().to_owned();
         if path == "/_fault" {
             return match serde_json::from_slice(request.body()) {
@@ -286,32 +292,32 @@
                 Err(error) => reply::bytes(StatusCode::BAD_REQUEST, error.to_string()),
             };
         }
-        self.running().await;
+        self.wait_while_paused().await;
         match path.as_str() {
             "/_log" => reply::json(StatusCode::OK, &self.log()),
             "/v1/health" => reply::json(StatusCode::OK, &self.health()),
             "/v1/load" => reply::json(StatusCode::OK, &self.load()),
             "/v1/cache" => reply::json(StatusCode::OK, &self.cache(request.uri().query())),
-            "/v1/orders" => self.order(request.body()),
-            "/v1/generate" => self.generate(request.body()),
+            "/v1/orders" => self.handle_order(request.body()),
+            "/v1/generate" => self.handle_generate(request.body()),
             _ => match path.strip_prefix("/v1/streams/") {
-                Some(rest) => self.stream(rest, &request),
+                Some(path) => self.handle_stream(path, &request),
                 None => reply::empty(StatusCode::NOT_FOUND),
             },
         }
     }
 
-    async fn running(&self) {
+    async fn wait_while_paused(&self) {
         let mut paused = self.shared.paused.subscribe();
-        // The sender lives in `self`, so this only ends when the pause does.
+        // The sender is part of `self`, so the wait cannot fail: it ends when the pause does.
         let _ = paused.wait_for(|paused| !paused).await;
     }
 
     fn health(&self) -> Health {
-        let inner = self.lock();
+        let state = self.lock();
         Health {
-            state: if inner.leaving { "leaving" } else { "live" },
-            versions: inner.versions.iter().cloned().collect(),
+            state: if state.leaving { "leaving" } else { "live" },
+            versions: state.versions.iter().cloned().collect(),
         }
     }
 
@@ -326,66 +332,69 @@
     fn cache(&self, query: Option<&str>) -> CacheEvents {
         let since = query.and_then(|query| query.strip_prefix("since="));
         let since: u64 = since.and_then(|text| text.parse().ok()).unwrap_or(0);
-        let inner = self.lock();
-        let news = inner.cached.iter().filter(|event| event.sequence > since);
+        let state = self.lock();
+        let events = state
+            .cache_events
+            .iter()
+            .filter(|event| event.sequence > since);
         CacheEvents {
-            events: news.cloned().collect(),
+            events: events.cloned().collect(),
         }
     }
 
-    fn order(&self, body: &[u8]) -> Reply {
+    fn handle_order(&self, body: &[u8]) -> Reply {
         let Ok(order) = serde_json::from_slice::<OrderRequest>(body) else {
             return reply::empty(StatusCode::BAD_REQUEST);
         };
-        let mut inner = self.lock();
-        if self.shared.settings.checks_fencing && order.fencing < inner.fencing {
+        let mut state = self.lock();
+        if self.shared.settings.checks_fencing && order.fencing < state.last_fencing {
             return reply::empty(StatusCode::CONFLICT);
         }
-        inner.fencing = order.fencing;
+        state.last_fencing = order.fencing;
         match &order.order {
             Order::Load { version, .. } => {
-                inner.versions.insert(version.clone());
+                state.versions.insert(version.clone());
             }
             Order::Unload { version } => {
-                inner.versions.remove(version);
+                state.versions.remove(version);
             }
             Order::Role { .. } => {}
         }
-        inner.orders.push(order);
+        state.orders.push(order);
         reply::empty(StatusCode::OK)
     }
 
-    fn generate(&self, body: &[u8]) -> Reply {
-        let Ok(call) = serde_json::from_slice::<Generate>(body) else {
+    fn handle_generate(&self, body: &[u8]) -> Reply {
+        let Ok(call) = serde_json::from_slice::<GenerateRequest>(body) else {
             return reply::empty(StatusCode::BAD_REQUEST);
         };
-        let mut inner = self.lock();
-        if !inner.versions.contains(&call.version) {
+        let mut state = self.lock();
+        if !state.versions.contains(&call.version) {
             return reply::empty(StatusCode::CONFLICT);
         }
-        if inner.fail || fails(&mut inner, &call.version) {
+        if state.fail_generations || should_fail(&mut state, &call.version) {
             return reply::empty(StatusCode::INTERNAL_SERVER_ERROR);
         }
-        if running_streams(&inner) >= self.shared.settings.slots {
+        if running_streams(&state) >= self.shared.settings.slots {
             return reply::unavailable(1);
         }
-        inner.remember(&call.prompt);
+        state.cache_prefixes(&call.prompt);
         let stream = Arc::new(Stream::new(call.version.clone(), call.prefix.len() as u32));
         let key = (call.request.clone(), call.attempt);
-        inner.streams.insert(key, stream.clone());
-        inner.starts.push(smol_str::format_smolstr!(
+        state.streams.insert(key, stream.clone());
+        state.starts.push(smol_str::format_smolstr!(
             "{}/{}",
             call.request,
             call.attempt
         ));
-        drop(inner);
-        tokio::spawn(write(self.clone(), call.clone(), stream.clone()));
-        let first = stream.first();
-        self.read(stream, call.request, call.attempt, first)
+        drop(state);
+        tokio::spawn(generate_tokens(self.clone(), call.clone(), stream.clone()));
+        let first = stream.first_position();
+        self.event_reply(stream, call.request, call.attempt, first)
     }
 
-    fn stream(&self, rest: &str, request: &Request<Bytes>) -> Reply {
-        let Some((name, attempt)) = rest.rsplit_once('/') else {
+    fn handle_stream(&self, path: &str, request: &Request<Bytes>) -> Reply {
+        let Some((name, attempt)) = path.rsplit_once('/') else {
             return reply::empty(StatusCode::NOT_FOUND);
         };
         let attempt = Attempt(attempt.parse().unwrap_or(u32::MAX));
@@ -403,63 +412,64 @@
             .and_then(|query| query.strip_prefix("from="))
             .and_then(|text| text.parse().ok())
             .unwrap_or(0);
-        if from < stream.first() {
+        if from < stream.first_position() {
             return reply::empty(StatusCode::NOT_FOUND);
         }
-        self.read(stream, key.0, attempt, from)
+        self.event_reply(stream, key.0, attempt, from)
     }
 
-    fn read(
+    fn event_reply(
         &self,
         stream: Arc<Stream>,
         request: RequestKey,
         attempt: Attempt,
         position: u32,
     ) -> Reply {
-        let reader = Reader {
+        let reader = StreamReader {
             engine: self.clone(),
             stream,
             request,
             attempt,
             position,
-            epoch: *self.shared.epoch.borrow(),
-            over: false,
+            silence_epoch: *self.shared.silence_epoch.borrow(),
+            is_finished: false,
         };
-        let events = stream::unfold(reader, Reader::event);
+        let events = stream::unfold(reader, StreamReader::next_event);
         reply::events(events)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, State> {
         self.shared
-            .inner
+            .state
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Reader {
-    async fn event(mut self) -> Option<(String, Self)> {
-        if self.over {
+impl StreamReader {
+    async fn next_event(mut self) -> Option<(String, Self)> {
+        if self.is_finished {
             return None;
         }
-        let next = self.stream.next(self.position).await;
-        self.engine.running().await;
-        if *self.engine.shared.epoch.borrow() != self.epoch {
-            // The connection is lost track of: it stays open and says nothing more.
+        let item = self.stream.wait_for_item(self.position).await;
+        self.engine.wait_while_paused().await;
+        if *self.engine.shared.silence_epoch.borrow() != self.silence_epoch {
+            // The fault `silent` was set after this connection began to read. The connection stays
+            // open and sends nothing more.
             std::future::pending::<()>().await;
         }
-        let data = match next {
-            Next::Token(token) => self.token(token),
-            Next::End(length) => self.done(length),
-            Next::Cancelled => return None,
+        let data = match item {
+            StreamItem::Token(token) => self.token_event(token),
+            StreamItem::End(length) => self.end_event(length),
+            StreamItem::Cancelled => return None,
         };
         Some((data, self))
     }
 
-    fn token(&mut self, token: TokenId) -> String {
+    fn token_event(&mut self, token: TokenId) -> String {
         let position = Position(self.position);
         self.position += 1;
-        let event = Token {
+        let event = TokenEvent {
             request: self.request.clone(),
             attempt: self.attempt,
             version: self.stream.version().clone(),
@@ -470,9 +480,9 @@
         serde_json::to_string(&event).unwrap_or_default()
     }
 
-    fn done(&mut self, length: u32) -> String {
-        self.over = true;
-        let event = Done {
+    fn end_event(&mut self, length: u32) -> String {
+        self.is_finished = true;
+        let event = EndEvent {
             request: self.request.clone(),
             attempt: self.attempt,
             done: true,
@@ -483,7 +493,7 @@
     }
 }
 
-async fn write(engine: Engine, call: Generate, stream: Arc<Stream>) {
+async fn generate_tokens(engine: Engine, call: GenerateRequest, stream: Arc<Stream>) {
     let adapter = call.adapter.as_ref().map_or("", AdapterName::as_str);
     let mut sequence = TokenSequence::new(&SequenceInputs {
         model: call.model.as_str(),
@@ -495,11 +505,11 @@
     call.prefix
         .iter()
         .for_each(|token| sequence.advance(*token));
-    let words = call.prompt.split_whitespace().count() + call.prefix.len();
-    time::sleep(engine.shared.settings.prefill_per_token * words as u32).await;
+    let prompt_tokens = call.prompt.split_whitespace().count() + call.prefix.len();
+    time::sleep(engine.shared.settings.prefill_per_token * prompt_tokens as u32).await;
     for _ in call.prefix.len() as u32..call.max_tokens {
         time::sleep(token_interval(&engine, &call.version)).await;
-        engine.running().await;
+        engine.wait_while_paused().await;
         if !stream.push(sequence.next_token()) {
             return;
         }
@@ -508,26 +518,29 @@
 }
 
 fn token_interval(engine: &Engine, version: &VersionName) -> Duration {
-    let inner = engine.lock();
-    let bad = inner.bad.as_ref().filter(|bad| bad.version == *version);
-    let extra = bad.map_or(0, |bad| bad.slow_ms);
-    engine.shared.settings.token_interval + inner.slow + Duration::from_millis(extra)
+    let state = engine.lock();
+    let bad = state
+        .bad_version
+        .as_ref()
+        .filter(|bad| bad.version == *version);
+    let extra_ms = bad.map_or(0, |bad| bad.slow_ms);
+    engine.shared.settings.token_interval + state.extra_token_time + Duration::from_millis(extra_ms)
 }
 
-fn fails(inner: &mut Inner, version: &VersionName) -> bool {
-    let percent = match &inner.bad {
+fn should_fail(state: &mut State, version: &VersionName) -> bool {
+    let percent = match &state.bad_version {
         Some(bad) if bad.version == *version => bad.fail_percent,
         _ => return false,
     };
-    // Spread evenly instead of by chance, so that a run repeats.
-    inner.failures += percent;
-    let fails = inner.failures >= 100;
-    inner.failures %= 100;
+    // Failures are spread evenly rather than at random, so that runs are repeatable.
+    state.failure_percent_sum += percent;
+    let fails = state.failure_percent_sum >= 100;
+    state.failure_percent_sum %= 100;
     fails
 }
 
-fn running_streams(inner: &Inner) -> usize {
-    inner
+fn running_streams(state: &State) -> usize {
+    state
         .streams
         .values()
         .filter(|stream| stream.is_running())
--- a/testutils/src/fault.rs
+++ b/testutils/src/fault.rs
@@ -1,73 +1,75 @@
-//! The faults that a test asks of a stand-in.
+//! Faults that a test can make a stand-in simulate.
 
 use celerypond_types::VersionName;
 use serde::Deserialize;
 
-/// A change of the platform's faults; what is left out stays as it is.
+/// A change to the faults of the platform. Fields that are left out keep their values.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformFault {
-    /// Every call gets 503.
+    /// Whether every call is answered with 503.
     pub down: Option<bool>,
-    /// Every call takes this much longer.
+    /// The time added to every call, in milliseconds.
     pub slow_ms: Option<u64>,
-    /// So many of the next writes take effect and get no reply.
+    /// The number of subsequent writes that take effect but get no reply.
     pub lose_replies: Option<u32>,
-    /// How late the instance list is.
+    /// The delay with which changes to the instance list become visible, in milliseconds.
     pub instance_lag_ms: Option<u64>,
 }
 
-/// A change of an engine's faults; what is left out stays as it is.
+/// A change to the faults of an engine. Fields that are left out keep their values.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineFault {
-    /// Streams that are open now go silent for good; new ones work.
+    /// If true, connections that are reading a stream now receive nothing more but stay open.
+    /// Later connections work.
     pub silent: Option<bool>,
-    /// Nothing moves until this is false again.
+    /// Whether the engine is paused: it neither generates tokens nor replies,
+    /// except to changes of its faults.
     pub paused: Option<bool>,
-    /// Every generation gets 500.
+    /// Whether every generation request is answered with 500.
     pub fail: Option<bool>,
-    /// Every token takes this much longer.
+    /// The time added to every token, in milliseconds.
     pub slow_ms: Option<u64>,
-    /// The engine says that it is leaving.
+    /// Whether the engine reports that it is leaving.
     pub leaving: Option<bool>,
-    /// One version misbehaves.
+    /// The model version that is faulty.
     pub bad: Option<BadVersion>,
 }
 
-/// How a version misbehaves.
+/// The faults of one model version.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BadVersion {
     /// The version.
     pub version: VersionName,
-    /// Of 100 generations so many get 500.
+    /// The percentage of generation requests that are answered with 500.
     #[serde(default)]
     pub fail_percent: u32,
-    /// Every token takes this much longer.
+    /// The time added to every token, in milliseconds.
     #[serde(default)]
     pub slow_ms: u64,
 }
 
-/// A change of a service's faults; what is left out stays as it is.
+/// A change to the faults of a plain service. Fields that are left out keep their values.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceFault {
-    /// So many of the next calls run and get 500.
+    /// The number of subsequent calls that are executed and then answered with 500.
     pub fail_after_run: Option<u32>,
-    /// So many of the next calls run and get no reply.
+    /// The number of subsequent calls that are executed but get no reply.
     pub swallow: Option<u32>,
-    /// So many of the next calls get 503 without running.
+    /// The number of subsequent calls that are answered with 503 without being executed.
     pub refuse: Option<u32>,
-    /// Every call takes this much longer.
+    /// The time added to every call, in milliseconds.
     pub slow_ms: Option<u64>,
-    /// The service says that it is leaving.
+    /// Whether the service reports that it is leaving.
     pub leaving: Option<bool>,
 }
 
-/// Takes one from a count of faults to come, and says whether there was one.
-pub fn take(count: &mut u32) -> bool {
-    let some = *count > 0;
+/// Decrements the number of faults still to occur. Returns whether a fault is due now.
+pub fn consume(count: &mut u32) -> bool {
+    let is_due = *count > 0;
     *count = count.saturating_sub(1);
-    some
+    is_due
 }
--- a/testutils/src/platform.rs
+++ b/testutils/src/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in platform: objects, the instance list and the weight store.
+//! A stand-in for the platform: objects, the instance list and the weight store.
 
 use std::{
     net::SocketAddr,
@@ -23,31 +23,33 @@
     server::Server,
 };
 
-const DEFAULT_LIMIT: usize = 1000;
-const WEIGHT_BYTES: usize = 1 << 16;
-const WEIGHT_GAP: Duration = Duration::from_millis(100);
-const LOST: Duration = Duration::from_secs(3600);
+const DEFAULT_PAGE_SIZE: usize = 1000;
+const WEIGHTS_BYTES: usize = 1 << 16;
+/// The minimum time between two reads of the weight store. Earlier reads are answered with 429.
+const WEIGHT_READ_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a connection stays open whose reply is lost. Stands for never replying.
+const LOST_REPLY_DELAY: Duration = Duration::from_secs(3600);
 
-/// The state of the stand-in platform, shared by its connections.
+/// A stand-in platform. Clones share its state.
 #[derive(Clone)]
 pub struct Platform {
     shared: Arc<Shared>,
 }
 
 struct Shared {
-    inner: Mutex<Inner>,
-    written: Notify,
+    state: Mutex<State>,
+    changed: Notify,
 }
 
-struct Inner {
+struct State {
     objects: ObjectStore,
     instances: DelayedInstanceList,
     down: bool,
-    slow: Duration,
-    lose: u32,
+    delay: Duration,
+    replies_to_lose: u32,
     calls: u64,
     writes: u64,
-    weights: Option<Instant>,
+    last_weight_read: Option<Instant>,
 }
 
 #[derive(Serialize)]
@@ -70,98 +72,98 @@
 }
 
 #[derive(Serialize)]
-struct Counts {
+struct CallCounts {
     calls: u64,
     writes: u64,
     revision: u64,
 }
 
 impl Platform {
-    /// Makes a platform that lists these instances.
-    pub fn new(listing: InstanceList, lag: Duration) -> Self {
-        let inner = Inner {
+    /// Creates a platform with an instance list. Changes to the list become visible after `lag`.
+    pub fn new(list: InstanceList, lag: Duration) -> Self {
+        let state = State {
             objects: ObjectStore::default(),
-            instances: DelayedInstanceList::new(listing, lag, Instant::now()),
+            instances: DelayedInstanceList::new(list, lag, Instant::now()),
             down: false,
-            slow: Duration::ZERO,
-            lose: 0,
+            delay: Duration::ZERO,
+            replies_to_lose: 0,
             calls: 0,
             writes: 0,
-            weights: None,
+            last_weight_read: None,
         };
         let shared = Shared {
-            inner: Mutex::new(inner),
-            written: Notify::new(),
+            state: Mutex::new(state),
+            changed: Notify::new(),
         };
         Self {
             shared: Arc::new(shared),
         }
     }
 
-    /// Serves on an address.
+    /// Starts serving on `address`.
     ///
     /// # Errors
     ///
-    /// Gives the system's error when the address cannot be bound.
+    /// Returns an I/O error if the address cannot be bound.
     pub async fn serve(&self, address: SocketAddr) -> std::io::Result<Server> {
         let platform = self.clone();
         let handle = move |request| {
             let platform = platform.clone();
-            async move { platform.answer(request).await }
+            async move { platform.handle_request(request).await }
         };
         Server::start(address, handle).await
     }
 
-    /// Changes the faults.
+    /// Changes the faults that the platform simulates.
     pub fn set_faults(&self, change: PlatformFault) {
-        let mut inner = self.lock();
+        let mut state = self.lock();
         if let Some(down) = change.down {
-            inner.down = down;
+            state.down = down;
         }
         if let Some(slow) = change.slow_ms {
-            inner.slow = Duration::from_millis(slow);
+            state.delay = Duration::from_millis(slow);
         }
         if let Some(lose) = change.lose_replies {
-            inner.lose = lose;
+            state.replies_to_lose = lose;
         }
         if let Some(lag) = change.instance_lag_ms {
-            inner.instances.set_lag(Duration::from_millis(lag));
+            state.instances.set_lag(Duration::from_millis(lag));
         }
-        drop(inner);
-        self.shared.written.notify_waiters();
+        drop(state);
+        self.shared.changed.notify_waiters();
     }
 
-    /// Replaces the instance list; readers see it after the lag.
-    pub fn set_instances(&self, listing: InstanceList) {
-        self.lock().instances.set(listing, Instant::now());
+    /// Replaces the instance list. The new one becomes visible after the lag.
+    pub fn set_instances(&self, list: InstanceList) {
+        self.lock().instances.set(list, Instant::now());
     }
 
-    async fn answer(&self, request: Request<Bytes>) -> Reply {
+    async fn handle_request(&self, request: Request<Bytes>) -> Reply {
         let path = request.uri().path().to_owned();
-        if let Some(reply) = self.control(&path, &request) {
+        if let Some(reply) = self.handle_control_request(&path, &request) {
             return reply;
         }
-        let (down, slow) = self.enter();
-        time::sleep(slow).await;
+        let (down, delay) = self.record_call();
+        time::sleep(delay).await;
         if down {
             return reply::unavailable(1);
         }
         if let Some(key) = path.strip_prefix("/v1/objects/") {
-            return self.object(key, &request).await;
+            return self.handle_object(key, &request).await;
         }
         match path.as_str() {
-            "/v1/objects" => self.objects(request.uri()),
+            "/v1/objects" => self.list_objects(request.uri()),
             "/v1/watch" => self.watch(request.uri()).await,
             "/v1/instances" => reply::json(
                 StatusCode::OK,
                 &self.lock().instances.visible(Instant::now()),
             ),
-            _ if path.starts_with("/v1/weights/") => self.weights(),
+            _ if path.starts_with("/v1/weights/") => self.read_weights(),
             _ => reply::empty(StatusCode::NOT_FOUND),
         }
     }
 
-    fn control(&self, path: &str, request: &Request<Bytes>) -> Option<Reply> {
+    fn handle_control_request(&self, path: &str, request: &Request<Bytes>) -> Option<Reply> {
         match path {
             "/_fault" => Some(match serde_json::from_slice(request.body()) {
                 Ok(change) => {
@@ -171,18 +173,18 @@
                 Err(error) => reply::bytes(StatusCode::BAD_REQUEST, error.to_string()),
             }),
             "/_instances" => Some(match serde_json::from_slice(request.body()) {
-                Ok(listing) => {
-                    self.set_instances(listing);
+                Ok(list) => {
+                    self.set_instances(list);
                     reply::empty(StatusCode::NO_CONTENT)
                 }
                 Err(error) => reply::bytes(StatusCode::BAD_REQUEST, error.to_string()),
             }),
             "/_log" => {
-                let inner = self.lock();
-                let counts = Counts {
-                    calls: inner.calls,
-                    writes: inner.writes,
-                    revision: inner.objects.revision(),
+                let state = self.lock();
+                let counts = CallCounts {
+                    calls: state.calls,
+                    writes: state.writes,
+                    revision: state.objects.revision(),
                 };
                 Some(reply::json(StatusCode::OK, &counts))
             }
@@ -190,124 +192,128 @@
         }
     }
 
-    fn enter(&self) -> (bool, Duration) {
-        let mut inner = self.lock();
-        inner.calls += 1;
-        (inner.down, inner.slow)
+    fn record_call(&self) -> (bool, Duration) {
+        let mut state = self.lock();
+        state.calls += 1;
+        (state.down, state.delay)
     }
 
-    async fn object(&self, key: &str, request: &Request<Bytes>) -> Reply {
+    async fn handle_object(&self, key: &str, request: &Request<Bytes>) -> Reply {
         if request.method() == Method::GET {
             return match self.lock().objects.get(key) {
-                Some(object) => tagged(StatusCode::OK, object.version, object.value.clone()),
+                Some(object) => {
+                    reply_with_etag(StatusCode::OK, object.version, object.value.clone())
+                }
                 None => reply::empty(StatusCode::NOT_FOUND),
             };
         }
-        let (reply, lost) = self.write(key, request);
+        let (reply, lost) = self.write_object(key, request);
         if lost {
-            // The change took effect and the caller never learns of it.
-            time::sleep(LOST).await;
+            // The write took effect, but the caller gets no reply.
+            time::sleep(LOST_REPLY_DELAY).await;
         }
         reply
     }
 
-    fn write(&self, key: &str, request: &Request<Bytes>) -> (Reply, bool) {
-        let Some(condition) = condition(request.headers()) else {
+    fn write_object(&self, key: &str, request: &Request<Bytes>) -> (Reply, bool) {
+        let Some(condition) = parse_condition(request.headers()) else {
             return (reply::empty(StatusCode::PRECONDITION_REQUIRED), false);
         };
-        let mut inner = self.lock();
-        inner.writes += 1;
+        let mut state = self.lock();
+        state.writes += 1;
         let result = match (request.method(), condition) {
-            (&Method::PUT, condition) => inner
+            (&Method::PUT, condition) => state
                 .objects
                 .put(key, request.body().clone(), condition)
-                .map(|version| tagged(StatusCode::OK, version, Bytes::new())),
-            (&Method::DELETE, Condition::Version(version)) => inner
+                .map(|version| reply_with_etag(StatusCode::OK, version, Bytes::new())),
+            (&Method::DELETE, Condition::Version(version)) => state
                 .objects
                 .delete(key, version)
                 .map(|()| reply::empty(StatusCode::NO_CONTENT)),
             _ => return (reply::empty(StatusCode::METHOD_NOT_ALLOWED), false),
         };
-        let lost = result.is_ok() && fault::take(&mut inner.lose);
-        drop(inner);
-        self.shared.written.notify_waiters();
+        let lost = result.is_ok() && fault::consume(&mut state.replies_to_lose);
+        drop(state);
+        self.shared.changed.notify_waiters();
         (result.unwrap_or_else(write_error_reply), lost)
     }
 
-    fn objects(&self, uri: &Uri) -> Reply {
-        let prefix = query(uri, "prefix").unwrap_or_default();
-        let after = query(uri, "after").unwrap_or_default();
-        let limit = query(uri, "limit").and_then(|text| text.parse().ok());
-        let inner = self.lock();
-        let objects = inner
+    fn list_objects(&self, uri: &Uri) -> Reply {
+        let prefix = query_value(uri, "prefix").unwrap_or_default();
+        let after = query_value(uri, "after").unwrap_or_default();
+        let limit = query_value(uri, "limit").and_then(|text| text.parse().ok());
+        let state = self.lock();
+        let objects = state
             .objects
-            .list(&prefix, &after, limit.unwrap_or(DEFAULT_LIMIT));
+            .list(&prefix, &after, limit.unwrap_or(DEFAULT_PAGE_SIZE));
         let list = ObjectList {
-            revision: inner.objects.revision(),
+            revision: state.objects.revision(),
             objects: objects
                 .into_iter()
-                .map(|(key, object)| listed(key, Some(object)))
+                .map(|(key, object)| list_entry(key, Some(object)))
                 .collect(),
         };
         reply::json(StatusCode::OK, &list)
     }
 
     async fn watch(&self, uri: &Uri) -> Reply {
-        let prefix = query(uri, "prefix").unwrap_or_default();
-        let number = |name| query(uri, name).and_then(|text| text.parse::<u64>().ok());
+        let prefix = query_value(uri, "prefix").unwrap_or_default();
+        let number = |name| query_value(uri, name).and_then(|text| text.parse::<u64>().ok());
         let since = number("since").unwrap_or(0);
-        let until = Instant::now() + Duration::from_millis(number("wait_ms").unwrap_or(0));
+        let deadline = Instant::now() + Duration::from_millis(number("wait_ms").unwrap_or(0));
         loop {
-            let written = self.shared.written.notified();
-            if let Some(reply) = self.changes(&prefix, since, Instant::now() >= until) {
+            let changed = self.shared.changed.notified();
+            if let Some(reply) = self.change_reply(&prefix, since, Instant::now() >= deadline) {
                 return reply;
             }
-            // Either wake-up leads to the same check.
-            let _ = time::timeout_at(until, written).await;
+            // After a change and after a timeout alike, the loop checks for changes again.
+            let _ = time::timeout_at(deadline, changed).await;
         }
     }
 
-    fn changes(&self, prefix: &str, since: u64, even_none: bool) -> Option<Reply> {
-        let inner = self.lock();
-        if inner.down {
+    fn change_reply(&self, prefix: &str, since: u64, allow_empty: bool) -> Option<Reply> {
+        let state = self.lock();
+        if state.down {
             return Some(reply::unavailable(1));
         }
-        let keys = inner.objects.changed_keys(prefix, since);
-        if keys.is_empty() && !even_none {
+        let keys = state.objects.changed_keys(prefix, since);
+        if keys.is_empty() && !allow_empty {
             return None;
         }
         let list = ChangeList {
-            revision: inner.objects.revision(),
+            revision: state.objects.revision(),
             changes: keys
                 .into_iter()
-                .map(|key| listed(key, inner.objects.get(key)))
+                .map(|key| list_entry(key, state.objects.get(key)))
                 .collect(),
         };
         Some(reply::json(StatusCode::OK, &list))
     }
 
-    fn weights(&self) -> Reply {
+    fn read_weights(&self) -> Reply {
         let now = Instant::now();
-        let mut inner = self.lock();
-        let free = inner.weights.is_none_or(|last| now >= last + WEIGHT_GAP);
-        if !free {
+        let mut state = self.lock();
+        let is_allowed = state
+            .last_weight_read
+            .is_none_or(|last| now >= last + WEIGHT_READ_INTERVAL);
+        if !is_allowed {
             let mut reply = reply::empty(StatusCode::TOO_MANY_REQUESTS);
             reply.headers_mut().insert(header::RETRY_AFTER, 1.into());
             return reply;
         }
-        inner.weights = Some(now);
-        reply::bytes(StatusCode::OK, vec![0; WEIGHT_BYTES])
+        state.last_weight_read = Some(now);
+        reply::bytes(StatusCode::OK, vec![0; WEIGHTS_BYTES])
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, State> {
         self.shared
-            .inner
+            .state
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn condition(headers: &HeaderMap) -> Option<Condition> {
+fn parse_condition(headers: &HeaderMap) -> Option<Condition> {
     if headers
         .get(header::IF_NONE_MATCH)
         .is_some_and(|value| value == "*")
@@ -318,7 +324,7 @@
     tag.trim_matches('"').parse().ok().map(Condition::Version)
 }
 
-fn tagged(status: StatusCode, version: u64, value: Bytes) -> Reply {
+fn reply_with_etag(status: StatusCode, version: u64, value: Bytes) -> Reply {
     let mut reply = reply::bytes(status, value);
     if let Ok(tag) = HeaderValue::try_from(format!("\"{version}\"")) {
         reply.headers_mut().insert(header::ETAG, tag);
@@ -326,7 +332,7 @@
     reply
 }
 
-fn listed<'a>(key: &'a str, object: Option<&Object>) -> ListedObject<'a> {
+fn list_entry<'a>(key: &'a str, object: Option<&Object>) -> ListedObject<'a> {
     ListedObject {
         key,
         version: object.map_or(0, |object| object.version),
@@ -342,7 +348,7 @@
     })
 }
 
-fn query(uri: &Uri, name: &str) -> Option<String> {
+fn query_value(uri: &Uri, name: &str) -> Option<String> {
     uri.query()?
         .split('&')
         .filter_map(|pair| pair.split_once('='))
--- a/testutils/src/service.rs
+++ b/testutils/src/service.rs
@@ -1,4 +1,4 @@
-//! The stand-in for a plain service whose calls take effect each time they run.
+//! A stand-in for a plain service. It does not deduplicate calls: each execution takes effect.
 
 use std::{
     net::SocketAddr,
@@ -18,29 +18,30 @@
     server::Server,
 };
 
-const FOREVER: Duration = Duration::from_secs(3600);
+/// How long a connection stays open whose call gets no reply. Stands for never replying.
+const NO_REPLY_DELAY: Duration = Duration::from_secs(3600);
 
-/// The state of the stand-in service, shared by its connections.
+/// A stand-in plain service. Clones share its state.
 #[derive(Clone, Default)]
 pub struct Service {
-    shared: Arc<Mutex<Inner>>,
+    shared: Arc<Mutex<State>>,
 }
 
 #[derive(Default)]
-struct Inner {
-    runs: Vec<Run>,
-    fail_after_run: u32,
-    swallow: u32,
-    refuse: u32,
-    slow: Duration,
+struct State {
+    executions: Vec<Execution>,
+    calls_to_fail: u32,
+    replies_to_lose: u32,
+    calls_to_refuse: u32,
+    delay: Duration,
     leaving: bool,
     running: usize,
 }
 
-/// One execution of a call.
+/// One execution of a call that takes effect, which is any but a GET.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Run {
-    /// The idempotency key that came with the call, or an empty text.
+pub struct Execution {
+    /// The idempotency key of the call, or an empty string if it had none.
     pub key: SmolStr,
     /// The HTTP method.
     pub method: SmolStr,
@@ -63,44 +64,44 @@
     echo: &'a str,
 }
 
-enum Fate {
+enum CallOutcome {
     Answer(usize),
-    Fail,
-    Swallow,
+    FailAfterRun,
+    NoReply,
     Refuse,
 }
 
 impl Service {
-    /// Serves on an address.
+    /// Starts serving on `address`.
     ///
     /// # Errors
     ///
-    /// Gives the system's error when the address cannot be bound.
+    /// Returns an I/O error if the address cannot be bound.
     pub async fn serve(&self, address: SocketAddr) -> std::io::Result<Server> {
         let service = self.clone();
         let handle = move |request| {
             let service = service.clone();
-            async move { service.answer(request).await }
+            async move { service.handle_request(request).await }
         };
         Server::start(address, handle).await
     }
 
-    /// Changes the faults.
+    /// Changes the faults that the service simulates.
     pub fn set_faults(&self, change: ServiceFault) {
-        let mut inner = self.lock();
-        inner.fail_after_run = change.fail_after_run.unwrap_or(inner.fail_after_run);
-        inner.swallow = change.swallow.unwrap_or(inner.swallow);
-        inner.refuse = change.refuse.unwrap_or(inner.refuse);
-        inner.leaving = change.leaving.unwrap_or(inner.leaving);
-        inner.slow = change.slow_ms.map_or(inner.slow, Duration::from_millis);
+        let mut state = self.lock();
+        state.calls_to_fail = change.fail_after_run.unwrap_or(state.calls_to_fail);
+        state.replies_to_lose = change.swallow.unwrap_or(state.replies_to_lose);
+        state.calls_to_refuse = change.refuse.unwrap_or(state.calls_to_refuse);
+        state.leaving = change.leaving.unwrap_or(state.leaving);
+        state.delay = change.slow_ms.map_or(state.delay, Duration::from_millis);
     }
 
-    /// Returns every execution so far, in order.
-    pub fn log(&self) -> Vec<Run> {
-        self.lock().runs.clone()
+    /// Returns all executions so far, in order.
+    pub fn log(&self) -> Vec<Execution> {
+        self.lock().executions.clone()
     }
 
-    async fn answer(&self, request: Request<Bytes>) -> Reply {
+    async fn handle_request(&self, request: Request<Bytes>) -> Reply {
         match request.uri().path() {
             "/_fault" => match serde_json::from_slice(request.body()) {
                 Ok(change) => {
@@ -111,23 +112,23 @@
             },
             "/_log" => reply::json(StatusCode::OK, &self.log()),
             "/health" => reply::json(StatusCode::OK, &self.health()),
-            _ => self.call(&request).await,
+            _ => self.handle_call(&request).await,
         }
     }
 
     fn health(&self) -> Health {
-        let inner = self.lock();
+        let state = self.lock();
         Health {
-            state: if inner.leaving { "leaving" } else { "live" },
-            running: inner.running,
+            state: if state.leaving { "leaving" } else { "live" },
+            running: state.running,
         }
     }
 
-    async fn call(&self, request: &Request<Bytes>) -> Reply {
-        let slow = self.lock().slow;
-        time::sleep(slow).await;
-        match self.run(request) {
-            Fate::Answer(number) => {
+    async fn handle_call(&self, request: &Request<Bytes>) -> Reply {
+        let delay = self.lock().delay;
+        time::sleep(delay).await;
+        match self.execute(request) {
+            CallOutcome::Answer(number) => {
                 let answer = Answer {
                     number,
                     path: request.uri().path(),
@@ -135,43 +136,43 @@
                 };
                 reply::json(StatusCode::OK, &answer)
             }
-            Fate::Fail => reply::empty(StatusCode::INTERNAL_SERVER_ERROR),
-            Fate::Refuse => reply::unavailable(1),
-            Fate::Swallow => {
-                time::sleep(FOREVER).await;
+            CallOutcome::FailAfterRun => reply::empty(StatusCode::INTERNAL_SERVER_ERROR),
+            CallOutcome::Refuse => reply::unavailable(1),
+            CallOutcome::NoReply => {
+                time::sleep(NO_REPLY_DELAY).await;
                 reply::empty(StatusCode::OK)
             }
         }
     }
 
-    fn run(&self, request: &Request<Bytes>) -> Fate {
-        let mut inner = self.lock();
-        if fault::take(&mut inner.refuse) {
-            return Fate::Refuse;
+    fn execute(&self, request: &Request<Bytes>) -> CallOutcome {
+        let mut state = self.lock();
+        if fault::consume(&mut state.calls_to_refuse) {
+            return CallOutcome::Refuse;
         }
         let key = request.headers().get("idempotency-key");
         let key = key
             .and_then(|value| value.to_str().ok())
             .unwrap_or_default();
-        let changes = request.method() != Method::GET;
-        if changes {
-            inner.runs.push(Run {
+        let has_effect = request.method() != Method::GET;
+        if has_effect {
+            state.executions.push(Execution {
                 key: key.into(),
                 method: request.method().as_str().into(),
                 path: request.uri().path().into(),
                 body: String::from_utf8_lossy(request.body()).into_owned(),
             });
         }
-        if changes && fault::take(&mut inner.fail_after_run) {
-            return Fate::Fail;
+        if has_effect && fault::consume(&mut state.calls_to_fail) {
+            return CallOutcome::FailAfterRun;
         }
-        if changes && fault::take(&mut inner.swallow) {
-            return Fate::Swallow;
+        if has_effect && fault::consume(&mut state.replies_to_lose) {
+            return CallOutcome::NoReply;
         }
-        Fate::Answer(inner.runs.len())
+        CallOutcome::Answer(state.executions.len())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, State> {
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/testutils/src/token_sequence.rs
+++ b/testutils/src/token_sequence.rs
@@ -1,21 +1,22 @@
-//! The token sequence of the stand-in engine.
+//! The deterministic token sequence of the stand-in engine.
 //!
-//! A token depends on the model, version, adapter, prompt, seed and every token before it. A wrong
-//! prefix or another version therefore gives another continuation, which a test sees.
+//! Each token depends on the model, version, adapter, prompt, seed and all tokens before it. If a
+//! generation is resumed with a wrong prefix or another version, its continuation differs, so that
+//! a test can detect the mistake.
 
 use celerypond_types::TokenId;
 use rapidhash::v3::rapidhash_v3;
 
-const VOCABULARY: u64 = 50_000;
+const VOCABULARY_SIZE: u64 = 50_000;
 
-/// What decides a token sequence.
+/// The inputs that determine a token sequence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SequenceInputs<'a> {
     /// The model.
     pub model: &'a str,
     /// The version of the model.
     pub version: &'a str,
-    /// The adapter, or an empty text.
+    /// The adapter, or an empty string for none.
     pub adapter: &'a str,
     /// The prompt.
     pub prompt: &'a str,
@@ -30,7 +31,7 @@
 }
 
 impl TokenSequence {
-    /// Begins the sequence of `inputs`.
+    /// Creates the sequence for `inputs`, positioned before its first token.
     ///
     /// # Examples
     ///
@@ -53,14 +54,15 @@
         }
     }
 
-    /// Returns the token that comes next and moves past it.
+    /// Returns the next token and advances past it.
     pub fn next_token(&mut self) -> TokenId {
-        let token = TokenId((rapidhash_v3(&self.state.to_le_bytes()) % VOCABULARY) as u32);
+        let token = TokenId((rapidhash_v3(&self.state.to_le_bytes()) % VOCABULARY_SIZE) as u32);
         self.advance(token);
         token
     }
 
-    /// Moves past a token that is given, whatever it is.
+    /// Advances past a given token, such as one of a prefix. It may differ from the token that
+    /// [`next_token`](Self::next_token) would have returned.
     pub fn advance(&mut self, token: TokenId) {
         let mut bytes = [0; 12];
         bytes[..8].copy_from_slice(&self.state.to_le_bytes());
@@ -74,7 +76,7 @@
     }
 }
 
-/// Returns the text of a token.
+/// Returns the text that a token stands for.
 pub fn token_text(token: TokenId) -> String {
     format!("w{} ", token.0)
 }
