--- a/testutils/src/flags.rs
+++ b/testutils/src/flags.rs
@@ -1,50 +1,50 @@
-//! The command line of the stand-ins.
+//! The command line of `celerypond-standin`.
 
 use std::{net::SocketAddr, path::PathBuf};
 
 xflags::xflags! {
-    /// Runs one stand-in on loopback until it is stopped.
+    /// Runs a stand-in until it is stopped, or the load generator.
     cmd celerypond-standin {
-        /// The platform: objects, instance list and weights.
+        /// Runs a platform: object store, instance list and weight store.
         cmd platform {
-            /// Where to listen.
+            /// The address on which to listen.
             required listen: SocketAddr
-            /// The instance list, as JSON.
+            /// The file with the instance list, as JSON.
             required instances: PathBuf
-            /// How late the list is, in milliseconds.
+            /// The delay with which changes to the list become visible, in milliseconds.
             optional --lag-ms lag_ms: u64
         }
-        /// An engine.
+        /// Runs an engine.
         cmd engine {
-            /// Where to listen.
+            /// The address on which to listen.
             required listen: SocketAddr
-            /// The versions that are loaded at the start.
+            /// The model versions that are loaded at the start.
             repeated versions: String
-            /// The time between tokens, in milliseconds.
+            /// The time to generate one token, in milliseconds.
             optional --gap-ms gap_ms: u64
-            /// How many streams run at once.
+            /// The maximum number of concurrent streams.
             optional --slots slots: usize
-            /// Refuse orders with an old fencing number.
+            /// Refuse orders with an outdated fencing number.
             optional --checks-fencing
         }
-        /// Callers that ask again and again; prints what became of their requests as JSON.
+        /// Sends generation requests from concurrent callers and prints a summary as JSON.
         cmd load {
-            /// Addresses of the system, separated by commas.
+            /// The addresses of the instances, separated by commas.
             required at: String
-            /// The account's key.
+            /// The key of the client account.
             required key: String
-            /// The model.
+            /// The name of the model.
             required model: String
-            /// How many callers ask at once.
+            /// The number of concurrent callers.
             optional --callers callers: u64
-            /// For how many seconds.
+            /// The time for which to send requests, in seconds.
             optional --seconds seconds: u64
-            /// How many tokens each asks for.
+            /// The maximum number of tokens of an answer.
             optional --tokens tokens: u32
         }
-        /// A plain service.
+        /// Runs a plain service.
         cmd service {
-            /// Where to listen.
+            /// The address on which to listen.
             required listen: SocketAddr
         }
     }
--- a/testutils/src/load.rs
+++ b/testutils/src/load.rs
@@ -1,4 +1,4 @@
-//! Callers that ask again and again, and what became of their requests.
+//! A load generator: callers that send one request after another, and a summary of the outcomes.
 
 use std::{
     collections::BTreeMap,
@@ -11,100 +11,102 @@
 use serde::Serialize;
 use tokio::time::{timeout_at, Instant};
 
-/// How long an answer may take.
-const LIMIT: Duration = Duration::from_secs(60);
+/// The maximum time for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What callers do.
+/// The settings of a load generator.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// The addresses of the system; callers are spread over them.
+pub struct LoadPlan {
+    /// The addresses of the instances. Callers are spread over them.
     pub addresses: Vec<SocketAddr>,
-    /// The account's key.
+    /// The key of the client account.
     pub key: String,
     /// The model.
     pub model: String,
-    /// How many callers ask at once.
+    /// The number of concurrent callers.
     pub callers: u64,
-    /// For how long.
-    pub time: Duration,
-    /// How many tokens each asks for.
-    pub tokens: u32,
+    /// The time for which callers send requests.
+    pub duration: Duration,
+    /// The maximum number of tokens of an answer.
+    pub max_tokens: u32,
 }
 
-/// What became of the requests.
+/// The outcomes of the requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Outcome {
-    /// Whole answers, by the version that generated them.
+    /// The number of complete answers by the model version that generated them.
     pub answers: BTreeMap<String, u64>,
-    /// Requests that failed, by what the caller was told.
+    /// The number of failed requests by the error that the caller received.
     pub failures: BTreeMap<String, u64>,
-    /// The times to the first token in milliseconds: the median and the 99th percentile.
+    /// The median and the 99th percentile of the time to the first token, in milliseconds.
     pub first_token_ms: (f64, f64),
 }
 
 #[derive(Default)]
-struct Seen {
+struct Results {
     outcome: Outcome,
-    first: Vec<f64>,
+    first_token_ms: Vec<f64>,
 }
 
-impl Plan {
-    /// Asks until the time is over.
+impl LoadPlan {
+    /// Sends requests until the duration has passed.
     pub async fn run(&self) -> Outcome {
-        let seen = Mutex::new(Seen::default());
-        let until = Instant::now() + self.time;
-        let callers = (0..self.callers).map(|caller| self.caller(caller, until, &seen));
+        let results = Mutex::new(Results::default());
+        let end = Instant::now() + self.duration;
+        let callers = (0..self.callers).map(|caller| self.run_caller(caller, end, &results));
         futures::future::join_all(callers).await;
-        let mut seen = seen.into_inner().unwrap_or_else(PoisonError::into_inner);
-        seen.first.sort_by(f64::total_cmp);
-        let at = |part: f64| {
-            let rank = (seen.first.len() as f64 * part) as usize;
-            seen.first.get(rank).copied().unwrap_or(0.0)
+        let mut results = results.into_inner().unwrap_or_else(PoisonError::into_inner);
+        results.first_token_ms.sort_by(f64::total_cmp);
+        let percentile = |fraction: f64| {
+            let rank = (results.first_token_ms.len() as f64 * fraction) as usize;
+            results.first_token_ms.get(rank).copied().unwrap_or(0.0)
         };
-        seen.outcome.first_token_ms = (at(0.5), at(0.99));
-        seen.outcome
+        results.outcome.first_token_ms = (percentile(0.5), percentile(0.99));
+        results.outcome
     }
 
-    async fn caller(&self, caller: u64, until: Instant, seen: &Mutex<Seen>) {
-        let mut known = self.addresses.clone();
-        let turn = caller as usize % known.len().max(1);
-        known.rotate_left(turn);
-        let Ok(client) = Client::new(known, &self.key) else {
+    async fn run_caller(&self, caller: u64, end: Instant, results: &Mutex<Results>) {
+        let mut addresses = self.addresses.clone();
+        let offset = caller as usize % addresses.len().max(1);
+        addresses.rotate_left(offset);
+        let Ok(client) = Client::new(addresses, &self.key) else {
             return;
         };
         let mut seed = caller << 32;
-        while Instant::now() < until {
+        while Instant::now() < end {
             seed += 1;
-            // An answer that is still on its way at the end is left out.
-            let _ = timeout_at(until, self.ask(&client, seed, seen)).await;
+            // A request that is unfinished at the end is not counted.
+            let _ = timeout_at(end, self.send_request(&client, seed, results)).await;
         }
     }
 
-    async fn ask(&self, client: &Client, seed: u64, seen: &Mutex<Seen>) {
+    async fn send_request(&self, client: &Client, seed: u64, results: &Mutex<Results>) {
         let prompt = Prompt {
             model: self.model.clone(),
             prompt: format!("cut list {seed}"),
-            max_tokens: self.tokens,
+            max_tokens: self.max_tokens,
             seed: Some(seed),
             adapter: None,
             key: None,
-            limit: LIMIT,
+            limit: ANSWER_TIMEOUT,
         };
-        let began = Instant::now();
+        let start = Instant::now();
         let mut answer = client.generate(prompt).await;
-        let mut first = None;
-        let ended = loop {
+        let mut first_token_ms = None;
+        let result = loop {
             match answer.next().await {
-                Ok(_) => first = first.or(Some(began.elapsed().as_secs_f64() * 1e3)),
-                Err(ended) => break ended,
+                Ok(_) => {
+                    first_token_ms = first_token_ms.or(Some(start.elapsed().as_secs_f64() * 1e3))
+                }
+                Err(result) => break result,
             }
         };
-        let mut seen = seen.lock().unwrap_or_else(PoisonError::into_inner);
-        seen.first.extend(first);
-        let (counts, name) = match ended {
-            Ok(ended) => (&mut seen.outcome.answers, ended.version),
+        let mut results = results.lock().unwrap_or_else(PoisonError::into_inner);
+        results.first_token_ms.extend(first_token_ms);
+        let (counts, name) = match result {
+            Ok(completed) => (&mut results.outcome.answers, completed.version),
             Err(report) => (
-                &mut seen.outcome.failures,
+                &mut results.outcome.failures,
                 report.current_context().to_string(),
             ),
         };
--- a/testutils/src/main.rs
+++ b/testutils/src/main.rs
@@ -1,10 +1,10 @@
-//! Runs one stand-in until it is stopped.
+//! Runs a stand-in until it is stopped, or the load generator.
 
 use std::{fs, io, process::ExitCode, time::Duration};
 
 use celerypond_testutils::{
     engine::{Engine, EngineSettings},
-    load::Plan,
+    load::LoadPlan,
     platform::Platform,
     server::Server,
     service::Service,
@@ -18,15 +18,15 @@
 const DEFAULT_TOKEN_INTERVAL_MS: u64 = 20;
 const DEFAULT_SLOTS: usize = 64;
 const DEFAULT_CALLERS: u64 = 12;
-const DEFAULT_SECONDS: u64 = 10;
-const DEFAULT_TOKENS: u32 = 8;
+const DEFAULT_DURATION_S: u64 = 10;
+const DEFAULT_MAX_TOKENS: u32 = 8;
 const PREFILL_PER_TOKEN: Duration = Duration::from_micros(50);
 
 #[tokio::main]
 async fn main() -> ExitCode {
     let flags = CelerypondStandin::from_env_or_exit();
     let command = match flags.subcommand {
-        CelerypondStandinCmd::Load(flags) => return load(&flags).await,
+        CelerypondStandinCmd::Load(flags) => return run_load(&flags).await,
         command => command,
     };
     match serve(command).await {
@@ -36,7 +36,7 @@
             ExitCode::SUCCESS
         }
         Err(error) => {
-            eprintln!("the stand-in could not start: {error}");
+            eprintln!("could not start the stand-in: {error}");
             ExitCode::FAILURE
         }
     }
@@ -45,9 +45,9 @@
 async fn serve(command: CelerypondStandinCmd) -> io::Result<Server> {
     match command {
         CelerypondStandinCmd::Platform(flags) => {
-            let listing = serde_json::from_slice(&fs::read(flags.instances)?)?;
+            let list = serde_json::from_slice(&fs::read(flags.instances)?)?;
             let lag = Duration::from_millis(flags.lag_ms.unwrap_or(0));
-            Platform::new(listing, lag).serve(flags.listen).await
+            Platform::new(list, lag).serve(flags.listen).await
         }
         CelerypondStandinCmd::Engine(flags) => {
             let settings = EngineSettings {
@@ -66,19 +66,19 @@
     }
 }
 
-async fn load(flags: &flags::Load) -> ExitCode {
+async fn run_load(flags: &flags::Load) -> ExitCode {
     let addresses: Result<Vec<_>, _> = flags.at.split(',').map(str::parse).collect();
     let Ok(addresses) = addresses else {
-        eprintln!("the addresses must be IP numbers with ports, separated by commas");
+        eprintln!("the addresses must be IP addresses with ports, separated by commas");
         return ExitCode::FAILURE;
     };
-    let plan = Plan {
+    let plan = LoadPlan {
         addresses,
         key: flags.key.clone(),
         model: flags.model.clone(),
         callers: flags.callers.unwrap_or(DEFAULT_CALLERS),
-        time: Duration::from_secs(flags.seconds.unwrap_or(DEFAULT_SECONDS)),
-        tokens: flags.tokens.unwrap_or(DEFAULT_TOKENS),
+        duration: Duration::from_secs(flags.seconds.unwrap_or(DEFAULT_DURATION_S)),
+        max_tokens: flags.tokens.unwrap_or(DEFAULT_MAX_TOKENS),
     };
     let outcome = plan.run().await;
     println!(
