--- a/testutils/src/instances.rs
+++ b/testutils/src/instances.rs
@@ -1,38 +1,38 @@
-//! The platform's late list of instances and leaving targets.
+//! The platform's list of instances and targets, which lags behind their actual state.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// One state of the list, as the platform gives it.
+/// The list as the platform returns it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceList {
     /// The instances.
     #[serde(default)]
     pub instances: Vec<ListedInstance>,
-    /// The targets that the platform knows to be leaving or live.
+    /// The targets that the platform reports as live or leaving.
     #[serde(default)]
     pub targets: Vec<ListedTarget>,
 }
 
-/// An instance as listed.
+/// An instance in the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedInstance {
     /// The name.
     pub name: String,
-    /// Where callers reach it.
+    /// The address for callers.
     pub address: String,
-    /// Where other instances reach it.
+    /// The address for other instances.
     pub peer_address: String,
-    /// Its data centre.
+    /// The data centre.
     pub data_centre: String,
     /// `live` or `leaving`.
     pub state: String,
 }
 
-/// A target as listed.
+/// A target in the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedTarget {
     /// The name.
@@ -41,7 +41,7 @@
     pub state: String,
 }
 
-/// The list over time.
+/// An instance list whose changes become visible after a delay.
 #[derive(Clone, Debug)]
 pub struct DelayedInstanceList {
     lag: Duration,
@@ -49,32 +49,32 @@
 }
 
 impl DelayedInstanceList {
-    /// Starts with a list that has always been there.
-    pub fn new(listing: InstanceList, lag: Duration, now: Instant) -> Self {
+    /// Creates a list that is visible at once.
+    pub fn new(list: InstanceList, lag: Duration, now: Instant) -> Self {
         Self {
             lag,
-            versions: vec![(now, listing)],
+            versions: vec![(now, list)],
         }
     }
 
-    /// Changes how late the list is.
+    /// Sets the delay after which a change becomes visible. It also applies to earlier changes.
     pub fn set_lag(&mut self, lag: Duration) {
         self.lag = lag;
     }
 
-    /// Replaces the list; readers see it after the lag.
-    pub fn set(&mut self, listing: InstanceList, now: Instant) {
-        self.versions.push((now, listing));
+    /// Replaces the list. The new one becomes visible after the lag.
+    pub fn set(&mut self, list: InstanceList, now: Instant) {
+        self.versions.push((now, list));
     }
 
-    /// Returns the list as readers see it.
+    /// Returns the list that is visible at `now`.
     pub fn visible(&self, now: Instant) -> InstanceList {
         self.versions
             .iter()
             .rev()
             .find(|(since, _)| now.saturating_duration_since(*since) >= self.lag)
             .or(self.versions.first())
-            .map(|(_, listing)| listing.clone())
+            .map(|(_, list)| list.clone())
             .unwrap_or_default()
     }
 }
--- a/testutils/src/objects.rs
+++ b/testutils/src/objects.rs
@@ -1,13 +1,13 @@
-//! The versioned objects of the stand-in platform.
+//! The object store of the stand-in platform.
 
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
 
-/// The largest value that the platform takes, in bytes.
+/// The maximum size of a value, in bytes.
 pub const VALUE_LIMIT: usize = 1 << 20;
 
-/// The condition of a write.
+/// The precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
     /// The object must not exist.
@@ -16,27 +16,27 @@
     Version(u64),
 }
 
-/// Why a write had no effect.
+/// The reason that a write or deletion failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteError {
-    /// The condition does not hold.
+    /// The precondition is not met.
     Conflict,
     /// The object does not exist.
     Missing,
-    /// The value is over [`VALUE_LIMIT`].
+    /// The value is larger than [`VALUE_LIMIT`].
     TooLarge,
 }
 
 /// An object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Object {
-    /// The version: the store's revision when it was written.
+    /// The version, which is the revision that the store reached by writing it.
     pub version: u64,
     /// The value.
     pub value: Bytes,
 }
 
-/// Versioned objects with conditional writes and a record of changes.
+/// Versioned objects with conditional writes and a record of the last change of each key.
 #[derive(Clone, Debug, Default)]
 pub struct ObjectStore {
     revision: u64,
@@ -45,21 +45,21 @@
 }
 
 impl ObjectStore {
-    /// Returns the revision: the number of writes so far.
+    /// Returns the revision, which is the number of writes and deletions so far.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Finds an object.
+    /// Returns the object with this key.
     pub fn get(&self, key: &str) -> Option<&Object> {
         self.objects.get(key)
     }
 
-    /// Writes an object if the condition holds and returns its new version.
+    /// Writes an object if the precondition is met. Returns its new version.
     ///
     /// # Errors
     ///
-    /// Gives a [`WriteError`] when nothing was written.
+    /// Returns a [`WriteError`] if nothing was written.
     pub fn put(
         &mut self,
         key: &str,
@@ -69,38 +69,39 @@
         if value.len() > VALUE_LIMIT {
             return Err(WriteError::TooLarge);
         }
-        let held = self.objects.get(key).map(|object| object.version);
-        let holds = match condition {
-            Condition::Absent => held.is_none(),
-            Condition::Version(version) => held == Some(version),
+        let current = self.objects.get(key).map(|object| object.version);
+        let is_met = match condition {
+            Condition::Absent => current.is_none(),
+            Condition::Version(version) => current == Some(version),
         };
-        if !holds {
+        if !is_met {
             return Err(WriteError::Conflict);
         }
-        let version = self.record(key);
+        let version = self.record_change(key);
         self.objects
             .insert(key.to_owned(), Object { version, value });
         Ok(version)
     }
 
-    /// Deletes an object that has this version.
+    /// Deletes an object if it has the given version.
     ///
     /// # Errors
     ///
-    /// Gives a [`WriteError`] when nothing was deleted.
+    /// Returns a [`WriteError`] if nothing was deleted.
     pub fn delete(&mut self, key: &str, version: u64) -> Result<(), WriteError> {
         match self.objects.get(key) {
             None => Err(WriteError::Missing),
             Some(object) if object.version != version => Err(WriteError::Conflict),
             Some(_) => {
                 self.objects.remove(key);
-                self.record(key);
+                self.record_change(key);
                 Ok(())
             }
         }
     }
 
-    /// Returns objects under a prefix in key order, after a key, up to a limit.
+    /// Returns up to `limit` objects whose keys start with `prefix` and sort after `after`, in key
+    /// order.
     pub fn list(&self, prefix: &str, after: &str, limit: usize) -> Vec<(&str, &Object)> {
         self.objects
             .range(prefix.to_owned()..)
@@ -111,7 +112,8 @@
             .collect()
     }
 
-    /// Returns keys under a prefix that changed after a revision, each once, oldest change first.
+    /// Returns the keys under `prefix` that changed after the revision `since`, in the order of
+    /// their changes. A key whose object was rewritten is listed once, at its last change.
     pub fn changed_keys(&self, prefix: &str, since: u64) -> Vec<&str> {
         self.changes
             .range(since + 1..)
@@ -120,7 +122,7 @@
             .collect()
     }
 
-    fn record(&mut self, key: &str) -> u64 {
+    fn record_change(&mut self, key: &str) -> u64 {
         self.revision += 1;
         if let Some(object) = self.objects.get(key) {
             self.changes.remove(&object.version);
--- a/testutils/src/reply.rs
+++ b/testutils/src/reply.rs
@@ -1,4 +1,4 @@
-//! Replies of the stand-ins.
+//! HTTP replies of the stand-ins.
 
 use std::convert::Infallible;
 
@@ -14,24 +14,24 @@
 /// A reply of a stand-in.
 pub type Reply = Response<Body>;
 
-/// Makes a reply without a body.
+/// Returns a reply without a body.
 pub fn empty(status: StatusCode) -> Reply {
     bytes(status, Bytes::new())
 }
 
-/// Makes a reply from bytes.
+/// Returns a reply with the given bytes as its body.
 pub fn bytes(status: StatusCode, value: impl Into<Bytes>) -> Reply {
     let mut reply = Response::new(Full::new(value.into()).boxed_unsync());
     *reply.status_mut() = status;
     reply
 }
 
-/// Makes a JSON reply.
+/// Returns a reply with a value as JSON.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Reply {
     json_text(status, serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// Makes a JSON reply from its text.
+/// Returns a reply with text that is already JSON.
 pub fn json_text(status: StatusCode, text: impl Into<Bytes>) -> Reply {
     let mut reply = bytes(status, text);
     let json = http::HeaderValue::from_static("application/json");
@@ -39,22 +39,24 @@
     reply
 }
 
-/// Makes a 503 reply that says when to come back.
-pub fn unavailable(after_s: u64) -> Reply {
+/// Returns a 503 reply that asks to retry after `retry_after_s` seconds.
+pub fn unavailable(retry_after_s: u64) -> Reply {
     let mut reply = empty(StatusCode::SERVICE_UNAVAILABLE);
     reply
         .headers_mut()
-        .insert(header::RETRY_AFTER, after_s.into());
+        .insert(header::RETRY_AFTER, retry_after_s.into());
     reply
 }
 
-/// Makes a reply of server-sent events, each given as its data.
+/// Returns a reply of server-sent events. The items of the stream are the data of the events.
 pub fn events(stream: impl futures::Stream<Item = String> + Send + 'static) -> Reply {
     use futures::StreamExt;
 
     let frames = stream.map(|data| Ok(Frame::data(Bytes::from(format!("data: {data}\n\n")))));
     let mut reply = Response::new(StreamBody::new(frames).boxed_unsync());
-    let kind = http::HeaderValue::from_static("text/event-stream");
-    reply.headers_mut().insert(header::CONTENT_TYPE, kind);
+    let content_type = http::HeaderValue::from_static("text/event-stream");
+    reply
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, content_type);
     reply
 }
--- a/testutils/src/server.rs
+++ b/testutils/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for the stand-ins.
+//! The HTTP server of the stand-ins.
 
 use std::{convert::Infallible, future::Future, net::SocketAddr};
 
@@ -14,46 +14,46 @@
 
 use crate::reply::{self, Reply};
 
-/// A stand-in that serves until it is dropped.
+/// An HTTP server that runs until it is dropped.
 #[derive(Debug)]
 pub struct Server {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
 
 impl Server {
-    /// Listens on `address` and answers each request with `handle`.
+    /// Listens on `address` and replies to each request with the result of `handler`.
     ///
     /// # Errors
     ///
-    /// Gives the system's error when the address cannot be bound.
-    pub async fn start<H, F>(address: SocketAddr, handle: H) -> std::io::Result<Self>
+    /// Returns an I/O error if the address cannot be bound.
+    pub async fn start<H, F>(address: SocketAddr, handler: H) -> std::io::Result<Self>
     where
         H: Fn(Request<Bytes>) -> F + Clone + Send + 'static,
         F: Future<Output = Reply> + Send + 'static,
     {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let task = tokio::spawn(accept(listener, handle));
+        let task = tokio::spawn(accept_connections(listener, handler));
         Ok(Self { address, task })
     }
 
-    /// Waits for as long as the stand-in serves.
+    /// Waits until the server stops.
     pub async fn wait(&mut self) {
-        // An abort is the ordinary end, so the result says nothing.
+        // The task ends only when it is aborted, so its result is of no interest.
         let _ = (&mut self.task).await;
     }
 }
 
 impl Drop for Server {
     fn drop(&mut self) {
-        // Connections live in a set owned by this task, so they close with it.
+        // The task owns the set of connections, so they are closed with it.
         self.task.abort();
     }
 }
 
-async fn accept<H, F>(listener: TcpListener, handle: H)
+async fn accept_connections<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(Request<Bytes>) -> F + Clone + Send + 'static,
     F: Future<Output = Reply> + Send + 'static,
@@ -63,7 +63,7 @@
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((socket, _)) = accepted {
-                    connections.spawn(connection(socket, handle.clone()));
+                    connections.spawn(serve_connection(socket, handler.clone()));
                 }
             }
             Some(_) = connections.join_next() => {}
@@ -71,25 +71,25 @@
     }
 }
 
-async fn connection<H, F>(socket: TcpStream, handle: H)
+async fn serve_connection<H, F>(socket: TcpStream, handler: H)
 where
     H: Fn(Request<Bytes>) -> F + Clone + Send + 'static,
     F: Future<Output = Reply> + Send + 'static,
 {
-    // A delayed acknowledgement would add 40 ms to small events.
+    // Without TCP_NODELAY, a delayed acknowledgement would add 40 ms to small events.
     let _ = socket.set_nodelay(true);
     let service = service_fn(move |request: Request<Incoming>| {
-        let handle = handle.clone();
+        let handler = handler.clone();
         async move {
             let (head, body) = request.into_parts();
-            let answer = match body.collect().await {
-                Ok(body) => handle(Request::from_parts(head, body.to_bytes())).await,
+            let reply = match body.collect().await {
+                Ok(body) => handler(Request::from_parts(head, body.to_bytes())).await,
                 Err(_) => reply::empty(StatusCode::BAD_REQUEST),
             };
-            Ok::<_, Infallible>(answer)
+            Ok::<_, Infallible>(reply)
         }
     });
-    // A caller that goes away in the middle is an ordinary end.
+    // An error here means that the caller closed the connection early, which is expected.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(socket), service)
         .await;
