--- a/bench/src/path/stand.rs
+++ b/bench/src/path/stand.rs
@@ -10,8 +10,8 @@
 use celerypond_daemon::{engine, server};
 use celerypond_testutils::{
     engine::{Engine, EngineSettings},
+    instances::{InstanceList, ListedInstance},
     platform::Platform,
-    roster::{ListedInstance, Listing},
     server::Server,
     service::Service,
 };
@@ -68,15 +68,15 @@
     pub(super) async fn start(gap: Duration, workers: usize) -> Result<Self, Report<PathError>> {
         let stand_ins = runtime("path-stand-in", STAND_IN_THREADS)?;
         let [port, peer_port] = free_ports()?;
-        let listing = Listing {
+        let listing = InstanceList {
             instances: vec![listed(port, peer_port)],
             targets: Vec::new(),
         };
         let platform = Platform::new(listing, Duration::ZERO);
         let engine = Engine::new(EngineSettings {
             versions: vec!["v1".into()],
-            gap,
-            prefill: Duration::ZERO,
+            token_interval: gap,
+            prefill_per_token: Duration::ZERO,
             slots: SLOTS,
             checks_fencing: true,
         });
--- a/daemon/tests/fleet.rs
+++ b/daemon/tests/fleet.rs
@@ -18,11 +18,11 @@
 use celerypond_telemetry::Metrics;
 use celerypond_testutils::{
     engine::{Engine, EngineSettings},
-    generator::{Generator, Source},
+    instances::{InstanceList, ListedInstance},
     platform::Platform,
-    roster::{ListedInstance, Listing},
     server::Server,
     service::Service,
+    token_sequence::{SequenceInputs, TokenSequence},
 };
 use celerypond_types::{Digest, Revision};
 use http::Method;
@@ -128,7 +128,7 @@
 
     async fn without_bundle(gap: Duration) -> Self {
         let ports = free_ports(6);
-        let listing = Listing {
+        let listing = InstanceList {
             instances: (0..3)
                 .map(|i| listed(i, ports[2 * i], ports[2 * i + 1]))
                 .collect(),
@@ -140,8 +140,8 @@
         for _ in 0..3 {
             let stand_in = Engine::new(EngineSettings {
                 versions: vec!["v1".into()],
-                gap,
-                prefill: Duration::ZERO,
+                token_interval: gap,
+                prefill_per_token: Duration::ZERO,
                 slots: 256,
                 checks_fencing: true,
             });
@@ -299,14 +299,14 @@
 
 /// Returns the tokens that an engine of `version` gives for a prompt.
 pub(crate) fn reference(version: &str, prompt: &str, seed: u64, count: usize) -> Vec<u32> {
-    let source = Source {
+    let inputs = SequenceInputs {
         model: "drafts",
         version,
         adapter: "",
         prompt,
         seed,
     };
-    let tokens = Generator::new(&source).take(count);
+    let tokens = TokenSequence::new(&inputs).take(count);
     tokens.into_iter().map(|token| token.0).collect()
 }
 
