--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -99,8 +99,8 @@
         serde_json::from_slice(&body).change_context(ClientError::InvalidResponse)
     }
 
-    /// Returns the addresses of the entry points, or the bootstrap addresses if there are none or the
-    /// request for them fails.
+    /// Returns the addresses of the entry points, or the bootstrap addresses if there are none or
+    /// the request for them fails.
     pub async fn addresses(&self) -> Vec<SocketAddr> {
         match self.entry_points().await {
             Ok(list) if !list.entries.is_empty() => {
@@ -131,9 +131,9 @@
 
     /// Calls a plain service.
     ///
-    /// A call with an idempotency key is retried, also on other instances, until there is a response
-    /// or `timeout` has passed: the system runs it at most once. A call without a key is retried
-    /// only if the error proves that it did not run.
+    /// A call with an idempotency key is retried, also on other instances, until there is a
+    /// response or `timeout` has passed: the system runs it at most once. A call without a key is
+    /// retried only if the error proves that it did not run.
     ///
     /// # Errors
     ///
--- a/cli/src/completion.rs
+++ b/cli/src/completion.rs
@@ -149,9 +149,9 @@
 impl CompletionStream<'_> {
     /// Waits for the next token.
     ///
-    /// If the connection closes or no event comes in time, the client resumes the stream at the next
-    /// instance. It sends the id of the last event, which serves as resume token, and the tokens
-    /// received so far, so that no token is missing or repeated.
+    /// If the connection closes or no event comes in time, the client resumes the stream at the
+    /// next instance. It sends the id of the last event, which serves as resume token, and the
+    /// tokens received so far, so that no token is missing or repeated.
     ///
     /// # Errors
     ///
--- a/cli/src/document_commands.rs
+++ b/cli/src/document_commands.rs
@@ -1,5 +1,5 @@
-//! The subcommands for bundles and settings. They need no running instance, except for `diff` with a
-//! digest.
+//! The subcommands for bundles and settings. They need no running instance, except for `diff` with
+//! a digest.
 
 use std::{fs, path::Path};
 
--- a/cli/src/explain.rs
+++ b/cli/src/explain.rs
@@ -149,8 +149,8 @@
 
 /// Parses the lines of a log file.
 ///
-/// In a file with the lines of several instances, each line has a prefix before the JSON object whose
-/// last word is the name of the instance.
+/// In a file with the lines of several instances, each line has a prefix before the JSON object.
+/// The last word of the prefix is the name of the instance.
 pub(crate) fn parse_lines<'a>(source: &'a LogSource<'_>) -> impl Iterator<Item = LogLine> + 'a {
     source.text.lines().filter_map(|text| {
         let (prefix, json) = text.split_at(text.find('{')?);
--- a/cli/src/operator_commands.rs
+++ b/cli/src/operator_commands.rs
@@ -83,7 +83,8 @@
         .sum()
 }
 
-/// Waits until the rollouts of a revision have ended, and prints each change of the status to stderr.
+/// Waits until the rollouts of a revision have ended, and prints each change of the status to
+/// stderr.
 async fn wait(
     context: &Context,
     client: &Client,
