--- a/testutils/src/lib.rs
+++ b/testutils/src/lib.rs
@@ -1,8 +1,8 @@
 //! Stand-ins for the platform, engines and plain services, and a load generator, for tests,
 //! benchmarks and demos.
 //!
-//! A stand-in implements its side of the protocol in `docs/design/wire.md` on loopback, and simulates
-//! faults on request.
+//! A stand-in implements its side of the protocol in `docs/design/wire.md` on loopback, and
+//! simulates faults on request.
 
 pub mod engine;
 pub mod fault;
--- a/testutils/src/token_sequence.rs
+++ b/testutils/src/token_sequence.rs
@@ -38,7 +38,13 @@
     /// ```
     /// use celerypond_testutils::token_sequence::{SequenceInputs, TokenSequence};
     ///
-    /// let inputs = SequenceInputs { model: "m", version: "v1", adapter: "", prompt: "cut list", seed: 7 };
+    /// let inputs = SequenceInputs {
+    ///     model: "m",
+    ///     version: "v1",
+    ///     adapter: "",
+    ///     prompt: "cut list",
+    ///     seed: 7,
+    /// };
     /// let all = TokenSequence::new(&inputs).take(5);
     /// let mut rest = TokenSequence::new(&inputs);
     /// all[..2].iter().for_each(|token| rest.advance(*token));
