--- a/daemon/src/force.rs
+++ b/daemon/src/active_bundle.rs
@@ -8,9 +8,9 @@
 
 /// The bundle in force, immutable.
 #[derive(Clone, Debug)]
-pub struct Force {
+pub struct ActiveBundle {
     /// Its revision, digest and what it changed.
-    pub headline: BundleHeader,
+    pub header: BundleHeader,
     /// Its content.
     pub bundle: Arc<Bundle>,
     accounts: HashMap<Digest, usize>,
@@ -18,14 +18,14 @@
     services: HashMap<ServiceName, usize>,
 }
 
-impl Force {
+impl ActiveBundle {
     /// Indexes a bundle.
-    pub fn new(headline: BundleHeader, bundle: Arc<Bundle>) -> Self {
+    pub fn new(header: BundleHeader, bundle: Arc<Bundle>) -> Self {
         let accounts = bundle.accounts.iter().enumerate();
         let models = bundle.models.iter().enumerate();
         let services = bundle.services.iter().enumerate();
         Self {
-            headline,
+            header,
             accounts: accounts.map(|(index, it)| (it.key_digest, index)).collect(),
             models: models.map(|(index, it)| (it.name.clone(), index)).collect(),
             services: services
@@ -37,7 +37,7 @@
 
     /// Returns the revision.
     pub const fn revision(&self) -> Revision {
-        self.headline.revision
+        self.header.revision
     }
 
     /// Finds the account whose callers send the key with this digest.
--- a/daemon/src/front/auth.rs
+++ b/daemon/src/front/auth.rs
@@ -6,7 +6,7 @@
 use http::header;
 
 use crate::{
-    force::Force,
+    active_bundle::ActiveBundle,
     front::problem::{Kind, Problem},
     node::Node,
 };
@@ -18,9 +18,9 @@
 /// # Errors
 ///
 /// `Unauthorized`, with the same text for a missing and a wrong key.
-pub fn account<'a>(force: &'a Force, headers: &HeaderMap) -> Result<&'a Account, Problem> {
+pub fn account<'a>(active: &'a ActiveBundle, headers: &HeaderMap) -> Result<&'a Account, Problem> {
     let digest = key_digest(headers).ok_or_else(refusal)?;
-    force.account(&digest).ok_or_else(refusal)
+    active.account(&digest).ok_or_else(refusal)
 }
 
 /// Finds the operator whose key the request carries.
--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -20,9 +20,9 @@
 use tracing::Instrument;
 
 use crate::{
+    active_bundle::ActiveBundle,
     charge::Charge,
     engine_stream::GenerationRequest,
-    force::Force,
     front::{
         auth, headers,
         problem::{Kind, Problem},
@@ -76,14 +76,14 @@
 }
 
 async fn begin(node: &Arc<Node>, call: Call) -> Result<Reply, Problem> {
-    let Some(force) = node.active_bundle.load_full() else {
+    let Some(active) = node.active_bundle.load_full() else {
         return Err(Problem::not_run(NotRunReason::NoTarget, NO_BUNDLE));
     };
-    let account = auth::account(&force, &call.headers)?;
+    let account = auth::account(&active, &call.headers)?;
     let text = headers::read_body(node, call.body).await?;
     let completion: Completion =
         serde_json::from_slice(&text).map_err(|error| Problem::new(Kind::BadRequest, error))?;
-    let model = check(&force, &completion)?;
+    let model = check(&active, &completion)?;
     let key = headers::request_key(&call.headers, &mut node.rng())?;
     let named = Named {
         id: SmolStr::new(key.as_str()),
@@ -105,9 +105,9 @@
     Ok(whole_reply(&named, received).await)
 }
 
-fn check<'a>(force: &'a Force, completion: &Completion) -> Result<&'a Model, Problem> {
+fn check<'a>(active: &'a ActiveBundle, completion: &Completion) -> Result<&'a Model, Problem> {
     let name = &completion.model;
-    let model = force
+    let model = active
         .model(name)
         .ok_or_else(|| Problem::new(Kind::NotFound, format_args!("there is no model {name}")))?;
     if let Some(adapter) = &completion.adapter
--- a/daemon/src/front/health.rs
+++ b/daemon/src/front/health.rs
@@ -41,14 +41,14 @@
 }
 
 fn state(node: &Node) -> State {
-    let force = node.active_bundle.load();
-    let state = match (node.leaving.is_cancelled(), force.is_some()) {
+    let active = node.active_bundle.load();
+    let state = match (node.leaving.is_cancelled(), active.is_some()) {
         (true, _) => "leaving",
         (false, true) => "live",
         (false, false) => "no_bundle",
     };
     State {
         state,
-        revision: force.as_ref().map_or(0, |force| force.revision().0),
+        revision: active.as_ref().map_or(0, |active| active.revision().0),
     }
 }
--- a/daemon/src/front/operator.rs
+++ b/daemon/src/front/operator.rs
@@ -105,14 +105,14 @@
     if let Err(problem) = auth::operator(&node, &call.headers) {
         return problem.reply();
     }
-    let force = node.active_bundle.load();
-    let force = force.as_ref();
+    let active = node.active_bundle.load();
+    let active = active.as_ref();
     let (in_force, rollouts) = node.rollouts.status(&node);
     let status = Status {
         instance: node.settings.instance.to_string(),
-        revision: force.map_or(0, |force| force.revision().0),
-        digest: force.map(|force| force.headline.digest),
-        title: force.map(|force| force.bundle.title.to_string()),
+        revision: active.map_or(0, |active| active.revision().0),
+        digest: active.map(|active| active.header.digest),
+        title: active.map(|active| active.bundle.title.to_string()),
         in_force,
         // The one that is furthest from its end stands for all.
         rollout: rollouts
--- a/daemon/src/front/services.rs
+++ b/daemon/src/front/services.rs
@@ -11,9 +11,9 @@
 use tokio::time::Instant;
 
 use crate::{
+    active_bundle::ActiveBundle,
     body,
     charge::Charge,
-    force::Force,
     forward,
     front::{
         auth, headers,
@@ -47,12 +47,12 @@
 }
 
 async fn run(node: &Arc<Node>, call: Call) -> Result<Reply, Problem> {
-    let Some(force) = node.active_bundle.load_full() else {
+    let Some(active) = node.active_bundle.load_full() else {
         return Err(Problem::not_run(NotRunReason::NoTarget, COME_BACK));
     };
-    let account = auth::account(&force, &call.headers)?;
+    let account = auth::account(&active, &call.headers)?;
     let key = headers::given_key(&call.headers)?;
-    let (service, path) = find(&force, &call)?;
+    let (service, path) = find(&active, &call)?;
     let is_idempotent = service.is_idempotent(call.method.as_str(), &path);
     let longest = Duration::from_millis(service.deadline_ms);
     let deadline = Instant::now() + headers::deadline(&call.headers, longest)?;
@@ -78,12 +78,12 @@
 }
 
 /// Finds the service that a call names, and the path below it.
-fn find(force: &Force, call: &Call) -> Result<(Arc<Service>, String), Problem> {
+fn find(active: &ActiveBundle, call: &Call) -> Result<(Arc<Service>, String), Problem> {
     let whole = call.uri.path_and_query().map_or("", |path| path.as_str());
     let rest = whole.strip_prefix(PREFIX).unwrap_or_default();
     let (name, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
     let path = if path.is_empty() { "/" } else { path };
-    let service = force
+    let service = active
         .service(&ServiceName::new(name))
         .ok_or_else(|| Problem::new(Kind::NotFound, format_args!("there is no service {name}")))?;
     Ok((Arc::new(service.clone()), path.to_owned()))
--- a/daemon/src/generation/choice.rs
+++ b/daemon/src/generation/choice.rs
@@ -85,10 +85,10 @@
 
     /// Waits in line with other answers that lost their engines; the place comes as an input.
     pub(super) fn wait_to_resume(&mut self, key: VersionKey, version: VersionName) {
-        let force = self.node.active_bundle.load_full();
-        let model = force
+        let active = self.node.active_bundle.load_full();
+        let model = active
             .as_ref()
-            .and_then(|force| force.model(&self.ask.model));
+            .and_then(|active| active.model(&self.ask.model));
         let unloaded = model.map(|model| {
             self.node
                 .rollouts
--- a/daemon/src/keeping.rs
+++ b/daemon/src/keeping.rs
@@ -57,8 +57,8 @@
 /// Tells the instance that drove a request before that another one drives it now.
 pub fn tell(node: &Arc<Node>, instance: &InstanceName, record: &KeeperRecord) {
     let all = gossip::live_instances(node);
-    let address = all.iter().find(|peer| peer.name == *instance);
-    let Some(address) = address.and_then(|peer| peer.address) else {
+    let address = all.iter().find(|near| near.name == *instance);
+    let Some(address) = address.and_then(|near| near.address) else {
         return;
     };
     let node = Arc::clone(node);
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -3,12 +3,12 @@
 //! Decisions live in the libraries; this crate owns the sockets, the clock and the tasks, feeds the
 //! state machines and carries out what they ask for.
 
+pub mod active_bundle;
 pub mod admission;
 pub mod body;
 pub mod charge;
 pub mod engine;
 pub mod engine_stream;
-pub mod force;
 pub mod forward;
 pub mod front;
 pub mod generation;
--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -20,7 +20,7 @@
 /// What this instance knows of one account's demand.
 #[derive(Default)]
 struct Own {
-    allocator: ShareAllocator,
+    split: ShareAllocator,
     demand: Demand,
     rate: f64,
     tokens: f64,
@@ -77,8 +77,8 @@
             requests_per_s: entry.account.requests_per_s,
             tokens_per_s: entry.account.tokens_per_s,
         };
-        let (allocator, part) = held.allocator.update(held.demand, &known, now_ms);
-        held.allocator = allocator;
+        let (split, part) = held.split.update(held.demand, &known, now_ms);
+        held.split = split;
         entry
             .limiter
             .set_account_limit(&entry.account, part, now_ms);
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -28,9 +28,9 @@
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
 use crate::{
-    admission::Admission, force::Force, forward, front::socket::Sockets, ledger::Ledger, limits,
-    orders::LoadedVersions, part::part_of, peers::Peers, rollouts::Rollouts, stalls::Stalls,
-    suspects::Suspects, target_watch::TargetEvent,
+    active_bundle::ActiveBundle, admission::Admission, forward, front::socket::Sockets,
+    ledger::Ledger, limits, orders::LoadedVersions, part::part_of, peers::Peers,
+    rollouts::Rollouts, stalls::Stalls, suspects::Suspects, target_watch::TargetEvent,
 };
 
 /// The platform's rate limits for all instances together; each instance uses a share of them.
@@ -63,7 +63,7 @@
     /// The snapshot by which targets are picked.
     pub view: ArcSwap<RoutingView>,
     /// The bundle in force; `None` before the first roll.
-    pub active_bundle: ArcSwapOption<Force>,
+    pub active_bundle: ArcSwapOption<ActiveBundle>,
     /// The targets of this instance's group; empty until the first gossip round.
     group_targets: ArcSwap<Vec<TargetName>>,
     /// The instance list that was last read from the platform.
@@ -172,7 +172,7 @@
     ///
     /// A delayed read or a lagging peer may supply a bundle that has been replaced already. The
     /// comparison and the swap are one atomic step, so that the revision never decreases.
-    pub fn activate_bundle(&self, active: Force) -> bool {
+    pub fn activate_bundle(&self, active: ActiveBundle) -> bool {
         let active = Arc::new(active);
         let last = self.active_bundle.rcu(|held| match held {
             Some(held) if held.revision() >= active.revision() => Some(Arc::clone(held)),
@@ -191,7 +191,7 @@
         log::info!(
             "revision {} is in force, bundle {}",
             active.revision(),
-            active.headline.digest.short()
+            active.header.digest.short()
         );
         true
     }
@@ -207,7 +207,7 @@
     }
 
     /// Returns the bundle reduced to the targets that this instance uses.
-    fn group_bundle(&self, active: &Force) -> Bundle {
+    fn group_bundle(&self, active: &ActiveBundle) -> Bundle {
         part_of(&active.bundle, &self.group_targets.load())
     }
 
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -24,7 +24,7 @@
     time::{self, Instant},
 };
 
-use crate::{engine, force::Force, gossip, http_call::CallError, node::Node};
+use crate::{active_bundle::ActiveBundle, engine, gossip, http_call::CallError, node::Node};
 
 /// The number of shards of targets, each with one lease. It must be the same at all instances and
 /// must never change.
@@ -54,10 +54,10 @@
 /// The desired states of engines according to the bundles.
 #[derive(Default)]
 struct DesiredStates {
-    active: Option<Arc<Force>>,
+    active: Option<Arc<ActiveBundle>>,
     /// The previous bundle, and the time by which its last answers have ended. Until then engines
     /// keep its versions.
-    previous: Option<(Arc<Force>, Instant)>,
+    previous: Option<(Arc<ActiveBundle>, Instant)>,
     /// The targets that the reconciler knows.
     known_targets: Vec<TargetName>,
 }
@@ -167,7 +167,7 @@
 impl DesiredStates {
     /// Sets the active bundle. The one before becomes the previous bundle for as long as the
     /// longest deadline of its models.
-    fn set_active_bundle(&mut self, active: Arc<Force>) {
+    fn set_active_bundle(&mut self, active: Arc<ActiveBundle>) {
         let now = Instant::now();
         let is_new = self
             .active
--- a/daemon/src/peer_server.rs
+++ b/daemon/src/peer_server.rs
@@ -72,10 +72,10 @@
     async fn fetch_bundle(self, _: Context, revision: Revision) -> Option<Vec<u8>> {
         let active = self.0.active_bundle.load_full()?;
         let message = BundleMessage {
-            headline: active.headline.clone(),
+            headline: active.header.clone(),
             bundle: (*active.bundle).clone(),
         };
-        (active.headline.revision >= revision).then(|| message.encode())
+        (active.header.revision >= revision).then(|| message.encode())
     }
 
     /// Returns nothing: only instances in the relay role fetch changes from each other.
--- a/daemon/src/rollouts.rs
+++ b/daemon/src/rollouts.rs
@@ -19,7 +19,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    force::Force,
+    active_bundle::ActiveBundle,
     gossip,
     node::{self, Node},
 };
@@ -92,9 +92,9 @@
     }
 
     /// Sets the bundle that has come into force.
-    pub fn set_active_bundle(&self, active: &Force) {
+    pub fn set_active_bundle(&self, active: &ActiveBundle) {
         let mut controller = self.controller();
-        controller.set_parts(active.headline.parts.clone());
+        controller.set_parts(active.header.parts.clone());
         self.shares.publish(&controller, &active.bundle);
     }
 
@@ -118,7 +118,7 @@
         let active = node.active_bundle.load();
         let part = active
             .as_ref()
-            .and_then(|active| active.headline.parts.get(&model.name));
+            .and_then(|active| active.header.parts.get(&model.name));
         let mut increases = part.into_iter().flat_map(|part| &part.increases);
         let increase = increases.find(|increase| increase.candidate.version == chosen);
         increase.map_or(chosen, |increase| increase.base.clone())
@@ -157,7 +157,7 @@
         else {
             return excluded;
         };
-        let part = active.headline.parts.get(&model.name);
+        let part = active.header.parts.get(&model.name);
         let stage_engines =
             part.and_then(|part| self.controller().stage_engines(part.origin, &candidate));
         let stage_engines = stage_engines.map_or(targets.len(), |engines| engines as usize);
@@ -283,7 +283,7 @@
         let Some(active) = node.active_bundle.load_full() else {
             return;
         };
-        let parts = active.headline.parts.iter();
+        let parts = active.header.parts.iter();
         let reporters: Vec<InstanceName> = parts
             .flat_map(|(model, part)| evidence_reporters(part.origin, model, &live))
             .collect();
@@ -370,7 +370,7 @@
     let Some(active) = node.active_bundle.load_full() else {
         return Vec::new();
     };
-    let candidates = active.headline.parts.values().flat_map(|part| {
+    let candidates = active.header.parts.values().flat_map(|part| {
         part.increases
             .iter()
             .map(|increase| (part.origin, increase.candidate.clone()))
--- a/daemon/src/rollouts/driver.rs
+++ b/daemon/src/rollouts/driver.rs
@@ -11,7 +11,7 @@
 
 use super::{listed_live_instances, lock};
 use crate::{
-    force::Force,
+    active_bundle::ActiveBundle,
     gossip,
     node::{self, Node},
 };
@@ -69,7 +69,7 @@
             let key = (model.clone(), version.clone());
             open_answers.get(&key).copied().unwrap_or(0)
         });
-        let has_running = active.headline.parts.values().any(|part| {
+        let has_running = active.header.parts.values().any(|part| {
             let rollout = controller.rollout(part.origin);
             rollout.is_some_and(|rollout| rollout.versions.iter().any(|it| !it.phase.is_ended()))
         });
@@ -182,7 +182,7 @@
 }
 
 /// Returns the number of engines that serve the base of a share increase.
-fn count_base_engines(active: &Force, increase: &ShareIncrease) -> u32 {
+fn count_base_engines(active: &ActiveBundle, increase: &ShareIncrease) -> u32 {
     let model = active.model(&increase.candidate.model);
     let versions = model.into_iter().flat_map(|model| &model.versions);
     let base = versions
--- a/daemon/src/rollouts/status.rs
+++ b/daemon/src/rollouts/status.rs
@@ -80,7 +80,7 @@
         let in_force = controller
             .applied_states()
             .bundle_coverage(active.revision(), &live);
-        let parts = active.headline.parts.values();
+        let parts = active.header.parts.values();
         let rollouts = parts.filter_map(|part| controller.rollout(part.origin));
         let statuses = rollouts
             .flat_map(|rollout| {
--- a/daemon/src/watch.rs
+++ b/daemon/src/watch.rs
@@ -14,7 +14,7 @@
 use tokio::time::{self, Instant};
 
 use crate::{
-    force::Force,
+    active_bundle::ActiveBundle,
     gossip::{self, LiveInstance},
     node::Node,
     store,
@@ -208,7 +208,7 @@
         return;
     };
     let revision = headline.revision;
-    if node.activate_bundle(Force::new(headline, bundle)) {
+    if node.activate_bundle(ActiveBundle::new(headline, bundle)) {
         node.gossip().raise_acting_revision(revision);
         gossip::process_events(node);
     }
--- a/daemon/tests/fleet.rs
+++ b/daemon/tests/fleet.rs
@@ -13,7 +13,9 @@
 
 use celerypond_bundle::{Bundle, Settings};
 use celerypond_cli::{Client, CompletionRequest, ServiceCall, Token};
-use celerypond_daemon::{force::Force, node::Node, server, target_watch::TargetEvent};
+use celerypond_daemon::{
+    active_bundle::ActiveBundle, node::Node, server, target_watch::TargetEvent,
+};
 use celerypond_rollout::BundleHeader;
 use celerypond_telemetry::Metrics;
 use celerypond_testutils::{
@@ -272,7 +274,7 @@
         digest: bundle.digest(),
         parts: BTreeMap::new(),
     };
-    node.activate_bundle(Force::new(headline, Arc::new(bundle)));
+    node.activate_bundle(ActiveBundle::new(headline, Arc::new(bundle)));
     (node, told)
 }
 
--- a/daemon/tests/test_targets.rs
+++ b/daemon/tests/test_targets.rs
@@ -268,8 +268,8 @@
     for (_, target) in view.targets().filter(|_| used_up) {
         while target.state.retry_budget.try_take() {}
     }
-    let force = node.active_bundle.load_full().unwrap();
-    let service = Arc::new(force.service(&"desk".into()).unwrap().clone());
+    let active = node.active_bundle.load_full().unwrap();
+    let service = Arc::new(active.service(&"desk".into()).unwrap().clone());
     let deadline = tokio::time::Instant::now() + Duration::from_secs(2);
     let (headers, body) = (http::HeaderMap::new(), bytes::Bytes::new());
     let call = ServiceCall::new(
