--- a/daemon/src/engine_stream.rs
+++ b/daemon/src/engine_stream.rs
@@ -16,7 +16,7 @@
 use crate::{
     engine::{self, Generate, StreamResponse},
     http_call::CallError,
-    stalls,
+    progress_timeouts,
 };
 
 /// The parameters of a generation that are the same for all attempts.
@@ -134,7 +134,7 @@
         };
         let now = Instant::now();
         if let Some(previous) = last_event_at.replace(now) {
-            stalls::observe(timeout_estimator, now - previous);
+            progress_timeouts::observe_gap(timeout_estimator, now - previous);
         }
         let input = match Event::parse(&data) {
             Ok(event) => Input::Event(connection, event),
--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -157,7 +157,9 @@
         let mut effects = Vec::new();
         let (answer, admitted) = match plan {
             Some(plan) => {
-                let patience = node.stalls.patience(&plan.origin.stream.target, 0);
+                let patience = node
+                    .progress_timeouts
+                    .timeouts(&plan.origin.stream.target, 0);
                 let answer = Generation::take_over(
                     request.clone(),
                     limits,
--- a/daemon/src/generation.rs
+++ b/daemon/src/generation.rs
@@ -189,7 +189,7 @@
                 if self.overdue {
                     self.node.metrics.add(Counter::Stalls, 1);
                 }
-                let stall = self.node.stalls.of(&stream.target);
+                let stall = self.node.progress_timeouts.estimator(&stream.target);
                 let request = self.ask.request.clone();
                 let inputs = self.inputs.clone();
                 let task =
--- a/daemon/src/generation/choice.rs
+++ b/daemon/src/generation/choice.rs
@@ -113,7 +113,7 @@
                 let _ = inputs.send(Input::NoTarget).await;
                 return;
             };
-            let timeouts = node.stalls.patience(&target, tokens);
+            let timeouts = node.progress_timeouts.timeouts(&target, tokens);
             let chosen = ChosenTarget {
                 target,
                 version,
@@ -126,7 +126,10 @@
     }
 
     pub(super) fn chosen(&self, target: TargetName, version: VersionName) -> ChosenTarget {
-        let timeouts = self.node.stalls.patience(&target, self.prompt_tokens());
+        let timeouts = self
+            .node
+            .progress_timeouts
+            .timeouts(&target, self.prompt_tokens());
         ChosenTarget {
             target,
             version,
--- a/daemon/src/generation/open.rs
+++ b/daemon/src/generation/open.rs
@@ -87,7 +87,7 @@
             resumed,
         });
         self.begin_chunk(link, &start);
-        let stall = self.node.stalls.of(&start.stream.target);
+        let stall = self.node.progress_timeouts.estimator(&start.stream.target);
         let inputs = self.inputs.clone();
         let task = engine_stream::start(Arc::clone(&self.ask), found.address, start, stall, inputs);
         self.open(link, target, task, Some(load));
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -30,7 +30,8 @@
 use crate::{
     active_bundle::ActiveBundle, admission::Admission, forward, front::socket::Sockets,
     ledger::Ledger, limits, orders::LoadedVersions, part::part_of, peers::Peers,
-    rollouts::Rollouts, stalls::Stalls, suspects::Suspects, target_watch::TargetEvent,
+    progress_timeouts::ProgressTimeouts, rollouts::Rollouts, suspects::Suspects,
+    target_watch::TargetEvent,
 };
 
 /// The platform's rate limits for all instances together; each instance uses a share of them.
@@ -77,7 +78,7 @@
     /// Tasks that may outlive the request that started them.
     pub background_tasks: TaskTracker,
     /// The times between the tokens of each engine.
-    pub stalls: Stalls,
+    pub progress_timeouts: ProgressTimeouts,
     /// The queue of requests that wait to start.
     pub admission: Admission,
     /// The targets that recently failed.
@@ -143,7 +144,7 @@
             leaving: CancellationToken::new(),
             shutdown: CancellationToken::new(),
             background_tasks: TaskTracker::new(),
-            stalls: Stalls::default(),
+            progress_timeouts: ProgressTimeouts::default(),
             admission: Admission::default(),
             suspects: Suspects::default(),
             target_events: events,
