--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -29,7 +29,7 @@
         Call, Reply,
     },
     generation::{Admitted, Drive, Piece, PIECES},
-    keeping,
+    keeper_records,
     node::Node,
 };
 
@@ -147,7 +147,7 @@
         let token = self.token(&codec)?;
         let driver = DriverId::random(&mut rng);
         let record = match self.is_named {
-            true => keeping::find(node, &request.key).await,
+            true => keeper_records::query(node, &request.key).await,
             false => None,
         };
         let prefix = &self.completion.prefix;
--- a/daemon/src/generation.rs
+++ b/daemon/src/generation.rs
@@ -18,7 +18,7 @@
     admission::Permit,
     charge::Charge,
     engine_stream::{self, GenerationRequest},
-    keeping,
+    keeper_records,
     node::Node,
     rollouts::TrackedAnswer,
     target_watch::TargetEvent,
@@ -138,7 +138,8 @@
     /// Drives the answer to its end.
     pub async fn run(mut self, mut answer: Generation, mut effects: Vec<Effect>) {
         let request = self.ask.request.clone();
-        let _entered = keeping::enter(&self.node, request, self.inputs.clone());
+        let _registration =
+            keeper_records::register_driver(&self.node, request, self.inputs.clone());
         loop {
             while !effects.is_empty() {
                 let mut next = Vec::new();
@@ -206,13 +207,13 @@
             }
             Effect::Cancel(stream) => self.cancel(stream),
             Effect::QueryRecord(request) => self.review(request),
-            Effect::ExtendRecord(copy) => keeping::extend(&self.node, &copy),
-            Effect::PutRecord(record) => keeping::keep(&self.node, &record, &self.inputs),
+            Effect::ExtendRecord(copy) => keeper_records::extend(&self.node, &copy),
+            Effect::PutRecord(record) => keeper_records::put(&self.node, &record, &self.inputs),
             Effect::RemoveRecord(request, attempt) => {
-                keeping::forget(&self.node, &request, attempt)
+                keeper_records::remove(&self.node, &request, attempt)
             }
             Effect::NotifyInstance(instance, record) => {
-                keeping::tell(&self.node, &instance, &record)
+                keeper_records::notify_instance(&self.node, &instance, &record)
             }
             Effect::Emit(emit) => {
                 self.node.metrics.add(Counter::Tokens, 1);
--- a/daemon/src/generation/open.rs
+++ b/daemon/src/generation/open.rs
@@ -13,7 +13,7 @@
 use tracing::Instrument;
 
 use super::Drive;
-use crate::{engine, engine_stream, keeping, node::Node};
+use crate::{engine, engine_stream, keeper_records, node::Node};
 
 /// How long the cancellation of a stream is tried again; an engine may be paused that long.
 const CANCEL: Duration = Duration::from_secs(30);
@@ -118,7 +118,7 @@
         let node = Arc::clone(&self.node);
         let inputs = self.inputs.clone();
         self.node.background_tasks.spawn(async move {
-            let record = keeping::find(&node, &request).await;
+            let record = keeper_records::query(&node, &request).await;
             // An answer that is over needs no review.
             let _ = inputs.send(Input::RecordQueried(record)).await;
         });
--- a/daemon/src/keeping.rs
+++ b/daemon/src/keeper_records.rs
@@ -9,7 +9,7 @@
 use crate::{gossip, node::Node};
 
 /// Puts a record at the keepers of its request, and fences this driver if they hold a higher one.
-pub fn keep(node: &Arc<Node>, record: &KeeperRecord, inputs: &mpsc::Sender<Input>) {
+pub fn put(node: &Arc<Node>, record: &KeeperRecord, inputs: &mpsc::Sender<Input>) {
     for keeper in gossip::record_keepers(node, &record.key) {
         let node = Arc::clone(node);
         let value = record.encode();
@@ -17,20 +17,20 @@
         let work = node.background_tasks.clone();
         work.spawn(async move {
             let sent = node.peers.store_record(keeper, value).await;
-            let higher = sent.ok().flatten();
-            let higher = higher.and_then(|value| KeeperRecord::decode(&value).ok());
-            if let Some(higher) = higher {
+            let newer = sent.ok().flatten();
+            let newer = newer.and_then(|value| KeeperRecord::decode(&value).ok());
+            if let Some(newer) = newer {
                 // An answer that is over needs no fence.
-                let _ = inputs.send(Input::Fenced(higher)).await;
+                let _ = inputs.send(Input::Fenced(newer)).await;
             }
         });
     }
 }
 
 /// Adds tokens to the record at the keepers.
-pub fn extend(node: &Arc<Node>, copy: &RecordExtension) {
-    let value = copy.encode();
-    for keeper in gossip::record_keepers(node, &copy.key) {
+pub fn extend(node: &Arc<Node>, extension: &RecordExtension) {
+    let value = extension.encode();
+    for keeper in gossip::record_keepers(node, &extension.key) {
         let node = Arc::clone(node);
         let value = value.clone();
         let work = node.background_tasks.clone();
@@ -42,7 +42,7 @@
 }
 
 /// Removes a record from the keepers, unless it is of a later driver.
-pub fn forget(node: &Arc<Node>, request: &RequestKey, attempt: Attempt) {
+pub fn remove(node: &Arc<Node>, request: &RequestKey, attempt: Attempt) {
     for keeper in gossip::record_keepers(node, request) {
         let node = Arc::clone(node);
         let request = request.clone();
@@ -55,10 +55,10 @@
 }
 
 /// Tells the instance that drove a request before that another one drives it now.
-pub fn tell(node: &Arc<Node>, instance: &InstanceName, record: &KeeperRecord) {
-    let all = gossip::live_instances(node);
-    let address = all.iter().find(|near| near.name == *instance);
-    let Some(address) = address.and_then(|near| near.address) else {
+pub fn notify_instance(node: &Arc<Node>, instance: &InstanceName, record: &KeeperRecord) {
+    let peers = gossip::live_instances(node);
+    let address = peers.iter().find(|peer| peer.name == *instance);
+    let Some(address) = address.and_then(|peer| peer.address) else {
         return;
     };
     let node = Arc::clone(node);
@@ -71,18 +71,20 @@
 }
 
 /// Asks the keepers of a request for its record and returns the highest.
-pub async fn find(node: &Node, request: &RequestKey) -> Option<KeeperRecord> {
+pub async fn query(node: &Node, request: &RequestKey) -> Option<KeeperRecord> {
     let keepers = gossip::record_keepers(node, request);
-    let asks = keepers.into_iter().map(|keeper| ask(node, keeper, request));
-    let found = futures::future::join_all(asks).await;
+    let queries = keepers
+        .into_iter()
+        .map(|keeper| query_keeper(node, keeper, request));
+    let found = futures::future::join_all(queries).await;
     // This instance may be a keeper itself.
     let own = node.keeper().get(Instant::now(), request).cloned();
-    let all = found.into_iter().chain([own]).flatten();
-    all.reduce(KeeperRecord::merge)
+    let records = found.into_iter().chain([own]).flatten();
+    records.reduce(KeeperRecord::merge)
 }
 
 /// Passes a record of another driver on to this instance's driver of the same request.
-pub fn tell_driver(node: &Node, record: &KeeperRecord) {
+pub fn notify_driver(node: &Node, record: &KeeperRecord) {
     let Some(driver) = node.drivers().get(&record.key).cloned() else {
         return;
     };
@@ -92,7 +94,11 @@
     }
 }
 
-async fn ask(node: &Node, keeper: SocketAddr, request: &RequestKey) -> Option<KeeperRecord> {
+async fn query_keeper(
+    node: &Node,
+    keeper: SocketAddr,
+    request: &RequestKey,
+) -> Option<KeeperRecord> {
     let record = node
         .peers
         .fetch_record(keeper, request.clone())
@@ -102,9 +108,13 @@
 }
 
 /// Returns a driver's place in the table of drivers, given back when dropped.
-pub fn enter(node: &Arc<Node>, request: RequestKey, inputs: mpsc::Sender<Input>) -> Entered {
+pub fn register_driver(
+    node: &Arc<Node>,
+    request: RequestKey,
+    inputs: mpsc::Sender<Input>,
+) -> DriverRegistration {
     node.drivers().insert(request.clone(), inputs.clone());
-    Entered {
+    DriverRegistration {
         node: Arc::clone(node),
         request,
         inputs,
@@ -112,13 +122,13 @@
 }
 
 /// A driver's place in the table of drivers.
-pub struct Entered {
+pub struct DriverRegistration {
     node: Arc<Node>,
     request: RequestKey,
     inputs: mpsc::Sender<Input>,
 }
 
-impl Drop for Entered {
+impl Drop for DriverRegistration {
     fn drop(&mut self) {
         let mut drivers = self.node.drivers();
         let own = drivers.get(&self.request);
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod generation;
 pub mod gossip;
 pub mod http_call;
-pub mod keeping;
+pub mod keeper_records;
 pub mod ledger;
 pub mod limits;
 pub mod listening;
--- a/daemon/src/peer_server.rs
+++ b/daemon/src/peer_server.rs
@@ -10,7 +10,7 @@
 use tarpc::context::Context;
 use tokio::{net::TcpListener, time::Instant};
 
-use crate::{forward, gossip, keeping, listening, node::Node, watch::BundleMessage};
+use crate::{forward, gossip, keeper_records, listening, node::Node, watch::BundleMessage};
 
 /// Handles the calls of other instances.
 #[derive(Clone)]
@@ -37,7 +37,7 @@
 
     async fn store_record(self, _: Context, record: Vec<u8>) -> Option<Vec<u8>> {
         let record = KeeperRecord::decode(&record).ok()?;
-        keeping::tell_driver(&self.0, &record);
+        keeper_records::notify_driver(&self.0, &record);
         let result = self.0.keeper().put(Instant::now(), record);
         let counter = match result {
             Err(PutError::Full) => Counter::KeeperDropped,
