--- a/daemon/src/part.rs
+++ b/daemon/src/bundle_subset.rs
@@ -19,13 +19,13 @@
 ///
 /// ```
 /// use celerypond_bundle::Bundle;
-/// use celerypond_daemon::part::part_of;
+/// use celerypond_daemon::bundle_subset::restrict_to_group;
 ///
 /// let text = r#"{"format":1,"title":"t","targets":[],"accounts":[]}"#;
 /// let bundle = Bundle::parse(text).unwrap();
-/// assert_eq!(part_of(&bundle, &[]), bundle);
+/// assert_eq!(restrict_to_group(&bundle, &[]), bundle);
 /// ```
-pub fn part_of(bundle: &Bundle, group: &[TargetName]) -> Bundle {
+pub fn restrict_to_group(bundle: &Bundle, group: &[TargetName]) -> Bundle {
     let group: HashSet<&TargetName> = group.iter().collect();
     let mut part = bundle.clone();
     let versions = part.models.iter_mut().flat_map(|model| &mut model.versions);
--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -167,7 +167,7 @@
 /// Returns the part of a limit for an account that nobody has asked for yet.
 ///
 /// Out of touch it is a part of what idle instances have: others may use all the rest unheard.
-pub fn first_part(node: &Node) -> LimitShare {
+pub fn initial_share(node: &Node) -> LimitShare {
     let touch = touch(node);
     let idle = IDLE_SHARE / (1.0 + IDLE_SHARE);
     let whole = if touch.is_whole { 1.0 } else { idle };
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -28,8 +28,8 @@
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
 use crate::{
-    active_bundle::ActiveBundle, admission::Admission, forward, front::socket::Sockets,
-    ledger::Ledger, limits, orders::LoadedVersions, part::part_of, peers::Peers,
+    active_bundle::ActiveBundle, admission::Admission, bundle_subset::restrict_to_group, forward,
+    front::socket::Sockets, ledger::Ledger, limits, orders::LoadedVersions, peers::Peers,
     progress_timeouts::ProgressTimeouts, rollouts::Rollouts, suspects::Suspects,
     target_watch::TargetEvent,
 };
@@ -209,7 +209,7 @@
 
     /// Returns the bundle reduced to the targets that this instance uses.
     fn group_bundle(&self, active: &ActiveBundle) -> Bundle {
-        part_of(&active.bundle, &self.group_targets.load())
+        restrict_to_group(&active.bundle, &self.group_targets.load())
     }
 
     /// Sets the limits of accounts that are new on this instance to a first part of their total
@@ -218,7 +218,7 @@
     /// Otherwise all their requests would be refused until demand is measured, a second later.
     fn set_initial_limits(&self, before: &RoutingView) {
         let view = self.view.load();
-        let part = limits::first_part(self);
+        let part = limits::initial_share(self);
         let now_ms = self.now_ms();
         let is_new = |name| before.accounts().key(name).is_none();
         for (_, entry) in view.accounts().iter() {
--- a/daemon/src/peer_server.rs
+++ b/daemon/src/peer_server.rs
@@ -10,7 +10,7 @@
 use tarpc::context::Context;
 use tokio::{net::TcpListener, time::Instant};
 
-use crate::{forward, gossip, keeper_records, listening, node::Node, watch::BundleMessage};
+use crate::{forward, gossip, keeper_records, listener, node::Node, watch::BundleMessage};
 
 /// Handles the calls of other instances.
 #[derive(Clone)]
@@ -19,7 +19,7 @@
 /// Serves peers on a listener until the instance shuts down.
 pub async fn run(node: Arc<Node>, listener: TcpListener) {
     let ending = node.shutdown.clone();
-    listening::serve(listener, ending, |socket| {
+    listener::serve(listener, ending, |socket| {
         let server = PeerServer(Arc::clone(&node));
         // It is not an error if a peer disconnects during a call.
         serve_connection(socket, server.serve()).map(|_| ())
--- a/daemon/src/relay/endpoints.rs
+++ b/daemon/src/relay/endpoints.rs
@@ -14,7 +14,7 @@
     reply::{full_body, Reply},
     state::RelayState,
 };
-use crate::listening;
+use crate::listener;
 
 /// How long callers cache an answer of the directory. With a short time they leave a dead instance
 /// soon, and a query costs an instance only tens of microseconds.
@@ -27,7 +27,7 @@
 /// Serves the endpoints on a listener until the instance ends.
 pub(super) async fn run(state: Arc<RelayState>, listener: TcpListener) {
     let ending = state.ending.clone();
-    listening::serve(listener, ending, |stream| serve(Arc::clone(&state), stream)).await;
+    listener::serve(listener, ending, |stream| serve(Arc::clone(&state), stream)).await;
 }
 
 async fn serve(state: Arc<RelayState>, stream: tokio::net::TcpStream) {
--- a/daemon/src/relay/peer_service.rs
+++ b/daemon/src/relay/peer_service.rs
@@ -10,7 +10,7 @@
 use tokio::{net::TcpListener, sync::Semaphore, time::Instant};
 
 use super::{members, state::RelayState};
-use crate::listening;
+use crate::listener;
 
 /// The maximum number of concurrent transfers of all targets or of a configuration to other
 /// instances.
@@ -27,7 +27,7 @@
 pub(super) async fn run(state: Arc<RelayState>, listener: TcpListener) {
     let ending = state.ending.clone();
     let transfers = Arc::new(Semaphore::new(MAX_TRANSFERS));
-    listening::serve(listener, ending, |socket| {
+    listener::serve(listener, ending, |socket| {
         let server = Server {
             state: Arc::clone(&state),
             transfers: Arc::clone(&transfers),
--- a/daemon/tests/test_limits.rs
+++ b/daemon/tests/test_limits.rs
@@ -71,7 +71,7 @@
         let key = view.accounts().key(&account.name).unwrap();
         Arc::clone(&view.accounts().get(key).unwrap().limiter)
     };
-    limiter.set_account_limit(&account, limits::first_part(&node), 0);
+    limiter.set_account_limit(&account, limits::initial_share(&node), 0);
     assert_near(part(&limiter, 60_000), most);
     let task = tokio::spawn(limits::run(Arc::clone(&node)));
     time::sleep(Duration::from_millis(200)).await;
--- a/daemon/tests/test_part.rs
+++ b/daemon/tests/test_part.rs
@@ -1,7 +1,7 @@
 //! The part of a bundle that one instance uses.
 
 use celerypond_bundle::Bundle;
-use celerypond_daemon::part::part_of;
+use celerypond_daemon::bundle_subset::restrict_to_group;
 use celerypond_fleet::Subset;
 use celerypond_types::{InstanceName, TargetName};
 use rstest::rstest;
@@ -46,7 +46,7 @@
     let mut covered = std::collections::HashSet::new();
     for own in &all {
         let subset = Subset::of(own, &all, &names);
-        let part = part_of(&bundle, &subset.targets);
+        let part = restrict_to_group(&bundle, &subset.targets);
         let used = &part.models[0].versions[0].targets;
         assert!(
             used.len() >= 8 && used.len() <= most,
