--- a/daemon/src/admission.rs
+++ b/daemon/src/admission.rs
@@ -1,4 +1,4 @@
-//! Lets new requests and resumed answers begin while their targets have room.
+//! Admits new requests and resumed answers while their targets have capacity.
 
 use std::{
     collections::HashMap,
@@ -20,37 +20,37 @@
 
 use crate::node::Node;
 
-/// How often the queues are looked at when nothing ends meanwhile.
-const STEP: Duration = Duration::from_millis(20);
-/// How many starts a second a pool is taken to have until they are measured.
-const FIRST_PACE: f64 = 50.0;
-/// When to come back to an instance that ends.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// The interval between checks of the queues while no request ends.
+const QUEUE_INTERVAL: Duration = Duration::from_millis(20);
+/// The rate of starts that is assumed for a pool until it has been measured.
+const INITIAL_STARTS_PER_S: f64 = 50.0;
+/// The retry delay for requests that are refused because the instance is stopping.
+const STOPPING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A request's place at a target, counted from the moment it was given.
+/// A request's slot at a target, which counts as load from the moment it is granted.
 #[derive(Debug)]
 pub struct Permit {
     /// The target.
     pub target: TargetKey,
-    /// Counts the request at the target until dropped.
+    /// Counts the request as load of the target until dropped.
     pub load: InFlight,
 }
 
-type Grant = oneshot::Sender<Result<Permit, Refusal>>;
+type GrantSender = oneshot::Sender<Result<Permit, Refusal>>;
 
-/// The requests that wait to begin.
+/// The queues of new requests and resumed answers that wait for capacity.
 #[derive(Default)]
 pub struct Admission {
     inner: Mutex<Inner>,
-    ended: Notify,
+    wake: Notify,
 }
 
 struct Inner {
-    queues: HashMap<Route, AdmissionQueue<Grant>>,
+    queues: HashMap<Route, AdmissionQueue<GrantSender>>,
     resume_scheduler: ResumeScheduler,
     resumes: HashMap<WaiterKey, oneshot::Sender<TargetKey>>,
-    /// The engines that have not loaded a version, as those who wait to resume last saw it.
-    unloaded: HashMap<VersionKey, Vec<TargetKey>>,
+    /// The engines that have not loaded a version, as of the last resume that was queued.
+    not_loaded: HashMap<VersionKey, Vec<TargetKey>>,
 }
 
 impl Default for Inner {
@@ -59,94 +59,97 @@
             queues: HashMap::new(),
             resume_scheduler: ResumeScheduler::new(ResumeLimits::default()),
             resumes: HashMap::new(),
-            unloaded: HashMap::new(),
+            not_loaded: HashMap::new(),
         }
     }
 }
 
 impl Admission {
-    /// Waits until a new request may begin.
+    /// Waits until a new request may start.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] that is final, given as soon as it is known that the request would begin too
-    /// late; nothing was sent.
+    /// A final [`Refusal`], as soon as it is known that the request would start after its deadline;
+    /// nothing was sent.
     pub async fn admit(
         &self,
         node: &Node,
         route: Route,
-        ask: &PickCriteria<'_>,
-        waiting: QueuedRequest<()>,
+        criteria: &PickCriteria<'_>,
+        request: QueuedRequest<()>,
     ) -> Result<Permit, Refusal> {
         let receiver = {
             let view = node.view.load();
             let now = Instant::now();
             let now_ms = view.clock().millis(now);
             let mut inner = self.lock();
-            let is_first = inner
+            let is_queue_empty = inner
                 .queues
                 .get(&route)
                 .is_none_or(AdmissionQueue::is_empty);
-            if is_first && inner.admits(route) {
-                let permit = begin(&view, route, ask, waiting.priority, &mut node.rng());
+            if is_queue_empty && inner.admits_new(route) {
+                let permit = try_begin(&view, route, criteria, request.priority, &mut node.rng());
                 if let Some(permit) = permit {
                     return Ok(permit);
                 }
             }
-            let (grant, receiver) = oneshot::channel();
-            inner.queue(route).try_push(hold(waiting, grant), now_ms)?;
+            let (sender, receiver) = oneshot::channel();
+            inner
+                .queue(route)
+                .try_push(with_sender(request, sender), now_ms)?;
             receiver
         };
         receiver.await.unwrap_or(Err(Refusal {
             reason: NotRunReason::Stopping,
-            retry_after: COME_BACK,
+            retry_after: STOPPING_RETRY_AFTER,
         }))
     }
 
-    /// Lets an answer of `version` wait for a target to go on at, before all new requests.
+    /// Queues an answer of `version` for a target to resume at, ahead of all new requests.
     ///
-    /// Call [`Self::settled`] once its first token came or it failed.
-    pub fn resume(
+    /// The receiver yields the target. Call [`Self::release_resume`] once the first token has
+    /// arrived or the resume has failed.
+    pub fn enqueue_resume(
         &self,
         version: VersionKey,
-        unloaded: Vec<TargetKey>,
+        not_loaded: Vec<TargetKey>,
         since: Instant,
     ) -> oneshot::Receiver<TargetKey> {
-        let (grant, receiver) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let mut inner = self.lock();
         let waiter = inner.resume_scheduler.enqueue(version, since);
-        inner.resumes.insert(waiter, grant);
-        inner.unloaded.insert(version, unloaded);
+        inner.resumes.insert(waiter, sender);
+        inner.not_loaded.insert(version, not_loaded);
         drop(inner);
-        self.ended.notify_one();
+        self.wake.notify_one();
         receiver
     }
 
-    /// Notes that a resumed answer goes on or has failed.
-    pub fn settled(&self, target: TargetKey) {
+    /// Releases the target of a granted resume, which has delivered its first token or failed.
+    pub fn release_resume(&self, target: TargetKey) {
         self.lock().resume_scheduler.release(target);
-        self.ended.notify_one();
+        self.wake.notify_one();
     }
 
-    /// Notes that a request has ended, so that another may have room.
-    pub fn ended(&self) {
-        self.ended.notify_one();
+    /// Wakes the queues after a request has ended, as there may be capacity for another one.
+    pub fn notify_ended(&self) {
+        self.wake.notify_one();
     }
 
-    /// Gives places to those who wait, until the instance ends.
+    /// Grants capacity to waiting requests until the instance ends.
     pub async fn run(node: Arc<Node>) {
         let mut rng = node.rng();
         while !node.shutdown.is_cancelled() {
-            // Either wake-up leads to the same look at the queues.
-            let _ = time::timeout(STEP, node.admission.ended.notified()).await;
-            node.admission.step(&node, &mut rng);
+            // Whether the wait was woken or timed out does not matter.
+            let _ = time::timeout(QUEUE_INTERVAL, node.admission.wake.notified()).await;
+            node.admission.grant_capacity(&node, &mut rng);
         }
         let mut inner = node.admission.lock();
         inner.queues.clear();
         inner.resumes.clear();
     }
 
-    fn step(&self, node: &Node, rng: &mut SmallRng) {
+    fn grant_capacity(&self, node: &Node, rng: &mut SmallRng) {
         let view = node.view.load();
         let now = Instant::now();
         let now_ms = view.clock().millis(now);
@@ -158,8 +161,8 @@
         let suspects = node.suspects.add_to(Vec::new(), now);
         inner.grant_resumes(&view, &suspects, now, rng);
         inner.grant_new(&view, &suspects, now_ms, rng);
-        let waiting: usize = inner.queues.values().map(AdmissionQueue::len).sum();
-        let waiting = waiting + inner.resume_scheduler.waiting();
+        let queued: usize = inner.queues.values().map(AdmissionQueue::len).sum();
+        let waiting = queued + inner.resume_scheduler.waiting();
         node.metrics.set(Gauge::Waiting, waiting as u64);
     }
 
@@ -169,13 +172,13 @@
 }
 
 impl Inner {
-    fn queue(&mut self, route: Route) -> &mut AdmissionQueue<Grant> {
+    fn queue(&mut self, route: Route) -> &mut AdmissionQueue<GrantSender> {
         let queue = self.queues.entry(route);
-        queue.or_insert_with(|| AdmissionQueue::new(QueueLimits::default(), FIRST_PACE))
+        queue.or_insert_with(|| AdmissionQueue::new(QueueLimits::default(), INITIAL_STARTS_PER_S))
     }
 
-    /// Returns whether no answer of the route waits to be resumed.
-    fn admits(&self, route: Route) -> bool {
+    /// Returns whether new requests of the route may start, as no answer of it waits to resume.
+    fn admits_new(&self, route: Route) -> bool {
         match route {
             Route::Version(version) => self.resume_scheduler.admits_new(version),
             Route::Service(_) => true,
@@ -189,32 +192,32 @@
         now: Instant,
         rng: &mut SmallRng,
     ) {
-        // Answers whose caller has gone wait no longer.
-        let gone: Vec<WaiterKey> = self
+        // An answer whose caller has disconnected leaves the queue.
+        let disconnected: Vec<WaiterKey> = self
             .resumes
             .iter()
-            .filter(|(_, grant)| grant.is_closed())
+            .filter(|(_, sender)| sender.is_closed())
             .map(|(waiter, _)| *waiter)
             .collect();
-        for waiter in gone {
+        for waiter in disconnected {
             self.resumes.remove(&waiter);
             self.resume_scheduler.cancel(waiter);
         }
-        let unloaded = &self.unloaded;
+        let not_loaded = &self.not_loaded;
         while let Some(grant) = self.resume_scheduler.grant(|version, is_free| {
             let route = Route::Version(version);
             let busy = view
                 .pool(route)?
                 .target_keys()
                 .filter(|target| !is_free(*target));
-            let without = unloaded.get(&version).into_iter().flatten();
-            let others = suspects.iter().chain(without).copied();
+            let without_version = not_loaded.get(&version).into_iter().flatten();
+            let others = suspects.iter().chain(without_version).copied();
             let excluded: Vec<TargetKey> = busy.chain(others).collect();
-            let ask = PickCriteria {
+            let criteria = PickCriteria {
                 excluded: &excluded,
                 ..PickCriteria::default()
             };
-            Some(view.pick(route, &ask, now, rng).ok()?.target)
+            Some(view.pick(route, &criteria, now, rng).ok()?.target)
         }) {
             let Some(sender) = self.resumes.remove(&grant.waiter) else {
                 continue;
@@ -232,69 +235,69 @@
         now_ms: u64,
         rng: &mut SmallRng,
     ) {
-        let ask = PickCriteria {
+        let criteria = PickCriteria {
             excluded: suspects,
             ..PickCriteria::default()
         };
         let routes: Vec<Route> = self.queues.keys().copied().collect();
         for route in routes {
-            let is_open = self.admits(route);
+            let admits_new = self.admits_new(route);
             let Some(queue) = self.queues.get_mut(&route) else {
                 continue;
             };
-            for (waiting, refusal) in queue.expire(now_ms) {
-                // A caller that went away needs no answer.
-                let _ = waiting.item.send(Err(refusal));
+            for (request, refusal) in queue.expire(now_ms) {
+                // The caller may have disconnected.
+                let _ = request.item.send(Err(refusal));
             }
-            while is_open && !queue.is_empty() {
-                if !grant_one(queue, view, route, &ask, now_ms, rng) {
+            while admits_new && !queue.is_empty() {
+                if !grant_one(queue, view, route, &criteria, now_ms, rng) {
                     break;
                 }
             }
         }
-        self.unloaded
+        self.not_loaded
             .retain(|version, _| view.pool(Route::Version(*version)).is_some());
         self.queues
             .retain(|route, queue| !queue.is_empty() || view.pool(*route).is_some());
     }
 }
 
-/// Gives a place to the next request that may have it; returns whether to go on.
+/// Admits the next queued request for which there is capacity; returns whether one was admitted.
 fn grant_one(
-    queue: &mut AdmissionQueue<Grant>,
+    queue: &mut AdmissionQueue<GrantSender>,
     view: &RoutingView,
     route: Route,
-    ask: &PickCriteria<'_>,
+    criteria: &PickCriteria<'_>,
     now_ms: u64,
     rng: &mut SmallRng,
 ) -> bool {
-    let any = begin(view, route, ask, Priority::Draft, rng);
-    let (permit, waiting) = match any {
+    let permit = try_begin(view, route, criteria, Priority::Draft, rng);
+    let (permit, request) = match permit {
         Some(permit) => (permit, queue.pop(now_ms)),
-        None => match begin(view, route, ask, Priority::Interactive, rng) {
+        None => match try_begin(view, route, criteria, Priority::Interactive, rng) {
             Some(permit) => (permit, queue.pop_interactive(now_ms)),
             None => return false,
         },
     };
-    match waiting {
-        Some(waiting) => {
-            // A caller that went away gives its place back by dropping it.
-            let _ = waiting.item.send(Ok(permit));
+    match request {
+        Some(request) => {
+            // If the caller has disconnected, dropping the permit frees the slot.
+            let _ = request.item.send(Ok(permit));
             true
         }
         None => false,
     }
 }
 
-fn begin(
+fn try_begin(
     view: &RoutingView,
     route: Route,
-    ask: &PickCriteria<'_>,
+    criteria: &PickCriteria<'_>,
     priority: Priority,
     rng: &mut SmallRng,
 ) -> Option<Permit> {
     let now = Instant::now();
-    let choice = view.pick(route, ask, now, rng).ok()?;
+    let choice = view.pick(route, criteria, now, rng).ok()?;
     if !choice.fits_quota(priority) {
         return None;
     }
@@ -305,13 +308,13 @@
     })
 }
 
-fn hold(waiting: QueuedRequest<()>, item: Grant) -> QueuedRequest<Grant> {
+fn with_sender(request: QueuedRequest<()>, sender: GrantSender) -> QueuedRequest<GrantSender> {
     QueuedRequest {
-        account: waiting.account,
-        weight: waiting.weight,
-        priority: waiting.priority,
-        cost: waiting.cost,
-        deadline: waiting.deadline,
-        item,
+        account: request.account,
+        weight: request.weight,
+        priority: request.priority,
+        cost: request.cost,
+        deadline: request.deadline,
+        item: sender,
     }
 }
--- a/daemon/src/generation.rs
+++ b/daemon/src/generation.rs
@@ -323,7 +323,7 @@
     fn take_trying(&mut self, link: ConnectionId) -> Option<Trying> {
         let trying = self.trying.take_if(|trying| trying.link == link)?;
         if trying.resumed {
-            self.node.admission.settled(trying.target);
+            self.node.admission.release_resume(trying.target);
         }
         Some(trying)
     }
@@ -337,8 +337,8 @@
         let trying = self.trying.take().filter(|trying| trying.resumed);
         let used = trying.map(|trying| trying.target);
         for target in used.into_iter().chain(self.granted.take()) {
-            self.node.admission.settled(target);
+            self.node.admission.release_resume(target);
         }
-        self.node.admission.ended();
+        self.node.admission.notify_ended();
     }
 }
--- a/daemon/src/generation/choice.rs
+++ b/daemon/src/generation/choice.rs
@@ -95,7 +95,10 @@
                 .engines_without_version(&self.node, model, &version)
         });
         let unloaded = unloaded.unwrap_or_default();
-        let granted = self.node.admission.resume(key, unloaded, self.last_token);
+        let granted = self
+            .node
+            .admission
+            .enqueue_resume(key, unloaded, self.last_token);
         let node = Arc::clone(&self.node);
         let inputs = self.inputs.clone();
         let tokens = self.prompt_tokens();
@@ -108,7 +111,7 @@
                 _ => None,
             };
             let Some(target) = live else {
-                node.admission.settled(key);
+                node.admission.release_resume(key);
                 // An answer that is over needs no target.
                 let _ = inputs.send(Input::NoTarget).await;
                 return;
@@ -120,7 +123,7 @@
                 timeouts,
             };
             if inputs.send(Input::Chosen(chosen)).await.is_err() {
-                node.admission.settled(key);
+                node.admission.release_resume(key);
             }
         });
     }
--- a/daemon/src/generation/open.rs
+++ b/daemon/src/generation/open.rs
@@ -71,7 +71,7 @@
         // The target may have said that it leaves since it was chosen.
         let Some(load) = begun else {
             if resumed {
-                self.node.admission.settled(target);
+                self.node.admission.release_resume(target);
             }
             return Some(Input::Closed(link));
         };
