--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -28,7 +28,7 @@
         problem::{Kind, Problem},
         Call, Reply,
     },
-    generation::{Admitted, Drive, Piece, PIECES},
+    generation::{Admitted, AnswerDriver, OutputEvent, OUTPUT_CAPACITY},
     keeper_records,
     node::Node,
 };
@@ -136,7 +136,7 @@
 
 impl Asked<'_> {
     /// Begins to generate, or goes on where another instance or connection left off.
-    async fn spawn(self, node: &Arc<Node>) -> Result<mpsc::Receiver<Piece>, Problem> {
+    async fn spawn(self, node: &Arc<Node>) -> Result<mpsc::Receiver<OutputEvent>, Problem> {
         let now = Instant::now();
         let longest = Duration::from_millis(self.model.deadline_ms);
         let deadline = now + headers::deadline(self.headers, longest)?;
@@ -180,8 +180,8 @@
             }
         };
         let ask = self.ask(request.key, priority);
-        let (pieces, received) = mpsc::channel(PIECES);
-        let drive = Drive::new(Arc::clone(node), ask, admitted, pieces);
+        let (output, received) = mpsc::channel(OUTPUT_CAPACITY);
+        let drive = AnswerDriver::new(Arc::clone(node), ask, admitted, output);
         let drive = drive.run(answer, effects).in_current_span();
         node.background_tasks.spawn(drive);
         Ok(received)
@@ -207,7 +207,7 @@
         let prefixes = prefixes(&self.completion.prompt);
         let held_back = node.rollouts.excluded_engines(node, self.model, &version);
         let excluded = node.suspects.add_to(held_back, Instant::now());
-        let ask = celerypond_route::PickCriteria {
+        let criteria = celerypond_route::PickCriteria {
             prefixes: &prefixes,
             adapter: self.adapter_hash(),
             excluded: &excluded,
@@ -223,7 +223,7 @@
             deadline: node.now_ms() + patience.as_millis() as u64,
             item: (),
         };
-        let admitted = node.admission.admit(node, route, &ask, waiting).await;
+        let admitted = node.admission.admit(node, route, &criteria, waiting).await;
         let permit =
             admitted.map_err(|refusal| Problem::not_run(refusal.reason, refusal.retry_after))?;
         Ok(Admitted {
--- a/daemon/src/front/completions/reply.rs
+++ b/daemon/src/front/completions/reply.rs
@@ -16,7 +16,7 @@
         problem::{self, Kind, Problem},
         Reply,
     },
-    generation::Piece,
+    generation::OutputEvent,
 };
 
 #[derive(Serialize)]
@@ -65,7 +65,7 @@
     pub(super) model: ModelName,
 }
 
-pub(super) fn streamed_reply(named: Named, received: mpsc::Receiver<Piece>) -> Reply {
+pub(super) fn streamed_reply(named: Named, received: mpsc::Receiver<OutputEvent>) -> Reply {
     let mut reply = Response::new(body::streamed(events(named, received)));
     let headers = reply.headers_mut();
     let kind = HeaderValue::from_static("text/event-stream");
@@ -74,13 +74,13 @@
     reply
 }
 
-fn events(named: Named, received: mpsc::Receiver<Piece>) -> impl Stream<Item = Bytes> {
+fn events(named: Named, received: mpsc::Receiver<OutputEvent>) -> impl Stream<Item = Bytes> {
     stream::unfold((named, received), |(named, mut received)| async {
-        let piece = received.recv().await?;
-        let text = match &piece {
-            Piece::Token(emit) => token_event(&named, emit),
-            Piece::End(finish) => end_event(&named, finish),
-            Piece::Failed(error) => {
+        let event = received.recv().await?;
+        let text = match &event {
+            OutputEvent::Token(emit) => token_event(&named, emit),
+            OutputEvent::Finished(finish) => end_event(&named, finish),
+            OutputEvent::Failed(error) => {
                 let problem = Problem::new(Kind::Incomplete, error);
                 format!("event: error\ndata: {}\n\n", problem.text())
             }
@@ -110,12 +110,14 @@
     format!("data: {data}\n\ndata: [DONE]\n\n")
 }
 
-pub(super) async fn whole_reply(named: &Named, mut received: mpsc::Receiver<Piece>) -> Reply {
-    while let Some(piece) = received.recv().await {
-        match piece {
-            Piece::Token(_) => {}
-            Piece::End(finish) => return problem::json(StatusCode::OK, &whole(named, &finish)),
-            Piece::Failed(error) => return Problem::new(Kind::Incomplete, error).reply(),
+pub(super) async fn whole_reply(named: &Named, mut received: mpsc::Receiver<OutputEvent>) -> Reply {
+    while let Some(event) = received.recv().await {
+        match event {
+            OutputEvent::Token(_) => {}
+            OutputEvent::Finished(finish) => {
+                return problem::json(StatusCode::OK, &whole(named, &finish))
+            }
+            OutputEvent::Failed(error) => return Problem::new(Kind::Incomplete, error).reply(),
         }
     }
     Problem::new(Kind::Incomplete, celerypond_answer::Incomplete::Abandoned).reply()
--- a/daemon/src/generation.rs
+++ b/daemon/src/generation.rs
@@ -1,4 +1,4 @@
-//! Carries out what the state machine of an answer asks for.
+//! Drives the state machine of an answer: carries out its effects and passes it inputs.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -26,81 +26,83 @@
 
 mod choice;
 mod chunk;
-mod open;
+mod connection;
 
 use chunk::Chunk;
-use open::{Open, Trying};
+use connection::{EngineConnection, PendingAttempt};
 
-/// How many events of engines may wait for their answer.
-const INPUTS: usize = 256;
-/// How many pieces may wait for a caller who reads slowly.
-pub const PIECES: usize = 256;
+/// The capacity of the channel from an answer's connections to its driver, in inputs.
+const INPUT_CAPACITY: usize = 256;
+/// The capacity of the channel to the caller, in events; the driver waits for a slow caller.
+pub const OUTPUT_CAPACITY: usize = 256;
 
-/// A piece of an answer, on its way to the caller.
+/// An event for the caller.
 #[derive(Clone, Debug)]
-pub enum Piece {
+pub enum OutputEvent {
     /// A token.
     Token(Emit),
-    /// The whole answer is there.
-    End(Finish),
-    /// The answer can't be completed.
+    /// The answer is complete.
+    Finished(Finish),
+    /// The answer cannot be completed.
     Failed(Incomplete),
 }
 
-/// Drives one answer to its end.
-pub struct Drive {
+/// Drives one answer to its end, for one connection of the caller.
+pub struct AnswerDriver {
     node: Arc<Node>,
-    ask: Arc<GenerationRequest>,
+    params: Arc<GenerationRequest>,
     rng: SmallRng,
     inputs: mpsc::Sender<Input>,
-    received: mpsc::Receiver<Input>,
-    pieces: mpsc::Sender<Piece>,
-    links: HashMap<ConnectionId, Open>,
-    /// The version that was chosen when the answer was admitted.
+    input_receiver: mpsc::Receiver<Input>,
+    output: mpsc::Sender<OutputEvent>,
+    connections: HashMap<ConnectionId, EngineConnection>,
+    /// The version chosen at admission.
     version: Option<VersionName>,
-    /// The place that was given when the answer was admitted.
+    /// The permit granted at admission, until the first attempt starts.
     permit: Option<Permit>,
-    /// What its account was charged, with the tokens of all attempts so far.
+    /// The tokens charged to the account, and those used by all attempts so far.
     charge: Option<Charge>,
-    /// The target of the attempt under way, until its first token.
-    trying: Option<Trying>,
-    /// The chunk of tokens under way, as evidence of the version.
+    /// The current attempt, until its first token.
+    pending: Option<PendingAttempt>,
+    /// The current chunk of tokens, which counts as evidence about the version.
     chunk: Option<Chunk>,
-    open: Option<TrackedAnswer>,
+    open_answer: Option<TrackedAnswer>,
     last_token: Instant,
-    /// Whether a place among the resumes was asked for and did not come yet.
-    resuming: bool,
-    /// The target at which a place among the resumes was given for the next start.
-    granted: Option<TargetKey>,
-    starts: u32,
-    /// Whether the effects under way come of a wait that was longer than the progress timeout.
-    overdue: bool,
-    gone: bool,
+    /// Whether a resume is queued and no target has been granted yet.
+    awaiting_grant: bool,
+    /// The target granted for a resume, until the attempt starts.
+    granted_target: Option<TargetKey>,
+    started_attempts: u32,
+    /// Whether the current effects result from a tick, such as a progress timeout.
+    timed_out: bool,
+    caller_disconnected: bool,
 }
 
-/// What an answer was given when it was admitted.
+/// The resources of an admitted request.
 pub struct Admitted {
-    /// The version that takes it.
+    /// The chosen version.
     pub version: VersionName,
-    /// Its place at an engine.
+    /// The slot at an engine.
     pub permit: Permit,
-    /// What its account was charged.
+    /// The tokens charged to the account.
     pub charge: Charge,
 }
 
-impl Drop for Drive {
+impl Drop for AnswerDriver {
     fn drop(&mut self) {
         self.node.adjust_open_requests(-1);
     }
 }
 
-impl Drive {
-    /// Prepares to drive an answer whose pieces go to `pieces`.
+impl AnswerDriver {
+    /// Creates the driver of an answer, which sends its events to `output`.
+    ///
+    /// `admitted` is `None` if the answer is taken over from another driver.
     pub fn new(
         node: Arc<Node>,
-        ask: GenerationRequest,
+        params: GenerationRequest,
         admitted: Option<Admitted>,
-        pieces: mpsc::Sender<Piece>,
+        output: mpsc::Sender<OutputEvent>,
     ) -> Self {
         let (version, permit, charge) = match admitted {
             Some(admitted) => (
@@ -111,102 +113,103 @@
             None => (None, None, None),
         };
         node.adjust_open_requests(1);
-        let (inputs, received) = mpsc::channel(INPUTS);
+        let (inputs, input_receiver) = mpsc::channel(INPUT_CAPACITY);
         Self {
             rng: node.rng(),
             node,
-            ask: Arc::new(ask),
+            params: Arc::new(params),
             inputs,
-            received,
-            pieces,
-            links: HashMap::new(),
+            input_receiver,
+            output,
+            connections: HashMap::new(),
             version,
             permit,
             charge,
-            trying: None,
+            pending: None,
             chunk: None,
-            open: None,
+            open_answer: None,
             last_token: Instant::now(),
-            resuming: false,
-            granted: None,
-            starts: 0,
-            overdue: false,
-            gone: false,
+            awaiting_grant: false,
+            granted_target: None,
+            started_attempts: 0,
+            timed_out: false,
+            caller_disconnected: false,
         }
     }
 
     /// Drives the answer to its end.
     pub async fn run(mut self, mut answer: Generation, mut effects: Vec<Effect>) {
-        let request = self.ask.request.clone();
+        let request = self.params.request.clone();
         let _registration =
             keeper_records::register_driver(&self.node, request, self.inputs.clone());
         loop {
             while !effects.is_empty() {
                 let mut next = Vec::new();
                 for effect in effects.drain(..) {
-                    if let Some(input) = self.carry_out(effect).await {
+                    if let Some(input) = self.execute(effect).await {
                         answer.step(Instant::now(), input, &mut next);
                     }
                 }
                 effects = next;
-                self.overdue = false;
+                self.timed_out = false;
             }
             let Some(due) = answer.next_tick() else {
-                return self.settle();
+                return self.release_grants();
             };
-            let input = self.next(due).await;
-            self.overdue = input == Input::Tick;
-            self.notice(&input);
+            let input = self.next_input(due).await;
+            self.timed_out = input == Input::Tick;
+            self.observe(&input);
             answer.step(Instant::now(), input, &mut effects);
         }
     }
 
-    async fn next(&mut self, due: Instant) -> Input {
-        // Events come before the clock: after a pause of this process the tokens that wait are
-        // read before a stall is seen.
+    async fn next_input(&mut self, due: Instant) -> Input {
+        // Inputs take precedence over the tick, so that after a pause of this process the tokens
+        // that have arrived meanwhile are processed before the stream counts as stalled.
         tokio::select! {
             biased;
-            Some(input) = self.received.recv() => input,
-            () = self.pieces.closed(), if !self.gone => {
-                self.gone = true;
+            Some(input) = self.input_receiver.recv() => input,
+            () = self.output.closed(), if !self.caller_disconnected => {
+                self.caller_disconnected = true;
                 Input::CallerDisconnected
             }
             () = time::sleep_until(due) => Input::Tick,
         }
     }
 
-    async fn carry_out(&mut self, effect: Effect) -> Option<Input> {
+    async fn execute(&mut self, effect: Effect) -> Option<Input> {
         match effect {
-            Effect::ChooseTarget(criteria) => return self.choose(&criteria).await,
-            Effect::Start(start) => return self.start(start),
+            Effect::ChooseTarget(criteria) => return self.choose_target(&criteria).await,
+            Effect::Start(start) => return self.start_attempt(start),
             Effect::Resume {
-                connection: link,
+                connection,
                 stream,
                 from,
             } => {
-                let Some((target, address)) = self.find(&stream.target) else {
-                    return Some(Input::Closed(link));
+                let Some((target, address)) = self.find_target(&stream.target) else {
+                    return Some(Input::Closed(connection));
                 };
-                if self.overdue {
+                if self.timed_out {
                     self.node.metrics.add(Counter::Stalls, 1);
                 }
-                let stall = self.node.progress_timeouts.estimator(&stream.target);
-                let request = self.ask.request.clone();
+                let estimator = self.node.progress_timeouts.estimator(&stream.target);
+                let request = self.params.request.clone();
                 let inputs = self.inputs.clone();
-                let task =
-                    engine_stream::resume(request, address, link, stream, from, stall, inputs);
-                self.open(link, target, task, None);
-                if let Some(open) = self.links.get_mut(&link) {
-                    open.resumed = true;
+                let task = engine_stream::resume(
+                    request, address, connection, stream, from, estimator, inputs,
+                );
+                self.add_connection(connection, target, task, None);
+                if let Some(engine_connection) = self.connections.get_mut(&connection) {
+                    engine_connection.resume_pending = true;
                 }
             }
-            Effect::Close(link) => {
-                // A connection that is closed before its answer is whole was given up as silent.
-                self.end_chunk(link, Failure::Stalled);
-                self.links.remove(&link);
+            Effect::Close(connection) => {
+                // If the chunk has not ended yet, the engine has made no progress.
+                self.fail_chunk(connection, Failure::Stalled);
+                self.connections.remove(&connection);
             }
-            Effect::Cancel(stream) => self.cancel(stream),
-            Effect::QueryRecord(request) => self.review(request),
+            Effect::Cancel(stream) => self.cancel_stream(stream),
+            Effect::QueryRecord(request) => self.query_record(request),
             Effect::ExtendRecord(copy) => keeper_records::extend(&self.node, &copy),
             Effect::PutRecord(record) => keeper_records::put(&self.node, &record, &self.inputs),
             Effect::RemoveRecord(request, attempt) => {
@@ -217,126 +220,131 @@
             }
             Effect::Emit(emit) => {
                 self.node.metrics.add(Counter::Tokens, 1);
-                return self.send(Piece::Token(emit)).await;
+                return self.send_output(OutputEvent::Token(emit)).await;
             }
             Effect::Finish(finish) => {
                 self.finish_chunk();
-                return self.send(Piece::End(finish)).await;
+                return self.send_output(OutputEvent::Finished(finish)).await;
             }
             Effect::Fail(error) => {
                 self.node.metrics.add(Counter::Failed, 1);
-                return self.send(Piece::Failed(error)).await;
+                return self.send_output(OutputEvent::Failed(error)).await;
             }
         }
         None
     }
 
-    async fn send(&mut self, piece: Piece) -> Option<Input> {
-        if self.gone || self.pieces.send(piece).await.is_ok() {
+    async fn send_output(&mut self, event: OutputEvent) -> Option<Input> {
+        if self.caller_disconnected || self.output.send(event).await.is_ok() {
             return None;
         }
-        self.gone = true;
+        self.caller_disconnected = true;
         Some(Input::CallerDisconnected)
     }
 
-    /// Learns of targets from what their connections bring.
-    fn notice(&mut self, input: &Input) {
+    /// Updates metrics, target health and evidence from an input.
+    fn observe(&mut self, input: &Input) {
         let now = Instant::now();
         match input {
-            Input::Event(link, Event::Frame(_)) => {
+            Input::Event(connection, Event::Frame(_)) => {
                 self.last_token = now;
                 if let Some(charge) = &mut self.charge {
                     charge.used += 1;
                 }
-                if let Some(open) = self.links.get_mut(link) {
-                    open.came = true;
-                    // Only a token shows that the stream goes on.
-                    if std::mem::take(&mut open.resumed) {
+                if let Some(engine_connection) = self.connections.get_mut(connection) {
+                    engine_connection.token_received = true;
+                    // Only a token proves that the stream continues.
+                    if std::mem::take(&mut engine_connection.resume_pending) {
                         self.node.metrics.add(Counter::ResumedSame, 1);
                     }
                 }
-                self.count_token(*link, now);
-                if let Some(trying) = self.take_trying(*link) {
-                    let latency_ms = (now - trying.began).as_secs_f64() * 1e3;
+                self.count_token(*connection, now);
+                if let Some(pending) = self.take_pending(*connection) {
+                    let latency_ms = (now - pending.started_at).as_secs_f64() * 1e3;
                     self.node.report_target_event(TargetEvent::Succeeded {
-                        route: trying.route,
-                        target: trying.target,
+                        route: pending.route,
+                        target: pending.target,
                         latency_ms,
                     });
                 }
             }
-            Input::Closed(link) => {
-                self.suspect(*link);
-                self.failed(*link);
-                self.end_chunk(*link, Failure::Cut);
+            Input::Closed(connection) => {
+                self.suspect_target(*connection);
+                self.report_failure(*connection);
+                self.fail_chunk(*connection, Failure::Cut);
             }
-            Input::Malformed(link) => {
-                self.failed(*link);
-                self.end_chunk(*link, Failure::Wrong);
+            Input::Malformed(connection) => {
+                self.report_failure(*connection);
+                self.fail_chunk(*connection, Failure::Wrong);
             }
-            Input::Refused(link, Refusal::Failed) => {
-                self.suspect(*link);
-                self.failed(*link);
-                self.end_chunk(*link, Failure::Error);
+            Input::Refused(connection, Refusal::Failed) => {
+                self.suspect_target(*connection);
+                self.report_failure(*connection);
+                self.fail_chunk(*connection, Failure::Error);
             }
-            Input::Opened(link) => self.ask_chunk(*link),
-            // That an engine has not loaded a version says nothing about the version. It must not be
-            // asked again at once, or one answer asks it thousands of times.
-            Input::Refused(link, Refusal::VersionNotLoaded) => {
-                self.take_trying(*link);
-                if let Some(chunk) = self.chunk.take_if(|chunk| chunk.link == *link) {
+            Input::Opened(connection) => self.record_chunk_sent(*connection),
+            // That an engine has not loaded a version is no evidence against the version. The engine
+            // is marked as not having it, as otherwise one answer would retry there thousands of
+            // times.
+            Input::Refused(connection, Refusal::VersionNotLoaded) => {
+                self.take_pending(*connection);
+                if let Some(chunk) = self.chunk.take_if(|chunk| chunk.connection == *connection) {
                     self.node
                         .record_unloaded(&chunk.trial.target, &chunk.trial.version);
                 }
             }
-            Input::Refused(link, _) => {
-                self.suspect(*link);
-                self.take_trying(*link);
-                self.end_chunk(*link, Failure::Refused);
+            Input::Refused(connection, _) => {
+                self.suspect_target(*connection);
+                self.take_pending(*connection);
+                self.fail_chunk(*connection, Failure::Refused);
             }
-            Input::Chosen(chosen) if std::mem::take(&mut self.resuming) => {
-                self.granted = self.find(&chosen.target).map(|(target, _)| target);
+            Input::Chosen(chosen) if std::mem::take(&mut self.awaiting_grant) => {
+                self.granted_target = self.find_target(&chosen.target).map(|(target, _)| target);
             }
-            Input::NoTarget => self.resuming = false,
+            Input::NoTarget => self.awaiting_grant = false,
             _ => {}
         }
     }
 
-    /// Keeps work from the engine of a connection for a moment. One that fails at once looks idle, and
-    /// would be chosen again and again.
-    fn suspect(&self, link: ConnectionId) {
-        if let Some(open) = self.links.get(&link) {
-            self.node.suspects.add(open.target, Instant::now());
+    /// Excludes the engine of a connection for a short time. An engine that fails immediately looks
+    /// idle, and would be chosen again and again.
+    fn suspect_target(&self, connection: ConnectionId) {
+        if let Some(engine_connection) = self.connections.get(&connection) {
+            self.node
+                .suspects
+                .add(engine_connection.target, Instant::now());
         }
     }
 
-    fn failed(&mut self, link: ConnectionId) {
-        if let Some(trying) = self.take_trying(link) {
+    fn report_failure(&mut self, connection: ConnectionId) {
+        if let Some(pending) = self.take_pending(connection) {
             self.node.report_target_event(TargetEvent::Failed {
-                route: trying.route,
-                target: trying.target,
+                route: pending.route,
+                target: pending.target,
             });
         }
     }
 
-    /// Ends the wait for the first token of a connection's attempt.
-    fn take_trying(&mut self, link: ConnectionId) -> Option<Trying> {
-        let trying = self.trying.take_if(|trying| trying.link == link)?;
-        if trying.resumed {
-            self.node.admission.release_resume(trying.target);
+    /// Takes the pending attempt of a connection, and releases its resume grant.
+    fn take_pending(&mut self, connection: ConnectionId) -> Option<PendingAttempt> {
+        let pending = self
+            .pending
+            .take_if(|pending| pending.connection == connection)?;
+        if pending.is_resume {
+            self.node.admission.release_resume(pending.target);
         }
-        Some(trying)
+        Some(pending)
     }
 
-    fn settle(&mut self) {
-        // A place that was given and not used would hold back others' resumes for good.
-        self.received.close();
-        while let Ok(input) = self.received.try_recv() {
-            self.notice(&input);
+    fn release_grants(&mut self) {
+        // A grant that is never released would hold back other resumes forever.
+        self.input_receiver.close();
+        while let Ok(input) = self.input_receiver.try_recv() {
+            self.observe(&input);
         }
-        let trying = self.trying.take().filter(|trying| trying.resumed);
-        let used = trying.map(|trying| trying.target);
-        for target in used.into_iter().chain(self.granted.take()) {
+        let pending = self.pending.take().filter(|pending| pending.is_resume);
+        let used = pending.map(|pending| pending.target);
+        for target in used.into_iter().chain(self.granted_target.take()) {
             self.node.admission.release_resume(target);
         }
         self.node.admission.notify_ended();
--- a/daemon/src/generation/chunk.rs
+++ b/daemon/src/generation/chunk.rs
@@ -1,99 +1,106 @@
-//! Chunks of tokens, as evidence of the version that generates them.
+//! Chunks of tokens, which count as evidence about the version that generates them.
 
 use celerypond_answer::{ConnectionId, Start};
 use celerypond_rollout::{Failure, Trial};
 use tokio::time::Instant;
 
-use super::Drive;
+use super::AnswerDriver;
 use crate::{
     node::{self, Node},
     rollouts,
 };
 
-/// How many tokens count as one trial of a version.
-const CHUNK: u32 = 32;
+/// How many tokens form one trial of a version.
+const CHUNK_TOKENS: u32 = 32;
 
-/// Some tokens in a row from one connection, which together count as one trial of the version.
+/// Consecutive tokens from one connection, which together form one trial of the version.
 pub(super) struct Chunk {
-    pub(super) link: ConnectionId,
+    pub(super) connection: ConnectionId,
     pub(super) trial: Trial,
-    began: Instant,
-    /// The tokens so far; the first token of an attempt is a chunk of its own.
+    started_at: Instant,
+    /// The number of tokens so far; the first token of an attempt is a chunk of its own.
     tokens: u32,
-    /// Whether it counts as asked for.
-    is_asked: bool,
+    /// Whether the trial was recorded as sent.
+    is_recorded: bool,
 }
 
 impl Chunk {
-    /// Notes that the tokens so far came well.
-    fn came(&self, node: &Node, now: Instant) {
-        let per_token = (now - self.began).as_micros() as u64 / u64::from(self.tokens.max(1));
+    /// Records success with the mean time per token.
+    fn record_success(&self, node: &Node, now: Instant) {
+        let per_token = (now - self.started_at).as_micros() as u64 / u64::from(self.tokens.max(1));
         node.rollouts
             .with_controller(|controller| controller.record_success(&self.trial, per_token));
     }
 
-    /// Begins the next chunk; it counts from its first token on.
-    fn next(&mut self, now: Instant) {
-        self.began = now;
+    /// Starts the next chunk, which is recorded as sent at its first token.
+    fn start_next(&mut self, now: Instant) {
+        self.started_at = now;
         self.tokens = 0;
-        self.is_asked = false;
+        self.is_recorded = false;
         self.trial.is_first = false;
         self.trial.begun_ms = node::wall_ms();
     }
 }
 
-impl Drive {
-    /// Counts a token into the evidence of its version.
-    pub(super) fn count_token(&mut self, link: ConnectionId, now: Instant) {
-        let Some(chunk) = self.chunk.as_mut().filter(|chunk| chunk.link == link) else {
+impl AnswerDriver {
+    /// Counts a token as evidence about its version.
+    pub(super) fn count_token(&mut self, connection: ConnectionId, now: Instant) {
+        let Some(chunk) = self
+            .chunk
+            .as_mut()
+            .filter(|chunk| chunk.connection == connection)
+        else {
             return;
         };
         if chunk.trial.is_first {
-            let took_us = (now - chunk.began).as_micros() as u64;
+            let latency_us = (now - chunk.started_at).as_micros() as u64;
             self.node
                 .rollouts
-                .with_controller(|controller| controller.record_success(&chunk.trial, took_us));
-            chunk.next(now);
+                .with_controller(|controller| controller.record_success(&chunk.trial, latency_us));
+            chunk.start_next(now);
             return;
         }
-        if !std::mem::replace(&mut chunk.is_asked, true) {
+        if !std::mem::replace(&mut chunk.is_recorded, true) {
             self.node
                 .rollouts
                 .with_controller(|controller| controller.record_sent(&chunk.trial));
         }
         chunk.tokens += 1;
-        if chunk.tokens == CHUNK {
-            chunk.came(&self.node, now);
-            chunk.next(now);
+        if chunk.tokens == CHUNK_TOKENS {
+            chunk.record_success(&self.node, now);
+            chunk.start_next(now);
         }
     }
 
-    /// Ends the chunk under way with its answer.
+    /// Ends the current chunk successfully, as its answer is complete.
     pub(super) fn finish_chunk(&mut self) {
         if let Some(chunk) = self.chunk.take().filter(|chunk| chunk.tokens > 0) {
-            chunk.came(&self.node, Instant::now());
+            chunk.record_success(&self.node, Instant::now());
         }
     }
 
-    /// Counts the chunk under way as asked for, once its engine has taken it.
+    /// Records the current chunk as sent, once its engine has accepted the attempt.
     ///
-    /// The failure: attempts that engines refuse because they lack the version were counted as begun
-    /// and never ended. Trials under way pass for good ones, so thousands of them hid that 60 of 100
-    /// answers failed, and the bad version was completed.
-    pub(super) fn ask_chunk(&mut self, link: ConnectionId) {
-        let chunk = self.chunk.as_mut().filter(|chunk| chunk.link == link);
-        if let Some(chunk) = chunk.filter(|chunk| !chunk.is_asked) {
-            chunk.is_asked = true;
+    /// Attempts refused because the engine lacks the version must not be recorded: they would never
+    /// end, and unfinished trials count as successes. Thousands of them once hid that 60 of 100
+    /// answers failed, so that the rollout of a faulty version was completed.
+    pub(super) fn record_chunk_sent(&mut self, connection: ConnectionId) {
+        let chunk = self
+            .chunk
+            .as_mut()
+            .filter(|chunk| chunk.connection == connection);
+        if let Some(chunk) = chunk.filter(|chunk| !chunk.is_recorded) {
+            chunk.is_recorded = true;
             self.node
                 .rollouts
                 .with_controller(|controller| controller.record_sent(&chunk.trial));
         }
     }
 
-    /// Ends the chunk under way as failed, if it came over this connection.
-    pub(super) fn end_chunk(&mut self, link: ConnectionId, failure: Failure) {
-        self.ask_chunk(link);
-        if let Some(chunk) = self.chunk.take_if(|chunk| chunk.link == link) {
+    /// Ends the current chunk as failed, if it belongs to this connection.
+    pub(super) fn fail_chunk(&mut self, connection: ConnectionId, failure: Failure) {
+        self.record_chunk_sent(connection);
+        if let Some(chunk) = self.chunk.take_if(|chunk| chunk.connection == connection) {
             let now_ms = node::wall_ms();
             self.node.rollouts.with_controller(|controller| {
                 controller.record_failure(&chunk.trial, failure, now_ms)
@@ -101,23 +108,23 @@
         }
     }
 
-    pub(super) fn begin_chunk(&mut self, link: ConnectionId, start: &Start) {
-        let class = rollouts::request_class(self.ask.adapter.as_ref());
-        let model = &self.ask.model;
+    pub(super) fn start_chunk(&mut self, connection: ConnectionId, start: &Start) {
+        let class = rollouts::request_class(self.params.adapter.as_ref());
+        let model = &self.params.model;
         let trial = rollouts::new_trial(model, &start.version, &class, &start.stream.target);
-        if self.open.is_none() {
-            self.open = Some(
-                self.node
-                    .rollouts
-                    .track_answer(&self.node, model, &start.version),
-            );
+        if self.open_answer.is_none() {
+            self.open_answer = Some(self.node.rollouts.track_answer(
+                &self.node,
+                model,
+                &start.version,
+            ));
         }
         self.chunk = Some(Chunk {
-            link,
+            connection,
             trial,
-            began: Instant::now(),
+            started_at: Instant::now(),
             tokens: 0,
-            is_asked: false,
+            is_recorded: false,
         });
     }
 }
