--- a/daemon/src/keeper_records.rs
+++ b/daemon/src/keeper_records.rs
@@ -1,4 +1,4 @@
-//! Keeper records: what lets another instance go on with an answer.
+//! Keeper records, with which another instance can take over an answer.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -8,7 +8,8 @@
 
 use crate::{gossip, node::Node};
 
-/// Puts a record at the keepers of its request, and fences this driver if they hold a higher one.
+/// Stores a record at the keepers of its request; if one has a higher record, the driver that owns
+/// `inputs` is fenced.
 pub fn put(node: &Arc<Node>, record: &KeeperRecord, inputs: &mpsc::Sender<Input>) {
     for keeper in gossip::record_keepers(node, &record.key) {
         let node = Arc::clone(node);
@@ -17,17 +18,17 @@
         let work = node.background_tasks.clone();
         work.spawn(async move {
             let sent = node.peers.store_record(keeper, value).await;
-            let newer = sent.ok().flatten();
-            let newer = newer.and_then(|value| KeeperRecord::decode(&value).ok());
-            if let Some(newer) = newer {
-                // An answer that is over needs no fence.
-                let _ = inputs.send(Input::Fenced(newer)).await;
+            let higher = sent.ok().flatten();
+            let higher = higher.and_then(|value| KeeperRecord::decode(&value).ok());
+            if let Some(higher) = higher {
+                // Fails if the answer has ended, which then needs no fencing.
+                let _ = inputs.send(Input::Fenced(higher)).await;
             }
         });
     }
 }
 
-/// Adds tokens to the record at the keepers.
+/// Appends tokens to the record at the keepers.
 pub fn extend(node: &Arc<Node>, extension: &RecordExtension) {
     let value = extension.encode();
     for keeper in gossip::record_keepers(node, &extension.key) {
@@ -35,26 +36,26 @@
         let value = value.clone();
         let work = node.background_tasks.clone();
         work.spawn(async move {
-            // A keeper that misses a copy takes none of the later ones either.
+            // A keeper that misses an extension rejects all later ones, so its record has no gap.
             let _ = node.peers.append_to_record(keeper, value).await;
         });
     }
 }
 
-/// Removes a record from the keepers, unless it is of a later driver.
+/// Removes a record from the keepers, unless it belongs to a later attempt.
 pub fn remove(node: &Arc<Node>, request: &RequestKey, attempt: Attempt) {
     for keeper in gossip::record_keepers(node, request) {
         let node = Arc::clone(node);
         let request = request.clone();
         let work = node.background_tasks.clone();
         work.spawn(async move {
-            // A record that stays expires.
+            // If a record is not removed, it expires.
             let _ = node.peers.remove_record(keeper, request, attempt).await;
         });
     }
 }
 
-/// Tells the instance that drove a request before that another one drives it now.
+/// Sends the record to the previous driver's instance, so that this driver stops.
 pub fn notify_instance(node: &Arc<Node>, instance: &InstanceName, record: &KeeperRecord) {
     let peers = gossip::live_instances(node);
     let address = peers.iter().find(|peer| peer.name == *instance);
@@ -65,31 +66,31 @@
     let record = record.encode();
     let work = node.background_tasks.clone();
     work.spawn(async move {
-        // An instance that can't be told meets the higher record at the keepers.
+        // If the instance cannot be reached, its driver is fenced by the keepers.
         let _ = node.peers.store_record(address, record).await;
     });
 }
 
-/// Asks the keepers of a request for its record and returns the highest.
+/// Queries the keepers of a request for its record and returns the highest.
 pub async fn query(node: &Node, request: &RequestKey) -> Option<KeeperRecord> {
     let keepers = gossip::record_keepers(node, request);
     let queries = keepers
         .into_iter()
         .map(|keeper| query_keeper(node, keeper, request));
     let found = futures::future::join_all(queries).await;
-    // This instance may be a keeper itself.
+    // This instance may itself be a keeper.
     let own = node.keeper().get(Instant::now(), request).cloned();
     let records = found.into_iter().chain([own]).flatten();
     records.reduce(KeeperRecord::merge)
 }
 
-/// Passes a record of another driver on to this instance's driver of the same request.
+/// Fences this instance's driver of a request if the record belongs to another instance.
 pub fn notify_driver(node: &Node, record: &KeeperRecord) {
     let Some(driver) = node.drivers().get(&record.key).cloned() else {
         return;
     };
     if record.instance != node.settings.instance {
-        // A driver that can't take it now meets the higher record at the keepers.
+        // If the driver's channel is full, it is fenced by the keepers.
         let _ = driver.try_send(Input::Fenced(record.clone()));
     }
 }
@@ -107,7 +108,7 @@
     KeeperRecord::decode(&record).ok()
 }
 
-/// Returns a driver's place in the table of drivers, given back when dropped.
+/// Registers the driver of a request, until the returned value is dropped.
 pub fn register_driver(
     node: &Arc<Node>,
     request: RequestKey,
@@ -121,7 +122,7 @@
     }
 }
 
-/// A driver's place in the table of drivers.
+/// The entry of a driver in the instance's table of drivers, removed when dropped.
 pub struct DriverRegistration {
     node: Arc<Node>,
     request: RequestKey,
@@ -132,7 +133,7 @@
     fn drop(&mut self) {
         let mut drivers = self.node.drivers();
         let own = drivers.get(&self.request);
-        // A later driver of the same request may stand there by now.
+        // A later driver of the same request may have replaced the entry.
         if own.is_some_and(|own| own.same_channel(&self.inputs)) {
             drivers.remove(&self.request);
         }
--- a/daemon/src/progress_timeouts.rs
+++ b/daemon/src/progress_timeouts.rs
@@ -1,4 +1,4 @@
-//! The gaps between tokens of each engine, from which progress timeouts follow.
+//! Progress timeouts of engines, estimated from the gaps between their tokens.
 
 use std::{
     collections::HashMap,
@@ -9,14 +9,14 @@
 use celerypond_answer::{TimeoutEstimator, TimeoutLimits, Timeouts};
 use celerypond_types::TargetName;
 
-/// The gaps between tokens of each engine.
+/// The timeout estimators of all engines.
 #[derive(Default)]
 pub struct ProgressTimeouts {
     estimators: Mutex<HashMap<TargetName, Arc<Mutex<TimeoutEstimator>>>>,
 }
 
 impl ProgressTimeouts {
-    /// Returns the gaps of one engine.
+    /// Returns the estimator of an engine.
     pub fn estimator(&self, target: &TargetName) -> Arc<Mutex<TimeoutEstimator>> {
         let mut estimators = self
             .estimators
@@ -28,14 +28,14 @@
         Arc::clone(estimator)
     }
 
-    /// Returns the timeouts of an attempt that first reads `tokens` tokens.
+    /// Returns the timeouts of an attempt that first reads a prompt of `prompt_tokens` tokens.
     pub fn timeouts(&self, target: &TargetName, prompt_tokens: u32) -> Timeouts {
         let estimator = self.estimator(target);
         let estimator = estimator.lock().unwrap_or_else(PoisonError::into_inner);
         estimator.timeouts(prompt_tokens)
     }
 
-    /// Forgets engines that are no longer declared.
+    /// Removes engines that are no longer declared.
     pub fn retain(&self, mut is_declared: impl FnMut(&TargetName) -> bool) {
         let mut estimators = self
             .estimators
@@ -45,7 +45,7 @@
     }
 }
 
-/// Takes the time between two tokens into account.
+/// Records the time between two tokens.
 pub fn observe_gap(estimator: &Mutex<TimeoutEstimator>, gap: Duration) {
     let mut estimator = estimator.lock().unwrap_or_else(PoisonError::into_inner);
     estimator.observe(gap);
