--- a/daemon/src/active_bundle.rs
+++ b/daemon/src/active_bundle.rs
@@ -1,4 +1,4 @@
-//! The bundle in force at this instance, with the indexes that requests need.
+//! The bundle in force at this instance, indexed for requests.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -9,7 +9,7 @@
 /// The bundle in force, immutable.
 #[derive(Clone, Debug)]
 pub struct ActiveBundle {
-    /// Its revision, digest and what it changed.
+    /// Its header, with the revision, the digest and the changed parts.
     pub header: BundleHeader,
     /// Its content.
     pub bundle: Arc<Bundle>,
@@ -19,7 +19,7 @@
 }
 
 impl ActiveBundle {
-    /// Indexes a bundle.
+    /// Creates the indexes of a bundle.
     pub fn new(header: BundleHeader, bundle: Arc<Bundle>) -> Self {
         let accounts = bundle.accounts.iter().enumerate();
         let models = bundle.models.iter().enumerate();
@@ -40,19 +40,19 @@
         self.header.revision
     }
 
-    /// Finds the account whose callers send the key with this digest.
+    /// Returns the account whose API key has this digest.
     pub fn account(&self, key_digest: &Digest) -> Option<&Account> {
         let index = self.accounts.get(key_digest)?;
         self.bundle.accounts.get(*index)
     }
 
-    /// Finds a model.
+    /// Returns a model.
     pub fn model(&self, name: &ModelName) -> Option<&Model> {
         let index = self.models.get(name)?;
         self.bundle.models.get(*index)
     }
 
-    /// Finds a service.
+    /// Returns a service.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         let index = self.services.get(name)?;
         self.bundle.services.get(*index)
--- a/daemon/src/bundle_subset.rs
+++ b/daemon/src/bundle_subset.rs
@@ -1,19 +1,19 @@
-//! The part of a bundle's targets that one instance sends work to.
+//! The subset of a bundle's targets to which one instance sends requests.
 //!
-//! At 900 instances and 11,000 engines an instance that watched every engine would make, with the
-//! others, ten million polls a second. Each uses the targets of its group only.
+//! With 900 instances and 11,000 engines, ten million health checks per second would be sent if each
+//! instance watched every engine. Each instance therefore uses only the targets of its group.
 
 use std::collections::HashSet;
 
 use celerypond_bundle::Bundle;
 use celerypond_types::TargetName;
 
-/// A version or service keeps all its targets rather than fewer than this many.
+/// The minimum number of targets of a version or service; if fewer are in the group, it keeps all.
 ///
-/// With few targets in its part an instance could be left without one, or send all its work to one.
-const LEAST: usize = 8;
+/// With too few targets, an instance could be left without any, or send all its requests to one.
+const MIN_TARGETS: usize = 8;
 
-/// Returns the bundle with only those targets that are in `group`, where enough are left.
+/// Returns the bundle with only the targets in `group`, except where too few would remain.
 ///
 /// # Examples
 ///
@@ -27,29 +27,34 @@
 /// ```
 pub fn restrict_to_group(bundle: &Bundle, group: &[TargetName]) -> Bundle {
     let group: HashSet<&TargetName> = group.iter().collect();
-    let mut part = bundle.clone();
-    let versions = part.models.iter_mut().flat_map(|model| &mut model.versions);
+    let mut subset = bundle.clone();
+    let versions = subset
+        .models
+        .iter_mut()
+        .flat_map(|model| &mut model.versions);
     for version in versions {
-        narrow(&mut version.targets, &group);
+        restrict_targets(&mut version.targets, &group);
     }
-    for service in &mut part.services {
-        narrow(&mut service.targets, &group);
+    for service in &mut subset.services {
+        restrict_targets(&mut service.targets, &group);
     }
-    let used = used(&part);
-    part.targets.retain(|target| used.contains(&target.name));
-    part
+    let used_targets = used_targets(&subset);
+    subset
+        .targets
+        .retain(|target| used_targets.contains(&target.name));
+    subset
 }
 
-fn narrow(targets: &mut Vec<TargetName>, group: &HashSet<&TargetName>) {
-    let left = targets.iter().filter(|name| group.contains(name)).count();
-    if left >= LEAST {
+fn restrict_targets(targets: &mut Vec<TargetName>, group: &HashSet<&TargetName>) {
+    let remaining = targets.iter().filter(|name| group.contains(name)).count();
+    if remaining >= MIN_TARGETS {
         targets.retain(|name| group.contains(name));
     }
 }
 
-fn used(bundle: &Bundle) -> HashSet<TargetName> {
+fn used_targets(bundle: &Bundle) -> HashSet<TargetName> {
     let versions = bundle.models.iter().flat_map(|model| &model.versions);
-    let of_versions = versions.flat_map(|version| &version.targets);
-    let of_services = bundle.services.iter().flat_map(|service| &service.targets);
-    of_versions.chain(of_services).cloned().collect()
+    let version_targets = versions.flat_map(|version| &version.targets);
+    let service_targets = bundle.services.iter().flat_map(|service| &service.targets);
+    version_targets.chain(service_targets).cloned().collect()
 }
--- a/daemon/src/flags.rs
+++ b/daemon/src/flags.rs
@@ -5,9 +5,9 @@
 xflags::xflags! {
     /// Serves callers of celerypond.
     cmd celerypondd {
-        /// The settings, as JSON.
+        /// The settings file, in JSON.
         optional --config config: PathBuf
-        /// Relays routed requests by the settings that the platform wrote, instead of --config.
+        /// Relays routed requests, using the settings file written by the platform instead of --config.
         optional --relay
         /// Checks the settings, prints every fault and exits.
         optional --check
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon `celerypondd` as a library: the shell around the decision crates.
+//! The daemon `celerypondd` as a library: the I/O around the crates that make decisions.
 //!
-//! Decisions live in the libraries; this crate owns the sockets, the clock and the tasks, feeds the
-//! state machines and carries out what they ask for.
+//! Those crates consist of state machines without I/O, tasks or clocks. This crate owns the sockets,
+//! the clock and the tasks, passes inputs to the state machines and carries out their effects.
 
 pub mod active_bundle;
 pub mod admission;
--- a/daemon/src/listener.rs
+++ b/daemon/src/listener.rs
@@ -1,4 +1,4 @@
-//! Connections that are taken until the instance ends.
+//! Accepts connections until the instance ends.
 
 use std::future::Future;
 
@@ -8,7 +8,7 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Serves each connection of a listener in a task of its own until `ending`, and then ends them all.
+/// Serves each connection of a listener in its own task until `ending`, then aborts all of them.
 pub async fn serve<F>(
     listener: TcpListener,
     ending: CancellationToken,
@@ -21,7 +21,7 @@
         tokio::select! {
             () = ending.cancelled() => break,
             accepted = listener.accept() => {
-                // One that cannot be taken is tried again by its other side.
+                // If a connection cannot be accepted, the peer retries.
                 if let Ok((socket, _)) = accepted {
                     connections.spawn(handle(socket));
                 }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -10,7 +10,7 @@
 mod flags;
 mod relaying;
 
-/// The exit code for faults in the settings.
+/// The exit code if the settings are missing or have faults.
 pub(crate) const BAD_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
@@ -22,7 +22,7 @@
         eprintln!("--config or --relay is needed");
         return ExitCode::from(BAD_SETTINGS);
     };
-    let Some(settings) = read(&path) else {
+    let Some(settings) = read_settings(&path) else {
         return ExitCode::from(BAD_SETTINGS);
     };
     if flags.check {
@@ -36,7 +36,7 @@
     run(settings)
 }
 
-fn read(path: &Path) -> Option<Settings> {
+fn read_settings(path: &Path) -> Option<Settings> {
     let text = match fs::read_to_string(path) {
         Ok(text) => text,
         Err(error) => {
@@ -56,10 +56,10 @@
 }
 
 fn run(settings: Settings) -> ExitCode {
-    let runtime = match runtime(settings.threads) {
+    let runtime = match build_runtime(settings.threads) {
         Ok(runtime) => runtime,
         Err(error) => {
-            log::error!("the runtime could not start: {error}");
+            log::error!("cannot start the async runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -73,7 +73,7 @@
     }
 }
 
-fn runtime(threads: Option<usize>) -> std::io::Result<Runtime> {
+fn build_runtime(threads: Option<usize>) -> std::io::Result<Runtime> {
     let mut builder = Builder::new_multi_thread();
     if let Some(threads) = threads {
         builder.worker_threads(threads);
--- a/daemon/src/server.rs
+++ b/daemon/src/server.rs
@@ -1,4 +1,4 @@
-//! Starts an instance, and stops it without cutting off a request.
+//! Starts an instance, and stops it without interrupting a request.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -24,39 +24,39 @@
     watch,
 };
 
-/// How often counters are sent to the collector.
-const PUBLISH: Duration = Duration::from_secs(10);
-/// How many events of targets may wait; more are dropped.
-const EVENTS: usize = 4096;
-/// How often a planned stop is looked at.
-const DRAIN_STEP: Duration = Duration::from_millis(100);
+/// The interval at which metrics are sent to the collector.
+const METRICS_INTERVAL: Duration = Duration::from_secs(10);
+/// The capacity of the channel of target events; further events are dropped.
+const TARGET_EVENT_CAPACITY: usize = 4096;
+/// The interval at which the progress of a planned stop is checked.
+const DRAIN_INTERVAL: Duration = Duration::from_millis(100);
 /// How long background tasks may take to end.
-const JOIN: Duration = Duration::from_secs(5);
+const JOIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why an instance could not run.
+/// Why an instance could not start, or stopped without being asked to.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ServerError {
-    /// An address could not be bound.
+    /// An address cannot be bound.
     #[error("the address {0} cannot be bound")]
     Bind(SocketAddr),
-    /// Signals could not be received.
+    /// Signals cannot be received.
     #[error("signals cannot be received")]
     Signal,
-    /// A background task has ended before the instance.
+    /// A background task has ended while the instance was running.
     #[error("a background task has ended")]
     Task,
-    /// Counters or spans have nowhere to go.
+    /// The output of metrics or spans cannot be opened.
     #[error("telemetry could not start")]
     Telemetry,
 }
 
 /// Runs an instance until a planned stop is complete.
 ///
-/// Each value from `stops` asks for the planned stop; a second one hurries it.
+/// The first value from `stops` starts the planned stop; a second one shortens it.
 ///
 /// # Errors
 ///
-/// A [`ServerError`] when the instance could not start, or [`ServerError::Task`].
+/// A [`ServerError`] if the instance could not start, or [`ServerError::Task`].
 pub async fn run(
     settings: Settings,
     mut stops: mpsc::Receiver<()>,
@@ -65,42 +65,44 @@
     let metrics = metrics(&settings)?;
     let listener = bind(settings.address).await?;
     let peer_listener = bind(settings.peer_address).await?;
-    let (events, told) = mpsc::channel(EVENTS);
+    let (events, event_receiver) = mpsc::channel(TARGET_EVENT_CAPACITY);
     let node = Node::new(settings, metrics, events);
-    let mut tasks = spawn(&node, peer_listener, told);
+    let mut tasks = spawn(&node, peer_listener, event_receiver);
     log::info!("serving callers at {}", node.address());
-    let is_whole = tokio::select! {
+    let is_planned = tokio::select! {
         never = front::serve(Arc::clone(&node), listener) => match never {},
-        () = leave(&node, &mut stops) => true,
-        // The failure: a task that ends by a panic is missed by nobody, and the instance serves on by an
-        // old bundle, for example. It is better replaced: what runs is finished, then it ends.
+        () = run_planned_stop(&node, &mut stops) => true,
+        // Guards against a background task that panics unnoticed, after which the instance would, for
+        // example, go on with an outdated bundle. Instead it finishes the open requests and exits, so
+        // that it can be replaced.
         Some(_) = tasks.join_next() => false,
     };
-    if !is_whole {
-        log::error!("a background task has ended; the instance stops");
-        step(&node, Drain::default().start(node.now_ms()));
+    if !is_planned {
+        log::error!("a background task has ended unexpectedly; the instance is stopping");
+        apply_drain(&node, Drain::default().start(node.now_ms()));
     }
-    finish(&node, tasks).await;
+    end_tasks(&node, tasks).await;
     if let Some(spans) = spans {
         spans.shutdown().change_context(ServerError::Telemetry)?;
     }
     log::info!("stopped");
-    match is_whole {
+    match is_planned {
         true => Ok(()),
         false => Err(Report::new(ServerError::Task)),
     }
 }
 
-/// Returns a value for each signal that asks for the planned stop: SIGTERM, or SIGINT from a terminal.
+/// Returns a receiver of one value for each signal that requests the planned stop: SIGTERM, or
+/// SIGINT from a terminal.
 ///
 /// # Errors
 ///
-/// [`ServerError::Signal`] when signals can't be received.
+/// [`ServerError::Signal`] if signals cannot be received.
 pub fn signals() -> Result<mpsc::Receiver<()>, Report<ServerError>> {
     let mut terminate = signal(SignalKind::terminate()).change_context(ServerError::Signal)?;
     let mut interrupt = signal(SignalKind::interrupt()).change_context(ServerError::Signal)?;
     let (sender, receiver) = mpsc::channel(1);
-    // The task ends with the runtime: a process listens to signals for as long as it lives.
+    // The task runs until the runtime ends, as the process handles signals for its whole lifetime.
     tokio::spawn(async move {
         loop {
             tokio::select! {
@@ -115,7 +117,11 @@
     Ok(receiver)
 }
 
-fn spawn(node: &Arc<Node>, peers: TcpListener, told: mpsc::Receiver<TargetEvent>) -> JoinSet<()> {
+fn spawn(
+    node: &Arc<Node>,
+    peers: TcpListener,
+    event_receiver: mpsc::Receiver<TargetEvent>,
+) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
     tasks.spawn(peer_server::run(Arc::clone(node), peers));
     tasks.spawn(roster::run(Arc::clone(node)));
@@ -125,58 +131,59 @@
     tasks.spawn(rollouts::run(Arc::clone(node)));
     tasks.spawn(orders::run(Arc::clone(node)));
     tasks.spawn(limits::run(Arc::clone(node)));
-    tasks.spawn(target_watch::run(Arc::clone(node), told));
+    tasks.spawn(target_watch::run(Arc::clone(node), event_receiver));
     tasks.spawn(Admission::run(Arc::clone(node)));
-    tasks.spawn(publish(Arc::clone(node)));
+    tasks.spawn(publish_metrics(Arc::clone(node)));
     tasks
 }
 
-/// Waits for a planned stop, and then until callers no longer hold this instance's address.
-async fn leave(node: &Arc<Node>, stops: &mut mpsc::Receiver<()>) {
-    // Without anyone who could ask for a stop, the instance serves on.
+/// Waits for a stop to be requested, and then until new connections may be refused, as callers no
+/// longer use this instance's address.
+async fn run_planned_stop(node: &Arc<Node>, stops: &mut mpsc::Receiver<()>) {
+    // If the sender is closed, no stop can be requested and the instance runs on.
     if stops.recv().await.is_none() {
         std::future::pending::<()>().await;
     }
-    let mut drain = step(node, Drain::default().start(node.now_ms()));
-    let mut tick = time::interval(DRAIN_STEP);
+    let mut drain = apply_drain(node, Drain::default().start(node.now_ms()));
+    let mut tick = time::interval(DRAIN_INTERVAL);
     while drain.stage() != DrainStage::Refusing {
         tokio::select! {
-            _ = tick.tick() => drain = step(node, drain.step(node.now_ms(), 1)),
+            _ = tick.tick() => drain = apply_drain(node, drain.step(node.now_ms(), 1)),
             Some(()) = stops.recv() => {
-                log::info!("asked to stop again: new connections are refused now");
+                log::info!("second stop request: refusing new connections now");
                 return;
             }
         }
     }
 }
 
-fn step(node: &Arc<Node>, (drain, effect): (Drain, Option<DrainEffect>)) -> Drain {
+fn apply_drain(node: &Arc<Node>, (drain, effect): (Drain, Option<DrainEffect>)) -> Drain {
     match effect {
         Some(DrainEffect::AnnounceLeaving) => {
             node.leaving.cancel();
             gossip::announce_leaving(node);
-            log::info!("leaving: the address is given to nobody, callers who have it are served");
+            log::info!("leaving: address no longer given to callers; existing callers are served");
         }
-        Some(DrainEffect::CloseListener) => log::info!("leaving: new connections are refused"),
-        // The sockets end idle connections and wait for the others.
+        Some(DrainEffect::CloseListener) => log::info!("leaving: refusing new connections"),
+        // `Sockets::drain` closes idle connections and waits for the others.
         Some(DrainEffect::Exit) | None => {}
     }
     drain
 }
 
-async fn finish(node: &Node, mut tasks: JoinSet<()>) {
+async fn end_tasks(node: &Node, mut tasks: JoinSet<()>) {
     node.sockets.drain().await;
     node.ledger.close();
     node.shutdown.cancel();
     node.background_tasks.close();
-    let joined = async {
+    let all_ended = async {
         while tasks.join_next().await.is_some() {}
         node.background_tasks.wait().await;
         node.peers.close().await;
     };
-    if time::timeout(JOIN, joined).await.is_err() {
-        let left = tasks.len() + node.background_tasks.len();
-        log::warn!("{left} background tasks did not end in time");
+    if time::timeout(JOIN_TIMEOUT, all_ended).await.is_err() {
+        let remaining = tasks.len() + node.background_tasks.len();
+        log::warn!("{remaining} background tasks did not end in time");
         tasks.shutdown().await;
     }
 }
@@ -207,13 +214,13 @@
     Ok(Some(spans))
 }
 
-async fn publish(node: Arc<Node>) {
-    let mut tick = time::interval(PUBLISH);
+async fn publish_metrics(node: Arc<Node>) {
+    let mut tick = time::interval(METRICS_INTERVAL);
     loop {
         tokio::select! {
             () = node.shutdown.cancelled() => return,
             _ = tick.tick() => {
-                // A datagram that can't be sent is lost, and the next interval goes on.
+                // If a datagram cannot be sent, its interval is lost.
                 let _ = node.metrics.publish();
             }
         }
--- a/daemon/src/store.rs
+++ b/daemon/src/store.rs
@@ -1,11 +1,11 @@
-//! Carries out the store calls of the rollout state machines.
+//! Executes the store calls of the rollout state machines.
 
 use bytes::Bytes;
 use celerypond_platform::{Client, PlatformError, Version};
 use celerypond_rollout::{Condition, StoreCall, StoreReply};
 use celerypond_telemetry::{Counter, Metrics};
 
-/// Makes one call and gives its reply.
+/// Executes a call and returns its reply.
 pub async fn call(client: &Client, metrics: &Metrics, call: &StoreCall) -> StoreReply {
     metrics.add(Counter::StoreCalls, 1);
     let reply = match call {
@@ -28,7 +28,7 @@
             version: object.version.0,
             value: object.value.to_vec(),
         },
-        Err(report) => failure(*report.current_context()),
+        Err(report) => failure_reply(*report.current_context()),
     }
 }
 
@@ -40,11 +40,11 @@
     };
     match result {
         Ok(version) => StoreReply::Written { version: version.0 },
-        Err(report) => failure(*report.current_context()),
+        Err(report) => failure_reply(*report.current_context()),
     }
 }
 
-fn failure(error: PlatformError) -> StoreReply {
+fn failure_reply(error: PlatformError) -> StoreReply {
     match error {
         PlatformError::Missing => StoreReply::Missing,
         PlatformError::Conflict => StoreReply::Conflict,
