--- a/daemon/src/body.rs
+++ b/daemon/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and replies.
+//! HTTP bodies of requests and replies.
 
 use std::io;
 
@@ -15,20 +15,20 @@
     /// It is longer than allowed.
     #[error("the body is longer than allowed")]
     TooLong,
-    /// The sender stopped in the middle.
+    /// The sender stopped before the end.
     #[error("the body is cut short")]
-    CutShort,
+    Truncated,
 }
 
-/// Makes a body from bytes.
-pub fn whole(bytes: impl Into<Bytes>) -> Body {
+/// Creates a body from bytes.
+pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(io::Error::other)
         .boxed_unsync()
 }
 
-/// Makes a body that is sent as it comes.
-pub fn streamed(stream: impl Stream<Item = Bytes> + Send + 'static) -> Body {
+/// Creates a body from a stream, sent as it arrives.
+pub fn from_stream(stream: impl Stream<Item = Bytes> + Send + 'static) -> Body {
     let frames = stream.map(|bytes| Ok(Frame::data(bytes)));
     StreamBody::new(frames).boxed_unsync()
 }
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// `TooLong` beyond the limit, without reading on; `CutShort` when the sender stops.
+/// `TooLong` as soon as the limit is exceeded, `Truncated` if the sender stops before the end.
 pub async fn read<B>(body: B, limit: usize) -> Result<Bytes, BodyError>
 where
     B: hyper::body::Body<Data = Bytes>,
@@ -46,6 +46,6 @@
     match Limited::new(body, limit).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(BodyError::TooLong),
-        Err(_) => Err(BodyError::CutShort),
+        Err(_) => Err(BodyError::Truncated),
     }
 }
--- a/daemon/src/charge.rs
+++ b/daemon/src/charge.rs
@@ -1,4 +1,4 @@
-//! What an account is charged for a request.
+//! Charges requests to the limits of client accounts.
 
 use std::sync::Arc;
 
@@ -6,13 +6,13 @@
 use celerypond_route::AccountLimiter;
 use celerypond_types::{AccountKey, NotRunReason};
 
-use crate::{front::problem::Problem, node::Node};
+use crate::{front::api_error::ApiError, node::Node};
 
-/// The tokens that were charged to an account; what was not used goes back when this is dropped.
+/// The tokens charged to an account for a request; dropping it refunds those that were not used.
 pub struct Charge {
     limiter: Arc<AccountLimiter>,
     tokens: u64,
-    /// How many of them were generated.
+    /// The number of tokens generated.
     pub used: u64,
 }
 
@@ -21,20 +21,27 @@
     ///
     /// # Errors
     ///
-    /// `NotRun` when the account is over its limit, with when to come back.
-    pub fn new(node: &Node, account: &Account, tokens: u64) -> Result<(AccountKey, Self), Problem> {
+    /// `NotRun` with a retry delay if the account is over its limit.
+    pub fn new(
+        node: &Node,
+        account: &Account,
+        tokens: u64,
+    ) -> Result<(AccountKey, Self), ApiError> {
         let view = node.view.load();
         let accounts = view.accounts();
-        let found = accounts.key(&account.name);
-        let entry = found.and_then(|key| Some((key, accounts.get(key)?)));
+        let key = accounts.key(&account.name);
+        let entry = key.and_then(|key| Some((key, accounts.get(key)?)));
         let Some((key, entry)) = entry else {
-            // The bundle has just changed; the caller's next try finds the new one.
-            return Err(Problem::not_run(NotRunReason::Overload, Default::default()));
+            // The bundle has just changed; a retry will see the new one.
+            return Err(ApiError::not_run(
+                NotRunReason::Overload,
+                Default::default(),
+            ));
         };
         let limiter = Arc::clone(&entry.limiter);
         limiter
             .admit(tokens, node.now_ms())
-            .map_err(|after| Problem::not_run(NotRunReason::AccountLimit, after))?;
+            .map_err(|after| ApiError::not_run(NotRunReason::AccountLimit, after))?;
         let charge = Self {
             limiter,
             tokens,
--- a/daemon/src/front.rs
+++ b/daemon/src/front.rs
@@ -1,4 +1,4 @@
-//! What callers and operators reach over HTTP.
+//! The HTTP front end for callers and operators.
 
 use std::{
     convert::Infallible, future::Future, net::SocketAddr, panic::AssertUnwindSafe, sync::Arc,
@@ -22,17 +22,17 @@
 
 use crate::node::Node;
 
+pub mod api_error;
 pub mod auth;
 pub mod completions;
 pub mod entries;
 pub mod headers;
 pub mod health;
 pub mod operator;
-pub mod problem;
 pub mod services;
 pub mod socket;
 
-/// The methods that plain services may be called with.
+/// The methods that callers may use with plain services.
 const SERVICE_METHODS: [Method; 6] = [
     Method::GET,
     Method::HEAD,
@@ -42,17 +42,17 @@
     Method::DELETE,
 ];
 
-/// How long a caller may use a connection again that is idle.
-const KEEP_ALIVE: &str = "timeout=10";
+/// The `Keep-Alive` header: how long an idle connection may be reused by the caller.
+const KEEP_ALIVE_VALUE: &str = "timeout=10";
 const _: () = assert!(KEEP_ALIVE_MS == 10_000);
 
-/// A request as handlers see it.
-pub struct Call {
+/// A request, as passed to handlers.
+pub struct FrontRequest {
     /// The method.
     pub method: Method,
-    /// The address within this instance.
+    /// The URI.
     pub uri: Uri,
-    /// Where the caller is.
+    /// The caller's address.
     pub caller: Option<SocketAddr>,
     /// The headers.
     pub headers: HeaderMap,
@@ -60,21 +60,21 @@
     pub body: Body,
 }
 
-/// A reply as handlers give it.
+/// A reply, as returned by handlers.
 pub type Reply = Response<Body>;
 
-/// Wraps the shared state for gotham; all its parts stay whole if a handler panics.
+/// Wraps the shared state for gotham; a handler that panics leaves it in a consistent state.
 #[derive(Clone)]
 struct Shared(Arc<AssertUnwindSafe<Arc<Node>>>);
 
 impl StateData for Shared {}
 
-/// Serves callers on a listener until dropped, which closes the listener and nothing else.
+/// Serves callers on a listener until dropped, which closes the listener but no connections.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) -> Infallible {
     let routes = routes(Arc::clone(&node));
     let sockets = node.sockets.clone();
     gotham::bind_server(listener, routes, move |socket| {
-        std::future::ready(sockets.admit(socket))
+        std::future::ready(sockets.accept(socket))
     })
     .await
 }
@@ -126,26 +126,30 @@
 
 async fn handle<H, F>(mut state: State, handler: H) -> HandlerResult
 where
-    H: FnOnce(Arc<Node>, Call) -> F,
+    H: FnOnce(Arc<Node>, FrontRequest) -> F,
     F: Future<Output = Reply>,
 {
     let node = Arc::clone(&Shared::borrow_from(&state).0 .0);
-    let busy = client_addr(&state).and_then(|address| node.sockets.busy(address));
-    let call = Call {
+    let active_request =
+        client_addr(&state).and_then(|address| node.sockets.begin_request(address));
+    let request = FrontRequest {
         method: Method::borrow_from(&state).clone(),
         uri: Uri::borrow_from(&state).clone(),
         caller: client_addr(&state),
         headers: HeaderMap::take_from(&mut state),
         body: Body::take_from(&mut state),
     };
-    let parent = call.headers.get("traceparent");
+    let parent = request.headers.get("traceparent");
     let parent = parent.and_then(|value| value.to_str().ok()?.parse().ok());
-    let hop = handler(Arc::clone(&node), call).instrument(hop("front", parent));
-    let mut reply = hop.await;
+    let handled = handler(Arc::clone(&node), request).instrument(hop("front", parent));
+    let mut reply = handled.await;
     let headers = reply.headers_mut();
     match node.leaving.is_cancelled() {
         true => headers.insert(header::CONNECTION, HeaderValue::from_static("close")),
-        false => headers.insert("keep-alive", HeaderValue::from_static(KEEP_ALIVE)),
+        false => headers.insert("keep-alive", HeaderValue::from_static(KEEP_ALIVE_VALUE)),
     };
-    Ok((state, reply.map(|body| socket::hold(body, busy))))
+    Ok((
+        state,
+        reply.map(|body| socket::with_active_request(body, active_request)),
+    ))
 }
--- a/daemon/src/front/problem.rs
+++ b/daemon/src/front/api_error.rs
@@ -1,4 +1,4 @@
-//! Failures as callers see them.
+//! Errors as returned to callers, and replies in JSON.
 
 use std::time::Duration;
 
@@ -10,36 +10,36 @@
 
 use crate::{body, front::Reply};
 
-/// A failure as callers see it.
+/// An error as returned to callers.
 #[derive(Clone, Debug, Serialize)]
-pub struct Problem {
-    /// What kind of failure it is, and so what the caller may do.
-    pub kind: Kind,
-    /// What happened, for people.
+pub struct ApiError {
+    /// The kind, which determines what the caller may do.
+    pub kind: ErrorKind,
+    /// The message, for humans.
     pub message: SmolStr,
-    /// When to come back, in milliseconds.
+    /// The time after which to retry, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// Whether it is the account's own limit that refuses.
+    /// Whether the request was refused by the account's limit.
     #[serde(skip)]
     pub over_limit: bool,
 }
 
-/// What kind of failure it is, and so what the caller may do.
+/// The kind of an error, which determines what the caller may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum ErrorKind {
     /// The key is missing or wrong.
     Unauthorized,
-    /// The request is not of the right form; it was not run.
+    /// The request is malformed; it was not run.
     BadRequest,
-    /// Something that the request names does not exist; it was not run.
+    /// The request names something that does not exist; it was not run.
     NotFound,
     /// The request is larger than allowed; it was not run.
     TooLarge,
-    /// Something else came first.
+    /// The request conflicts with another one, or with the state of its subject.
     Conflict,
-    /// The request did not run; it may be sent again.
+    /// The request did not run, and may be sent again.
     NotRun,
     /// The request may have run.
     Unknown,
@@ -47,7 +47,7 @@
     Incomplete,
 }
 
-impl Kind {
+impl ErrorKind {
     fn status(self) -> StatusCode {
         match self {
             Self::Unauthorized => StatusCode::UNAUTHORIZED,
@@ -64,12 +64,12 @@
 
 #[derive(Serialize)]
 struct Wrapped<'a> {
-    error: &'a Problem,
+    error: &'a ApiError,
 }
 
-impl Problem {
-    /// Makes a failure.
-    pub fn new(kind: Kind, message: impl std::fmt::Display) -> Self {
+impl ApiError {
+    /// Creates an error.
+    pub fn new(kind: ErrorKind, message: impl std::fmt::Display) -> Self {
         Self {
             kind,
             message: smol_str::format_smolstr!("{message}"),
@@ -78,33 +78,33 @@
         }
     }
 
-    /// Makes a refusal: the request did not run, and this is when to come back.
+    /// Creates the error of a request that did not run and may be sent again after `retry_after`.
     pub fn not_run(reason: NotRunReason, retry_after: Duration) -> Self {
         Self {
             retry_after_ms: Some(retry_after.as_millis() as u64),
             over_limit: reason == NotRunReason::AccountLimit,
-            ..Self::new(Kind::NotRun, reason)
+            ..Self::new(ErrorKind::NotRun, reason)
         }
     }
 
-    /// Returns the failure as JSON text.
+    /// Returns the error as JSON text.
     pub fn text(&self) -> String {
         serde_json::to_string(&Wrapped { error: self }).unwrap_or_default()
     }
 
-    /// Returns the failure as a reply.
+    /// Returns the error as a reply.
     pub fn reply(&self) -> Reply {
         let status = match self.over_limit {
             true => StatusCode::TOO_MANY_REQUESTS,
             false => self.kind.status(),
         };
         let mut reply = json_text(status, self.text());
-        if self.kind == Kind::Unauthorized {
+        if self.kind == ErrorKind::Unauthorized {
             let scheme = HeaderValue::from_static("Bearer");
             reply.headers_mut().insert(header::WWW_AUTHENTICATE, scheme);
         }
         if let Some(after) = self.retry_after_ms {
-            // The header counts whole seconds; rounding down would bring callers back too early.
+            // The header is in whole seconds; rounded down, callers would retry too early.
             let seconds = after.div_ceil(1000).max(1);
             reply
                 .headers_mut()
@@ -114,13 +114,13 @@
     }
 }
 
-/// Makes a JSON reply from a value.
+/// Creates a JSON reply from a value.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Reply {
     json_text(status, serde_json::to_string(value).unwrap_or_default())
 }
 
 fn json_text(status: StatusCode, text: String) -> Reply {
-    let mut reply = Response::new(body::whole(text));
+    let mut reply = Response::new(body::full(text));
     *reply.status_mut() = status;
     let kind = HeaderValue::from_static("application/json");
     reply.headers_mut().insert(header::CONTENT_TYPE, kind);
--- a/daemon/src/front/auth.rs
+++ b/daemon/src/front/auth.rs
@@ -1,4 +1,4 @@
-//! Who sends a request.
+//! Authentication of client accounts and operators.
 
 use celerypond_bundle::{Account, Operator};
 use celerypond_types::Digest;
@@ -7,7 +7,7 @@
 
 use crate::{
     active_bundle::ActiveBundle,
-    front::problem::{Kind, Problem},
+    front::api_error::{ApiError, ErrorKind},
     node::Node,
 };
 
@@ -17,25 +17,25 @@
 ///
 /// # Errors
 ///
-/// `Unauthorized`, with the same text for a missing and a wrong key.
-pub fn account<'a>(active: &'a ActiveBundle, headers: &HeaderMap) -> Result<&'a Account, Problem> {
-    let digest = key_digest(headers).ok_or_else(refusal)?;
-    active.account(&digest).ok_or_else(refusal)
+/// `Unauthorized`, with the same message for a missing and a wrong key.
+pub fn account<'a>(active: &'a ActiveBundle, headers: &HeaderMap) -> Result<&'a Account, ApiError> {
+    let digest = key_digest(headers).ok_or_else(unauthorized)?;
+    active.account(&digest).ok_or_else(unauthorized)
 }
 
 /// Finds the operator whose key the request carries.
 ///
 /// # Errors
 ///
-/// `Unauthorized`, with the same text for a missing and a wrong key.
-pub fn operator<'a>(node: &'a Node, headers: &HeaderMap) -> Result<&'a Operator, Problem> {
-    let digest = key_digest(headers).ok_or_else(refusal)?;
+/// `Unauthorized`, with the same message for a missing and a wrong key.
+pub fn operator<'a>(node: &'a Node, headers: &HeaderMap) -> Result<&'a Operator, ApiError> {
+    let digest = key_digest(headers).ok_or_else(unauthorized)?;
     let operators = node.settings.operators.iter();
-    // Digests are compared, not keys, so the time taken tells nothing about a key.
+    // Only digests are compared, so the time that it takes reveals nothing about a key.
     operators
         .into_iter()
         .find(|operator| operator.key_digest == digest)
-        .ok_or_else(refusal)
+        .ok_or_else(unauthorized)
 }
 
 fn key_digest(headers: &HeaderMap) -> Option<Digest> {
@@ -44,6 +44,6 @@
     (!key.is_empty()).then(|| Digest::of(key.as_bytes()))
 }
 
-fn refusal() -> Problem {
-    Problem::new(Kind::Unauthorized, "the key is missing or wrong")
+fn unauthorized() -> ApiError {
+    ApiError::new(ErrorKind::Unauthorized, "the key is missing or wrong")
 }
--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/completions`: generates an answer, streamed or whole.
+//! `POST /v1/completions`: generates an answer, streamed or in one piece.
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,9 +24,8 @@
     charge::Charge,
     engine_stream::GenerationRequest,
     front::{
-        auth, headers,
-        problem::{Kind, Problem},
-        Call, Reply,
+        api_error::{ApiError, ErrorKind},
+        auth, headers, FrontRequest, Reply,
     },
     generation::{Admitted, AnswerDriver, OutputEvent, OUTPUT_CAPACITY},
     keeper_records,
@@ -35,12 +34,12 @@
 
 mod reply;
 
-use reply::{streamed_reply, whole_reply, Named};
+use reply::{full_reply, streamed_reply, ReplyContext};
 
-const DEFAULT_TOKENS: u32 = 1024;
-const MOST_TOKENS: u32 = 1 << 20;
-/// When to come back if no bundle is in force yet.
-const NO_BUNDLE: Duration = Duration::from_secs(1);
+const DEFAULT_MAX_TOKENS: u32 = 1024;
+const MAX_TOKENS_LIMIT: u32 = 1 << 20;
+/// The retry delay while no bundle is in force or the routing view lacks the chosen version.
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The body of a request.
 #[derive(Clone, Debug, Deserialize)]
@@ -48,116 +47,125 @@
 struct Completion {
     model: ModelName,
     prompt: String,
-    #[serde(default = "default_tokens")]
+    #[serde(default = "default_max_tokens")]
     max_tokens: u32,
     seed: Option<u64>,
     #[serde(default)]
     stream: bool,
     adapter: Option<AdapterName>,
-    /// The token ids that a caller has, if it comes back with `Last-Event-ID`.
+    /// The token ids that the caller has already received, if it reconnects with `Last-Event-ID`.
     #[serde(default)]
     prefix: Vec<TokenId>,
 }
 
-fn default_tokens() -> u32 {
-    DEFAULT_TOKENS
+fn default_max_tokens() -> u32 {
+    DEFAULT_MAX_TOKENS
 }
 
-/// Generates an answer.
-pub async fn complete(node: Arc<Node>, call: Call) -> Reply {
+/// Handles a request for an answer.
+pub async fn complete(node: Arc<Node>, request: FrontRequest) -> Reply {
     node.metrics.add(Counter::Requests, 1);
-    match begin(&node, call).await {
+    match try_complete(&node, request).await {
         Ok(reply) => reply,
-        Err(problem) => {
+        Err(error) => {
             node.metrics.add(Counter::Refused, 1);
-            problem.reply()
+            error.reply()
         }
     }
 }
 
-async fn begin(node: &Arc<Node>, call: Call) -> Result<Reply, Problem> {
+async fn try_complete(node: &Arc<Node>, request: FrontRequest) -> Result<Reply, ApiError> {
     let Some(active) = node.active_bundle.load_full() else {
-        return Err(Problem::not_run(NotRunReason::NoTarget, NO_BUNDLE));
+        return Err(ApiError::not_run(
+            NotRunReason::NoTarget,
+            NO_TARGET_RETRY_AFTER,
+        ));
     };
-    let account = auth::account(&active, &call.headers)?;
-    let text = headers::read_body(node, call.body).await?;
-    let completion: Completion =
-        serde_json::from_slice(&text).map_err(|error| Problem::new(Kind::BadRequest, error))?;
-    let model = check(&active, &completion)?;
-    let key = headers::request_key(&call.headers, &mut node.rng())?;
-    let named = Named {
+    let account = auth::account(&active, &request.headers)?;
+    let body = headers::read_body(node, request.body).await?;
+    let completion: Completion = serde_json::from_slice(&body)
+        .map_err(|error| ApiError::new(ErrorKind::BadRequest, error))?;
+    let model = check_model(&active, &completion)?;
+    let key = headers::request_key(&request.headers, &mut node.rng())?;
+    let context = ReplyContext {
         id: SmolStr::new(key.as_str()),
         model: completion.model.clone(),
     };
     let streamed = completion.stream;
-    let asked = Asked {
+    let checked = CheckedRequest {
         account,
         model,
         completion,
         key,
-        is_named: call.headers.contains_key(headers::KEY),
-        headers: &call.headers,
+        has_key: request.headers.contains_key(headers::IDEMPOTENCY_KEY),
+        headers: &request.headers,
     };
-    let received = asked.spawn(node).await?;
+    let events = checked.start(node).await?;
     if streamed {
-        return Ok(streamed_reply(named, received));
+        return Ok(streamed_reply(context, events));
     }
-    Ok(whole_reply(&named, received).await)
+    Ok(full_reply(&context, events).await)
 }
 
-fn check<'a>(active: &'a ActiveBundle, completion: &Completion) -> Result<&'a Model, Problem> {
+fn check_model<'a>(
+    active: &'a ActiveBundle,
+    completion: &Completion,
+) -> Result<&'a Model, ApiError> {
     let name = &completion.model;
-    let model = active
-        .model(name)
-        .ok_or_else(|| Problem::new(Kind::NotFound, format_args!("there is no model {name}")))?;
+    let model = active.model(name).ok_or_else(|| {
+        ApiError::new(
+            ErrorKind::NotFound,
+            format_args!("there is no model {name}"),
+        )
+    })?;
     if let Some(adapter) = &completion.adapter
         && !model.adapters.contains(adapter)
     {
         let message = format_args!("model {name} has no adapter {adapter}");
-        return Err(Problem::new(Kind::NotFound, message));
+        return Err(ApiError::new(ErrorKind::NotFound, message));
     }
-    if !(1..=MOST_TOKENS).contains(&completion.max_tokens) {
-        let message = format_args!("max_tokens must be from 1 to {MOST_TOKENS}");
-        return Err(Problem::new(Kind::BadRequest, message));
+    if !(1..=MAX_TOKENS_LIMIT).contains(&completion.max_tokens) {
+        let message = format_args!("max_tokens must be from 1 to {MAX_TOKENS_LIMIT}");
+        return Err(ApiError::new(ErrorKind::BadRequest, message));
     }
     Ok(model)
 }
 
-/// A request that was read and checked.
-struct Asked<'a> {
+/// A validated request.
+struct CheckedRequest<'a> {
     account: &'a Account,
     model: &'a Model,
     completion: Completion,
     key: RequestKey,
-    /// Whether the caller gave the key, so that another instance may know the request.
-    is_named: bool,
+    /// Whether the caller sent the key, in which case keepers may have a record of the request.
+    has_key: bool,
     headers: &'a HeaderMap,
 }
 
-impl Asked<'_> {
-    /// Begins to generate, or goes on where another instance or connection left off.
-    async fn spawn(self, node: &Arc<Node>) -> Result<mpsc::Receiver<OutputEvent>, Problem> {
+impl CheckedRequest<'_> {
+    /// Starts to generate the answer, or takes over from another instance or connection.
+    async fn start(self, node: &Arc<Node>) -> Result<mpsc::Receiver<OutputEvent>, ApiError> {
         let now = Instant::now();
-        let longest = Duration::from_millis(self.model.deadline_ms);
-        let deadline = now + headers::deadline(self.headers, longest)?;
+        let max = Duration::from_millis(self.model.deadline_ms);
+        let deadline = now + headers::time_limit(self.headers, max)?;
         let priority = headers::priority(self.headers, self.account.priority)?;
         let mut rng = node.rng();
         let request = self.request(node, deadline, &mut rng);
         let codec = request.resume_token_codec(&node.resume_token_key);
-        let token = self.token(&codec)?;
+        let resume_token = self.resume_token(&codec)?;
         let driver = DriverId::random(&mut rng);
-        let record = match self.is_named {
+        let record = match self.has_key {
             true => keeper_records::query(node, &request.key).await,
             false => None,
         };
         let prefix = &self.completion.prefix;
-        let plan = TakeOver::plan(driver, token.as_ref(), record.as_ref(), prefix)
-            .map_err(|error| Problem::new(Kind::BadRequest, error))?;
+        let plan = TakeOver::plan(driver, resume_token.as_ref(), record.as_ref(), prefix)
+            .map_err(|error| ApiError::new(ErrorKind::BadRequest, error))?;
         let limits = GenerationLimits::default();
         let mut effects = Vec::new();
         let (answer, admitted) = match plan {
             Some(plan) => {
-                let patience = node
+                let timeouts = node
                     .progress_timeouts
                     .timeouts(&plan.origin.stream.target, 0);
                 let answer = Generation::take_over(
@@ -165,7 +173,7 @@
                     limits,
                     codec,
                     plan,
-                    patience,
+                    timeouts,
                     now,
                     &mut effects,
                 );
@@ -179,21 +187,21 @@
                 (answer, Some(admitted))
             }
         };
-        let ask = self.ask(request.key, priority);
-        let (output, received) = mpsc::channel(OUTPUT_CAPACITY);
-        let drive = AnswerDriver::new(Arc::clone(node), ask, admitted, output);
-        let drive = drive.run(answer, effects).in_current_span();
-        node.background_tasks.spawn(drive);
-        Ok(received)
+        let params = self.into_params(request.key, priority);
+        let (output, events) = mpsc::channel(OUTPUT_CAPACITY);
+        let driver_task = AnswerDriver::new(Arc::clone(node), params, admitted, output);
+        let driver_task = driver_task.run(answer, effects).in_current_span();
+        node.background_tasks.spawn(driver_task);
+        Ok(events)
     }
 
-    /// Waits for a place at an engine, within the account's limits.
+    /// Charges the account and waits for a slot at an engine.
     async fn admit(
         &self,
         node: &Node,
         priority: Priority,
         deadline: Instant,
-    ) -> Result<Admitted, Problem> {
+    ) -> Result<Admitted, ApiError> {
         let tokens = self.completion.max_tokens.into();
         let (account, charge) = Charge::new(node, self.account, tokens)?;
         let view = node.view.load_full();
@@ -202,30 +210,33 @@
             .version_key(&self.model.name, &version)
             .map(Route::Version)
         else {
-            return Err(Problem::not_run(NotRunReason::NoTarget, NO_BUNDLE));
+            return Err(ApiError::not_run(
+                NotRunReason::NoTarget,
+                NO_TARGET_RETRY_AFTER,
+            ));
         };
-        let prefixes = prefixes(&self.completion.prompt);
-        let held_back = node.rollouts.excluded_engines(node, self.model, &version);
-        let excluded = node.suspects.add_to(held_back, Instant::now());
+        let prefixes = prefix_hashes(&self.completion.prompt);
+        let not_in_rollout = node.rollouts.excluded_engines(node, self.model, &version);
+        let excluded = node.suspects.add_to(not_in_rollout, Instant::now());
         let criteria = celerypond_route::PickCriteria {
             prefixes: &prefixes,
             adapter: self.adapter_hash(),
             excluded: &excluded,
             preferred_data_centre: Some(&node.settings.data_centre),
         };
-        let patience = deadline.saturating_duration_since(Instant::now());
-        let patience = patience.min(start_within(priority));
-        let waiting = QueuedRequest {
+        let max_wait = deadline.saturating_duration_since(Instant::now());
+        let max_wait = max_wait.min(max_queue_time(priority));
+        let queued = QueuedRequest {
             account,
             weight: self.account.weight,
             priority,
             cost: 1,
-            deadline: node.now_ms() + patience.as_millis() as u64,
+            deadline: node.now_ms() + max_wait.as_millis() as u64,
             item: (),
         };
-        let admitted = node.admission.admit(node, route, &criteria, waiting).await;
+        let admitted = node.admission.admit(node, route, &criteria, queued).await;
         let permit =
-            admitted.map_err(|refusal| Problem::not_run(refusal.reason, refusal.retry_after))?;
+            admitted.map_err(|refusal| ApiError::not_run(refusal.reason, refusal.retry_after))?;
         Ok(Admitted {
             version,
             permit,
@@ -235,9 +246,9 @@
 
     fn request(&self, node: &Node, deadline: Instant, rng: &mut impl Rng) -> Request {
         Request {
-            // Two accounts may use the same key; at an engine their streams must differ.
+            // Two accounts may use the same key, but their streams at an engine must differ.
             key: RequestKey::new(format!("{}.{}", self.account.name, self.key)),
-            body_digest: self.digest(),
+            body_digest: self.body_digest(),
             seed: self.completion.seed.unwrap_or_else(|| rng.random()),
             max_tokens: self.completion.max_tokens,
             mode: match self.completion.stream {
@@ -249,8 +260,8 @@
         }
     }
 
-    /// Returns the digest of what decides the answer; the prefix that a caller brings does not.
-    fn digest(&self) -> Digest {
+    /// Returns the digest of the fields that determine the answer, so without the caller's prefix.
+    fn body_digest(&self) -> Digest {
         let completion = &self.completion;
         let parts = (
             &completion.model,
@@ -262,12 +273,12 @@
         Digest::of(&serde_json::to_vec(&parts).unwrap_or_default())
     }
 
-    fn token(&self, codec: &ResumeTokenCodec) -> Result<Option<ResumeToken>, Problem> {
+    fn resume_token(&self, codec: &ResumeTokenCodec) -> Result<Option<ResumeToken>, ApiError> {
         let value = self.headers.get("last-event-id");
         value
             .map(|value| codec.decode(value.to_str().unwrap_or_default()))
             .transpose()
-            .map_err(|error| Problem::new(Kind::BadRequest, error))
+            .map_err(|error| ApiError::new(ErrorKind::BadRequest, error))
     }
 
     fn adapter_hash(&self) -> u64 {
@@ -275,7 +286,7 @@
         adapter.map_or(0, |name| celerypond_route::hash(name.as_str().as_bytes()))
     }
 
-    fn ask(self, request: RequestKey, priority: Priority) -> GenerationRequest {
+    fn into_params(self, request: RequestKey, priority: Priority) -> GenerationRequest {
         GenerationRequest {
             request,
             model: self.completion.model,
@@ -287,16 +298,17 @@
     }
 }
 
-/// Returns how long a request may wait to begin; longer waits are refused at once.
-fn start_within(priority: Priority) -> Duration {
+/// Returns how long a request may wait before it starts; if more is expected, it is refused
+/// immediately.
+fn max_queue_time(priority: Priority) -> Duration {
     match priority {
         Priority::Interactive => Duration::from_secs(3),
         Priority::Draft => Duration::from_secs(60),
     }
 }
 
-/// Returns the hashes of the prompt's beginnings, the longest first.
-pub fn prefixes(prompt: &str) -> Vec<u64> {
+/// Returns the hashes of the prompt's prefixes, longest first.
+pub fn prefix_hashes(prompt: &str) -> Vec<u64> {
     const LENGTHS: [usize; 3] = [8192, 2048, 512];
     let bytes = prompt.as_bytes();
     LENGTHS
--- a/daemon/src/front/completions/reply.rs
+++ b/daemon/src/front/completions/reply.rs
@@ -1,4 +1,4 @@
-//! How an answer is written to its caller.
+//! Replies to requests for an answer.
 
 use bytes::Bytes;
 use celerypond_answer::{Emit, Finish};
@@ -13,7 +13,7 @@
 use crate::{
     body,
     front::{
-        problem::{self, Kind, Problem},
+        api_error::{self, ApiError, ErrorKind},
         Reply,
     },
     generation::OutputEvent,
@@ -36,17 +36,17 @@
 }
 
 #[derive(Serialize)]
-struct Whole<'a> {
+struct FullReply<'a> {
     id: &'a str,
     object: &'static str,
     model: &'a str,
     version: &'a str,
-    choices: [WholeChoice<'a>; 1],
+    choices: [FullChoice<'a>; 1],
     usage: Usage,
 }
 
 #[derive(Serialize)]
-struct WholeChoice<'a> {
+struct FullChoice<'a> {
     index: u32,
     text: &'a str,
     finish_reason: celerypond_answer::FinishReason,
@@ -57,16 +57,16 @@
     completion_tokens: Position,
 }
 
-/// What a reply is written from.
-pub(super) struct Named {
-    /// The key of the request.
+/// The parts of a reply that are the same for all events.
+pub(super) struct ReplyContext {
+    /// The key of the request, as sent by the caller or generated.
     pub(super) id: SmolStr,
     /// The model.
     pub(super) model: ModelName,
 }
 
-pub(super) fn streamed_reply(named: Named, received: mpsc::Receiver<OutputEvent>) -> Reply {
-    let mut reply = Response::new(body::streamed(events(named, received)));
+pub(super) fn streamed_reply(context: ReplyContext, events: mpsc::Receiver<OutputEvent>) -> Reply {
+    let mut reply = Response::new(body::from_stream(event_stream(context, events)));
     let headers = reply.headers_mut();
     let kind = HeaderValue::from_static("text/event-stream");
     headers.insert(header::CONTENT_TYPE, kind);
@@ -74,26 +74,29 @@
     reply
 }
 
-fn events(named: Named, received: mpsc::Receiver<OutputEvent>) -> impl Stream<Item = Bytes> {
-    stream::unfold((named, received), |(named, mut received)| async {
-        let event = received.recv().await?;
+fn event_stream(
+    context: ReplyContext,
+    events: mpsc::Receiver<OutputEvent>,
+) -> impl Stream<Item = Bytes> {
+    stream::unfold((context, events), |(context, mut events)| async {
+        let event = events.recv().await?;
         let text = match &event {
-            OutputEvent::Token(emit) => token_event(&named, emit),
-            OutputEvent::Finished(finish) => end_event(&named, finish),
+            OutputEvent::Token(emit) => token_event(&context, emit),
+            OutputEvent::Finished(finish) => end_event(&context, finish),
             OutputEvent::Failed(error) => {
-                let problem = Problem::new(Kind::Incomplete, error);
-                format!("event: error\ndata: {}\n\n", problem.text())
+                let error = ApiError::new(ErrorKind::Incomplete, error);
+                format!("event: error\ndata: {}\n\n", error.text())
             }
         };
-        Some((Bytes::from(text), (named, received)))
+        Some((Bytes::from(text), (context, events)))
     })
 }
 
-fn token_event(named: &Named, emit: &Emit) -> String {
+fn token_event(context: &ReplyContext, emit: &Emit) -> String {
     let chunk = Chunk {
-        id: &named.id,
+        id: &context.id,
         object: "text_completion",
-        model: named.model.as_str(),
+        model: context.model.as_str(),
         choices: [ChunkChoice {
             index: 0,
             position: emit.position,
@@ -105,31 +108,40 @@
     format!("id: {}\ndata: {data}\n\n", emit.resume_token)
 }
 
-fn end_event(named: &Named, finish: &Finish) -> String {
-    let data = serde_json::to_string(&whole(named, finish)).unwrap_or_default();
+fn end_event(context: &ReplyContext, finish: &Finish) -> String {
+    let data = serde_json::to_string(&full_completion(context, finish)).unwrap_or_default();
     format!("data: {data}\n\ndata: [DONE]\n\n")
 }
 
-pub(super) async fn whole_reply(named: &Named, mut received: mpsc::Receiver<OutputEvent>) -> Reply {
-    while let Some(event) = received.recv().await {
+pub(super) async fn full_reply(
+    context: &ReplyContext,
+    mut events: mpsc::Receiver<OutputEvent>,
+) -> Reply {
+    while let Some(event) = events.recv().await {
         match event {
             OutputEvent::Token(_) => {}
             OutputEvent::Finished(finish) => {
-                return problem::json(StatusCode::OK, &whole(named, &finish))
+                return api_error::json(StatusCode::OK, &full_completion(context, &finish))
+            }
+            OutputEvent::Failed(error) => {
+                return ApiError::new(ErrorKind::Incomplete, error).reply()
             }
-            OutputEvent::Failed(error) => return Problem::new(Kind::Incomplete, error).reply(),
         }
     }
-    Problem::new(Kind::Incomplete, celerypond_answer::Incomplete::Abandoned).reply()
+    ApiError::new(
+        ErrorKind::Incomplete,
+        celerypond_answer::Incomplete::Abandoned,
+    )
+    .reply()
 }
 
-fn whole<'a>(named: &'a Named, finish: &'a Finish) -> Whole<'a> {
-    Whole {
-        id: &named.id,
+fn full_completion<'a>(context: &'a ReplyContext, finish: &'a Finish) -> FullReply<'a> {
+    FullReply {
+        id: &context.id,
         object: "text_completion",
-        model: named.model.as_str(),
+        model: context.model.as_str(),
         version: finish.version.as_str(),
-        choices: [WholeChoice {
+        choices: [FullChoice {
             index: 0,
             text: finish.text.as_deref().unwrap_or_default(),
             finish_reason: finish.reason,
--- a/daemon/src/front/entries.rs
+++ b/daemon/src/front/entries.rs
@@ -1,4 +1,4 @@
-//! Which addresses of the system callers should use.
+//! `GET /v1/entries`: the instances that callers should connect to.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -9,42 +9,42 @@
 use serde::Serialize;
 
 use crate::{
-    front::{problem, Call, Reply},
+    front::{api_error, FrontRequest, Reply},
     node::Node,
 };
 
 #[derive(Serialize)]
-struct Answer {
-    entries: Vec<Address>,
+struct EntriesReply {
+    entries: Vec<Entry>,
     ttl_s: u64,
 }
 
 #[derive(Serialize)]
-struct Address {
+struct Entry {
     address: SocketAddr,
     data_centre: String,
 }
 
-/// Lists addresses, nearest data centre first, without instances that stop or do not answer.
-pub async fn list(node: Arc<Node>, call: Call) -> Reply {
-    let all = known(&node);
-    let near = [node.settings.data_centre.clone()];
-    let caller = call
+/// Lists addresses, nearest data centre first, without instances that are leaving or do not respond.
+pub async fn list(node: Arc<Node>, request: FrontRequest) -> Reply {
+    let entry_points = entry_points(&node);
+    let nearest = [node.settings.data_centre.clone()];
+    let caller_hash = request
         .caller
         .map_or(0, |caller| hash(caller.ip().to_string().as_bytes()));
-    let chosen = select_entry_points(&all, &near, caller);
-    let answer = Answer {
-        entries: chosen.into_iter().map(address).collect(),
+    let selected = select_entry_points(&entry_points, &nearest, caller_hash);
+    let reply = EntriesReply {
+        entries: selected.into_iter().map(to_entry).collect(),
         ttl_s: ENTRY_POINTS_TTL.as_secs(),
     };
-    problem::json(StatusCode::OK, &answer)
+    api_error::json(StatusCode::OK, &reply)
 }
 
-/// Returns the listed instances; gossip knows sooner than the list which of them leave.
-fn known(node: &Node) -> Vec<EntryPoint> {
+/// Returns the listed instances; gossip reports earlier than the list which of them are leaving.
+fn entry_points(node: &Node) -> Vec<EntryPoint> {
     let list = node.instance_list.load();
     let gossip = node.gossip();
-    let is_gone = |name| {
+    let is_not_live = |name| {
         let state = gossip
             .membership()
             .by_name(name)
@@ -62,14 +62,14 @@
                 data_centre: instance.data_centre.clone(),
                 leaving: instance.state == Presence::Leaving
                     || own_leaving
-                    || !is_own && is_gone(&instance.name),
+                    || !is_own && is_not_live(&instance.name),
             }
         })
         .collect()
 }
 
-fn address(entry: &EntryPoint) -> Address {
-    Address {
+fn to_entry(entry: &EntryPoint) -> Entry {
+    Entry {
         address: entry.address,
         data_centre: entry.data_centre.to_string(),
     }
--- a/daemon/src/front/headers.rs
+++ b/daemon/src/front/headers.rs
@@ -1,4 +1,4 @@
-//! What callers say in headers.
+//! The request headers of callers, and their bodies.
 
 use std::time::Duration;
 
@@ -9,96 +9,96 @@
 
 use crate::{
     body::{self, BodyError},
-    front::problem::{Kind, Problem},
+    front::api_error::{ApiError, ErrorKind},
     node::Node,
 };
 
-/// The header by which a caller names a request across its retries.
-pub const KEY: &str = "idempotency-key";
-/// The header that says how long the caller waits, in milliseconds.
-pub const DEADLINE: &str = "celerypond-deadline-ms";
-/// The header that says how urgent the request is.
-pub const PRIORITY: &str = "celerypond-priority";
-const LONGEST_KEY: usize = 128;
+/// The header with the key that identifies a request across the caller's retries.
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
+/// The header with the time that the caller waits, in milliseconds.
+pub const DEADLINE_HEADER: &str = "celerypond-deadline-ms";
+/// The header with the priority of the request.
+pub const PRIORITY_HEADER: &str = "celerypond-priority";
+const MAX_KEY_LENGTH: usize = 128;
 
-/// Returns the caller's name for the request, or a random one.
+/// Returns the caller's key for the request, or a random one.
 ///
 /// # Errors
 ///
-/// `BadRequest` for a key that is not safe in paths and logs.
-pub fn request_key(headers: &HeaderMap, rng: &mut impl Rng) -> Result<RequestKey, Problem> {
-    match given_key(headers)? {
+/// `BadRequest` if the key is not safe in paths and logs.
+pub fn request_key(headers: &HeaderMap, rng: &mut impl Rng) -> Result<RequestKey, ApiError> {
+    match idempotency_key(headers)? {
         Some(key) => Ok(key),
         None => Ok(RequestKey::new(format!("{:032x}", rng.random::<u128>()))),
     }
 }
 
-/// Returns the caller's name for the request, if it gave one.
+/// Returns the caller's key for the request, if it sent one.
 ///
 /// # Errors
 ///
-/// `BadRequest` for a key that is not safe in paths and logs.
-pub fn given_key(headers: &HeaderMap) -> Result<Option<RequestKey>, Problem> {
-    let Some(value) = headers.get(KEY) else {
+/// `BadRequest` if the key is not safe in paths and logs.
+pub fn idempotency_key(headers: &HeaderMap) -> Result<Option<RequestKey>, ApiError> {
+    let Some(value) = headers.get(IDEMPOTENCY_KEY) else {
         return Ok(None);
     };
     let key = value.to_str().unwrap_or_default();
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
-    if key.is_empty() || key.len() > LONGEST_KEY || !key.chars().all(plain) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
+    if key.is_empty() || key.len() > MAX_KEY_LENGTH || !key.chars().all(is_allowed) {
         let message = "idempotency-key must be 1 to 128 of a-z, A-Z, 0-9, '.', '_' and '-'";
-        return Err(Problem::new(Kind::BadRequest, message));
+        return Err(ApiError::new(ErrorKind::BadRequest, message));
     }
     Ok(Some(RequestKey::new(key)))
 }
 
-/// Returns how long the caller waits, at most `longest`.
+/// Returns how long the caller waits, but at most `max`.
 ///
 /// # Errors
 ///
-/// `BadRequest` for a text that is no number.
-pub fn deadline(headers: &HeaderMap, longest: Duration) -> Result<Duration, Problem> {
-    let Some(value) = headers.get(DEADLINE) else {
-        return Ok(longest);
+/// `BadRequest` if the value is not a whole number.
+pub fn time_limit(headers: &HeaderMap, max: Duration) -> Result<Duration, ApiError> {
+    let Some(value) = headers.get(DEADLINE_HEADER) else {
+        return Ok(max);
     };
     let millis = value.to_str().ok().and_then(|text| text.parse().ok());
     match millis {
-        Some(millis) => Ok(longest.min(Duration::from_millis(millis))),
-        None => Err(Problem::new(
-            Kind::BadRequest,
+        Some(millis) => Ok(max.min(Duration::from_millis(millis))),
+        None => Err(ApiError::new(
+            ErrorKind::BadRequest,
             "celerypond-deadline-ms must be a whole number of milliseconds",
         )),
     }
 }
 
-/// Returns how urgent the request is.
+/// Returns the priority of the request.
 ///
 /// # Errors
 ///
-/// `BadRequest` for a text that is no priority.
-pub fn priority(headers: &HeaderMap, default: Priority) -> Result<Priority, Problem> {
-    match headers.get(PRIORITY).map(|value| value.as_bytes()) {
+/// `BadRequest` if the value is not a priority.
+pub fn priority(headers: &HeaderMap, default: Priority) -> Result<Priority, ApiError> {
+    match headers.get(PRIORITY_HEADER).map(|value| value.as_bytes()) {
         None => Ok(default),
         Some(b"interactive") => Ok(Priority::Interactive),
         Some(b"draft") => Ok(Priority::Draft),
-        Some(_) => Err(Problem::new(
-            Kind::BadRequest,
+        Some(_) => Err(ApiError::new(
+            ErrorKind::BadRequest,
             "celerypond-priority must be interactive or draft",
         )),
     }
 }
 
-/// Reads a body of at most the length that the settings allow.
+/// Reads a body, up to the maximum length in the settings.
 ///
 /// # Errors
 ///
-/// `TooLarge` or `BadRequest`.
-pub async fn read_body(node: &Node, body: Body) -> Result<Bytes, Problem> {
+/// `TooLarge` if it is longer, `BadRequest` if it ends early.
+pub async fn read_body(node: &Node, body: Body) -> Result<Bytes, ApiError> {
     let limit = node.settings.body_limit;
     body::read(body, limit).await.map_err(|error| {
         let kind = match error {
-            BodyError::TooLong => Kind::TooLarge,
-            BodyError::CutShort => Kind::BadRequest,
+            BodyError::TooLong => ErrorKind::TooLarge,
+            BodyError::Truncated => ErrorKind::BadRequest,
         };
-        Problem::new(kind, error)
+        ApiError::new(kind, error)
     })
 }
--- a/daemon/src/front/health.rs
+++ b/daemon/src/front/health.rs
@@ -1,4 +1,4 @@
-//! Whether this instance is alive and ready, and its counters.
+//! `GET /v1/health`, `/v1/ready` and `/v1/metrics`.
 
 use std::sync::Arc;
 
@@ -8,46 +8,46 @@
 
 use crate::{
     body,
-    front::{problem, Call, Reply},
+    front::{api_error, FrontRequest, Reply},
     node::Node,
 };
 
 #[derive(Serialize)]
-struct State {
+struct Health {
     state: &'static str,
     revision: u64,
 }
 
-/// Answers as long as the process runs.
-pub async fn live(node: Arc<Node>, _call: Call) -> Reply {
-    problem::json(StatusCode::OK, &state(&node))
+/// Responds with 200 as long as the process runs.
+pub async fn live(node: Arc<Node>, _call: FrontRequest) -> Reply {
+    api_error::json(StatusCode::OK, &health(&node))
 }
 
-/// Answers 200 when this instance has a bundle in force and is not stopping.
-pub async fn ready(node: Arc<Node>, _call: Call) -> Reply {
-    let state = state(&node);
-    let status = match state.state {
+/// Responds with 200 if a bundle is in force and the instance is not leaving, otherwise with 503.
+pub async fn ready(node: Arc<Node>, _call: FrontRequest) -> Reply {
+    let health = health(&node);
+    let status = match health.state {
         "live" => StatusCode::OK,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
-    problem::json(status, &state)
+    api_error::json(status, &health)
 }
 
-/// Answers all counters and gauges as text.
-pub async fn metrics(node: Arc<Node>, _call: Call) -> Reply {
+/// Responds with all counters and gauges as text.
+pub async fn metrics(node: Arc<Node>, _call: FrontRequest) -> Reply {
     let connections = node.sockets.len() as u64;
     node.metrics.set(Gauge::Connections, connections);
-    Response::new(body::whole(node.metrics.render()))
+    Response::new(body::full(node.metrics.render()))
 }
 
-fn state(node: &Node) -> State {
+fn health(node: &Node) -> Health {
     let active = node.active_bundle.load();
     let state = match (node.leaving.is_cancelled(), active.is_some()) {
         (true, _) => "leaving",
         (false, true) => "live",
         (false, false) => "no_bundle",
     };
-    State {
+    Health {
         state,
         revision: active.as_ref().map_or(0, |active| active.revision().0),
     }
--- a/daemon/src/front/operator.rs
+++ b/daemon/src/front/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' steps over HTTP.
+//! `/v1/operator/…`: the operations of operators on bundles.
 
 use std::sync::Arc;
 
@@ -14,17 +14,16 @@
 
 use crate::{
     front::{
-        auth, headers,
-        problem::{self, Kind, Problem},
-        Call, Reply,
+        api_error::{self, ApiError, ErrorKind},
+        auth, headers, FrontRequest, Reply,
     },
     node::{self, Node},
     rollouts::RolloutStatus,
     store, watch,
 };
 
-/// When operators may try again while the store is down, in milliseconds.
-const COME_BACK_MS: u64 = 1_000;
+/// The retry delay of operations while the store is down, in milliseconds.
+const RETRY_AFTER_MS: u64 = 1_000;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -46,7 +45,7 @@
 }
 
 #[derive(Serialize)]
-struct Outrun {
+struct LostRace {
     outrun_by: Option<CurrentBundle>,
 }
 
@@ -67,31 +66,31 @@
 }
 
 /// Stores a bundle for approval.
-pub async fn submit(node: Arc<Node>, call: Call) -> Reply {
-    step(node, call, |text| {
-        let text = String::from_utf8_lossy(text);
-        let bundle = Bundle::parse(&text).map_err(|faults| {
+pub async fn submit(node: Arc<Node>, request: FrontRequest) -> Reply {
+    handle_operation(node, request, |body| {
+        let body = String::from_utf8_lossy(body);
+        let bundle = Bundle::parse(&body).map_err(|faults| {
             let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
-            Problem::new(Kind::BadRequest, lines.join("\n"))
+            ApiError::new(ErrorKind::BadRequest, lines.join("\n"))
         })?;
         Ok(OperationRequest::Submit(Box::new(bundle)))
     })
     .await
 }
 
-/// Signs a bundle off.
-pub async fn approve(node: Arc<Node>, call: Call) -> Reply {
-    step(node, call, |text| {
-        let approve: Approve = read_json(text)?;
+/// Approves a submitted bundle.
+pub async fn approve(node: Arc<Node>, request: FrontRequest) -> Reply {
+    handle_operation(node, request, |body| {
+        let approve: Approve = read_json(body)?;
         Ok(OperationRequest::Approve(approve.digest))
     })
     .await
 }
 
-/// Puts an approved bundle in force.
-pub async fn roll(node: Arc<Node>, call: Call) -> Reply {
-    step(node, call, |text| {
-        let roll: Roll = read_json(text)?;
+/// Rolls an approved bundle, which brings it into force.
+pub async fn roll(node: Arc<Node>, request: FrontRequest) -> Reply {
+    handle_operation(node, request, |body| {
+        let roll: Roll = read_json(body)?;
         Ok(OperationRequest::Roll {
             digest: roll.digest,
             expected: roll.expected,
@@ -100,10 +99,10 @@
     .await
 }
 
-/// Tells what is in force.
-pub async fn status(node: Arc<Node>, call: Call) -> Reply {
-    if let Err(problem) = auth::operator(&node, &call.headers) {
-        return problem.reply();
+/// Returns the bundle in force and the state of the rollouts.
+pub async fn status(node: Arc<Node>, request: FrontRequest) -> Reply {
+    if let Err(error) = auth::operator(&node, &request.headers) {
+        return error.reply();
     }
     let active = node.active_bundle.load();
     let active = active.as_ref();
@@ -114,20 +113,20 @@
         digest: active.map(|active| active.header.digest),
         title: active.map(|active| active.bundle.title.to_string()),
         in_force,
-        // The one that is furthest from its end stands for all.
+        // For clients that expect a single rollout: one that has not ended, if there is any.
         rollout: rollouts
             .iter()
             .min_by_key(|rollout| rollout.ending.is_some())
             .cloned(),
         rollouts,
     };
-    problem::json(StatusCode::OK, &status)
+    api_error::json(StatusCode::OK, &status)
 }
 
-/// Lists all steps of operators, oldest first.
-pub async fn history(node: Arc<Node>, call: Call) -> Reply {
-    if let Err(problem) = auth::operator(&node, &call.headers) {
-        return problem.reply();
+/// Lists all operations, oldest first.
+pub async fn history(node: Arc<Node>, request: FrontRequest) -> Reply {
+    if let Err(error) = auth::operator(&node, &request.headers) {
+        return error.reply();
     }
     match node.platform.list_all(AUDIT_PREFIX).await {
         Ok(listing) => {
@@ -135,73 +134,75 @@
             let steps = objects
                 .filter_map(|object| parse_json(&object.value))
                 .collect();
-            problem::json(StatusCode::OK, &History { steps })
+            api_error::json(StatusCode::OK, &History { steps })
+        }
+        Err(report) => {
+            with_retry_after(ApiError::new(ErrorKind::NotRun, report.current_context())).reply()
         }
-        Err(report) => come_back(Problem::new(Kind::NotRun, report.current_context())).reply(),
     }
 }
 
 /// Returns a submitted bundle.
-pub async fn bundle(node: Arc<Node>, call: Call) -> Reply {
-    let found = match asked_digest(&node, &call) {
+pub async fn bundle(node: Arc<Node>, request: FrontRequest) -> Reply {
+    let found = match requested_digest(&node, &request) {
         Ok(digest) => read_bundle(&node, digest).await,
-        Err(problem) => Err(problem),
+        Err(error) => Err(error),
     };
     match found {
-        Ok(bundle) => problem::json(StatusCode::OK, &bundle),
-        Err(problem) => problem.reply(),
+        Ok(bundle) => api_error::json(StatusCode::OK, &bundle),
+        Err(error) => error.reply(),
     }
 }
 
-fn asked_digest(node: &Node, call: &Call) -> Result<Digest, Problem> {
-    auth::operator(node, &call.headers)?;
-    let name = call.uri.path().rsplit('/').next().unwrap_or_default();
+fn requested_digest(node: &Node, request: &FrontRequest) -> Result<Digest, ApiError> {
+    auth::operator(node, &request.headers)?;
+    let name = request.uri.path().rsplit('/').next().unwrap_or_default();
     name.parse()
-        .map_err(|error| Problem::new(Kind::BadRequest, error))
+        .map_err(|error| ApiError::new(ErrorKind::BadRequest, error))
 }
 
-async fn read_bundle(node: &Node, digest: Digest) -> Result<Bundle, Problem> {
+async fn read_bundle(node: &Node, digest: Digest) -> Result<Bundle, ApiError> {
     let read = StoreCall::read(bundle_key(digest));
     match store::call(&node.platform, &node.metrics, &read).await {
         StoreReply::Found { value, .. } => parse_json::<Submission>(&value)
             .map(|submission| submission.bundle)
-            .ok_or_else(|| Problem::new(Kind::Incomplete, OperationError::Malformed)),
-        StoreReply::Missing => Err(Problem::new(
-            Kind::NotFound,
+            .ok_or_else(|| ApiError::new(ErrorKind::Incomplete, OperationError::Malformed)),
+        StoreReply::Missing => Err(ApiError::new(
+            ErrorKind::NotFound,
             OperationError::BundleNotFound(digest),
         )),
-        _ => Err(come_back(Problem::new(
-            Kind::NotRun,
+        _ => Err(with_retry_after(ApiError::new(
+            ErrorKind::NotRun,
             OperationError::StoreDown,
         ))),
     }
 }
 
-async fn step(
+async fn handle_operation(
     node: Arc<Node>,
-    call: Call,
-    request: impl FnOnce(&[u8]) -> Result<OperationRequest, Problem>,
+    request: FrontRequest,
+    parse: impl FnOnce(&[u8]) -> Result<OperationRequest, ApiError>,
 ) -> Reply {
     let result = async {
-        let operator = auth::operator(&node, &call.headers)?;
+        let operator = auth::operator(&node, &request.headers)?;
         let signature = Signature {
             operator: operator.name.clone(),
             at_ms: node::wall_ms(),
             nonce: node.nonce(),
         };
-        let text = headers::read_body(&node, call.body).await?;
-        let request = request(&text)?;
-        run(&node, request, signature)
+        let body = headers::read_body(&node, request.body).await?;
+        let operation = parse(&body)?;
+        run_operation(&node, operation, signature)
             .await
-            .map_err(|error| operation_problem(&error))
+            .map_err(|error| api_error(&error))
     };
     match result.await {
-        Ok(done) => reply(&node, done).await,
-        Err(problem) => problem.reply(),
+        Ok(outcome) => outcome_reply(&node, outcome).await,
+        Err(error) => error.reply(),
     }
 }
 
-async fn run(
+async fn run_operation(
     node: &Node,
     request: OperationRequest,
     signature: Signature,
@@ -213,50 +214,50 @@
                 let reply = store::call(&node.platform, &node.metrics, &call).await;
                 step = operation.reply(reply);
             }
-            OperationStep::Finished(end) => return end,
+            OperationStep::Finished(result) => return result,
         }
     }
 }
 
-async fn reply(node: &Arc<Node>, done: OperationOutcome) -> Reply {
-    match done {
+async fn outcome_reply(node: &Arc<Node>, outcome: OperationOutcome) -> Reply {
+    match outcome {
         OperationOutcome::Submitted(digest, signature) => {
             let operator = signature.operator.to_string();
-            problem::json(StatusCode::OK, &Submitted { digest, operator })
+            api_error::json(StatusCode::OK, &Submitted { digest, operator })
         }
-        OperationOutcome::Approved(approval) => problem::json(StatusCode::OK, &approval),
+        OperationOutcome::Approved(approval) => api_error::json(StatusCode::OK, &approval),
         OperationOutcome::Rolled(current) => {
-            // The roll is accepted whether or not this instance can read it back now.
+            // The roll has succeeded even if this instance cannot read it back now.
             watch::fetch_from_store(node).await;
-            problem::json(StatusCode::OK, &current)
+            api_error::json(StatusCode::OK, &current)
         }
         OperationOutcome::LostRace { winner } => {
-            problem::json(StatusCode::CONFLICT, &Outrun { outrun_by: winner })
+            api_error::json(StatusCode::CONFLICT, &LostRace { outrun_by: winner })
         }
     }
 }
 
-fn operation_problem(error: &OperationError) -> Problem {
+fn api_error(error: &OperationError) -> ApiError {
     let kind = match error {
-        OperationError::StoreDown => Kind::NotRun,
-        OperationError::OutcomeUnknown => Kind::Unknown,
-        OperationError::BundleNotFound(_) => Kind::NotFound,
-        OperationError::SelfApproval | OperationError::NotApproved(_) => Kind::Conflict,
-        OperationError::TooLarge(_) => Kind::TooLarge,
-        OperationError::Malformed => Kind::Incomplete,
+        OperationError::StoreDown => ErrorKind::NotRun,
+        OperationError::OutcomeUnknown => ErrorKind::Unknown,
+        OperationError::BundleNotFound(_) => ErrorKind::NotFound,
+        OperationError::SelfApproval | OperationError::NotApproved(_) => ErrorKind::Conflict,
+        OperationError::TooLarge(_) => ErrorKind::TooLarge,
+        OperationError::Malformed => ErrorKind::Incomplete,
     };
-    come_back(Problem::new(kind, error))
+    with_retry_after(ApiError::new(kind, error))
 }
 
-/// Says when to come back if nothing was run.
-fn come_back(problem: Problem) -> Problem {
-    let is_not_run = problem.kind == Kind::NotRun;
-    Problem {
-        retry_after_ms: is_not_run.then_some(COME_BACK_MS),
-        ..problem
+/// Sets the retry delay if the operation was not run.
+fn with_retry_after(error: ApiError) -> ApiError {
+    let is_not_run = error.kind == ErrorKind::NotRun;
+    ApiError {
+        retry_after_ms: is_not_run.then_some(RETRY_AFTER_MS),
+        ..error
     }
 }
 
-fn read_json<T: DeserializeOwned>(text: &[u8]) -> Result<T, Problem> {
-    serde_json::from_slice(text).map_err(|error| Problem::new(Kind::BadRequest, error))
+fn read_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, ApiError> {
+    serde_json::from_slice(body).map_err(|error| ApiError::new(ErrorKind::BadRequest, error))
 }
--- a/daemon/src/front/socket.rs
+++ b/daemon/src/front/socket.rs
@@ -1,7 +1,7 @@
-//! Connections from callers, and how a planned stop ends them.
+//! Connections from callers, and how they are drained in a planned stop.
 //!
-//! gotham serves each connection in a task that it does not give out. A connection therefore
-//! carries a token of a tracker, which tells when all of them have ended.
+//! gotham serves each connection in a task that it does not expose. Each connection therefore holds
+//! a token of a task tracker, which shows when all connections have ended.
 
 use std::{
     collections::HashMap,
@@ -28,8 +28,8 @@
 };
 use tokio_util::task::{task_tracker::TaskTrackerToken, TaskTracker};
 
-/// After how long an idle connection is closed.
-const IDLE_CLOSE: Duration = Duration::from_millis(IDLE_CLOSE_MS);
+/// How long a connection may be idle before it is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(IDLE_CLOSE_MS);
 
 /// All connections from callers.
 #[derive(Clone, Default)]
@@ -39,31 +39,32 @@
 
 #[derive(Default)]
 struct Shared {
-    open: Mutex<HashMap<SocketAddr, Arc<Use>>>,
+    connections: Mutex<HashMap<SocketAddr, Arc<Activity>>>,
     tracker: TaskTracker,
 }
 
-/// The use of one connection.
-struct Use {
-    born: Instant,
-    /// When bytes last moved or a reply was last complete, in milliseconds after `born`.
-    last_ms: AtomicU64,
-    /// How many requests are not fully answered.
+/// The activity on one connection.
+struct Activity {
+    opened_at: Instant,
+    /// When data was last transferred or a reply was completed, in milliseconds after `opened_at`.
+    last_activity_ms: AtomicU64,
+    /// The number of requests whose reply is not complete.
     requests: AtomicUsize,
 }
 
-impl Use {
-    fn touch(&self) {
-        let now_ms = self.born.elapsed().as_millis() as u64;
-        self.last_ms.fetch_max(now_ms, SeqCst);
+impl Activity {
+    fn record(&self) {
+        let now_ms = self.opened_at.elapsed().as_millis() as u64;
+        self.last_activity_ms.fetch_max(now_ms, SeqCst);
     }
 
-    /// Returns when the connection has been idle for long enough, if nothing happens until then.
-    fn closes_at(&self) -> Instant {
-        let last = self.born + Duration::from_millis(self.last_ms.load(SeqCst));
+    /// Returns when the connection will have been idle for the timeout if there is no activity.
+    fn idle_deadline(&self) -> Instant {
+        let last_activity =
+            self.opened_at + Duration::from_millis(self.last_activity_ms.load(SeqCst));
         match self.requests.load(SeqCst) {
-            0 => last + IDLE_CLOSE,
-            _ => Instant::now() + IDLE_CLOSE,
+            0 => last_activity + IDLE_TIMEOUT,
+            _ => Instant::now() + IDLE_TIMEOUT,
         }
     }
 }
@@ -72,60 +73,57 @@
 pub struct Socket {
     stream: TcpStream,
     address: SocketAddr,
-    usage: Arc<Use>,
-    closing: Pin<Box<Sleep>>,
+    activity: Arc<Activity>,
+    idle_timer: Pin<Box<Sleep>>,
     sockets: Sockets,
     _token: TaskTrackerToken,
 }
 
-/// Marks a connection as having a request that is not fully answered.
-pub struct Busy(Arc<Use>);
+/// Marks a connection as active until the reply to a request is complete.
+pub struct ActiveRequest(Arc<Activity>);
 
-impl Drop for Busy {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.0.touch();
+        self.0.record();
         self.0.requests.fetch_sub(1, SeqCst);
     }
 }
 
 impl Sockets {
-    /// Takes a new connection in.
+    /// Registers a new connection.
     ///
     /// # Errors
     ///
-    /// Fails when the caller is gone already.
-    #[expect(
-        clippy::result_unit_err,
-        reason = "this is the form that gotham asks for"
-    )]
-    pub fn admit(&self, stream: TcpStream) -> Result<Socket, ()> {
+    /// Fails if the caller has already disconnected.
+    #[expect(clippy::result_unit_err, reason = "gotham requires this signature")]
+    pub fn accept(&self, stream: TcpStream) -> Result<Socket, ()> {
         let address = stream.peer_addr().map_err(drop)?;
-        // Without this, the second small write of a reply waits for an acknowledgement.
+        // Otherwise Nagle's algorithm delays the second small write of a reply until an ACK.
         stream.set_nodelay(true).map_err(drop)?;
-        let usage = Arc::new(Use {
-            born: Instant::now(),
-            last_ms: AtomicU64::new(0),
+        let activity = Arc::new(Activity {
+            opened_at: Instant::now(),
+            last_activity_ms: AtomicU64::new(0),
             requests: AtomicUsize::new(0),
         });
-        self.lock().insert(address, Arc::clone(&usage));
+        self.lock().insert(address, Arc::clone(&activity));
         Ok(Socket {
             stream,
             address,
-            closing: Box::pin(time::sleep_until(usage.closes_at())),
-            usage,
+            idle_timer: Box::pin(time::sleep_until(activity.idle_deadline())),
+            activity,
             sockets: self.clone(),
             _token: self.shared.tracker.token(),
         })
     }
 
-    /// Returns the mark of a connection's request, to be dropped with the end of its reply.
-    pub fn busy(&self, address: SocketAddr) -> Option<Busy> {
-        let usage = Arc::clone(self.lock().get(&address)?);
-        usage.requests.fetch_add(1, SeqCst);
-        Some(Busy(usage))
+    /// Marks a connection as active; drop the returned value when the reply is complete.
+    pub fn begin_request(&self, address: SocketAddr) -> Option<ActiveRequest> {
+        let activity = Arc::clone(self.lock().get(&address)?);
+        activity.requests.fetch_add(1, SeqCst);
+        Some(ActiveRequest(activity))
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of open connections.
     pub fn len(&self) -> usize {
         self.shared.tracker.len()
     }
@@ -135,15 +133,15 @@
         self.len() == 0
     }
 
-    /// Waits until all connections have ended, after a last reply or for being idle.
+    /// Waits until all connections have ended, after their last reply or by the idle timeout.
     pub async fn drain(&self) {
         self.shared.tracker.close();
         self.shared.tracker.wait().await;
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Arc<Use>>> {
-        let open = self.shared.open.lock();
-        open.unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Arc<Activity>>> {
+        let connections = self.shared.connections.lock();
+        connections.unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -159,22 +157,22 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // The failure: an idle connection is kept open by its caller, and the stop never ends. An
-        // end of input closes it, at any time and not for the stop: a caller whose last reply came
-        // before the stop was not told that the connection closes, and uses it again. While a
-        // request is answered there is no such end, since the server would take it for a caller
-        // that has gone.
-        while self.closing.as_mut().poll(context).is_ready() {
-            let closes_at = self.usage.closes_at();
-            if closes_at <= Instant::now() {
+        // An idle connection that its caller keeps open would delay a planned stop forever, so it is
+        // closed by reporting the end of input after the idle timeout. This applies at any time, not
+        // only during a stop: a caller whose last reply preceded the stop was not told to close the
+        // connection and may reuse it. It does not apply while a request is active, as the server
+        // would assume that the caller has disconnected.
+        while self.idle_timer.as_mut().poll(context).is_ready() {
+            let idle_deadline = self.activity.idle_deadline();
+            if idle_deadline <= Instant::now() {
                 return Poll::Ready(Ok(()));
             }
-            self.closing.as_mut().reset(closes_at);
+            self.idle_timer.as_mut().reset(idle_deadline);
         }
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
-        if buffer.filled().len() > before {
-            self.usage.touch();
+        if buffer.filled().len() > filled_before {
+            self.activity.record();
         }
         polled
     }
@@ -186,7 +184,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.usage.touch();
+        self.activity.record();
         Pin::new(&mut self.stream).poll_write(context, bytes)
     }
 
@@ -203,7 +201,7 @@
         context: &mut Context<'_>,
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.usage.touch();
+        self.activity.record();
         Pin::new(&mut self.stream).poll_write_vectored(context, slices)
     }
 
@@ -212,20 +210,24 @@
     }
 }
 
-/// Keeps a connection busy until the body of its reply has been sent.
-pub fn hold(body: Body, busy: Option<Busy>) -> Body {
-    match busy {
-        Some(busy) => Held { body, _busy: busy }.boxed_unsync(),
+/// Keeps the connection marked as active until the body of the reply has been sent.
+pub fn with_active_request(body: Body, active_request: Option<ActiveRequest>) -> Body {
+    match active_request {
+        Some(active_request) => BodyWithRequest {
+            body,
+            _active_request: active_request,
+        }
+        .boxed_unsync(),
         None => body,
     }
 }
 
-struct Held {
+struct BodyWithRequest {
     body: Body,
-    _busy: Busy,
+    _active_request: ActiveRequest,
 }
 
-impl hyper::body::Body for Held {
+impl hyper::body::Body for BodyWithRequest {
     type Data = Bytes;
     type Error = io::Error;
 
--- a/daemon/src/generation/choice.rs
+++ b/daemon/src/generation/choice.rs
@@ -49,7 +49,7 @@
     ) -> Option<TargetName> {
         let now = Instant::now();
         let mut excluded = self.node.suspects.add_to(excluded, now);
-        let prefixes = completions::prefixes(&self.params.prompt);
+        let prefixes = completions::prefix_hashes(&self.params.prompt);
         let adapter = self.params.adapter.as_ref();
         let adapter = adapter.map_or(0, |name| celerypond_route::hash(name.as_str().as_bytes()));
         loop {
