--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Returns the digest of the fields that determine the answer, so without the caller's prefix.
+    /// Returns the digest of the fields that determine the answer; the caller's prefix does not.
     fn body_digest(&self) -> Digest {
         let completion = &self.completion;
         let parts = (
