--- a/daemon/src/force.rs
+++ b/daemon/src/active_bundle.rs
@@ -1,4 +1,4 @@
-//! The bundle in force at this instance, with the indexes that requests need.
+//! The bundle in force at this instance, indexed for requests.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -8,9 +8,9 @@
 
 /// The bundle in force, immutable.
 #[derive(Clone, Debug)]
-pub struct Force {
-    /// Its revision, digest and what it changed.
-    pub headline: BundleHeader,
+pub struct ActiveBundle {
+    /// Its header, with the revision, the digest and the changed parts.
+    pub header: BundleHeader,
     /// Its content.
     pub bundle: Arc<Bundle>,
     accounts: HashMap<Digest, usize>,
@@ -18,14 +18,14 @@
     services: HashMap<ServiceName, usize>,
 }
 
-impl Force {
-    /// Indexes a bundle.
-    pub fn new(headline: BundleHeader, bundle: Arc<Bundle>) -> Self {
+impl ActiveBundle {
+    /// Creates the indexes of a bundle.
+    pub fn new(header: BundleHeader, bundle: Arc<Bundle>) -> Self {
         let accounts = bundle.accounts.iter().enumerate();
         let models = bundle.models.iter().enumerate();
         let services = bundle.services.iter().enumerate();
         Self {
-            headline,
+            header,
             accounts: accounts.map(|(index, it)| (it.key_digest, index)).collect(),
             models: models.map(|(index, it)| (it.name.clone(), index)).collect(),
             services: services
@@ -37,22 +37,22 @@
 
     /// Returns the revision.
     pub const fn revision(&self) -> Revision {
-        self.headline.revision
+        self.header.revision
     }
 
-    /// Finds the account whose callers send the key with this digest.
+    /// Returns the account whose API key has this digest.
     pub fn account(&self, key_digest: &Digest) -> Option<&Account> {
         let index = self.accounts.get(key_digest)?;
         self.bundle.accounts.get(*index)
     }
 
-    /// Finds a model.
+    /// Returns a model.
     pub fn model(&self, name: &ModelName) -> Option<&Model> {
         let index = self.models.get(name)?;
         self.bundle.models.get(*index)
     }
 
-    /// Finds a service.
+    /// Returns a service.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         let index = self.services.get(name)?;
         self.bundle.services.get(*index)
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -28,9 +28,10 @@
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
 use crate::{
-    admission::Admission, force::Force, forward, front::socket::Sockets, ledger::Ledger, limits,
-    orders::LoadedVersions, part::part_of, peers::Peers, rollouts::Rollouts, stalls::Stalls,
-    suspects::Suspects, target_watch::TargetEvent,
+    active_bundle::ActiveBundle, admission::Admission, bundle_subset::restrict_to_group, forward,
+    front::socket::Sockets, ledger::Ledger, limits, orders::LoadedVersions, peers::Peers,
+    progress_timeouts::ProgressTimeouts, rollouts::Rollouts, suspects::Suspects,
+    target_watch::TargetEvent,
 };
 
 /// The platform's rate limits for all instances together; each instance uses a share of them.
@@ -63,7 +64,7 @@
     /// The snapshot by which targets are picked.
     pub view: ArcSwap<RoutingView>,
     /// The bundle in force; `None` before the first roll.
-    pub active_bundle: ArcSwapOption<Force>,
+    pub active_bundle: ArcSwapOption<ActiveBundle>,
     /// The targets of this instance's group; empty until the first gossip round.
     group_targets: ArcSwap<Vec<TargetName>>,
     /// The instance list that was last read from the platform.
@@ -77,7 +78,7 @@
     /// Tasks that may outlive the request that started them.
     pub background_tasks: TaskTracker,
     /// The times between the tokens of each engine.
-    pub stalls: Stalls,
+    pub progress_timeouts: ProgressTimeouts,
     /// The queue of requests that wait to start.
     pub admission: Admission,
     /// The targets that recently failed.
@@ -143,7 +144,7 @@
             leaving: CancellationToken::new(),
             shutdown: CancellationToken::new(),
             background_tasks: TaskTracker::new(),
-            stalls: Stalls::default(),
+            progress_timeouts: ProgressTimeouts::default(),
             admission: Admission::default(),
             suspects: Suspects::default(),
             target_events: events,
@@ -172,7 +173,7 @@
     ///
     /// A delayed read or a lagging peer may supply a bundle that has been replaced already. The
     /// comparison and the swap are one atomic step, so that the revision never decreases.
-    pub fn activate_bundle(&self, active: Force) -> bool {
+    pub fn activate_bundle(&self, active: ActiveBundle) -> bool {
         let active = Arc::new(active);
         let last = self.active_bundle.rcu(|held| match held {
             Some(held) if held.revision() >= active.revision() => Some(Arc::clone(held)),
@@ -191,7 +192,7 @@
         log::info!(
             "revision {} is in force, bundle {}",
             active.revision(),
-            active.headline.digest.short()
+            active.header.digest.short()
         );
         true
     }
@@ -207,8 +208,8 @@
     }
 
     /// Returns the bundle reduced to the targets that this instance uses.
-    fn group_bundle(&self, active: &Force) -> Bundle {
-        part_of(&active.bundle, &self.group_targets.load())
+    fn group_bundle(&self, active: &ActiveBundle) -> Bundle {
+        restrict_to_group(&active.bundle, &self.group_targets.load())
     }
 
     /// Sets the limits of accounts that are new on this instance to a first part of their total
@@ -217,7 +218,7 @@
     /// Otherwise all their requests would be refused until demand is measured, a second later.
     fn set_initial_limits(&self, before: &RoutingView) {
         let view = self.view.load();
-        let part = limits::first_part(self);
+        let part = limits::initial_share(self);
         let now_ms = self.now_ms();
         let is_new = |name| before.accounts().key(name).is_none();
         for (_, entry) in view.accounts().iter() {
--- a/daemon/src/peer_server.rs
+++ b/daemon/src/peer_server.rs
@@ -10,7 +10,7 @@
 use tarpc::context::Context;
 use tokio::{net::TcpListener, time::Instant};
 
-use crate::{forward, gossip, keeping, listening, node::Node, watch::BundleMessage};
+use crate::{forward, gossip, keeper_records, listener, node::Node, watch::BundleMessage};
 
 /// Handles the calls of other instances.
 #[derive(Clone)]
@@ -19,7 +19,7 @@
 /// Serves peers on a listener until the instance shuts down.
 pub async fn run(node: Arc<Node>, listener: TcpListener) {
     let ending = node.shutdown.clone();
-    listening::serve(listener, ending, |socket| {
+    listener::serve(listener, ending, |socket| {
         let server = PeerServer(Arc::clone(&node));
         // It is not an error if a peer disconnects during a call.
         serve_connection(socket, server.serve()).map(|_| ())
@@ -37,7 +37,7 @@
 
     async fn store_record(self, _: Context, record: Vec<u8>) -> Option<Vec<u8>> {
         let record = KeeperRecord::decode(&record).ok()?;
-        keeping::tell_driver(&self.0, &record);
+        keeper_records::notify_driver(&self.0, &record);
         let result = self.0.keeper().put(Instant::now(), record);
         let counter = match result {
             Err(PutError::Full) => Counter::KeeperDropped,
@@ -72,10 +72,10 @@
     async fn fetch_bundle(self, _: Context, revision: Revision) -> Option<Vec<u8>> {
         let active = self.0.active_bundle.load_full()?;
         let message = BundleMessage {
-            headline: active.headline.clone(),
+            headline: active.header.clone(),
             bundle: (*active.bundle).clone(),
         };
-        (active.headline.revision >= revision).then(|| message.encode())
+        (active.header.revision >= revision).then(|| message.encode())
     }
 
     /// Returns nothing: only instances in the relay role fetch changes from each other.
