--- a/daemon/src/front/completions.rs
+++ b/daemon/src/front/completions.rs
@@ -187,9 +187,9 @@
                 (answer, Some(admitted))
             }
         };
-        let params = self.into_params(request.key, priority);
+        let generation_request = self.into_generation_request(request.key, priority);
         let (output, events) = mpsc::channel(OUTPUT_CAPACITY);
-        let driver_task = AnswerDriver::new(Arc::clone(node), params, admitted, output);
+        let driver_task = AnswerDriver::new(Arc::clone(node), generation_request, admitted, output);
         let driver_task = driver_task.run(answer, effects).in_current_span();
         node.background_tasks.spawn(driver_task);
         Ok(events)
@@ -286,7 +286,7 @@
         adapter.map_or(0, |name| celerypond_route::hash(name.as_str().as_bytes()))
     }
 
-    fn into_params(self, request: RequestKey, priority: Priority) -> GenerationRequest {
+    fn into_generation_request(self, request: RequestKey, priority: Priority) -> GenerationRequest {
         GenerationRequest {
             request,
             model: self.completion.model,
--- a/daemon/src/generation.rs
+++ b/daemon/src/generation.rs
@@ -50,7 +50,7 @@
 /// Drives one answer to its end, for one connection of the caller.
 pub struct AnswerDriver {
     node: Arc<Node>,
-    params: Arc<GenerationRequest>,
+    generation_request: Arc<GenerationRequest>,
     rng: SmallRng,
     inputs: mpsc::Sender<Input>,
     input_receiver: mpsc::Receiver<Input>,
@@ -100,7 +100,7 @@
     /// `admitted` is `None` if the answer is taken over from another driver.
     pub fn new(
         node: Arc<Node>,
-        params: GenerationRequest,
+        generation_request: GenerationRequest,
         admitted: Option<Admitted>,
         output: mpsc::Sender<OutputEvent>,
     ) -> Self {
@@ -117,7 +117,7 @@
         Self {
             rng: node.rng(),
             node,
-            params: Arc::new(params),
+            generation_request: Arc::new(generation_request),
             inputs,
             input_receiver,
             output,
@@ -139,7 +139,7 @@
 
     /// Drives the answer to its end.
     pub async fn run(mut self, mut answer: Generation, mut effects: Vec<Effect>) {
-        let request = self.params.request.clone();
+        let request = self.generation_request.request.clone();
         let _registration =
             keeper_records::register_driver(&self.node, request, self.inputs.clone());
         loop {
@@ -193,7 +193,7 @@
                     self.node.metrics.add(Counter::Stalls, 1);
                 }
                 let estimator = self.node.progress_timeouts.estimator(&stream.target);
-                let request = self.params.request.clone();
+                let request = self.generation_request.request.clone();
                 let inputs = self.inputs.clone();
                 let task = engine_stream::resume(
                     request, address, connection, stream, from, estimator, inputs,
--- a/daemon/src/generation/choice.rs
+++ b/daemon/src/generation/choice.rs
@@ -21,7 +21,7 @@
             (None, None) => return Some(Input::NoTarget),
         };
         let view = self.node.view.load_full();
-        let Some(key) = view.version_key(&self.params.model, &version) else {
+        let Some(key) = view.version_key(&self.generation_request.model, &version) else {
             return Some(Input::NoTarget);
         };
         if criteria.is_resume {
@@ -49,8 +49,8 @@
     ) -> Option<TargetName> {
         let now = Instant::now();
         let mut excluded = self.node.suspects.add_to(excluded, now);
-        let prefixes = completions::prefix_hashes(&self.params.prompt);
-        let adapter = self.params.adapter.as_ref();
+        let prefixes = completions::prefix_hashes(&self.generation_request.prompt);
+        let adapter = self.generation_request.adapter.as_ref();
         let adapter = adapter.map_or(0, |name| celerypond_route::hash(name.as_str().as_bytes()));
         loop {
             let criteria = celerypond_route::PickCriteria {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Chooses the target of the permit granted at admission.
+    /// Chooses the target of the permit that was granted at admission.
     pub(super) async fn use_permit(&mut self, permit: Permit) -> Input {
         let view = self.node.view.load_full();
         let (Some(target), Some(version)) = (view.target(permit.target), self.version.clone())
@@ -89,7 +89,7 @@
         let active = self.node.active_bundle.load_full();
         let model = active
             .as_ref()
-            .and_then(|active| active.model(&self.params.model));
+            .and_then(|active| active.model(&self.generation_request.model));
         let not_loaded = model.map(|model| {
             self.node
                 .rollouts
@@ -143,6 +143,6 @@
 
     pub(super) fn estimated_prompt_tokens(&self) -> u32 {
         // A token has about four characters.
-        (self.params.prompt.len() / 4) as u32
+        (self.generation_request.prompt.len() / 4) as u32
     }
 }
--- a/daemon/src/generation/chunk.rs
+++ b/daemon/src/generation/chunk.rs
@@ -109,8 +109,8 @@
     }
 
     pub(super) fn start_chunk(&mut self, connection: ConnectionId, start: &Start) {
-        let class = rollouts::request_class(self.params.adapter.as_ref());
-        let model = &self.params.model;
+        let class = rollouts::request_class(self.generation_request.adapter.as_ref());
+        let model = &self.generation_request.model;
         let trial = rollouts::new_trial(model, &start.version, &class, &start.stream.target);
         if self.open_answer.is_none() {
             self.open_answer = Some(self.node.rollouts.track_answer(
--- a/daemon/src/generation/connection.rs
+++ b/daemon/src/generation/connection.rs
@@ -60,7 +60,7 @@
         let key = view.target_key(&start.stream.target);
         let found = key.and_then(|key| Some((key, view.target(key)?)));
         let route = view
-            .version_key(&self.params.model, &start.version)
+            .version_key(&self.generation_request.model, &start.version)
             .map(Route::Version);
         let (Some((key, target)), Some(route)) = (found, route) else {
             return Some(Input::Closed(connection));
@@ -91,7 +91,7 @@
         let estimator = self.node.progress_timeouts.estimator(&start.stream.target);
         let inputs = self.inputs.clone();
         let task = engine_stream::start(
-            Arc::clone(&self.params),
+            Arc::clone(&self.generation_request),
             target.address,
             start,
             estimator,
@@ -135,7 +135,7 @@
         let Some((_, address)) = self.find_target(&stream.target) else {
             return;
         };
-        let request = self.params.request.clone();
+        let request = self.generation_request.request.clone();
         let node = Arc::clone(&self.node);
         self.node.background_tasks.spawn(async move {
             let deadline = Instant::now() + CANCEL_RETRY_PERIOD;
--- a/daemon/src/listener.rs
+++ b/daemon/src/listener.rs
@@ -8,10 +8,10 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Serves each connection of a listener in its own task until `ending`, then aborts all of them.
+/// Serves each connection of a listener in its own task until `shutdown`, then aborts all of them.
 pub async fn serve<F>(
     listener: TcpListener,
-    ending: CancellationToken,
+    shutdown: CancellationToken,
     handle: impl Fn(TcpStream) -> F,
 ) where
     F: Future<Output = ()> + Send + 'static,
@@ -19,7 +19,7 @@
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
-            () = ending.cancelled() => break,
+            () = shutdown.cancelled() => break,
             accepted = listener.accept() => {
                 // If a connection cannot be accepted, the peer retries.
                 if let Ok((socket, _)) = accepted {
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -77,7 +77,7 @@
     pub shutdown: CancellationToken,
     /// Tasks that may outlive the request that started them.
     pub background_tasks: TaskTracker,
-    /// The times between the tokens of each engine.
+    /// The progress timeouts of engines.
     pub progress_timeouts: ProgressTimeouts,
     /// The queue of requests that wait to start.
     pub admission: Admission,
--- a/daemon/src/server.rs
+++ b/daemon/src/server.rs
@@ -67,7 +67,7 @@
     let peer_listener = bind(settings.peer_address).await?;
     let (events, event_receiver) = mpsc::channel(TARGET_EVENT_CAPACITY);
     let node = Node::new(settings, metrics, events);
-    let mut tasks = spawn(&node, peer_listener, event_receiver);
+    let mut tasks = spawn_tasks(&node, peer_listener, event_receiver);
     log::info!("serving callers at {}", node.address());
     let is_planned = tokio::select! {
         never = front::serve(Arc::clone(&node), listener) => match never {},
@@ -117,7 +117,7 @@
     Ok(receiver)
 }
 
-fn spawn(
+fn spawn_tasks(
     node: &Arc<Node>,
     peers: TcpListener,
     event_receiver: mpsc::Receiver<TargetEvent>,
@@ -157,6 +157,7 @@
     }
 }
 
+/// Carries out an effect of the planned stop, and returns the new state.
 fn apply_drain(node: &Arc<Node>, (drain, effect): (Drain, Option<DrainEffect>)) -> Drain {
     match effect {
         Some(DrainEffect::AnnounceLeaving) => {
@@ -171,6 +172,7 @@
     drain
 }
 
+/// Waits until all connections from callers have ended, then ends the background tasks.
 async fn end_tasks(node: &Node, mut tasks: JoinSet<()>) {
     node.sockets.drain().await;
     node.ledger.close();
