--- a/daemon/src/gossip.rs
+++ b/daemon/src/gossip.rs
@@ -119,8 +119,8 @@
     process_events(&node);
 }
 
-/// Updates the targets of this instance's group, and returns the instances of the group, which share
-/// evidence, demand and load with each other.
+/// Updates the targets of this instance's group, and returns the instances of the group, which
+/// share evidence, demand and load with each other.
 fn update_group(node: &Node, list: &[ListedMember]) -> Vec<InstanceName> {
     // After a restart during an outage of the platform there is no list, only the gossip members.
     let mut names: Vec<InstanceName> = list.iter().map(|listed| listed.name.clone()).collect();
--- a/daemon/src/peer_server.rs
+++ b/daemon/src/peer_server.rs
@@ -72,7 +72,7 @@
     async fn fetch_bundle(self, _: Context, revision: Revision) -> Option<Vec<u8>> {
         let active = self.0.active_bundle.load_full()?;
         let message = BundleMessage {
-            headline: active.header.clone(),
+            header: active.header.clone(),
             bundle: (*active.bundle).clone(),
         };
         (active.header.revision >= revision).then(|| message.encode())
--- a/daemon/src/watch.rs
+++ b/daemon/src/watch.rs
@@ -31,7 +31,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BundleMessage {
     /// The header: the revision, the digest and what changed.
-    pub headline: BundleHeader,
+    #[serde(rename = "headline")]
+    pub header: BundleHeader,
     /// The content of the bundle.
     pub bundle: Bundle,
 }
@@ -113,9 +114,9 @@
         StoreReply::Missing => return node.bundle_tracker().mark_answered(Source::Store),
         _ => return,
     };
-    let headline = current.header();
-    let digest = headline.digest;
-    let is_new = node.bundle_tracker().note_header(headline, Source::Store);
+    let header = current.header();
+    let digest = header.digest;
+    let is_new = node.bundle_tracker().note_header(header, Source::Store);
     if is_new || node.bundle_tracker().revision() < current.revision {
         let Some(bundle) = read_bundle(node, digest).await else {
             return;
@@ -174,7 +175,7 @@
     if let Some(message) = message {
         let is_new = node
             .bundle_tracker()
-            .note_header(message.headline, source.clone());
+            .note_header(message.header, source.clone());
         if is_new {
             accept_bundle(node, message.bundle);
         }
@@ -204,11 +205,11 @@
         let is_ready = node.active_bundle.load().is_some() || tracker.is_ready(&peers);
         tracker.active().filter(|_| is_ready).cloned()
     };
-    let Some((headline, bundle)) = newest else {
+    let Some((header, bundle)) = newest else {
         return;
     };
-    let revision = headline.revision;
-    if node.activate_bundle(ActiveBundle::new(headline, bundle)) {
+    let revision = header.revision;
+    if node.activate_bundle(ActiveBundle::new(header, bundle)) {
         node.gossip().raise_acting_revision(revision);
         gossip::process_events(node);
     }
