--- a/bench/src/answer.rs
+++ b/bench/src/answer.rs
@@ -1,4 +1,4 @@
-//! Measures of the `answer` crate.
+//! Benchmarks of the `answer` crate: recovery policies under faults, and the cost per token.
 
 use std::time::Duration;
 
@@ -8,143 +8,173 @@
 
 mod cost;
 mod model;
-mod way;
+mod policy;
 
-use model::{Model, Seen};
-use way::{Fault, TakeOverWay, Way};
+use model::{Model, RunResults};
+use policy::{Fault, Policy, TakeOverPolicy};
 
-/// One run of the model has a thousand answers, so few seeds are enough.
+/// One run of the model has about a thousand answers, so few seeds are enough.
 const MODEL_SEEDS: u64 = 5;
+/// Longer than any run of the model, so that it never expires.
 const NO_TIMEOUT: Duration = Duration::from_secs(600);
 const FIXED_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Takes the measures.
+/// Runs the benchmarks.
 pub(crate) fn run(seeds: u64) -> Vec<Row> {
     let mut rows = cost::run(seeds);
-    for (fault, ways) in plans() {
+    for (fault, policies) in scenarios() {
         let seeds = seeds.min(MODEL_SEEDS);
-        for way in ways {
-            rows.extend(measure(fault, way, seeds));
+        for policy in policies {
+            rows.extend(measure(fault, policy, seeds));
         }
     }
     rows
 }
 
-fn plans() -> Vec<(Fault, Vec<Way>)> {
-    let ours = Way::OURS;
-    let with = |name, change: fn(&mut Way)| {
-        let mut way = Way { name, ..ours };
-        change(&mut way);
-        way
+/// Returns each fault with the policies that are compared under it.
+fn scenarios() -> Vec<(Fault, Vec<Policy>)> {
+    let implemented = Policy::IMPLEMENTED;
+    let variant = |name, change: fn(&mut Policy)| {
+        let mut policy = Policy {
+            name,
+            ..implemented
+        };
+        change(&mut policy);
+        policy
     };
-    let anew = with("baseline: start anew elsewhere", |way| {
-        way.prefix = false;
-        way.probe = false;
-        way.timeout = Some(NO_TIMEOUT);
+    let restart_elsewhere = variant("baseline: start anew elsewhere", |policy| {
+        policy.sends_prefix = false;
+        policy.probes_engine = false;
+        policy.fixed_timeout = Some(NO_TIMEOUT);
     });
-    let elsewhere = with("prefix elsewhere, no probe", |way| way.probe = false);
-    let health = with("health probe, then resume", |way| way.trips = 2);
-    let fixed = with("baseline: fixed timeout of 5 s", |way| {
-        way.timeout = Some(FIXED_TIMEOUT);
+    let prefix_elsewhere = variant("prefix elsewhere, no probe", |policy| {
+        policy.probes_engine = false
     });
-    let takes = vec![
-        with("baseline: start from zero", |way| {
-            way.takeover = TakeOverWay::Restart
+    let health_probe = variant("health probe, then resume", |policy| {
+        policy.probe_round_trips = 2
+    });
+    let fixed_timeout = variant("baseline: fixed timeout of 5 s", |policy| {
+        policy.fixed_timeout = Some(FIXED_TIMEOUT);
+    });
+    let takeover_policies = vec![
+        variant("baseline: start from zero", |policy| {
+            policy.takeover = TakeOverPolicy::Restart
         }),
-        with("a: resume token", |way| way.takeover = TakeOverWay::Token),
-        with("a+b: token and stub", |way| {
-            way.takeover = TakeOverWay::Stub
+        variant("a: resume token", |policy| {
+            policy.takeover = TakeOverPolicy::Token
         }),
-        with("c: copy each 64 tokens", |way| {
-            way.takeover = TakeOverWay::Copy(64)
+        variant("a+b: token and stub", |policy| {
+            policy.takeover = TakeOverPolicy::Record
         }),
-        with("d: caller brings its tokens", |way| {
-            way.takeover = TakeOverWay::Brought
+        variant("c: copy each 64 tokens", |policy| {
+            policy.takeover = TakeOverPolicy::PeriodicCopy(64)
+        }),
+        variant("d: caller brings its tokens", |policy| {
+            policy.takeover = TakeOverPolicy::CallerPrefix
         }),
     ];
-    let pace = |name, target| Way {
+    let paced = |name, per_target| Policy {
         name,
-        pace: Some(ResumeLimits { per_target: target }),
-        ..ours
+        resume_limits: Some(ResumeLimits { per_target }),
+        ..implemented
     };
-    let paced = vec![
-        with("baseline: not paced", |_| ()),
-        pace("paced, 1 a target", 1),
-        pace("paced, 2 a target", 2),
-        pace("paced, 4 a target", 4),
-        pace("paced, 8 a target", 8),
-        pace("paced, 16 a target", 16),
+    let pacing_policies = vec![
+        variant("baseline: not paced", |_| ()),
+        paced("paced, 1 a target", 1),
+        paced("paced, 2 a target", 2),
+        paced("paced, 4 a target", 4),
+        paced("paced, 8 a target", 8),
+        paced("paced, 16 a target", 16),
     ];
     vec![
-        (Fault::Death, vec![anew, elsewhere, ours]),
-        (Fault::Silence, vec![fixed, elsewhere, health, ours]),
-        (Fault::Pause, vec![fixed, elsewhere, ours]),
-        (Fault::Router, takes.clone()),
-        (Fault::Later, takes.clone()),
-        (Fault::Both, takes),
-        (Fault::Third, paced),
+        (
+            Fault::EngineDeath,
+            vec![restart_elsewhere, prefix_elsewhere, implemented],
+        ),
+        (
+            Fault::SilentConnections,
+            vec![fixed_timeout, prefix_elsewhere, health_probe, implemented],
+        ),
+        (
+            Fault::EnginePause,
+            vec![fixed_timeout, prefix_elsewhere, implemented],
+        ),
+        (Fault::InstanceDeath, takeover_policies.clone()),
+        (Fault::EngineThenInstanceDeath, takeover_policies.clone()),
+        (Fault::EngineAndInstanceDeath, takeover_policies),
+        (Fault::ThirdOfEnginesDeath, pacing_policies),
     ]
 }
 
-fn measure(fault: Fault, way: Way, seeds: u64) -> Vec<Row> {
-    let mut all = Seen::default();
+/// Runs the model with each seed and returns the rows for the combined results.
+fn measure(fault: Fault, policy: Policy, seeds: u64) -> Vec<Row> {
+    let mut totals = RunResults::default();
     for seed in 0..seeds {
-        let seen = Model::new(way, fault, seed).run();
-        all.resumed.extend(seen.resumed);
-        all.others.extend(seen.others);
-        all.first.extend(seen.first);
-        all.extra.extend(seen.extra);
-        all.read.extend(seen.read);
-        all.lost += seen.lost;
+        let results = Model::new(policy, fault, seed).run();
+        totals.resume_gap_ms.extend(results.resume_gap_ms);
+        totals.unaffected_gap_ms.extend(results.unaffected_gap_ms);
+        totals.first_token_ms.extend(results.first_token_ms);
+        totals
+            .generated_per_delivered
+            .extend(results.generated_per_delivered);
+        totals.prefill_ms.extend(results.prefill_ms);
+        totals.lost += results.lost;
     }
-    let names = match fault {
-        Fault::Death => ["engine death: gap seen", "engine death: tokens made/shown"],
-        Fault::Silence => ["silence: gap seen", "silence: tokens made/shown"],
-        Fault::Pause => ["engine pause: gap seen", "engine pause: tokens made/shown"],
-        Fault::Router => ["router death: gap seen", "router death: tokens made/shown"],
-        Fault::Later => [
+    let measures = match fault {
+        Fault::EngineDeath => ["engine death: gap seen", "engine death: tokens made/shown"],
+        Fault::SilentConnections => ["silence: gap seen", "silence: tokens made/shown"],
+        Fault::EnginePause => ["engine pause: gap seen", "engine pause: tokens made/shown"],
+        Fault::InstanceDeath => ["router death: gap seen", "router death: tokens made/shown"],
+        Fault::EngineThenInstanceDeath => [
             "engine, then router: gap seen",
             "engine, then router: made/shown",
         ],
-        Fault::Both => [
+        Fault::EngineAndInstanceDeath => [
             "engine and router: gap seen",
             "engine and router: made/shown",
         ],
-        Fault::Third => ["third of engines: gap seen", "third of engines: made/shown"],
+        Fault::ThirdOfEnginesDeath => {
+            ["third of engines: gap seen", "third of engines: made/shown"]
+        }
     };
     let mut rows = vec![
-        Row::of(names[0], way.name, "ms", all.resumed),
-        Row::of(names[1], way.name, "ratio", all.extra),
+        Row::of(measures[0], policy.name, "ms", totals.resume_gap_ms),
+        Row::of(
+            measures[1],
+            policy.name,
+            "ratio",
+            totals.generated_per_delivered,
+        ),
     ];
-    if all.lost > 0 {
-        let lost = vec![all.lost as f64 / seeds as f64];
+    if totals.lost > 0 {
+        let lost = vec![totals.lost as f64 / seeds as f64];
         rows.push(Row::of(
             "answers not gone on in 80 s",
-            way.name,
+            policy.name,
             "a run",
             lost,
         ));
     }
-    if way.name == Way::OURS.name {
+    if policy.name == Policy::IMPLEMENTED.name {
         rows.push(Row::of(
             "reading prompt and prefix alone",
-            way.name,
+            policy.name,
             "ms",
-            all.read,
+            totals.prefill_ms,
         ));
     }
-    if fault.third() {
+    if fault.hits_third_of_engines() {
         rows.push(Row::of(
             "third: longest gap of others",
-            way.name,
+            policy.name,
             "ms",
-            all.others,
+            totals.unaffected_gap_ms,
         ));
         rows.push(Row::of(
             "third: first token of new",
-            way.name,
+            policy.name,
             "ms",
-            all.first,
+            totals.first_token_ms,
         ));
     }
     rows
--- a/bench/src/answer/model.rs
+++ b/bench/src/answer/model.rs
@@ -1,7 +1,8 @@
-//! Engines, callers and instances in virtual time, at the level of decisions.
+//! A model of engines, callers and instances in virtual time, without sockets.
 //!
-//! The engines work in steps: a step takes one decode gap, plus the time to read one chunk for each
-//! stream that still reads its prompt and prefix. All figures of the model are the constants below.
+//! An engine works in steps. A step takes one decode gap, plus the time to prefill one chunk for
+//! each stream whose prompt and prefix aren't processed yet. All parameters of the model are the
+//! constants below.
 
 mod engines;
 mod instances;
@@ -23,354 +24,391 @@
 use slotmap::SlotMap;
 use tokio::time::Instant;
 
-use super::way::{Fault, TakeOverWay, Way};
+use super::policy::{Fault, Policy, TakeOverPolicy};
 
-/// How many engines there are when one fails, and when a third of them does.
+/// The number of engines when one fails, and when a third of them fail.
 const ENGINES: (usize, usize) = (24, 30);
-/// 32,000 requests a second of 344 tokens at 40 ms a token, on 11,000 engines.
-const STREAMS: usize = 40;
-const GAP_US: (u64, u64) = (30_000, 52_000);
-const PREFILL_US: u64 = 50;
-const CHUNK: u64 = 512;
-const PROMPT: (u64, u64) = (200, 1800);
-const SHORT_MEAN: f64 = 100.0;
-const LONG_MEAN: f64 = 2000.0;
-/// 13 of 100 answers are long; at any moment they make up three of four of those open.
+/// From 32,000 requests per second on 11,000 engines, with 344 tokens at 40 ms per token.
+const STREAMS_PER_ENGINE: usize = 40;
+const DECODE_GAP_US: (u64, u64) = (30_000, 52_000);
+const PREFILL_TOKEN_US: u64 = 50;
+const PREFILL_CHUNK_TOKENS: u64 = 512;
+const PROMPT_TOKENS: (u64, u64) = (200, 1800);
+const SHORT_MEAN_TOKENS: f64 = 100.0;
+const LONG_MEAN_TOKENS: f64 = 2000.0;
+/// The share of long answers among new ones (13 %), and among those open at any moment (three in
+/// four, since they stay open longer).
 const LONG_SHARE: (f64, f64) = (0.13, 0.75);
-const LONGEST: f64 = 1500.0;
-const WIRE_US: u64 = 1000;
+const MAX_TOKENS: f64 = 1500.0;
+const NETWORK_DELAY_US: u64 = 1000;
 const RECONNECT_US: u64 = 50_000;
 const EJECTION_US: u64 = 2_000_000;
-/// The number that an answer gives its first connection.
-const FIRST_LINK: ConnectionId = ConnectionId(1);
-const FAULT_US: u64 = 500_000;
-/// How long after the engine the instances die.
-const LATER_US: u64 = 2_000_000;
-const ARRIVE_US: u64 = 3_000_000;
-/// How long a run goes on after that.
-const CALM_US: u64 = 500_000;
-const END_US: u64 = 80_000_000;
-/// 32,000 requests a second at 11,000 engines, for one engine.
-const ARRIVAL_US: u64 = 11_000_000 / 32;
+/// The ID that an answer gives its first connection.
+const FIRST_CONNECTION: ConnectionId = ConnectionId(1);
+const FAULT_AT_US: u64 = 500_000;
+/// The time from the death of the engine to that of the instances.
+const SECOND_FAULT_DELAY_US: u64 = 2_000_000;
+/// How long after the fault new answers still arrive.
+const ARRIVAL_PERIOD_US: u64 = 3_000_000;
+/// How long a run continues after all answers hit by the fault have resumed.
+const SETTLED_RUN_US: u64 = 500_000;
+const RUN_LIMIT_US: u64 = 80_000_000;
+/// The time between requests per engine, from 32,000 requests per second on 11,000 engines.
+const ARRIVAL_INTERVAL_US: u64 = 11_000_000 / 32;
 
-/// What one run showed.
+/// The measurements of one run.
 #[derive(Default)]
-pub(super) struct Seen {
-    /// Time between the last token before the fault and the next one, of answers it hit, in ms.
-    pub(super) resumed: Vec<f64>,
-    /// The longest time between two tokens after the fault, of answers it did not hit, in ms.
-    pub(super) others: Vec<f64>,
-    /// Time to the first token of answers that came after the fault, in ms.
-    pub(super) first: Vec<f64>,
-    /// Tokens generated for each token delivered, of answers that the fault hit.
-    pub(super) extra: Vec<f64>,
-    /// Time to read the prompt and the tokens so far alone, of answers the fault hit, in ms.
-    pub(super) read: Vec<f64>,
-    /// Answers that failed or had no next token when the run ended.
+pub(super) struct RunResults {
+    /// The gap between the last token before the fault and the next one, for answers that it hit.
+    pub(super) resume_gap_ms: Vec<f64>,
+    /// The longest gap between two tokens after the fault, for answers that it didn't hit.
+    pub(super) unaffected_gap_ms: Vec<f64>,
+    /// The time to the first token of answers that arrived after the fault.
+    pub(super) first_token_ms: Vec<f64>,
+    /// The tokens generated per token delivered, for answers that the fault hit.
+    pub(super) generated_per_delivered: Vec<f64>,
+    /// The time to prefill the prompt and the delivered tokens alone, for answers the fault hit.
+    pub(super) prefill_ms: Vec<f64>,
+    /// Answers hit by the fault that failed, or hadn't resumed when the run ended.
     pub(super) lost: u64,
 }
 
 struct Engine {
     key: TargetKey,
-    dead: bool,
-    paused: u64,
-    ejected: u64,
-    stepping: bool,
-    streams: Vec<Written>,
+    is_dead: bool,
+    paused_until_us: u64,
+    ejected_until_us: u64,
+    is_stepping: bool,
+    streams: Vec<EngineStream>,
 }
 
-struct Written {
-    answer: usize,
+/// One attempt at an answer, as an engine generates it.
+struct EngineStream {
+    answer_index: usize,
     attempt: Attempt,
-    first: u32,
-    next: u32,
-    unread: u64,
+    /// The position after the prefix that the attempt was started with.
+    first_position: u32,
+    next_position: u32,
+    /// Tokens of the prompt and prefix that aren't prefilled yet.
+    unread_tokens: u64,
+    /// The connection that reads the stream, and the position that it is sent next.
     reader: Option<(ConnectionId, u32)>,
-    silent: bool,
+    /// Whether the engine generates tokens but sends none.
+    is_silent: bool,
 }
 
 struct Answer {
     generation: Generation,
-    prompt: u64,
-    length: u32,
-    shown: u32,
-    id: String,
-    last: u64,
-    hit: bool,
+    prompt_tokens: u64,
+    length_tokens: u32,
+    delivered_tokens: u32,
+    resume_token: String,
+    last_token_us: u64,
+    hit_by_fault: bool,
     resumed: bool,
-    longest: u64,
-    born: u64,
-    generated: u64,
+    longest_gap_us: u64,
+    /// Zero for an answer that is open when the run begins.
+    arrived_us: u64,
+    generated_tokens: u64,
     record: Option<KeeperRecord>,
-    granted: Option<TargetKey>,
-    over: bool,
-    down: bool,
-    conn: u32,
+    granted_target: Option<TargetKey>,
+    is_finished: bool,
+    is_disconnected: bool,
+    /// Counts the instances that the answer has lost; inputs for an earlier one are discarded.
+    connection_epoch: u32,
 }
 
-enum Act {
-    Step(usize),
+enum SimEvent {
+    EngineStep(usize),
     Input(usize, u32, Input),
     Tick(usize),
     Fault,
-    Arrive,
+    Arrival,
     Reconnect(usize),
 }
 
 pub(super) struct Model {
-    way: Way,
+    policy: Policy,
     fault: Fault,
-    now: u64,
-    turn: u64,
-    base: Instant,
+    now_us: u64,
+    last_event_id: u64,
+    epoch: Instant,
+    /// The time, sequence number and ID of each scheduled event.
     queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    acts: HashMap<usize, Act>,
+    events: HashMap<usize, SimEvent>,
     engines: Vec<Engine>,
-    index: HashMap<TargetKey, usize>,
+    engine_by_key: HashMap<TargetKey, usize>,
     answers: Vec<Answer>,
     scheduler: Option<ResumeScheduler>,
     waiters: HashMap<WaiterKey, usize>,
-    held: VecDeque<usize>,
+    /// New answers that are held back while resumes wait.
+    waiting_new: VecDeque<usize>,
     version: VersionKey,
     timeouts: Timeouts,
     rng: StdRng,
-    struck: bool,
-    /// When the last fault came.
-    fault_at: u64,
-    /// When all answers that the fault hit had gone on.
-    calm: u64,
+    fault_injected: bool,
+    /// The time of the last fault.
+    last_fault_us: u64,
+    /// The time at which all answers hit by the fault had resumed; `u64::MAX` until then.
+    settled_at_us: u64,
 }
 
 impl Model {
-    pub(super) fn new(way: Way, fault: Fault, seed: u64) -> Self {
+    pub(super) fn new(policy: Policy, fault: Fault, seed: u64) -> Self {
         let mut keys = SlotMap::<TargetKey, ()>::with_key();
-        let count = if fault.third() { ENGINES.1 } else { ENGINES.0 };
+        let count = if fault.hits_third_of_engines() {
+            ENGINES.1
+        } else {
+            ENGINES.0
+        };
         let engines: Vec<Engine> = (0..count)
             .map(|_| Engine {
                 key: keys.insert(()),
-                dead: false,
-                paused: 0,
-                ejected: 0,
-                stepping: false,
+                is_dead: false,
+                paused_until_us: 0,
+                ejected_until_us: 0,
+                is_stepping: false,
                 streams: Vec::new(),
             })
             .collect();
         let mut rng = StdRng::seed_from_u64(seed);
         Self {
-            way,
+            policy,
             fault,
-            now: 0,
-            turn: 0,
-            base: Instant::now(),
+            now_us: 0,
+            last_event_id: 0,
+            epoch: Instant::now(),
             queue: BinaryHeap::new(),
-            acts: HashMap::new(),
-            index: engines.iter().map(|engine| engine.key).zip(0..).collect(),
+            events: HashMap::new(),
+            engine_by_key: engines.iter().map(|engine| engine.key).zip(0..).collect(),
             engines,
             answers: Vec::new(),
-            scheduler: way.pace.map(ResumeScheduler::new),
+            scheduler: policy.resume_limits.map(ResumeScheduler::new),
             waiters: HashMap::new(),
-            held: VecDeque::new(),
+            waiting_new: VecDeque::new(),
             version: SlotMap::<VersionKey, ()>::with_key().insert(()),
-            timeouts: learned(&mut rng, way),
+            timeouts: timeouts_for(&mut rng, policy),
             rng,
-            struck: false,
-            fault_at: 0,
-            calm: u64::MAX,
+            fault_injected: false,
+            last_fault_us: 0,
+            settled_at_us: u64::MAX,
         }
     }
 
-    pub(super) fn run(mut self) -> Seen {
-        for _ in 0..self.engines.len() * STREAMS {
-            self.open(true);
+    pub(super) fn run(mut self) -> RunResults {
+        for _ in 0..self.engines.len() * STREAMS_PER_ENGINE {
+            self.open_answer(true);
         }
-        self.after(FAULT_US, Act::Fault);
-        self.after(FAULT_US, Act::Arrive);
-        while let Some(Reverse((at, _, id))) = self.queue.pop() {
-            self.now = at;
-            if at > END_US || at > self.calm.saturating_add(CALM_US) {
+        self.schedule(FAULT_AT_US, SimEvent::Fault);
+        self.schedule(FAULT_AT_US, SimEvent::Arrival);
+        while let Some(Reverse((at_us, _, id))) = self.queue.pop() {
+            self.now_us = at_us;
+            if at_us > RUN_LIMIT_US || at_us > self.settled_at_us.saturating_add(SETTLED_RUN_US) {
                 break;
             }
-            if self.calm == u64::MAX && self.struck && self.settled() {
-                self.calm = at;
+            if self.settled_at_us == u64::MAX && self.fault_injected && self.is_settled() {
+                self.settled_at_us = at_us;
             }
-            if let Some(act) = self.acts.remove(&id) {
-                self.act(act);
+            if let Some(event) = self.events.remove(&id) {
+                self.handle_event(event);
             }
         }
-        self.seen()
+        self.results()
     }
 
-    /// Whether every answer that the fault hit has gone on.
-    fn settled(&self) -> bool {
-        self.turn.is_multiple_of(1024)
-            && self.now > FAULT_US + 3_000_000
+    /// Whether every answer hit by the fault has resumed or ended. Checked every 1024 events.
+    fn is_settled(&self) -> bool {
+        self.last_event_id.is_multiple_of(1024)
+            && self.now_us > FAULT_AT_US + 3_000_000
             && self
                 .answers
                 .iter()
-                .all(|answer| !answer.hit || answer.resumed || answer.over)
+                .all(|answer| !answer.hit_by_fault || answer.resumed || answer.is_finished)
     }
 
-    fn seen(&self) -> Seen {
-        let mut seen = Seen::default();
+    fn results(&self) -> RunResults {
+        let mut results = RunResults::default();
         for answer in &self.answers {
-            if !answer.hit {
-                let list = if answer.born > 0 {
-                    &mut seen.first
+            if !answer.hit_by_fault {
+                let samples = if answer.arrived_us > 0 {
+                    &mut results.first_token_ms
                 } else {
-                    &mut seen.others
+                    &mut results.unaffected_gap_ms
                 };
-                list.extend((answer.longest > 0).then_some(answer.longest as f64 / 1000.0));
+                samples.extend(
+                    (answer.longest_gap_us > 0).then_some(answer.longest_gap_us as f64 / 1000.0),
+                );
                 continue;
             }
             if answer.resumed {
-                seen.resumed.push(answer.longest as f64 / 1000.0);
-                let delivered = f64::from(answer.shown.max(1));
-                let tokens = answer.prompt + u64::from(answer.shown);
-                seen.read.push((tokens * PREFILL_US) as f64 / 1000.0);
-                seen.extra.push(answer.generated as f64 / delivered);
+                results
+                    .resume_gap_ms
+                    .push(answer.longest_gap_us as f64 / 1000.0);
+                let delivered = f64::from(answer.delivered_tokens.max(1));
+                let tokens = answer.prompt_tokens + u64::from(answer.delivered_tokens);
+                results
+                    .prefill_ms
+                    .push((tokens * PREFILL_TOKEN_US) as f64 / 1000.0);
+                results
+                    .generated_per_delivered
+                    .push(answer.generated_tokens as f64 / delivered);
             } else {
-                seen.lost += 1;
+                results.lost += 1;
             }
         }
-        seen
+        results
     }
 
-    fn after(&mut self, delay: u64, act: Act) {
-        self.turn += 1;
-        let id = self.turn as usize;
-        self.acts.insert(id, act);
-        self.queue.push(Reverse((self.now + delay, self.turn, id)));
+    fn schedule(&mut self, delay: u64, event: SimEvent) {
+        self.last_event_id += 1;
+        let id = self.last_event_id as usize;
+        self.events.insert(id, event);
+        self.queue
+            .push(Reverse((self.now_us + delay, self.last_event_id, id)));
     }
 
-    fn instant(&self) -> Instant {
-        self.base + Duration::from_micros(self.now)
+    fn now_instant(&self) -> Instant {
+        self.epoch + Duration::from_micros(self.now_us)
     }
 
-    /// Opens an answer; one of the first population is in the middle of its length.
-    fn open(&mut self, first: bool) {
-        let length = self.length(if first { LONG_SHARE.1 } else { LONG_SHARE.0 });
-        let at = self.answers.len();
-        let request = self.request(at);
-        let mut out = Vec::new();
+    /// Opens an answer. An initial one has some of its tokens already, and doesn't end.
+    fn open_answer(&mut self, is_initial: bool) {
+        let tokens = self.draw_length(if is_initial {
+            LONG_SHARE.1
+        } else {
+            LONG_SHARE.0
+        });
+        let answer_index = self.answers.len();
+        let request = self.request(answer_index);
+        let mut effects = Vec::new();
         let driver = DriverId::random(&mut self.rng);
         let limits = limits();
         let codec = codec(&request);
-        let now = self.instant();
-        let generation = Generation::new(request, limits, codec, driver, now, &mut out);
+        let now = self.now_instant();
+        let generation = Generation::new(request, limits, codec, driver, now, &mut effects);
         self.answers.push(Answer {
             generation,
-            prompt: self.rng.random_range(PROMPT.0..PROMPT.1),
-            length: if first { u32::MAX } else { length },
-            shown: 0,
-            id: String::new(),
-            last: self.now,
-            hit: false,
+            prompt_tokens: self.rng.random_range(PROMPT_TOKENS.0..PROMPT_TOKENS.1),
+            length_tokens: if is_initial { u32::MAX } else { tokens },
+            delivered_tokens: 0,
+            resume_token: String::new(),
+            last_token_us: self.now_us,
+            hit_by_fault: false,
             resumed: false,
-            longest: 0,
-            born: if first { 0 } else { self.now },
-            generated: 0,
+            longest_gap_us: 0,
+            arrived_us: if is_initial { 0 } else { self.now_us },
+            generated_tokens: 0,
             record: None,
-            granted: None,
-            over: false,
-            down: false,
-            conn: 0,
+            granted_target: None,
+            is_finished: false,
+            is_disconnected: false,
+            connection_epoch: 0,
         });
-        if first {
-            self.begun(at, length);
+        if is_initial {
+            self.start_mid_answer(answer_index, tokens);
         } else {
-            self.apply(at, out);
+            self.apply_effects(answer_index, effects);
         }
     }
 
-    /// Lets an answer be at a place in its middle, at an engine of its own.
-    fn begun(&mut self, at: usize, shown: u32) {
-        let engine = at % self.engines.len();
+    /// Puts an answer into the state after `delivered` tokens, on an engine chosen round-robin.
+    fn start_mid_answer(&mut self, answer_index: usize, delivered: u32) {
+        let engine = answer_index % self.engines.len();
         let input = Input::Chosen(ChosenTarget {
             target: engine.to_string().as_str().into(),
             version: "v1".into(),
-            timeouts: self.timeouts(at),
+            timeouts: self.timeouts_of(answer_index),
         });
-        let mut out = Vec::new();
-        let now = self.instant();
-        let answer = &mut self.answers[at];
-        answer.generation.step(now, input, &mut out);
+        let mut effects = Vec::new();
+        let now = self.now_instant();
+        let answer = &mut self.answers[answer_index];
+        answer.generation.step(now, input, &mut effects);
         let sequence = answer.generation.sequence();
         let attempt = sequence
             .map(|sequence| sequence.attempt())
             .unwrap_or_default();
-        for position in 0..shown {
-            let event = Event::Frame(frame(at, attempt, position));
-            let input = Input::Event(FIRST_LINK, event);
-            answer.generation.step(now, input, &mut out);
+        for position in 0..delivered {
+            let event = Event::Frame(frame(answer_index, attempt, position));
+            let input = Input::Event(FIRST_CONNECTION, event);
+            answer.generation.step(now, input, &mut effects);
         }
-        answer.generation.step(now, Input::Tick, &mut out);
-        for effect in out {
+        answer.generation.step(now, Input::Tick, &mut effects);
+        for effect in effects {
             match effect {
                 Effect::PutRecord(record) => answer.record = Some(record),
-                Effect::Emit(emit) => answer.id = emit.resume_token.to_string(),
+                Effect::Emit(emit) => answer.resume_token = emit.resume_token.to_string(),
                 _ => {}
             }
         }
-        answer.shown = shown;
-        answer.generated = u64::from(shown);
-        self.engines[engine].streams.push(Written {
-            answer: at,
+        answer.delivered_tokens = delivered;
+        answer.generated_tokens = u64::from(delivered);
+        self.engines[engine].streams.push(EngineStream {
+            answer_index,
             attempt,
-            first: 0,
-            next: shown,
-            unread: 0,
-            reader: Some((FIRST_LINK, shown)),
-            silent: false,
+            first_position: 0,
+            next_position: delivered,
+            unread_tokens: 0,
+            reader: Some((FIRST_CONNECTION, delivered)),
+            is_silent: false,
         });
-        self.wake(engine);
+        self.schedule_step(engine);
     }
 
-    fn length(&mut self, long: f64) -> u32 {
-        let long = self.rng.random_bool(long);
-        let mean = if long { LONG_MEAN } else { SHORT_MEAN };
-        let drawn = -mean * (1.0 - self.rng.random::<f64>()).ln();
-        drawn.clamp(1.0, LONGEST) as u32
+    fn draw_length(&mut self, long_share: f64) -> u32 {
+        let is_long = self.rng.random_bool(long_share);
+        let mean = if is_long {
+            LONG_MEAN_TOKENS
+        } else {
+            SHORT_MEAN_TOKENS
+        };
+        let tokens = -mean * (1.0 - self.rng.random::<f64>()).ln();
+        tokens.clamp(1.0, MAX_TOKENS) as u32
     }
 
-    fn request(&self, at: usize) -> Request {
+    fn request(&self, answer_index: usize) -> Request {
         Request {
-            key: format!("r{at}").as_str().into(),
+            key: format!("r{answer_index}").as_str().into(),
             body_digest: Digest::of(b"body"),
-            seed: at as u64,
+            seed: answer_index as u64,
             max_tokens: 1_000_000,
             mode: DeliveryMode::Streamed,
-            deadline: self.base + Duration::from_secs(600),
+            deadline: self.epoch + Duration::from_secs(600),
             instance: "a".into(),
         }
     }
 
-    fn act(&mut self, act: Act) {
-        match act {
-            Act::Step(engine) => self.step(engine),
-            Act::Input(answer, conn, input) if self.answers[answer].conn == conn => {
-                self.input(answer, input);
+    fn handle_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::EngineStep(engine) => self.step_engine(engine),
+            SimEvent::Input(answer_index, connection_epoch, input)
+                if self.answers[answer_index].connection_epoch == connection_epoch =>
+            {
+                self.handle_input(answer_index, input);
             }
-            Act::Input(..) => {}
-            Act::Tick(answer) => {
-                let due = self.answers[answer].generation.next_tick();
-                if due.is_some_and(|due| due <= self.instant()) {
-                    self.input(answer, Input::Tick);
+            SimEvent::Input(..) => {}
+            SimEvent::Tick(answer_index) => {
+                let due = self.answers[answer_index].generation.next_tick();
+                if due.is_some_and(|due| due <= self.now_instant()) {
+                    self.handle_input(answer_index, Input::Tick);
                 }
             }
-            Act::Fault => self.strike(),
-            Act::Arrive => {
-                if self.now > FAULT_US + ARRIVE_US {
+            SimEvent::Fault => self.inject_fault(),
+            SimEvent::Arrival => {
+                if self.now_us > FAULT_AT_US + ARRIVAL_PERIOD_US {
                     return;
                 }
-                self.open(false);
-                self.after(ARRIVAL_US / self.engines.len() as u64, Act::Arrive);
+                self.open_answer(false);
+                self.schedule(
+                    ARRIVAL_INTERVAL_US / self.engines.len() as u64,
+                    SimEvent::Arrival,
+                );
             }
-            Act::Reconnect(answer) => self.reconnect(answer),
+            SimEvent::Reconnect(answer_index) => self.reconnect(answer_index),
         }
     }
 }
 
-/// The records of the answers that are open already are at the keepers.
+/// No record delay, so that the keepers have the records of the answers open at the start.
 fn limits() -> GenerationLimits {
     GenerationLimits {
         record_delay: Duration::ZERO,
@@ -382,11 +420,11 @@
     request.resume_token_codec(&ResumeTokenKey::new([7; 32]))
 }
 
-fn number(target: &TargetName) -> usize {
+fn engine_index(target: &TargetName) -> usize {
     target.as_str().parse().unwrap_or(0)
 }
 
-fn token_of(answer: usize, position: u32) -> TokenId {
+fn token_at(answer: usize, position: u32) -> TokenId {
     TokenId((answer as u32).wrapping_mul(0x9e37_79b9) ^ position.wrapping_mul(0x85eb_ca6b))
 }
 
@@ -396,20 +434,20 @@
         attempt,
         version: "v1".into(),
         position: Position(position),
-        token: token_of(answer, position),
+        token: token_at(answer, position),
         text: "word".into(),
     }
 }
 
-/// The timeouts after 10,000 gaps of a healthy engine, or a fixed one.
-fn learned(rng: &mut StdRng, way: Way) -> Timeouts {
+/// Returns the timeouts learned from 10,000 gaps of a healthy engine, or the policy's fixed ones.
+fn timeouts_for(rng: &mut StdRng, policy: Policy) -> Timeouts {
     let mut estimator = TimeoutEstimator::new(TimeoutLimits::default());
     for _ in 0..10_000 {
-        let gap = rng.random_range(GAP_US.0..GAP_US.1);
-        estimator.observe(Duration::from_micros(gap + WIRE_US));
+        let gap = rng.random_range(DECODE_GAP_US.0..DECODE_GAP_US.1);
+        estimator.observe(Duration::from_micros(gap + NETWORK_DELAY_US));
     }
     let timeouts = estimator.timeouts(0);
-    match way.timeout {
+    match policy.fixed_timeout {
         Some(gap) => Timeouts {
             token_gap: gap,
             first_token: gap,
--- a/bench/src/answer/model/engines.rs
+++ b/bench/src/answer/model/engines.rs
@@ -1,231 +1,274 @@
-//! The engines, and what fails.
+//! Simulated engines, and the injection of faults.
 
 use super::*;
 
 impl Model {
-    pub(super) fn start(&mut self, at: usize, start: Start) {
-        let engine = number(&start.stream.target);
-        if self.engines[engine].dead {
-            return self.reply(at, Input::Closed(start.connection), 2 * WIRE_US);
+    pub(super) fn start_stream(&mut self, answer_index: usize, start: Start) {
+        let engine = engine_index(&start.stream.target);
+        if self.engines[engine].is_dead {
+            return self.schedule_reply(
+                answer_index,
+                Input::Closed(start.connection),
+                2 * NETWORK_DELAY_US,
+            );
         }
-        let known = if self.way.prefix {
+        let prefix_tokens = if self.policy.sends_prefix {
             start.prefix.len() as u32
         } else {
             0
         };
-        let answer = &self.answers[at];
-        let written = Written {
-            answer: at,
+        let answer = &self.answers[answer_index];
+        let stream = EngineStream {
+            answer_index,
             attempt: start.stream.attempt,
-            first: start.prefix.len() as u32,
-            next: known,
-            unread: answer.prompt + u64::from(known),
+            first_position: start.prefix.len() as u32,
+            next_position: prefix_tokens,
+            unread_tokens: answer.prompt_tokens + u64::from(prefix_tokens),
             reader: Some((start.connection, start.prefix.len() as u32)),
-            silent: false,
+            is_silent: false,
         };
-        self.engines[engine].streams.push(written);
-        if self.engines[engine].paused <= self.now {
-            self.reply(at, Input::Opened(start.connection), 2 * WIRE_US);
+        self.engines[engine].streams.push(stream);
+        if self.engines[engine].paused_until_us <= self.now_us {
+            self.schedule_reply(
+                answer_index,
+                Input::Opened(start.connection),
+                2 * NETWORK_DELAY_US,
+            );
         }
-        self.wake(engine);
+        self.schedule_step(engine);
     }
 
-    pub(super) fn resume(
+    pub(super) fn resume_stream(
         &mut self,
-        at: usize,
-        link: ConnectionId,
-        stream: &StreamId,
+        answer_index: usize,
+        connection: ConnectionId,
+        stream_id: &StreamId,
         from: Position,
     ) {
-        let engine = number(&stream.target);
+        let engine = engine_index(&stream_id.target);
         let state = &mut self.engines[engine];
-        if state.dead || (!self.way.probe && self.answers[at].conn == 0) {
-            return self.reply(at, Input::Closed(link), 2 * WIRE_US);
+        if state.is_dead
+            || (!self.policy.probes_engine && self.answers[answer_index].connection_epoch == 0)
+        {
+            return self.schedule_reply(
+                answer_index,
+                Input::Closed(connection),
+                2 * NETWORK_DELAY_US,
+            );
         }
-        if state.paused > self.now {
+        if state.paused_until_us > self.now_us {
             return;
         }
-        let found = state
-            .streams
-            .iter_mut()
-            .find(|written| written.answer == at && written.attempt == stream.attempt);
-        let Some(written) = found.filter(|written| from.0 >= written.first) else {
-            return self.reply(at, Input::Refused(link, Refusal::Gone), 2 * WIRE_US);
+        let found = state.streams.iter_mut().find(|stream| {
+            stream.answer_index == answer_index && stream.attempt == stream_id.attempt
+        });
+        let Some(stream) = found.filter(|stream| from.0 >= stream.first_position) else {
+            return self.schedule_reply(
+                answer_index,
+                Input::Refused(connection, Refusal::Gone),
+                2 * NETWORK_DELAY_US,
+            );
         };
-        written.reader = Some((link, from.0));
-        written.silent = false;
-        let (attempt, next) = (written.attempt, written.next);
-        let trips = self.way.trips;
-        self.reply(at, Input::Opened(link), 2 * WIRE_US * trips);
-        let frames: Vec<Frame> = (from.0..next).map(|p| frame(at, attempt, p)).collect();
+        stream.reader = Some((connection, from.0));
+        stream.is_silent = false;
+        let (attempt, next) = (stream.attempt, stream.next_position);
+        let round_trips = self.policy.probe_round_trips;
+        self.schedule_reply(
+            answer_index,
+            Input::Opened(connection),
+            2 * NETWORK_DELAY_US * round_trips,
+        );
+        let frames: Vec<Frame> = (from.0..next)
+            .map(|position| frame(answer_index, attempt, position))
+            .collect();
         for frame in frames {
-            let input = Input::Event(link, Event::Frame(frame));
-            self.reply(at, input, 2 * WIRE_US * trips);
+            let input = Input::Event(connection, Event::Frame(frame));
+            self.schedule_reply(answer_index, input, 2 * NETWORK_DELAY_US * round_trips);
         }
-        if let Some(written) = self.written(engine, at, attempt) {
-            written.reader = Some((link, next));
+        if let Some(stream) = self.stream_mut(engine, answer_index, attempt) {
+            stream.reader = Some((connection, next));
         }
     }
 
-    pub(super) fn written(
+    pub(super) fn stream_mut(
         &mut self,
         engine: usize,
-        at: usize,
+        answer_index: usize,
         attempt: Attempt,
-    ) -> Option<&mut Written> {
+    ) -> Option<&mut EngineStream> {
         self.engines[engine]
             .streams
             .iter_mut()
-            .find(|written| written.answer == at && written.attempt == attempt)
+            .find(|stream| stream.answer_index == answer_index && stream.attempt == attempt)
     }
 
-    pub(super) fn close(&mut self, at: usize, link: ConnectionId) {
+    pub(super) fn close_connection(&mut self, answer_index: usize, connection: ConnectionId) {
         for engine in &mut self.engines {
-            for written in &mut engine.streams {
-                if written.answer == at && written.reader.is_some_and(|(held, _)| held == link) {
-                    written.reader = None;
+            for stream in &mut engine.streams {
+                if stream.answer_index == answer_index
+                    && stream
+                        .reader
+                        .is_some_and(|(reader, _)| reader == connection)
+                {
+                    stream.reader = None;
                 }
             }
         }
     }
 
-    pub(super) fn cancel(&mut self, at: usize, stream: &StreamId) {
-        let engine = number(&stream.target);
-        let now = self.now;
+    pub(super) fn cancel_stream(&mut self, answer_index: usize, stream_id: &StreamId) {
+        let engine = engine_index(&stream_id.target);
+        let now = self.now_us;
         let state = &mut self.engines[engine];
-        state.ejected = state.ejected.max(now + EJECTION_US);
-        // A paused engine is told again until it answers, so it stops the stream first of all.
-        state
-            .streams
-            .retain(|written| written.answer != at || written.attempt != stream.attempt);
-        self.release(at);
+        state.ejected_until_us = state.ejected_until_us.max(now + EJECTION_US);
+        // The cancellation is repeated until a paused engine answers, so the engine ends the stream
+        // before it generates anything else.
+        state.streams.retain(|stream| {
+            stream.answer_index != answer_index || stream.attempt != stream_id.attempt
+        });
+        self.release_grant(answer_index);
     }
 
-    pub(super) fn wake(&mut self, engine: usize) {
-        if !self.engines[engine].stepping {
-            self.engines[engine].stepping = true;
-            let delay = self.step_time(engine);
-            self.after(delay, Act::Step(engine));
+    pub(super) fn schedule_step(&mut self, engine: usize) {
+        if !self.engines[engine].is_stepping {
+            self.engines[engine].is_stepping = true;
+            let delay = self.step_duration(engine);
+            self.schedule(delay, SimEvent::EngineStep(engine));
         }
     }
 
-    pub(super) fn step_time(&mut self, engine: usize) -> u64 {
-        let gap = self.rng.random_range(GAP_US.0..GAP_US.1);
+    pub(super) fn step_duration(&mut self, engine: usize) -> u64 {
+        let gap = self.rng.random_range(DECODE_GAP_US.0..DECODE_GAP_US.1);
         let streams = &self.engines[engine].streams;
-        let read: u64 = streams
+        let chunk_tokens: u64 = streams
             .iter()
-            .map(|written| written.unread.min(CHUNK))
+            .map(|stream| stream.unread_tokens.min(PREFILL_CHUNK_TOKENS))
             .sum();
-        gap + read * PREFILL_US
+        gap + chunk_tokens * PREFILL_TOKEN_US
     }
 
-    pub(super) fn step(&mut self, engine: usize) {
+    pub(super) fn step_engine(&mut self, engine: usize) {
         let state = &mut self.engines[engine];
-        if state.dead {
+        if state.is_dead {
             return;
         }
-        if state.paused > self.now {
-            let delay = state.paused - self.now;
-            return self.after(delay, Act::Step(engine));
+        if state.paused_until_us > self.now_us {
+            let delay = state.paused_until_us - self.now_us;
+            return self.schedule(delay, SimEvent::EngineStep(engine));
         }
         let mut sent = Vec::new();
-        for written in &mut state.streams {
-            if written.unread > 0 {
-                written.unread -= written.unread.min(CHUNK);
+        for stream in &mut state.streams {
+            if stream.unread_tokens > 0 {
+                stream.unread_tokens -= stream.unread_tokens.min(PREFILL_CHUNK_TOKENS);
                 continue;
             }
-            let position = written.next;
-            written.next += 1;
-            self.answers[written.answer].generated += 1;
-            let Some((link, next)) = &mut written.reader else {
+            let position = stream.next_position;
+            stream.next_position += 1;
+            self.answers[stream.answer_index].generated_tokens += 1;
+            let Some((connection, next)) = &mut stream.reader else {
                 continue;
             };
-            if written.silent || position < *next {
+            if stream.is_silent || position < *next {
                 continue;
             }
             *next = position + 1;
             sent.push((
-                written.answer,
-                *link,
-                frame(written.answer, written.attempt, position),
+                stream.answer_index,
+                *connection,
+                frame(stream.answer_index, stream.attempt, position),
             ));
         }
-        for (at, link, frame) in sent {
-            self.reply(at, Input::Event(link, Event::Frame(frame)), WIRE_US);
+        for (answer_index, connection, frame) in sent {
+            self.schedule_reply(
+                answer_index,
+                Input::Event(connection, Event::Frame(frame)),
+                NETWORK_DELAY_US,
+            );
         }
-        let delay = self.step_time(engine);
-        self.after(delay, Act::Step(engine));
+        let delay = self.step_duration(engine);
+        self.schedule(delay, SimEvent::EngineStep(engine));
     }
 
-    pub(super) fn strike(&mut self) {
-        self.fault_at = self.now;
-        if self.struck {
-            return self.strike_again();
+    pub(super) fn inject_fault(&mut self) {
+        self.last_fault_us = self.now_us;
+        if self.fault_injected {
+            return self.kill_instances_of_hit_answers();
         }
-        self.struck = true;
-        if self.fault == Fault::Later {
-            self.after(LATER_US, Act::Fault);
+        self.fault_injected = true;
+        if self.fault == Fault::EngineThenInstanceDeath {
+            self.schedule(SECOND_FAULT_DELAY_US, SimEvent::Fault);
         }
-        let count = if self.fault.third() {
+        let count = if self.fault.hits_third_of_engines() {
             self.engines.len() / 3
         } else {
             1
         };
         for engine in 0..count {
-            let hit: Vec<(usize, Option<(ConnectionId, u32)>)> = self.engines[engine]
+            let hit_streams: Vec<(usize, Option<(ConnectionId, u32)>)> = self.engines[engine]
                 .streams
                 .iter()
-                .map(|written| (written.answer, written.reader))
+                .map(|stream| (stream.answer_index, stream.reader))
                 .collect();
-            for (at, _) in &hit {
-                self.answers[*at].hit = true;
-                self.watch(*at);
+            for (answer_index, _) in &hit_streams {
+                self.answers[*answer_index].hit_by_fault = true;
+                self.schedule_tick(*answer_index);
             }
             match self.fault {
-                Fault::Death | Fault::Later | Fault::Third => self.kill(engine, &hit),
-                Fault::Silence => self.engines[engine]
+                Fault::EngineDeath
+                | Fault::EngineThenInstanceDeath
+                | Fault::ThirdOfEnginesDeath => self.kill_engine(engine, &hit_streams),
+                Fault::SilentConnections => self.engines[engine]
                     .streams
                     .iter_mut()
-                    .for_each(|written| written.silent = true),
-                Fault::Pause => self.engines[engine].paused = self.now + 10_000_000,
-                Fault::Router => self.drop_connections(&hit),
-                Fault::Both => {
-                    self.engines[engine].dead = true;
-                    self.engines[engine].ejected = u64::MAX;
-                    self.drop_connections(&hit);
+                    .for_each(|stream| stream.is_silent = true),
+                Fault::EnginePause => {
+                    self.engines[engine].paused_until_us = self.now_us + 10_000_000
+                }
+                Fault::InstanceDeath => self.disconnect_answers(&hit_streams),
+                Fault::EngineAndInstanceDeath => {
+                    self.engines[engine].is_dead = true;
+                    self.engines[engine].ejected_until_us = u64::MAX;
+                    self.disconnect_answers(&hit_streams);
                 }
             }
         }
     }
 
-    /// Lets the instances die of the answers that the first fault hit.
-    fn strike_again(&mut self) {
-        let mut hit = Vec::new();
-        for (at, answer) in self.answers.iter_mut().enumerate() {
-            if answer.hit && !answer.over {
+    /// Kills the instances that deliver the answers hit by the first fault.
+    fn kill_instances_of_hit_answers(&mut self) {
+        let mut hit_streams = Vec::new();
+        for (answer_index, answer) in self.answers.iter_mut().enumerate() {
+            if answer.hit_by_fault && !answer.is_finished {
                 answer.resumed = false;
-                answer.longest = 0;
-                hit.push((at, None));
+                answer.longest_gap_us = 0;
+                hit_streams.push((answer_index, None));
             }
         }
-        self.drop_connections(&hit);
+        self.disconnect_answers(&hit_streams);
     }
 
-    pub(super) fn kill(&mut self, engine: usize, hit: &[(usize, Option<(ConnectionId, u32)>)]) {
-        self.engines[engine].dead = true;
-        self.engines[engine].ejected = u64::MAX;
-        for (at, reader) in hit {
-            if let Some((link, _)) = reader {
-                self.reply(*at, Input::Closed(*link), WIRE_US);
+    pub(super) fn kill_engine(
+        &mut self,
+        engine: usize,
+        hit_streams: &[(usize, Option<(ConnectionId, u32)>)],
+    ) {
+        self.engines[engine].is_dead = true;
+        self.engines[engine].ejected_until_us = u64::MAX;
+        for (answer_index, reader) in hit_streams {
+            if let Some((connection, _)) = reader {
+                self.schedule_reply(*answer_index, Input::Closed(*connection), NETWORK_DELAY_US);
             }
         }
     }
 
-    pub(super) fn drop_connections(&mut self, hit: &[(usize, Option<(ConnectionId, u32)>)]) {
-        for (at, _) in hit {
-            self.answers[*at].conn += 1;
-            self.answers[*at].down = true;
-            self.after(RECONNECT_US, Act::Reconnect(*at));
+    pub(super) fn disconnect_answers(
+        &mut self,
+        hit_streams: &[(usize, Option<(ConnectionId, u32)>)],
+    ) {
+        for (answer_index, _) in hit_streams {
+            self.answers[*answer_index].connection_epoch += 1;
+            self.answers[*answer_index].is_disconnected = true;
+            self.schedule(RECONNECT_US, SimEvent::Reconnect(*answer_index));
         }
     }
 }
--- a/bench/src/answer/model/instances.rs
+++ b/bench/src/answer/model/instances.rs
@@ -1,51 +1,51 @@
-//! The instances, which drive the real state machines.
+//! Simulated instances, which run the real state machines of the `answer` crate.
 
 use super::*;
 
 impl Model {
-    pub(super) fn input(&mut self, at: usize, input: Input) {
-        let now = self.instant();
-        let answer = &mut self.answers[at];
-        if answer.over || answer.down {
+    pub(super) fn handle_input(&mut self, answer_index: usize, input: Input) {
+        let now = self.now_instant();
+        let answer = &mut self.answers[answer_index];
+        if answer.is_finished || answer.is_disconnected {
             return;
         }
         let before = answer.generation.next_tick();
-        let mut out = Vec::new();
-        answer.generation.step(now, input, &mut out);
+        let mut effects = Vec::new();
+        answer.generation.step(now, input, &mut effects);
         let due = answer.generation.next_tick();
-        self.apply(at, out);
-        // With a token each 40 ms the next tick is only looked at now and then.
-        // Before the fault nothing stalls.
-        if due.is_some() && due != before && self.struck {
-            self.watch(at);
+        self.apply_effects(answer_index, effects);
+        // A token arrives about every 40 ms, so a tick is scheduled only when its time changes, and
+        // not before the fault, because no answer stalls until then.
+        if due.is_some() && due != before && self.fault_injected {
+            self.schedule_tick(answer_index);
         }
     }
 
-    /// Sees to it that the next tick comes.
-    pub(super) fn watch(&mut self, at: usize) {
-        if let Some(due) = self.answers[at].generation.next_tick() {
-            let left = due.saturating_duration_since(self.instant());
-            self.after(left.as_micros() as u64, Act::Tick(at));
+    /// Schedules the next tick of the answer's state machine.
+    pub(super) fn schedule_tick(&mut self, answer_index: usize) {
+        if let Some(due) = self.answers[answer_index].generation.next_tick() {
+            let left = due.saturating_duration_since(self.now_instant());
+            self.schedule(left.as_micros() as u64, SimEvent::Tick(answer_index));
         }
     }
 
-    pub(super) fn apply(&mut self, at: usize, effects: Vec<Effect>) {
+    pub(super) fn apply_effects(&mut self, answer_index: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::ChooseTarget(criteria) => {
-                    self.choose(at, &criteria.excluded, criteria.is_resume)
+                    self.choose_target(answer_index, &criteria.excluded, criteria.is_resume)
                 }
-                Effect::Start(start) => self.start(at, start),
+                Effect::Start(start) => self.start_stream(answer_index, start),
                 Effect::Resume {
-                    connection: link,
+                    connection,
                     stream,
                     from,
-                } => self.resume(at, link, &stream, from),
-                Effect::Close(link) => self.close(at, link),
-                Effect::Cancel(stream) => self.cancel(at, &stream),
-                Effect::PutRecord(record) => self.answers[at].record = Some(record),
-                Effect::Emit(emit) => self.emit(at, emit.resume_token.as_str()),
-                Effect::Fail(_) => self.answers[at].over = true,
+                } => self.resume_stream(answer_index, connection, &stream, from),
+                Effect::Close(connection) => self.close_connection(answer_index, connection),
+                Effect::Cancel(stream) => self.cancel_stream(answer_index, &stream),
+                Effect::PutRecord(record) => self.answers[answer_index].record = Some(record),
+                Effect::Emit(emit) => self.deliver_token(answer_index, emit.resume_token.as_str()),
+                Effect::Fail(_) => self.answers[answer_index].is_finished = true,
                 Effect::ExtendRecord(_)
                 | Effect::RemoveRecord(..)
                 | Effect::NotifyInstance(..)
@@ -55,92 +55,102 @@
         }
     }
 
-    pub(super) fn emit(&mut self, at: usize, id: &str) {
-        let now = self.now;
-        let answer = &mut self.answers[at];
-        let gap = now - answer.last;
-        let first = answer.shown == 0;
-        answer.shown += 1;
-        answer.last = now;
-        id.clone_into(&mut answer.id);
-        // What was on its way when the fault came is not a resume.
-        let after = self.struck && now > self.fault_at + WIRE_US;
-        if after && !(answer.hit && answer.resumed) && (answer.born == 0 || first) {
-            answer.resumed = answer.hit;
-            answer.longest = answer.longest.max(gap);
+    pub(super) fn deliver_token(&mut self, answer_index: usize, resume_token: &str) {
+        let now = self.now_us;
+        let answer = &mut self.answers[answer_index];
+        let gap = now - answer.last_token_us;
+        let is_first_token = answer.delivered_tokens == 0;
+        answer.delivered_tokens += 1;
+        answer.last_token_us = now;
+        resume_token.clone_into(&mut answer.resume_token);
+        // A token that was in transit when the fault occurred doesn't count as a resume.
+        let is_after_fault = self.fault_injected && now > self.last_fault_us + NETWORK_DELAY_US;
+        if is_after_fault
+            && !(answer.hit_by_fault && answer.resumed)
+            && (answer.arrived_us == 0 || is_first_token)
+        {
+            answer.resumed = answer.hit_by_fault;
+            answer.longest_gap_us = answer.longest_gap_us.max(gap);
         }
-        if answer.shown >= answer.length {
-            answer.over = true;
-            let length = answer.length;
+        if answer.delivered_tokens >= answer.length_tokens {
+            answer.is_finished = true;
+            let length = answer.length_tokens;
             for engine in &mut self.engines {
-                engine
-                    .streams
-                    .retain(|written| written.answer != at || written.next < length);
+                engine.streams.retain(|stream| {
+                    stream.answer_index != answer_index || stream.next_position < length
+                });
             }
         }
-        self.release(at);
+        self.release_grant(answer_index);
     }
 
-    /// Gives back the place of a resume, and starts what waits for it.
-    pub(super) fn release(&mut self, at: usize) {
-        let Some(target) = self.answers[at].granted.take() else {
+    /// Releases the resume slot that the answer holds, and grants it to the next waiting answer.
+    pub(super) fn release_grant(&mut self, answer_index: usize) {
+        let Some(target) = self.answers[answer_index].granted_target.take() else {
             return;
         };
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.release(target);
         }
-        self.grant();
+        self.grant_resumes();
     }
 
-    pub(super) fn choose(&mut self, at: usize, avoid: &[TargetName], resumes: bool) {
-        let last = self.base + Duration::from_micros(self.answers[at].last);
+    pub(super) fn choose_target(
+        &mut self,
+        answer_index: usize,
+        excluded: &[TargetName],
+        is_resume: bool,
+    ) {
+        let last = self.epoch + Duration::from_micros(self.answers[answer_index].last_token_us);
         match &mut self.scheduler {
-            Some(scheduler) if resumes => {
+            Some(scheduler) if is_resume => {
                 let waiter = scheduler.enqueue(self.version, last);
-                self.waiters.insert(waiter, at);
-                self.grant();
+                self.waiters.insert(waiter, answer_index);
+                self.grant_resumes();
+            }
+            Some(scheduler) if !scheduler.admits_new(self.version) => {
+                self.waiting_new.push_back(answer_index)
             }
-            Some(scheduler) if !scheduler.admits_new(self.version) => self.held.push_back(at),
             _ => {
-                let target = self.pick(avoid, |_| true);
-                self.chosen(at, target);
+                let target = self.pick_engine(excluded, |_| true);
+                self.schedule_choice(answer_index, target);
             }
         }
     }
 
-    pub(super) fn grant(&mut self) {
+    pub(super) fn grant_resumes(&mut self) {
         loop {
             let Some(mut scheduler) = self.scheduler.take() else {
                 return;
             };
             let grant = scheduler.grant(|_, free| {
-                let target = self.pick(&[], free)?;
+                let target = self.pick_engine(&[], free)?;
                 Some(self.engines[target].key)
             });
             let admits = scheduler.admits_new(self.version);
             self.scheduler = Some(scheduler);
             let Some(grant) = grant else {
                 if admits {
-                    self.admit();
+                    self.start_waiting_answers();
                 }
                 return;
             };
-            if let Some(at) = self.waiters.remove(&grant.waiter) {
-                self.answers[at].granted = Some(grant.target);
-                self.chosen(at, Some(self.index[&grant.target]));
+            if let Some(answer_index) = self.waiters.remove(&grant.waiter) {
+                self.answers[answer_index].granted_target = Some(grant.target);
+                self.schedule_choice(answer_index, Some(self.engine_by_key[&grant.target]));
             }
         }
     }
 
-    pub(super) fn admit(&mut self) {
-        while let Some(at) = self.held.pop_front() {
-            let target = self.pick(&[], |_| true);
-            self.chosen(at, target);
+    pub(super) fn start_waiting_answers(&mut self) {
+        while let Some(answer_index) = self.waiting_new.pop_front() {
+            let target = self.pick_engine(&[], |_| true);
+            self.schedule_choice(answer_index, target);
         }
     }
 
-    pub(super) fn chosen(&mut self, at: usize, target: Option<usize>) {
-        let timeouts = self.timeouts(at);
+    pub(super) fn schedule_choice(&mut self, answer_index: usize, target: Option<usize>) {
+        let timeouts = self.timeouts_of(answer_index);
         let input = match target {
             Some(target) => Input::Chosen(ChosenTarget {
                 target: target.to_string().as_str().into(),
@@ -149,88 +159,106 @@
             }),
             None => Input::NoTarget,
         };
-        let conn = self.answers[at].conn;
-        self.after(0, Act::Input(at, conn, input));
+        let connection_epoch = self.answers[answer_index].connection_epoch;
+        self.schedule(0, SimEvent::Input(answer_index, connection_epoch, input));
     }
 
-    pub(super) fn timeouts(&self, at: usize) -> Timeouts {
-        let answer = &self.answers[at];
-        let tokens = answer.prompt + u64::from(answer.shown);
-        let read = Duration::from_micros(PREFILL_US * tokens);
+    pub(super) fn timeouts_of(&self, answer_index: usize) -> Timeouts {
+        let answer = &self.answers[answer_index];
+        let tokens = answer.prompt_tokens + u64::from(answer.delivered_tokens);
+        let prefill = Duration::from_micros(PREFILL_TOKEN_US * tokens);
         Timeouts {
-            first_token: self.timeouts.first_token + read * 2,
+            first_token: self.timeouts.first_token + prefill * 2,
             ..self.timeouts
         }
     }
 
-    /// Chooses the less loaded of two engines that are not known to be out.
-    pub(super) fn pick(
+    /// Picks the less loaded of two random engines that are neither ejected nor excluded.
+    pub(super) fn pick_engine(
         &mut self,
-        avoid: &[TargetName],
-        fits: impl Fn(TargetKey) -> bool,
+        excluded: &[TargetName],
+        is_allowed: impl Fn(TargetKey) -> bool,
     ) -> Option<usize> {
-        let now = self.now;
-        let fit: Vec<usize> = (0..self.engines.len())
-            .filter(|at| self.engines[*at].ejected <= now && fits(self.engines[*at].key))
-            .filter(|at| !avoid.iter().any(|name| name.as_str() == at.to_string()))
+        let now = self.now_us;
+        let candidates: Vec<usize> = (0..self.engines.len())
+            .filter(|engine_index| {
+                self.engines[*engine_index].ejected_until_us <= now
+                    && is_allowed(self.engines[*engine_index].key)
+            })
+            .filter(|engine_index| {
+                !excluded
+                    .iter()
+                    .any(|name| name.as_str() == engine_index.to_string())
+            })
             .collect();
-        if fit.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        let one = fit[self.rng.random_range(0..fit.len())];
-        let two = fit[self.rng.random_range(0..fit.len())];
-        let load = |at: usize| self.engines[at].streams.len();
-        Some(if load(one) <= load(two) { one } else { two })
+        let first = candidates[self.rng.random_range(0..candidates.len())];
+        let second = candidates[self.rng.random_range(0..candidates.len())];
+        let load = |engine_index: usize| self.engines[engine_index].streams.len();
+        Some(if load(first) <= load(second) {
+            first
+        } else {
+            second
+        })
     }
 
-    pub(super) fn reply(&mut self, at: usize, input: Input, delay: u64) {
-        let conn = self.answers[at].conn;
-        self.after(delay, Act::Input(at, conn, input));
+    pub(super) fn schedule_reply(&mut self, answer_index: usize, input: Input, delay: u64) {
+        let connection_epoch = self.answers[answer_index].connection_epoch;
+        self.schedule(
+            delay,
+            SimEvent::Input(answer_index, connection_epoch, input),
+        );
     }
 
-    /// Goes on at another instance, in the way that is weighed.
-    pub(super) fn reconnect(&mut self, at: usize) {
+    /// Continues the answer at another instance, under the policy of the run.
+    pub(super) fn reconnect(&mut self, answer_index: usize) {
         for engine in &mut self.engines {
             let streams = engine.streams.iter_mut();
             streams
-                .filter(|written| written.answer == at)
-                .for_each(|written| written.reader = None);
+                .filter(|stream| stream.answer_index == answer_index)
+                .for_each(|stream| stream.reader = None);
         }
-        self.answers[at].down = false;
-        let request = self.request(at);
+        self.answers[answer_index].is_disconnected = false;
+        let request = self.request(answer_index);
         let codec = codec(&request);
-        let shown = self.answers[at].shown;
-        let token = codec.decode(&self.answers[at].id).ok();
-        let all: Vec<TokenId> = (0..shown).map(|position| token_of(at, position)).collect();
-        let record = self.answers[at].record.clone();
-        let (record, brought) = self.way.takeover.known(record, &all);
+        let delivered = self.answers[answer_index].delivered_tokens;
+        let token = codec.decode(&self.answers[answer_index].resume_token).ok();
+        let delivered_tokens: Vec<TokenId> = (0..delivered)
+            .map(|position| token_at(answer_index, position))
+            .collect();
+        let record = self.answers[answer_index].record.clone();
+        let (record, caller_prefix) = self.policy.takeover.inputs(record, &delivered_tokens);
         let driver = DriverId::random(&mut self.rng);
-        let plan = TakeOver::plan(driver, token.as_ref(), record.as_ref(), &brought);
+        let plan = TakeOver::plan(driver, token.as_ref(), record.as_ref(), &caller_prefix);
         let limits = limits();
-        let now = self.instant();
-        let mut out = Vec::new();
-        let timeouts = self.timeouts(at);
-        self.answers[at].generation = match plan {
-            Ok(Some(plan)) if self.way.takeover != TakeOverWay::Restart => {
-                Generation::take_over(request, limits, codec, plan, timeouts, now, &mut out)
+        let now = self.now_instant();
+        let mut effects = Vec::new();
+        let timeouts = self.timeouts_of(answer_index);
+        self.answers[answer_index].generation = match plan {
+            Ok(Some(plan)) if self.policy.takeover != TakeOverPolicy::Restart => {
+                Generation::take_over(request, limits, codec, plan, timeouts, now, &mut effects)
             }
-            _ => self.anew(at, request, codec, driver, &mut out),
+            _ => self.restart_from_zero(answer_index, request, codec, driver, &mut effects),
         };
-        self.apply(at, out);
-        self.watch(at);
+        self.apply_effects(answer_index, effects);
+        self.schedule_tick(answer_index);
     }
 
-    /// Starts from zero; the caller passes over what it has already.
-    pub(super) fn anew(
+    /// Generates the answer from the first token; tokens that the caller already has are skipped.
+    pub(super) fn restart_from_zero(
         &mut self,
-        at: usize,
+        answer_index: usize,
         request: Request,
         codec: ResumeTokenCodec,
         driver: DriverId,
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) -> Generation {
         for engine in &mut self.engines {
-            engine.streams.retain(|written| written.answer != at);
+            engine
+                .streams
+                .retain(|stream| stream.answer_index != answer_index);
         }
         let plan = TakeOver {
             attempt: driver.first_attempt(),
@@ -241,20 +269,20 @@
                     attempt: driver.first_attempt(),
                 },
                 version: "v1".into(),
-                seed: at as u64,
+                seed: answer_index as u64,
             },
             fallback: None,
             previous_instance: None,
-            delivered: Position(self.answers[at].shown),
+            delivered: Position(self.answers[answer_index].delivered_tokens),
             digest: codec
-                .decode(&self.answers[at].id)
+                .decode(&self.answers[answer_index].resume_token)
                 .map(|token| token.digest)
                 .unwrap_or_default(),
             prefix: Vec::new(),
             text: String::new(),
         };
         let limits = limits();
-        let (now, timeouts) = (self.instant(), self.timeouts(at));
-        Generation::take_over(request, limits, codec, plan, timeouts, now, out)
+        let (now, timeouts) = (self.now_instant(), self.timeouts_of(answer_index));
+        Generation::take_over(request, limits, codec, plan, timeouts, now, effects)
     }
 }
