--- a/bench/src/rollout.rs
+++ b/bench/src/rollout.rs
@@ -1,6 +1,7 @@
-//! Measures of the `rollout` crate: good versions done by the deadline, bad ones taken back.
+//! Benchmarks of the `rollout` crate: whether good versions are rolled out by the deadline and bad
+//! ones rolled back.
 //!
-//! The fake fleet is the one that the crate's tests use.
+//! The fake fleet is shared with the tests of the crate.
 
 #[expect(dead_code, reason = "The tests of the crate use more of it.")]
 #[path = "../../crates/rollout/tests/fake_fleet.rs"]
@@ -29,25 +30,27 @@
     (Defect::Slow, "slow"),
 ];
 const THREADS: u64 = 4;
-const END_MS: u64 = 900_000;
-const AFTER_MS: u64 = 3_000;
+/// The virtual time after which a run is given up.
+const RUN_LIMIT_MS: u64 = 900_000;
+/// How long a run continues after the rollout has ended.
+const RUN_AFTER_END_MS: u64 = 3_000;
 
-/// Takes the measures.
+/// Runs the benchmarks.
 pub(crate) fn run(seeds: u64) -> Vec<Row> {
     let config = RolloutConfig::default();
-    let all = DEFECTS.map(|(defect, _)| defect);
+    let all_defects = DEFECTS.map(|(defect, _)| defect);
     let pooled = RolloutConfig {
         per_class: false,
         ..config
     };
-    let counted = RolloutConfig {
+    let every_crash_counted = RolloutConfig {
         stricter_for_single_target: false,
         discount_incidents: false,
         ..config
     };
-    // A baseline is run on the defects that it can differ on.
-    let ways: [(&str, Strategy, &[Defect]); 4] = [
-        ("celerypond", Strategy::Judged(config), &all),
+    // A baseline is run only on the defects for which its result can differ.
+    let policies: [(&str, Strategy, &[Defect]); 4] = [
+        ("celerypond", Strategy::Judged(config), &all_defects),
         (
             "baseline: pooled routes",
             Strategy::Judged(pooled),
@@ -55,59 +58,63 @@
         ),
         (
             "baseline: crashes in full",
-            Strategy::Judged(counted),
+            Strategy::Judged(every_crash_counted),
             &[Defect::None],
         ),
-        ("baseline: fixed steps", Strategy::FixedThreshold, &all),
+        (
+            "baseline: fixed steps",
+            Strategy::FixedThreshold,
+            &all_defects,
+        ),
     ];
     let mut rows = Vec::new();
     for (deployment, scenario) in [("Holding", holding()), ("Harrowgate", harrowgate())] {
-        for (way, config, defects) in ways {
+        for (label, strategy, defects) in policies {
             for (defect, name) in DEFECTS {
                 if !defects.contains(&defect) {
                     continue;
                 }
                 let scenario = Scenario {
                     defect,
-                    strategy: config,
-                    tracks_detectability: way == "celerypond",
+                    strategy,
+                    tracks_detectability: label == "celerypond",
                     ..scenario.clone()
                 };
-                let outcomes = outcomes(&scenario, seeds);
-                rows.extend(report(
-                    &format!("{deployment}, {name}: {way}"),
+                let outcomes = run_scenario(&scenario, seeds);
+                rows.extend(outcome_rows(
+                    &format!("{deployment}, {name}: {label}"),
                     defect,
                     &outcomes,
                 ));
             }
         }
-        let general = [
+        let all_engines_failing = [
             (200_000, Disruption::AllEnginesFail(true)),
             (215_000, Disruption::AllEnginesFail(false)),
             (480_000, Disruption::AllEnginesFail(true)),
             (490_000, Disruption::AllEnginesFail(false)),
         ];
         let scenario = Scenario {
-            disruptions: general.to_vec(),
+            disruptions: all_engines_failing.to_vec(),
             ..scenario
         };
-        let outcomes = outcomes(&scenario, seeds);
-        rows.extend(report(
+        let outcomes = run_scenario(&scenario, seeds);
+        rows.extend(outcome_rows(
             &format!("{deployment}, good, all engines failing twice: celerypond"),
             Defect::None,
             &outcomes,
         ));
     }
-    rows.extend([7, 50, 200, 900].into_iter().flat_map(evidence));
+    rows.extend([7, 50, 200, 900].into_iter().flat_map(evidence_rows));
     rows
 }
 
-/// 20 engines, 7 instances, 12 requests a second.
+/// 20 engines, 7 instances, 12 requests per second.
 fn holding() -> Scenario {
     Scenario::holding(Defect::None)
 }
 
-/// 35 engines, 7 instances, 20 requests a second.
+/// 35 engines, 7 instances, 20 requests per second.
 fn harrowgate() -> Scenario {
     Scenario {
         base_engines: 18,
@@ -117,134 +124,150 @@
     }
 }
 
-fn outcomes(scenario: &Scenario, seeds: u64) -> Vec<Outcome> {
-    let part = |first: u64| {
-        let seeds = (first..seeds).step_by(THREADS as usize);
+/// Runs a scenario with each seed, on several threads.
+fn run_scenario(scenario: &Scenario, seeds: u64) -> Vec<Outcome> {
+    let run_thread = |thread: u64| {
+        let seeds = (thread..seeds).step_by(THREADS as usize);
         let run = |seed| {
             FakeFleet::new(scenario.clone(), seed)
-                .run(END_MS, AFTER_MS)
+                .run(RUN_LIMIT_MS, RUN_AFTER_END_MS)
                 .clone()
         };
         seeds.map(run).collect::<Vec<_>>()
     };
     thread::scope(|scope| {
-        let parts: Vec<_> = (0..THREADS)
-            .map(|first| scope.spawn(move || part(first)))
+        let threads: Vec<_> = (0..THREADS)
+            .map(|thread| scope.spawn(move || run_thread(thread)))
             .collect();
-        parts
+        threads
             .into_iter()
-            .flat_map(|part| part.join().unwrap_or_default())
+            .flat_map(|thread| thread.join().unwrap_or_default())
             .collect()
     })
 }
 
-fn report(way: &str, defect: Defect, outcomes: &[Outcome]) -> Vec<Row> {
+/// Summarizes the outcomes of a scenario in rows.
+fn outcome_rows(label: &str, defect: Defect, outcomes: &[Outcome]) -> Vec<Row> {
     let is_good = defect == Defect::None;
-    let is_right = |outcome: &Outcome| match outcome.phase {
+    let is_expected_end = |outcome: &Outcome| match outcome.phase {
         Some(Phase::Done) => is_good,
         Some(Phase::TakenBack { .. }) => !is_good,
         _ => false,
     };
-    let of = |value: &dyn Fn(&Outcome) -> f64| outcomes.iter().map(value).collect::<Vec<_>>();
+    let values_of =
+        |value: &dyn Fn(&Outcome) -> f64| outcomes.iter().map(value).collect::<Vec<_>>();
     let mean = |values: Vec<f64>| values.iter().sum::<f64>() / values.len() as f64;
-    let right = mean(of(&|outcome| f64::from(u8::from(is_right(outcome)))));
-    let lies = mean(of(&|outcome| {
+    let expected_share = mean(values_of(&|outcome| {
+        f64::from(u8::from(is_expected_end(outcome)))
+    }));
+    let false_share = mean(values_of(&|outcome| {
         f64::from(u8::from(outcome.false_ending.is_some()))
     }));
-    let count = outcomes.len() as u64;
-    let single = |measure, value| Row {
+    let samples = outcomes.len() as u64;
+    let share_row = |measure, share| Row {
         measure,
-        way: way.to_owned(),
+        way: label.to_owned(),
         unit: "%",
-        median: 100.0 * value,
-        p99: 100.0 * value,
-        samples: count,
+        median: 100.0 * share,
+        p99: 100.0 * share,
+        samples,
     };
     let mut rows = vec![
-        single("rollout: right ending", right),
-        single("rollout: untrue report", lies),
+        share_row("rollout: right ending", expected_share),
+        share_row("rollout: untrue report", false_share),
     ];
     if is_good {
-        let ended = of(&|outcome| outcome.ended_ms as f64 / 1e3);
-        rows.push(Row::of("rollout: time to report", way, "s", ended));
-        let bytes = of(&|outcome| outcome.report_bytes as f64 / 7.0);
+        let end_s = values_of(&|outcome| outcome.ended_ms as f64 / 1e3);
+        rows.push(Row::of("rollout: time to report", label, "s", end_s));
+        let bytes = values_of(&|outcome| outcome.report_bytes as f64 / 7.0);
         rows.push(Row::of(
             "rollout: report, per instance",
-            way,
+            label,
             "bytes of JSON",
             bytes,
         ));
         return rows;
     }
-    let span =
+    let seconds_between =
         |from: Option<u64>, to: u64| from.map_or(0.0, |from| to.saturating_sub(from) as f64 / 1e3);
-    let shown = of(&|outcome| span(outcome.first_fault_ms, outcome.last_sent_ms));
-    let proved = of(&|outcome| span(outcome.detectable_ms, outcome.last_sent_ms));
-    let sent = of(&|outcome| outcome.sent_after_first_fault as f64);
-    let harmed = of(&|outcome| outcome.faulty_requests as f64);
-    let late = of(&|outcome| outcome.sent_after_detectable as f64);
+    let fault_to_last_s =
+        values_of(&|outcome| seconds_between(outcome.first_fault_ms, outcome.last_sent_ms));
+    let detectable_to_last_s =
+        values_of(&|outcome| seconds_between(outcome.detectable_ms, outcome.last_sent_ms));
+    let sent_after_fault = values_of(&|outcome| outcome.sent_after_first_fault as f64);
+    let faulty = values_of(&|outcome| outcome.faulty_requests as f64);
+    let sent_after_detectable = values_of(&|outcome| outcome.sent_after_detectable as f64);
     rows.push(Row::of(
         "rollout: first fault to last sent",
-        way,
+        label,
         "s",
-        shown,
+        fault_to_last_s,
     ));
     rows.push(Row::of(
         "rollout: sent after first fault",
-        way,
+        label,
         "requests",
-        sent,
+        sent_after_fault,
     ));
     rows.push(Row::of(
         "rollout: hit by the fault",
-        way,
+        label,
         "requests",
-        harmed,
+        faulty,
+    ));
+    rows.push(Row::of(
+        "rollout: provable to last sent",
+        label,
+        "s",
+        detectable_to_last_s,
     ));
-    rows.push(Row::of("rollout: provable to last sent", way, "s", proved));
     rows.push(Row::of(
         "rollout: sent after provable",
-        way,
+        label,
         "requests",
-        late,
+        sent_after_detectable,
     ));
     rows
 }
 
-/// What evidence takes in gossip and to weigh, at a number of instances that all send.
-fn evidence(instances: usize) -> Vec<Row> {
+/// Measures the size of a rollout's evidence in gossip and the time to evaluate it, when all
+/// instances send requests.
+fn evidence_rows(instances: usize) -> Vec<Row> {
     let names: Vec<_> = (0..instances)
-        .map(|at| InstanceName::new(format!("i{at}")))
+        .map(|index| InstanceName::new(format!("i{index}")))
         .collect();
     let scenario = holding();
     let models = [scenario.model()];
-    let change = ShareIncrease {
+    let increase = ShareIncrease {
         candidate: fake_fleet::candidate(),
         base: "v1".into(),
         from_ppm: 0,
         to_ppm: FULL_SHARE_PPM,
         engines: 10,
     };
-    let part = ModelPart {
+    let model_part = ModelPart {
         origin: fake_fleet::ORIGIN,
         rolled_ms: 0,
-        increases: vec![change],
+        increases: vec![increase],
     };
     let controller = |name: &InstanceName| {
         let mut controller = RolloutController::new(name.clone(), 1, RolloutConfig::default());
         controller.set_live(&names);
-        controller.set_parts(BTreeMap::from([(models[0].name.clone(), part.clone())]));
+        controller.set_parts(BTreeMap::from([(
+            models[0].name.clone(),
+            model_part.clone(),
+        )]));
         controller
     };
-    let mut first = controller(&names[0]);
-    let mut rollout = first.due_records(&models, |_| 10.0, true, 0).remove(0);
+    let mut evaluating = controller(&names[0]);
+    let mut rollout = evaluating.due_records(&models, |_| 10.0, true, 0).remove(0);
     rollout.versions[0].senders = None;
     let reports: Vec<_> = names
         .iter()
         .flat_map(|name| {
             let mut controller = controller(name);
             controller.merge_rollout(rollout.clone());
-            observe(&mut controller);
+            record_trials(&mut controller);
             controller.own_reports().cloned().collect::<Vec<_>>()
         })
         .collect();
@@ -252,42 +275,42 @@
         .iter()
         .map(|report| serde_json::to_vec(report).map_or(0, |json| json.len()))
         .sum();
-    first.merge_rollout(rollout);
+    evaluating.merge_rollout(rollout);
     for report in reports {
-        first.merge_report(report);
+        evaluating.merge_report(report);
     }
-    let weigh = |now_ms| {
+    let evaluation_us = |now_ms| {
         let start = Instant::now();
-        first.evaluate(|_| 10, now_ms);
+        evaluating.evaluate(|_| 10, now_ms);
         start.elapsed().as_secs_f64() * 1e6
     };
-    let times = (0..50).map(weigh).collect();
-    let way = format!("{instances} instances");
+    let times = (0..50).map(evaluation_us).collect();
+    let label = format!("{instances} instances");
     vec![
         Row::of(
             "rollout: evidence of a rollout",
-            way.clone(),
+            label.clone(),
             "bytes of JSON",
             vec![bytes as f64],
         ),
-        Row::of("rollout: weighing it once", way, "us", times),
+        Row::of("rollout: weighing it once", label, "us", times),
     ]
 }
 
-/// Feeds an instance a thousand trials of each version on three routes.
-fn observe(controller: &mut RolloutController) {
-    for at in 0..6_000_u64 {
-        let version = if at % 2 == 0 { "v1" } else { "v2" };
-        let class = ["draft", "letter", "drawing"][at as usize / 2 % 3];
+/// Records a thousand successful trials for each of two versions and three request classes.
+fn record_trials(controller: &mut RolloutController) {
+    for trial_index in 0..6_000_u64 {
+        let version = if trial_index % 2 == 0 { "v1" } else { "v2" };
+        let class = ["draft", "letter", "drawing"][trial_index as usize / 2 % 3];
         let trial = Trial {
             model: "draft".into(),
             version: version.into(),
             class: RequestClass(class.into()),
             target: version.into(),
-            is_first: at % 8 < 2,
-            begun_ms: at,
+            is_first: trial_index % 8 < 2,
+            begun_ms: trial_index,
         };
         controller.record_sent(&trial);
-        controller.record_success(&trial, 20_000 + at * 37 % 60_000);
+        controller.record_success(&trial, 20_000 + trial_index * 37 % 60_000);
     }
 }
