--- a/bench/src/orders.rs
+++ b/bench/src/orders.rs
@@ -1,5 +1,5 @@
-//! Measures of the `orders` crate: the time to load versions with and without pacing, and what
-//! leases cost.
+//! Benchmarks of the `orders` crate: the time to load versions with and without pacing, and the
+//! cost of leases.
 
 use std::time::Duration;
 
@@ -14,127 +14,160 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Engines of one shard.
+/// The number of engines in the shard.
 const ENGINES: usize = 40;
 
-/// Loads that the weight store serves at once, and the time that one takes.
-const SERVED: (usize, Duration) = (5, Duration::from_secs(8));
+/// The number of concurrent loads that the weight store serves, and how long each takes.
+const WEIGHT_STORE_CAPACITY: (usize, Duration) = (5, Duration::from_secs(8));
 
-/// A window that nothing fills.
-const NO_PACE: f64 = f64::INFINITY;
+/// A load window that is never full.
+const UNLIMITED_LOADS: f64 = f64::INFINITY;
 
-const LIMIT: Duration = Duration::from_secs(3600);
+/// The virtual time after which a run is given up.
+const LOAD_LIMIT: Duration = Duration::from_secs(3600);
 
-/// Virtual seconds over which calls to the store are counted.
-const CALL_SECONDS: u32 = 600;
+/// The virtual time over which calls to the store are counted.
+const COUNTED_SECONDS: u32 = 600;
 
-/// Takes the measures.
+/// Runs the benchmarks.
 pub(crate) fn run(seeds: u64) -> Vec<Row> {
     let mut rows = Vec::new();
     for versions in [1, 3] {
-        rows.extend(loads(
+        rows.extend(load_rows(
             versions,
             OrderSettings::default().initial_load_window,
             "paced",
             seeds,
         ));
-        rows.extend(loads(versions, NO_PACE, "baseline: all at once", seeds));
+        rows.extend(load_rows(
+            versions,
+            UNLIMITED_LOADS,
+            "baseline: all at once",
+            seeds,
+        ));
     }
-    rows.push(calls(1, seeds));
-    rows.push(calls(2, seeds));
-    rows.extend(take_over(seeds));
+    rows.push(store_call_row(1, seeds));
+    rows.push(store_call_row(2, seeds));
+    rows.extend(takeover_rows(seeds));
     rows
 }
 
-/// Loads some versions on all engines and counts the time and the refusals.
-fn loads(versions: usize, loads: f64, way: &str, seeds: u64) -> Vec<Row> {
+/// Measures the time to load some versions on all engines, and counts the refused loads.
+fn load_rows(versions: usize, initial_load_window: f64, label: &str, seeds: u64) -> Vec<Row> {
     let (mut times, mut refusals) = (Vec::new(), Vec::new());
     for seed in 0..seeds {
         let settings = OrderSettings {
-            initial_load_window: loads,
+            initial_load_window,
             ..OrderSettings::default()
         };
-        let mut sim = Simulation::new(1, settings, seed);
-        for at in 0..ENGINES {
-            sim.add_engine(&format!("e{at}"), StaleOrderGuard::Fencing);
+        let mut simulation = Simulation::new(1, settings, seed);
+        for index in 0..ENGINES {
+            simulation.add_engine(&format!("e{index}"), StaleOrderGuard::Fencing);
         }
-        sim.weight_store = SERVED;
-        sim.set_wanted(0, true);
-        let names = (0..versions).map(|at| (format!("v{at}").as_str().into(), "w".into()));
-        sim.set_desired(
+        simulation.weight_store = WEIGHT_STORE_CAPACITY;
+        simulation.set_wanted(0, true);
+        let names = (0..versions).map(|index| (format!("v{index}").as_str().into(), "w".into()));
+        simulation.set_desired(
             0,
             &DesiredState {
                 versions: names.collect(),
                 role: None,
             },
         );
-        let all = |sim: &Simulation| sim.engines.values().all(|e| e.versions.len() == versions);
-        sim.run_until(LIMIT, all);
-        times.push((sim.now - sim.start).as_secs_f64());
-        refusals.push(sim.refused_loads as f64);
+        let all_loaded = |simulation: &Simulation| {
+            simulation
+                .engines
+                .values()
+                .all(|engine| engine.versions.len() == versions)
+        };
+        simulation.run_until(LOAD_LIMIT, all_loaded);
+        times.push((simulation.now - simulation.start).as_secs_f64());
+        refusals.push(simulation.refused_loads as f64);
     }
-    let way = format!("{way}, {versions} versions, {ENGINES} engines");
+    let label = format!("{label}, {versions} versions, {ENGINES} engines");
     vec![
-        Row::of("time until all are loaded", &way, "s", times),
-        Row::of("loads refused by the weight store", &way, "calls", refusals),
+        Row::of("time until all are loaded", &label, "s", times),
+        Row::of(
+            "loads refused by the weight store",
+            &label,
+            "calls",
+            refusals,
+        ),
     ]
 }
 
-/// Counts the calls to the store for one lease, with one or two instances that want it.
-fn calls(drivers: usize, seeds: u64) -> Row {
+/// Counts the store calls for one lease, by the number of instances that want it.
+fn store_call_row(instances: usize, seeds: u64) -> Row {
     let samples = (0..seeds).map(|seed| {
-        let mut sim = Simulation::new(drivers, OrderSettings::default(), seed);
-        sim.add_engine("e", StaleOrderGuard::Fencing);
-        (0..drivers).for_each(|at| sim.set_wanted(at, true));
-        sim.run(CALL_SECONDS * SECOND);
-        sim.store_calls as f64 / f64::from(CALL_SECONDS)
+        let mut simulation = Simulation::new(instances, OrderSettings::default(), seed);
+        simulation.add_engine("e", StaleOrderGuard::Fencing);
+        (0..instances).for_each(|index| simulation.set_wanted(index, true));
+        simulation.run(COUNTED_SECONDS * SECOND);
+        simulation.store_calls as f64 / f64::from(COUNTED_SECONDS)
     });
-    let way = format!("{drivers} instances want the lease");
-    Row::of("store calls a lease", way, "calls/s", samples.collect())
+    let label = format!("{instances} instances want the lease");
+    Row::of("store calls a lease", label, "calls/s", samples.collect())
 }
 
-/// Measures how long a shard is without orders after its holder dies, by what guards the engines.
-fn take_over(seeds: u64) -> Vec<Row> {
+/// Measures how long a shard gets no orders after the lease holder dies, by how its engines are
+/// protected from stale orders.
+fn takeover_rows(seeds: u64) -> Vec<Row> {
     let guards = [
         ("engines check numbers", StaleOrderGuard::Fencing),
         ("engines close idle connections", StaleOrderGuard::IdleClose),
         ("engines do neither", StaleOrderGuard::Repair),
     ];
-    let rows = guards.into_iter().map(|(way, guard)| {
-        let samples = (0..seeds).map(|seed| gap(guard, seed));
-        Row::of("no orders after a holder dies", way, "s", samples.collect())
+    let rows = guards.into_iter().map(|(label, guard)| {
+        let samples = (0..seeds).map(|seed| seconds_without_orders(guard, seed));
+        Row::of(
+            "no orders after a holder dies",
+            label,
+            "s",
+            samples.collect(),
+        )
     });
     rows.collect()
 }
 
-fn gap(guard: StaleOrderGuard, seed: u64) -> f64 {
-    let mut sim = Simulation::new(2, OrderSettings::default(), seed);
-    sim.add_engine("e", guard);
+/// Returns the time from the death of the lease holder to the first order of its successor.
+fn seconds_without_orders(guard: StaleOrderGuard, seed: u64) -> f64 {
+    let mut simulation = Simulation::new(2, OrderSettings::default(), seed);
+    simulation.add_engine("e", guard);
     let desired = DesiredState {
         versions: Default::default(),
         role: Some("serve".into()),
     };
-    for at in 0..2 {
-        sim.set_wanted(at, true);
-        sim.set_desired(at, &desired);
+    for index in 0..2 {
+        simulation.set_wanted(index, true);
+        simulation.set_desired(index, &desired);
     }
-    sim.run(Duration::from_secs(20) + Duration::from_millis(seed * 137));
-    let log = |sim: &Simulation| -> Vec<u64> {
-        let engine = sim.engines.values().next();
-        let numbers = engine.map(|e| e.accepted.iter().map(|entry| entry.1 .0).collect());
+    simulation.run(Duration::from_secs(20) + Duration::from_millis(seed * 137));
+    let accepted_numbers = |simulation: &Simulation| -> Vec<u64> {
+        let engine = simulation.engines.values().next();
+        let numbers = engine.map(|engine| engine.accepted.iter().map(|entry| entry.1 .0).collect());
         numbers.unwrap_or_default()
     };
-    let before = log(&sim).last().copied().unwrap_or_default();
-    let holder = (0..2).find(|at| {
-        let driver = sim.reconcilers[*at].as_ref();
-        driver.is_some_and(|d| d.lease_client().send_permit(guard, sim.now).is_some())
+    let last_before = accepted_numbers(&simulation)
+        .last()
+        .copied()
+        .unwrap_or_default();
+    let holder = (0..2).find(|index| {
+        let reconciler = simulation.reconcilers[*index].as_ref();
+        reconciler.is_some_and(|reconciler| {
+            reconciler
+                .lease_client()
+                .send_permit(guard, simulation.now)
+                .is_some()
+        })
     });
     if let Some(holder) = holder {
-        sim.reconcilers[holder] = None;
+        simulation.reconcilers[holder] = None;
     }
-    let died = sim.now;
-    sim.run_until(120 * SECOND, |sim| {
-        log(sim).last().is_some_and(|n| *n > before)
+    let died_at = simulation.now;
+    simulation.run_until(120 * SECOND, |simulation| {
+        accepted_numbers(simulation)
+            .last()
+            .is_some_and(|number| *number > last_before)
     });
-    (sim.now - died).as_secs_f64()
+    (simulation.now - died_at).as_secs_f64()
 }
