--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -218,14 +218,14 @@
     /// Otherwise all their requests would be refused until demand is measured, a second later.
     fn set_initial_limits(&self, before: &RoutingView) {
         let view = self.view.load();
-        let part = limits::initial_share(self);
+        let share = limits::initial_share(self);
         let now_ms = self.now_ms();
         let is_new = |name| before.accounts().key(name).is_none();
         for (_, entry) in view.accounts().iter() {
             if is_new(&entry.account.name) {
                 entry
                     .limiter
-                    .set_account_limit(&entry.account, part, now_ms);
+                    .set_account_limit(&entry.account, share, now_ms);
             }
         }
     }
