--- a/bench/src/main.rs
+++ b/bench/src/main.rs
@@ -1,7 +1,7 @@
-//! Takes one measure, or all, and prints a table; `--json FILE` writes the rows as well, and
-//! `--plot FILE` draws them.
+//! Runs one benchmark, or all, and prints a table. `--json FILE` also writes the rows as JSON, and
+//! `--plot FILE` draws them as a chart.
 //!
-//! Every measure compares with a baseline in the same run. Nothing here asserts a time.
+//! Every benchmark compares with a baseline in the same run. No benchmark fails on a duration.
 
 use std::{fs, process::ExitCode};
 
@@ -19,10 +19,10 @@
 
 use table::Row;
 
-/// A measure: its name and the function that takes it with a number of seeds.
-type Measure = (&'static str, fn(u64) -> Vec<Row>);
+/// The name of a benchmark, and the function that runs it with a number of seeds.
+type Benchmark = (&'static str, fn(u64) -> Vec<Row>);
 
-const MEASURES: [Measure; 8] = [
+const BENCHMARKS: [Benchmark; 8] = [
     ("host", host::run),
     ("answer", answer::run),
     ("ledger", ledger::run),
@@ -38,13 +38,13 @@
 fn main() -> ExitCode {
     let flags = flags::CelerypondBench::from_env_or_exit();
     let seeds = flags.seeds.unwrap_or(DEFAULT_SEEDS);
-    let rows: Vec<Row> = MEASURES
+    let rows: Vec<Row> = BENCHMARKS
         .iter()
         .filter(|(name, _)| {
             flags
                 .measure
                 .as_deref()
-                .is_none_or(|wanted| wanted == *name)
+                .is_none_or(|selected| selected == *name)
         })
         .flat_map(|(_, run)| run(seeds))
         .collect();
--- a/bench/src/table.rs
+++ b/bench/src/table.rs
@@ -1,26 +1,27 @@
-//! Rows of figures and their printed forms.
+//! Benchmark results and their output as a table and as JSON.
 
 use serde::Serialize;
 
-/// One figure.
+/// The result of one benchmark under one policy or implementation.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Row {
     /// What was measured.
     pub(crate) measure: &'static str,
-    /// Which way it was done; `baseline` names what the others compare with.
+    /// The policy or implementation that was measured. A name that starts with `baseline` is what the
+    /// others are compared with.
     pub(crate) way: String,
-    /// The unit of the figures.
+    /// The unit of `median` and `p99`.
     pub(crate) unit: &'static str,
-    /// The median over the runs.
+    /// The median of the samples.
     pub(crate) median: f64,
-    /// The 99th percentile over the runs.
+    /// The 99th percentile of the samples.
     pub(crate) p99: f64,
-    /// How many samples stand behind the figures.
+    /// The number of samples.
     pub(crate) samples: u64,
 }
 
 impl Row {
-    /// Makes a row from samples, in any order.
+    /// Summarizes samples, which may be in any order.
     pub(crate) fn of(
         measure: &'static str,
         way: impl Into<String>,
@@ -28,8 +29,8 @@
         mut samples: Vec<f64>,
     ) -> Self {
         samples.sort_by(f64::total_cmp);
-        let at = |part: f64| {
-            let rank = (part * samples.len() as f64).ceil() as usize;
+        let percentile = |fraction: f64| {
+            let rank = (fraction * samples.len() as f64).ceil() as usize;
             samples
                 .get(rank.saturating_sub(1))
                 .copied()
@@ -39,8 +40,8 @@
             measure,
             way: way.into(),
             unit,
-            median: at(0.5),
-            p99: at(0.99),
+            median: percentile(0.5),
+            p99: percentile(0.99),
             samples: samples.len() as u64,
         }
     }
