--- a/bench/src/route.rs
+++ b/bench/src/route.rs
@@ -1,7 +1,8 @@
-//! Measures of the `route` crate: overload, herding, affinity and the cost of a choice.
+//! Benchmarks of the `route` crate: overload, herding, prefix affinity, retry rules, rate limits and
+//! the cost of picking a target.
 //!
-//! The models are small queueing models in virtual time, driven by a seed; only the cost of a
-//! choice and of a refusal is real time.
+//! Most are simulations of small queueing models in virtual time, driven by a seed. Only `cost`
+//! measures real time and memory.
 
 mod affinity;
 mod classes;
@@ -13,8 +14,9 @@
 
 use crate::table::Row;
 
-/// Takes the measures.
+/// Runs the benchmarks.
 pub(crate) fn run(seeds: u64) -> Vec<Row> {
+    // Memory comes first: it must run before anything has freed memory that could be reused.
     let mut rows = cost::memory();
     rows.extend(overload::run(seeds));
     rows.extend(herding::run(seeds));
--- a/bench/src/route/cost.rs
+++ b/bench/src/route/cost.rs
@@ -83,7 +83,7 @@
 /// Times what is done in the background: a survey, each 100 ms, and a new bundle.
 fn upkeep(targets: usize) -> [Row; 3] {
     let now = Instant::now();
-    let (view, bundle) = fleet::declared(targets, 8, now);
+    let (view, bundle) = fleet::view_with_bundle(targets, 8, now);
     for (_, target) in view.targets() {
         target.state.record_load(1, 5);
     }
--- a/bench/src/route/herding.rs
+++ b/bench/src/route/herding.rs
@@ -1,4 +1,7 @@
-//! How evenly engines are loaded when load reports lag.
+//! Load imbalance between engines when load reports are delayed.
+//!
+//! If every instance picks the engine that was least loaded in the last report, all pick the same
+//! engine until the next report (herding).
 
 use std::collections::VecDeque;
 
@@ -14,48 +17,50 @@
 const ENGINES: usize = 20;
 const SLOTS: u32 = 8;
 const TICK_MS: u64 = 20;
-const END_MS: u64 = 40_000;
-const WARM_MS: u64 = 20_000;
-const LAG_MS: u64 = 1_000;
-const REPORT_MS: u64 = 500;
-/// The mean load of an engine over its slots.
-const USE: f64 = 0.6;
+const MEASURED_MS: u64 = 40_000;
+const WARM_UP_MS: u64 = 20_000;
+const REPORT_LAG_MS: u64 = 1_000;
+const REPORT_INTERVAL_MS: u64 = 500;
+/// The mean load of an engine as a fraction of its slots.
+const UTILIZATION: f64 = 0.6;
 
+/// How an instance picks an engine.
 #[derive(Clone, Copy)]
-enum Way {
+enum Policy {
     Random,
     LeastReported,
-    Ours,
+    Celerypond,
 }
 
-/// Takes the measures.
+/// Runs the benchmark with short and long calls.
 pub(crate) fn run(seeds: u64) -> Vec<Row> {
-    let ways = [
-        ("baseline: least reported load", Way::LeastReported),
-        ("baseline: random", Way::Random),
-        ("two choices, corrected load", Way::Ours),
+    let policies = [
+        ("baseline: least reported load", Policy::LeastReported),
+        ("baseline: random", Policy::Random),
+        ("two choices, corrected load", Policy::Celerypond),
     ];
     let mut rows = Vec::new();
     for (measure, service_ms) in [
         ("max/mean load, 1 s lag, 0.8 s calls", 800.0),
         ("max/mean load, 1 s lag, 8 s calls", 8_000.0),
     ] {
-        for (name, way) in ways {
-            let samples = (0..seeds).map(|seed| ratio(seed, way, service_ms));
+        for (name, policy) in policies {
+            let samples = (0..seeds).map(|seed| mean_imbalance(seed, policy, service_ms));
             rows.push(Row::of(measure, name, "max/mean", samples.collect()));
         }
     }
     rows
 }
 
-struct Running {
-    end: u64,
-    at: usize,
-    open: InFlight,
+struct RunningRequest {
+    ends_at_ms: u64,
+    engine: usize,
+    in_flight: InFlight,
 }
 
-/// Returns the mean over time of the most loaded engine's load over the mean load.
-fn ratio(seed: u64, way: Way, service_ms: f64) -> f64 {
+/// Runs one simulation. Returns the ratio of the highest load of an engine to the mean load,
+/// averaged over time.
+fn mean_imbalance(seed: u64, policy: Policy, service_ms: f64) -> f64 {
     let start = Instant::now();
     let views: Vec<_> = (0..INSTANCES)
         .map(|_| fleet::view(ENGINES, SLOTS, start))
@@ -63,41 +68,48 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut loads = vec![0_u32; ENGINES];
     let mut history: VecDeque<Vec<u32>> = VecDeque::new();
-    let mut running: Vec<Running> = Vec::new();
+    let mut running: Vec<RunningRequest> = Vec::new();
     let mut ratios = Vec::new();
-    let per_tick = ENGINES as f64 * f64::from(SLOTS) * USE * TICK_MS as f64 / service_ms;
-    for ms in (0..END_MS + WARM_MS).step_by(TICK_MS as usize) {
+    let arrivals_per_tick =
+        ENGINES as f64 * f64::from(SLOTS) * UTILIZATION * TICK_MS as f64 / service_ms;
+    for ms in (0..MEASURED_MS + WARM_UP_MS).step_by(TICK_MS as usize) {
         let now = start + Duration::from_millis(ms);
-        let (ended, rest) = running.into_iter().partition(|one: &Running| one.end <= ms);
+        let (ended, rest) = running
+            .into_iter()
+            .partition(|request: &RunningRequest| request.ends_at_ms <= ms);
         running = rest;
-        for one in ended {
-            loads[one.at] -= 1;
-            one.open.end(ms);
+        for request in ended {
+            loads[request.engine] -= 1;
+            request.in_flight.end(ms);
         }
         history.push_back(loads.clone());
-        if history.len() as u64 > LAG_MS / TICK_MS {
-            let seen = history.pop_front().unwrap_or_default();
-            if ms % REPORT_MS == 0 {
-                report(&views, &seen, ms - LAG_MS);
+        if history.len() as u64 > REPORT_LAG_MS / TICK_MS {
+            let loads_then = history.pop_front().unwrap_or_default();
+            if ms % REPORT_INTERVAL_MS == 0 {
+                record_load_reports(&views, &loads_then, ms - REPORT_LAG_MS);
             }
         }
         for (view, ..) in views.iter().filter(|_| ms % 100 == 0) {
             view.update_load_stats(now);
         }
-        let mut due = per_tick;
-        while due > 0.0 && rng.random_bool(due.min(1.0)) {
-            due -= 1.0;
+        let mut arrivals_due = arrivals_per_tick;
+        while arrivals_due > 0.0 && rng.random_bool(arrivals_due.min(1.0)) {
+            arrivals_due -= 1.0;
             let (view, route, keys) = &views[rng.random_range(0..INSTANCES)];
-            let at = choose(way, view, *route, keys, now, &mut rng);
-            let target = view.target(keys[at]);
-            let Some(open) = target.and_then(|target| target.state.begin_request(ms)) else {
+            let engine = pick_engine(policy, view, *route, keys, now, &mut rng);
+            let target = view.target(keys[engine]);
+            let Some(in_flight) = target.and_then(|target| target.state.begin_request(ms)) else {
                 continue;
             };
-            let end = ms + (-rng.random::<f64>().ln() * service_ms) as u64;
-            loads[at] += 1;
-            running.push(Running { end, at, open });
+            let ends_at_ms = ms + (-rng.random::<f64>().ln() * service_ms) as u64;
+            loads[engine] += 1;
+            running.push(RunningRequest {
+                ends_at_ms,
+                engine,
+                in_flight,
+            });
         }
-        if ms > WARM_MS {
+        if ms > WARM_UP_MS {
             let mean = running.len() as f64 / ENGINES as f64;
             ratios.push(f64::from(loads.iter().copied().max().unwrap_or(0)) / mean.max(0.01));
         }
@@ -105,18 +117,22 @@
     ratios.iter().sum::<f64>() / ratios.len() as f64
 }
 
-fn report(views: &[(RoutingView, Route, Vec<TargetKey>)], seen: &[u32], sampled_ms: u64) {
+fn record_load_reports(
+    views: &[(RoutingView, Route, Vec<TargetKey>)],
+    loads_then: &[u32],
+    sampled_at_ms: u64,
+) {
     for (view, _, keys) in views {
-        for (key, load) in keys.iter().zip(seen) {
+        for (key, load) in keys.iter().zip(loads_then) {
             if let Some(target) = view.target(*key) {
-                target.state.record_load(sampled_ms, *load);
+                target.state.record_load(sampled_at_ms, *load);
             }
         }
     }
 }
 
-fn choose(
-    way: Way,
+fn pick_engine(
+    policy: Policy,
     view: &RoutingView,
     route: Route,
     keys: &[TargetKey],
@@ -124,21 +140,22 @@
     rng: &mut SmallRng,
 ) -> usize {
     let ms = view.clock().millis(now);
-    match way {
-        Way::Random => rng.random_range(0..keys.len()),
-        Way::LeastReported => {
-            // Without a trust that falls, and without the own sends.
+    match policy {
+        Policy::Random => rng.random_range(0..keys.len()),
+        Policy::LeastReported => {
+            // With these averages a report does not lose weight as it ages, and requests that the
+            // instance itself has sent since are not added.
             let averages = PoolAverages {
                 remote_load: 0,
                 service_ms: u32::MAX,
             };
-            let load = |at: &usize| {
-                view.target(keys[*at])
+            let load = |engine: &usize| {
+                view.target(keys[*engine])
                     .map(|t| t.state.remote_load(ms, averages))
             };
             (0..keys.len()).min_by_key(load).unwrap_or(0)
         }
-        Way::Ours => {
+        Policy::Celerypond => {
             let choice = view.pick(route, &PickCriteria::default(), now, rng).ok();
             let chosen = choice.map(|choice| choice.target);
             keys.iter()
