--- a/bench/src/route/affinity.rs
+++ b/bench/src/route/affinity.rs
@@ -1,4 +1,5 @@
-//! How often a prompt finds its prefix in the engine's cache, and at what imbalance.
+//! Hit rate of the engines' prefix caches with and without prefix affinity, and the load imbalance
+//! that affinity causes.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -13,36 +14,43 @@
 const INSTANCES: usize = 7;
 const ENGINES: usize = 20;
 const SLOTS: u32 = 8;
-/// How many prefixes an engine holds.
-const HELD: usize = 50;
-/// How many prefixes callers use; the n-th is used with weight 1/n.
+/// The number of prefixes that fit in the cache of an engine.
+const CACHE_PREFIXES: usize = 50;
+/// The number of distinct prefixes in prompts. The n-th is drawn with weight 1/n (Zipf).
 const PREFIXES: usize = 600;
-const STEP_MS: u64 = 20;
+const ARRIVAL_INTERVAL_MS: u64 = 20;
 const REQUESTS: u64 = 4_000;
-/// The requests that are not counted, while caches fill.
-const WARM: u64 = 1_000;
+/// The number of requests at the start that are not counted because the caches are still filling.
+const WARM_UP_REQUESTS: u64 = 1_000;
 const SERVICE_MS: f64 = 1_600.0;
-/// How late cache events come, and what share of them is lost.
-const LATE_MS: u64 = 1_000;
-const LOST: f64 = 0.05;
+/// The delay after which cache events are delivered.
+const EVENT_DELAY_MS: u64 = 1_000;
+/// The fraction of cache events that are lost.
+const EVENT_LOSS: f64 = 0.05;
 
+/// What an instance knows about the prefixes that engines have cached.
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
+enum Policy {
+    /// Nothing: engines are picked by load only.
     None,
+    /// The consistent hash ring assigns a prefix to an engine.
     Ring,
+    /// The ring, and cache events of the engines.
     Events,
 }
 
-/// Takes the measures.
+/// Runs the benchmark.
 pub(crate) fn run(seeds: u64) -> Vec<Row> {
-    let ways = [
-        ("baseline: no affinity", Way::None),
-        ("affinity by ring", Way::Ring),
-        ("ring and cache events", Way::Events),
+    let policies = [
+        ("baseline: no affinity", Policy::None),
+        ("affinity by ring", Policy::Ring),
+        ("ring and cache events", Policy::Events),
     ];
     let mut rows = Vec::new();
-    for (name, way) in ways {
-        let runs: Vec<(f64, f64)> = (0..seeds).map(|seed| Model::new(seed).run(way)).collect();
+    for (name, policy) in policies {
+        let runs: Vec<(f64, f64)> = (0..seeds)
+            .map(|seed| Simulation::new(seed).run(policy))
+            .collect();
         let hits = runs.iter().map(|(hits, _)| *hits).collect();
         let ratios = runs.iter().map(|(_, ratio)| *ratio).collect();
         rows.push(Row::of("cache hits", name, "share", hits));
@@ -56,41 +64,43 @@
     rows
 }
 
-/// An event on its way: when it comes, of which engine, its number, and what it says.
-struct Event {
-    due: u64,
-    at: usize,
+/// A cache event that has not been delivered yet.
+struct DelayedEvent {
+    due_ms: u64,
+    engine: usize,
     sequence: u64,
     event: CacheEvent,
 }
 
-struct Model {
+struct Simulation {
     rng: SmallRng,
-    held: Vec<VecDeque<u64>>,
+    caches: Vec<VecDeque<u64>>,
     sequences: Vec<u64>,
-    events: VecDeque<Event>,
+    events: VecDeque<DelayedEvent>,
     tracker: PrefixTracker,
-    weights: Vec<f64>,
+    cumulative_weights: Vec<f64>,
 }
 
-impl Model {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut sum = 0.0;
-        let weights = (1..=PREFIXES).map(|at| {
-            sum += 1.0 / at as f64;
+        let cumulative_weights = (1..=PREFIXES).map(|rank| {
+            sum += 1.0 / rank as f64;
             sum
         });
         Self {
-            weights: weights.collect(),
+            cumulative_weights: cumulative_weights.collect(),
             rng: SmallRng::seed_from_u64(seed),
-            held: vec![VecDeque::new(); ENGINES],
+            caches: vec![VecDeque::new(); ENGINES],
             sequences: vec![0; ENGINES],
             events: VecDeque::new(),
             tracker: PrefixTracker::default(),
         }
     }
 
-    fn run(mut self, way: Way) -> (f64, f64) {
+    /// Runs the simulation. Returns the hit rate and the mean ratio of the highest load of an engine
+    /// to the mean load.
+    fn run(mut self, policy: Policy) -> (f64, f64) {
         let start = Instant::now();
         let mut views: Vec<_> = (0..INSTANCES)
             .map(|_| fleet::view(ENGINES, SLOTS, start))
@@ -98,18 +108,18 @@
         let mut running: Vec<(u64, usize, InFlight)> = Vec::new();
         let mut loads = vec![0_u32; ENGINES];
         let (mut hits, mut ratios) = (0_u32, Vec::new());
-        for at in 0..REQUESTS {
-            let ms = at * STEP_MS;
+        for request in 0..REQUESTS {
+            let ms = request * ARRIVAL_INTERVAL_MS;
             let now = start + Duration::from_millis(ms);
             let (ended, rest) = running.into_iter().partition(|(end, ..)| *end <= ms);
             running = rest;
             let ended: Vec<(u64, usize, InFlight)> = ended;
-            for (_, engine, open) in ended {
+            for (_, engine, in_flight) in ended {
                 loads[engine] -= 1;
-                open.end(ms);
+                in_flight.end(ms);
             }
             if ms.is_multiple_of(500) {
-                self.hear(ms, &views[0].2);
+                self.deliver_events(ms, &views[0].2);
                 let index = Arc::new(self.tracker.build_index());
                 for (view, _, keys) in &mut views {
                     *view = view.with_prefix_index(Arc::clone(&index));
@@ -122,81 +132,93 @@
                     }
                 }
             }
-            let prefix = self.prefix();
+            let prefix = self.draw_prefix();
             let (view, route, keys) = &views[self.rng.random_range(0..INSTANCES)];
             let prefixes = [prefix];
-            let ask = PickCriteria {
-                prefixes: if way == Way::None { &[] } else { &prefixes },
+            let criteria = PickCriteria {
+                prefixes: if policy == Policy::None {
+                    &[]
+                } else {
+                    &prefixes
+                },
                 ..PickCriteria::default()
             };
-            let Ok(choice) = view.pick(*route, &ask, now, &mut self.rng) else {
+            let Ok(choice) = view.pick(*route, &criteria, now, &mut self.rng) else {
                 continue;
             };
             let engine = keys
                 .iter()
                 .position(|key| *key == choice.target)
                 .unwrap_or(0);
-            let hit = self.serve(engine, prefix, ms, way);
-            let open = view
+            let hit = self.serve_prompt(engine, prefix, ms, policy);
+            let in_flight = view
                 .target(choice.target)
                 .and_then(|target| target.state.begin_request(ms));
             let service = -self.rng.random::<f64>().ln() * SERVICE_MS;
             loads[engine] += 1;
-            running.extend(open.map(|open| (ms + service as u64, engine, open)));
-            if at >= WARM {
+            running.extend(in_flight.map(|in_flight| (ms + service as u64, engine, in_flight)));
+            if request >= WARM_UP_REQUESTS {
                 hits += u32::from(hit);
                 let mean = running.len() as f64 / ENGINES as f64;
                 ratios.push(f64::from(loads.iter().copied().max().unwrap_or(0)) / mean.max(0.01));
             }
         }
         let ratio = ratios.iter().sum::<f64>() / ratios.len() as f64;
-        (f64::from(hits) / (REQUESTS - WARM) as f64, ratio)
+        (
+            f64::from(hits) / (REQUESTS - WARM_UP_REQUESTS) as f64,
+            ratio,
+        )
     }
 
-    /// Draws the prefix of a prompt.
-    fn prefix(&mut self) -> u64 {
-        let drawn = self.rng.random::<f64>() * self.weights.last().copied().unwrap_or(0.0);
-        let at = self.weights.partition_point(|sum| *sum < drawn);
-        hash(&at.to_le_bytes())
+    /// Draws the prefix of a prompt and returns its hash.
+    fn draw_prefix(&mut self) -> u64 {
+        let drawn =
+            self.rng.random::<f64>() * self.cumulative_weights.last().copied().unwrap_or(0.0);
+        let index = self.cumulative_weights.partition_point(|sum| *sum < drawn);
+        hash(&index.to_le_bytes())
     }
 
-    /// Serves a prompt and returns whether its prefix was held; the least recently used goes.
-    fn serve(&mut self, engine: usize, prefix: u64, ms: u64, way: Way) -> bool {
-        let held = &mut self.held[engine];
-        let at = held.iter().position(|one| *one == prefix);
-        at.map(|at| held.remove(at));
-        held.push_back(prefix);
-        let gone = if held.len() > HELD {
-            held.pop_front()
+    /// Serves a prompt and returns whether its prefix was cached. A full cache evicts the least
+    /// recently used prefix.
+    fn serve_prompt(&mut self, engine: usize, prefix: u64, ms: u64, policy: Policy) -> bool {
+        let cache = &mut self.caches[engine];
+        let position = cache.iter().position(|cached| *cached == prefix);
+        position.map(|position| cache.remove(position));
+        cache.push_back(prefix);
+        let evicted = if cache.len() > CACHE_PREFIXES {
+            cache.pop_front()
         } else {
             None
         };
-        if way == Way::Events && at.is_none() {
-            self.tell(engine, CacheEvent::Stored(prefix), ms);
-            gone.into_iter()
-                .for_each(|gone| self.tell(engine, CacheEvent::Evicted(gone), ms));
+        if policy == Policy::Events && position.is_none() {
+            self.send_event(engine, CacheEvent::Stored(prefix), ms);
+            evicted
+                .into_iter()
+                .for_each(|evicted| self.send_event(engine, CacheEvent::Evicted(evicted), ms));
         }
-        at.is_some()
+        position.is_some()
     }
 
-    fn tell(&mut self, at: usize, event: CacheEvent, ms: u64) {
-        self.sequences[at] += 1;
-        if !self.rng.random_bool(LOST) {
-            let sequence = self.sequences[at];
-            self.events.push_back(Event {
-                due: ms + LATE_MS,
-                at,
+    /// Sends a cache event, which may be lost.
+    fn send_event(&mut self, engine: usize, event: CacheEvent, ms: u64) {
+        self.sequences[engine] += 1;
+        if !self.rng.random_bool(EVENT_LOSS) {
+            let sequence = self.sequences[engine];
+            self.events.push_back(DelayedEvent {
+                due_ms: ms + EVENT_DELAY_MS,
+                engine,
                 sequence,
                 event,
             });
         }
     }
 
-    fn hear(&mut self, ms: u64, keys: &[TargetKey]) {
-        while self.events.front().is_some_and(|event| event.due <= ms) {
+    /// Delivers the cache events that are due.
+    fn deliver_events(&mut self, ms: u64, keys: &[TargetKey]) {
+        while self.events.front().is_some_and(|event| event.due_ms <= ms) {
             if let Some(event) = self.events.pop_front() {
                 self.tracker
-                    .apply(keys[event.at], event.sequence, event.event);
+                    .apply(keys[event.engine], event.sequence, event.event);
             }
         }
     }
--- a/bench/src/route/cost.rs
+++ b/bench/src/route/cost.rs
@@ -1,4 +1,5 @@
-//! What a choice and a refusal cost in real time, and a view in memory.
+//! Real time of picking a target, of refusing a request and of background work, and the memory of a
+//! routing view.
 
 use std::{fs, hint::black_box};
 
@@ -13,24 +14,25 @@
 use super::fleet;
 use crate::table::Row;
 
-const SIZES: [usize; 3] = [40, 500, 11_000];
-/// How many choices one sample covers, so that reading the clock does not count.
-const BATCH: u32 = 100;
+const TARGET_COUNTS: [usize; 3] = [40, 500, 11_000];
+/// How many picks one sample covers, so that the cost of reading the clock is negligible.
+const PICKS_PER_SAMPLE: u32 = 100;
 const SAMPLES: usize = 400;
 const ACCOUNTS: usize = 600;
-/// Views for the measure of memory.
-const VIEWS: usize = 8;
+/// How many views of the largest size the memory benchmark creates. It creates more smaller views,
+/// so that the total number of targets is the same.
+const MEMORY_VIEWS: usize = 8;
 const PAGE_BYTES: f64 = 4_096.0;
 
-/// Takes the measures.
+/// Runs the benchmarks of time.
 pub(crate) fn run() -> Vec<Row> {
-    let mut rows: Vec<Row> = SIZES.into_iter().flat_map(picks).collect();
-    rows.extend(SIZES.into_iter().flat_map(upkeep));
-    rows.push(refusals());
+    let mut rows: Vec<Row> = TARGET_COUNTS.into_iter().flat_map(pick_times).collect();
+    rows.extend(TARGET_COUNTS.into_iter().flat_map(background_work));
+    rows.push(refusal_times());
     rows
 }
 
-fn picks(targets: usize) -> [Row; 3] {
+fn pick_times(targets: usize) -> [Row; 3] {
     let now = Instant::now();
     let (view, route, keys) = fleet::view(targets, 8, now);
     let mut rng = SmallRng::seed_from_u64(1);
@@ -40,16 +42,16 @@
         }
     }
     view.update_load_stats(now);
-    let scan = |_: &mut SmallRng| least(&view, route, now);
-    let free = |rng: &mut SmallRng| pick(&view, route, &[], now, rng);
-    let affine = |rng: &mut SmallRng| {
+    let scan = |_: &mut SmallRng| least_loaded(&view, route, now);
+    let two_choices = |rng: &mut SmallRng| pick(&view, route, &[], now, rng);
+    let by_prefix = |rng: &mut SmallRng| {
         let prefix = hash(&rng.random::<u64>().to_le_bytes());
         pick(&view, route, &[prefix], now, rng)
     };
-    let row = |way: &str, samples| {
+    let row = |policy: &str, samples| {
         Row::of(
             "a choice",
-            format!("{way}, {targets} targets"),
+            format!("{policy}, {targets} targets"),
             "ns",
             samples,
         )
@@ -57,10 +59,20 @@
     [
         row(
             "baseline: scan all",
-            timed(&mut rng, BATCH.min(200_000 / targets as u32), scan),
+            time_batches(
+                &mut rng,
+                PICKS_PER_SAMPLE.min(200_000 / targets as u32),
+                scan,
+            ),
+        ),
+        row(
+            "two choices",
+            time_batches(&mut rng, PICKS_PER_SAMPLE, two_choices),
+        ),
+        row(
+            "prefix",
+            time_batches(&mut rng, PICKS_PER_SAMPLE, by_prefix),
         ),
-        row("two choices", timed(&mut rng, BATCH, free)),
-        row("prefix", timed(&mut rng, BATCH, affine)),
     ]
 }
 
@@ -71,25 +83,26 @@
     now: Instant,
     rng: &mut SmallRng,
 ) -> Option<TargetKey> {
-    let ask = PickCriteria {
+    let criteria = PickCriteria {
         prefixes,
         ..PickCriteria::default()
     };
-    view.pick(route, &ask, now, rng)
+    view.pick(route, &criteria, now, rng)
         .ok()
         .map(|choice| choice.target)
 }
 
-/// Times what is done in the background: a survey, each 100 ms, and a new bundle.
-fn upkeep(targets: usize) -> [Row; 3] {
+/// Times the background work: the update of the load statistics (every 100 ms), a step of outlier
+/// detection, and the change to a new bundle.
+fn background_work(targets: usize) -> [Row; 3] {
     let now = Instant::now();
     let (view, bundle) = fleet::view_with_bundle(targets, 8, now);
     for (_, target) in view.targets() {
         target.state.record_load(1, 5);
     }
     let mut rng = SmallRng::seed_from_u64(1);
-    let survey = timed(&mut rng, 1, |_| view.update_load_stats(now));
-    let renew = timed(&mut rng, 1, |_| view.with_bundle(&bundle, now));
+    let update_stats = time_batches(&mut rng, 1, |_| view.update_load_stats(now));
+    let apply_bundle = time_batches(&mut rng, 1, |_| view.with_bundle(&bundle, now));
     let mut detector = OutlierDetector::new(OutlierLimits::default());
     for at in 0..20 * targets {
         let key = bundle
@@ -104,20 +117,20 @@
         now_ms += 10_000;
         view.pools().next().map(|pool| detector.step(pool, now_ms))
     };
-    let steps = samples(step);
+    let steps = time_each(step);
     let row = |measure, samples: Vec<f64>| {
         let micros = samples.into_iter().map(|ns| ns / 1e3).collect();
         Row::of(measure, format!("{targets} targets"), "us", micros)
     };
     [
-        row("a survey", survey),
+        row("a survey", update_stats),
         row("a step of ejection", steps),
-        row("a new bundle", renew),
+        row("a new bundle", apply_bundle),
     ]
 }
 
-/// Finds the least loaded target of all.
-fn least(view: &RoutingView, route: Route, now: Instant) -> Option<TargetKey> {
+/// Scans all targets of the pool for the least loaded one.
+fn least_loaded(view: &RoutingView, route: Route, now: Instant) -> Option<TargetKey> {
     let ms = view.clock().millis(now);
     let pool = view.pool(route)?;
     let averages = pool.averages();
@@ -128,36 +141,42 @@
     pool.target_keys().min_by_key(load)
 }
 
-fn timed<T>(rng: &mut SmallRng, batch: u32, act: impl Fn(&mut SmallRng) -> T) -> Vec<f64> {
+/// Times `batch` operations per sample and returns the nanoseconds per operation.
+fn time_batches<T>(
+    rng: &mut SmallRng,
+    batch: u32,
+    operation: impl Fn(&mut SmallRng) -> T,
+) -> Vec<f64> {
     let sample = |_| {
         let start = std::time::Instant::now();
         for _ in 0..batch {
-            black_box(act(rng));
+            black_box(operation(rng));
         }
         start.elapsed().as_secs_f64() * 1e9 / f64::from(batch)
     };
     (0..SAMPLES).map(sample).collect()
 }
 
-fn samples<T>(mut act: impl FnMut() -> T) -> Vec<f64> {
+/// Times single operations and returns their nanoseconds.
+fn time_each<T>(mut operation: impl FnMut() -> T) -> Vec<f64> {
     let sample = |_| {
         let start = std::time::Instant::now();
-        black_box(act());
+        black_box(operation());
         start.elapsed().as_secs_f64() * 1e9
     };
     (0..SAMPLES).map(sample).collect()
 }
 
-/// Measures the growth of resident memory by views, over their targets; call it before anything
-/// has freed memory that views could use.
+/// Measures how much resident memory grows for each target of a view. Call it before anything has
+/// freed memory, which views could reuse without any growth.
 pub(crate) fn memory() -> Vec<Row> {
     let now = Instant::now();
-    let mut held = Vec::new();
+    let mut views = Vec::new();
     let mut bytes = |targets: usize| {
-        let count = VIEWS * SIZES[2] / targets;
-        let before = resident();
-        held.extend((0..count).map(|_| fleet::view(targets, 8, now).0));
-        let per_target = (resident() - before) / (count * targets) as f64;
+        let count = MEMORY_VIEWS * TARGET_COUNTS[2] / targets;
+        let before = resident_bytes();
+        views.extend((0..count).map(|_| fleet::view(targets, 8, now).0));
+        let per_target = (resident_bytes() - before) / (count * targets) as f64;
         Row::of(
             "memory of a view",
             format!("{targets} targets"),
@@ -165,12 +184,12 @@
             vec![per_target],
         )
     };
-    let rows = SIZES.into_iter().rev().map(&mut bytes).collect();
-    black_box(&held);
+    let rows = TARGET_COUNTS.into_iter().rev().map(&mut bytes).collect();
+    black_box(&views);
     rows
 }
 
-fn resident() -> f64 {
+fn resident_bytes() -> f64 {
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm
         .split_whitespace()
@@ -179,11 +198,11 @@
     pages.unwrap_or(f64::NAN) * PAGE_BYTES
 }
 
-/// Times refusals by a full queue of many accounts.
-fn refusals() -> Row {
+/// Times refusals by a full queue that holds requests of many accounts.
+fn refusal_times() -> Row {
     let accounts = fleet::accounts(ACCOUNTS);
     let mut queue = AdmissionQueue::new(QueueLimits::default(), 1_000.0);
-    let offer = |item: usize, deadline| QueuedRequest {
+    let request = |item: usize, deadline| QueuedRequest {
         account: accounts[item % ACCOUNTS],
         weight: 1,
         priority: if item.is_multiple_of(3) {
@@ -196,12 +215,12 @@
         item,
     };
     for item in 0..4_000 {
-        // Those that do not fit are refused, which fills the queue as well.
-        let _ = queue.try_push(offer(item, u64::MAX / 2), 0);
+        // Requests beyond the capacity are refused; the queue is full either way.
+        let _ = queue.try_push(request(item, u64::MAX / 2), 0);
     }
     let sample = |item| {
         let start = std::time::Instant::now();
-        let refused = black_box(queue.try_push(offer(item, 1), 0));
+        let refused = black_box(queue.try_push(request(item, 1), 0));
         debug_assert!(refused.is_err());
         start.elapsed().as_secs_f64() * 1e6
     };
