--- a/bench/src/route.rs
+++ b/bench/src/route.rs
@@ -1,5 +1,5 @@
-//! Benchmarks of the `route` crate: overload, herding, prefix affinity, retry rules, rate limits and
-//! the cost of picking a target.
+//! Benchmarks of the `route` crate: overload, herding, prefix affinity, retry rules, rate limits
+//! and the cost of picking a target.
 //!
 //! Most are simulations of small queueing models in virtual time, driven by a seed. Only `cost`
 //! measures real time and memory.
--- a/bench/src/route/affinity.rs
+++ b/bench/src/route/affinity.rs
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Runs the simulation. Returns the hit rate and the mean ratio of the highest load of an engine
-    /// to the mean load.
+    /// Runs the simulation. Returns the hit rate, and the ratio of the highest load of an engine to
+    /// the mean load, averaged over the requests.
     fn run(mut self, policy: Policy) -> (f64, f64) {
         let start = Instant::now();
         let mut views: Vec<_> = (0..INSTANCES)
--- a/bench/src/route/overload.rs
+++ b/bench/src/route/overload.rs
@@ -1,70 +1,71 @@
-//! Goodput, fairness, refusals and retries under overload and when targets die.
+//! Goodput, fairness, refusals and retries under overload and when engines crash.
 //!
-//! The model: 3 instances before 20 engines of 8 slots; requests come at random, 70% interactive
-//! (0.3 s of work on average, start within 2 s) and 30% drafts (1.5 s, start within 8 s); 10
-//! accounts of equal weight, of which two ask for 35% each. Load reports come every 0.5 s and are
-//! 1 s old. A try that has not started after a quarter of the caller's patience is tried again. A
-//! request is good when it starts in its caller's patience; work for others is wasted. Goodput is
-//! good work over what the live engines can do.
+//! The model: 3 instances in front of 20 engines of 8 slots. Requests arrive as a Poisson process,
+//! 70% interactive (0.3 s of work on average, start deadline after 2 s) and 30% drafts (1.5 s, start
+//! deadline after 8 s). Of 10 accounts of equal weight, two send 35% of the requests each. Load
+//! reports arrive every 0.5 s and are 1 s old. An attempt that has not started after a quarter of
+//! the time to the deadline is retried. A request is good if it starts before its deadline; work on
+//! others is wasted. Goodput is the good work divided by the capacity of the live engines.
 
-mod job;
-mod model;
+mod request;
+mod simulation;
 
 use celerypond_route::RetryBudget;
 use celerypond_types::Priority;
 
 use crate::table::Row;
-use job::Job;
-use model::Model;
+use request::Request;
+use simulation::Simulation;
 
 pub(crate) const ACCOUNTS: usize = 10;
-/// What each of the two large accounts asks for.
-pub(crate) const LARGE: f64 = 0.35;
-const WARM_MS: u64 = 5_000;
+/// The fraction of requests that each of the two large accounts sends.
+pub(crate) const LARGE_ACCOUNT_FRACTION: f64 = 0.35;
+const WARM_UP_MS: u64 = 5_000;
 pub(crate) const END_MS: u64 = 25_000;
 
 /// How requests are handled.
 #[derive(Clone, Copy)]
-pub(crate) struct Way {
+pub(crate) struct Policy {
     name: &'static str,
-    /// Choose by load, and let requests wait in a fair queue with admission; otherwise engines are
-    /// drawn at random and requests wait there, first in, first out.
-    pub(crate) decides: bool,
-    /// Keep retries within a budget.
-    pub(crate) budget: bool,
-    /// Engines drop a request whose caller has gone before it starts.
-    pub(crate) cancels: bool,
+    /// Pick engines by load and queue requests in the instance, with fair queueing and admission
+    /// control. Otherwise requests go to random engines, which queue them in FIFO order.
+    pub(crate) balances_load: bool,
+    /// Limit retries by a budget.
+    pub(crate) retry_budget: bool,
+    /// Engines drop a queued attempt if its request is past the deadline or has started elsewhere.
+    pub(crate) drops_expired: bool,
 }
 
-const WAYS: [Way; 4] = [
-    Way {
+const POLICIES: [Policy; 4] = [
+    Policy {
         name: "baseline: random, FIFO, retries",
-        decides: false,
-        budget: false,
-        cancels: false,
+        balances_load: false,
+        retry_budget: false,
+        drops_expired: false,
     },
-    Way {
+    Policy {
         name: "baseline, and cancels",
-        decides: false,
-        budget: false,
-        cancels: true,
+        balances_load: false,
+        retry_budget: false,
+        drops_expired: true,
     },
-    Way {
+    Policy {
         name: "baseline, cancels, retry budget",
-        decides: false,
-        budget: true,
-        cancels: true,
+        balances_load: false,
+        retry_budget: true,
+        drops_expired: true,
     },
-    Way {
+    Policy {
         name: "celerypond",
-        decides: true,
-        budget: true,
-        cancels: true,
+        balances_load: true,
+        retry_budget: true,
+        drops_expired: true,
     },
 ];
 
-/// A scene: its name, the load over capacity, and whether a third of the engines dies.
-const SCENES: [(&str, f64, bool); 5] = [
+/// The name of a scenario, its load as a multiple of the capacity, and whether a third of the
+/// engines crashes.
+const SCENARIOS: [(&str, f64, bool); 5] = [
     ("0.8x", 0.8, false),
     ("1x", 1.0, false),
     ("2x", 2.0, false),
@@ -72,23 +73,23 @@
     ("0.6x, a third dies", 0.6, true),
 ];
 
-/// Takes the measures.
+/// Runs the benchmark for each scenario and policy.
 pub(crate) fn run(seeds: u64) -> Vec<Row> {
     let mut rows = Vec::new();
-    for (scene, load, dies) in SCENES {
-        for way in WAYS {
-            let runs: Vec<Figures> = (0..seeds)
-                .map(|seed| figures(seed, load, dies, way))
+    for (scenario, load, engines_crash) in SCENARIOS {
+        for policy in POLICIES {
+            let runs: Vec<Outcome> = (0..seeds)
+                .map(|seed| simulate(seed, load, engines_crash, policy))
                 .collect();
-            let row = |measure, unit, of: fn(&Figures) -> f64| {
-                let name = format!("{}, {scene}", way.name);
+            let row = |measure, unit, of: fn(&Outcome) -> f64| {
+                let name = format!("{}, {scenario}", policy.name);
                 Row::of(measure, name, unit, runs.iter().map(of).collect())
             };
             rows.push(row("goodput", "share", |f| f.goodput));
             rows.push(row("fairness (Jain)", "index", |f| f.fairness));
-            rows.push(row("tries for a request", "ratio", |f| f.tries));
+            rows.push(row("tries for a request", "ratio", |f| f.attempts));
             rows.push(row("good requests", "share", |f| f.good));
-            let name = format!("{}, {scene}", way.name);
+            let name = format!("{}, {scenario}", policy.name);
             let waits = runs.iter().flat_map(|f| f.waits.iter().copied()).collect();
             rows.push(Row::of(
                 "wait to start, interactive",
@@ -96,7 +97,7 @@
                 "ms",
                 waits,
             ));
-            if way.decides {
+            if policy.balances_load {
                 let all = runs
                     .iter()
                     .flat_map(|f| f.refusals.iter().copied())
@@ -108,74 +109,87 @@
     rows
 }
 
-struct Figures {
+struct Outcome {
     goodput: f64,
     fairness: f64,
-    tries: f64,
+    attempts: f64,
     good: f64,
     waits: Vec<f64>,
     refusals: Vec<f64>,
 }
 
-fn figures(seed: u64, load: f64, dies: bool, way: Way) -> Figures {
-    let mut model = Model::new(seed, load, dies, way);
-    model.run();
-    let window = WARM_MS..END_MS;
-    let came: Vec<&Job> = model
-        .jobs
+fn simulate(seed: u64, load: f64, engines_crash: bool, policy: Policy) -> Outcome {
+    let mut simulation = Simulation::new(seed, load, engines_crash, policy);
+    simulation.run();
+    let window = WARM_UP_MS..END_MS;
+    let arrived: Vec<&Request> = simulation
+        .requests
         .iter()
-        .filter(|job| window.contains(&job.arrival))
+        .filter(|request| window.contains(&request.arrival))
         .collect();
-    let began = |job: &&Job| job.is_good() && job.started.is_some_and(|at| window.contains(&at));
-    let good: Vec<&Job> = model.jobs.iter().filter(began).collect();
-    let capacity = model.live_slots(WARM_MS) * (END_MS - WARM_MS) as f64;
-    let tried = came.iter().filter(|job| job.tries > 0);
+    let started_in_window = |request: &&Request| {
+        request.is_good() && request.started.is_some_and(|at| window.contains(&at))
+    };
+    let good: Vec<&Request> = simulation
+        .requests
+        .iter()
+        .filter(started_in_window)
+        .collect();
+    let capacity = simulation.live_slots(WARM_UP_MS) * (END_MS - WARM_UP_MS) as f64;
+    let attempted = arrived.iter().filter(|request| request.attempts > 0);
     let waits = good
         .iter()
-        .filter(|job| job.priority == Priority::Interactive);
-    let refused = came
+        .filter(|request| request.priority == Priority::Interactive);
+    let refused = arrived
         .iter()
-        .filter_map(|job| Some(job.refused? - job.arrival));
-    Figures {
-        goodput: good.iter().map(|job| job.service).sum::<f64>() / capacity,
-        fairness: fairness(&came, &good, capacity),
-        tries: came.iter().map(|job| f64::from(job.tries)).sum::<f64>() / tried.count() as f64,
-        good: came.iter().filter(|job| job.is_good()).count() as f64 / came.len() as f64,
+        .filter_map(|request| Some(request.refused? - request.arrival));
+    Outcome {
+        goodput: good.iter().map(|request| request.service).sum::<f64>() / capacity,
+        fairness: fairness(&arrived, &good, capacity),
+        attempts: arrived
+            .iter()
+            .map(|request| f64::from(request.attempts))
+            .sum::<f64>()
+            / attempted.count() as f64,
+        good: arrived.iter().filter(|request| request.is_good()).count() as f64
+            / arrived.len() as f64,
         waits: waits
-            .filter_map(|job| Some((job.started? - job.arrival) as f64))
+            .filter_map(|request| Some((request.started? - request.arrival) as f64))
             .collect(),
         refusals: refused.map(|ms| ms as f64).collect(),
     }
 }
 
-/// Returns Jain's index of each account's good work over its max-min fair part of the capacity.
-fn fairness(came: &[&Job], good: &[&Job], capacity: f64) -> f64 {
-    let sum = |jobs: &[&Job], account: usize| {
-        let of = jobs.iter().filter(|job| job.account == account);
-        of.map(|job| job.service).sum::<f64>()
+/// Returns Jain's fairness index over the accounts, each with its good work divided by its max-min
+/// fair share of the capacity.
+fn fairness(arrived: &[&Request], good: &[&Request], capacity: f64) -> f64 {
+    let sum = |requests: &[&Request], account: usize| {
+        let of_account = requests.iter().filter(|request| request.account == account);
+        of_account.map(|request| request.service).sum::<f64>()
     };
-    let asked: Vec<f64> = (0..ACCOUNTS).map(|account| sum(came, account)).collect();
-    let fair = max_min(&asked, capacity);
-    let parts = (0..ACCOUNTS).map(|account| sum(good, account) / fair[account].max(1.0));
-    let parts: Vec<f64> = parts.collect();
-    let total: f64 = parts.iter().sum();
-    let squares: f64 = parts.iter().map(|part| part * part).sum();
+    let demands: Vec<f64> = (0..ACCOUNTS).map(|account| sum(arrived, account)).collect();
+    let fair_shares = max_min_shares(&demands, capacity);
+    let ratios = (0..ACCOUNTS).map(|account| sum(good, account) / fair_shares[account].max(1.0));
+    let ratios: Vec<f64> = ratios.collect();
+    let total: f64 = ratios.iter().sum();
+    let squares: f64 = ratios.iter().map(|ratio| ratio * ratio).sum();
     total * total / (ACCOUNTS as f64 * squares)
 }
 
-fn max_min(asked: &[f64], capacity: f64) -> Vec<f64> {
-    let mut order: Vec<usize> = (0..asked.len()).collect();
-    order.sort_by(|a, b| asked[*a].total_cmp(&asked[*b]));
-    let mut fair = vec![0.0; asked.len()];
-    let mut rest = capacity;
-    for (done, at) in order.iter().enumerate() {
-        fair[*at] = asked[*at].min(rest / (asked.len() - done) as f64);
-        rest -= fair[*at];
+/// Returns the max-min fair share of `capacity` for each demand.
+fn max_min_shares(demands: &[f64], capacity: f64) -> Vec<f64> {
+    let mut order: Vec<usize> = (0..demands.len()).collect();
+    order.sort_by(|a, b| demands[*a].total_cmp(&demands[*b]));
+    let mut fair_shares = vec![0.0; demands.len()];
+    let mut remaining = capacity;
+    for (done, account) in order.iter().enumerate() {
+        fair_shares[*account] = demands[*account].min(remaining / (demands.len() - done) as f64);
+        remaining -= fair_shares[*account];
     }
-    fair
+    fair_shares
 }
 
-/// The budget of an instance.
-pub(crate) fn budget() -> RetryBudget {
+/// Returns the retry budget of an instance.
+pub(crate) fn retry_budget() -> RetryBudget {
     RetryBudget::per_instance()
 }
--- a/bench/src/table.rs
+++ b/bench/src/table.rs
@@ -7,7 +7,7 @@
 pub(crate) struct Row {
     /// What was measured.
     pub(crate) measure: &'static str,
-    /// The policy or implementation that was measured. A name that starts with `baseline` is what the
+    /// The policy or implementation that was measured. A name with `baseline` in it marks what the
     /// others are compared with.
     pub(crate) way: String,
     /// The unit of `median` and `p99`.
