--- a/bench/src/path/call.rs
+++ b/bench/src/path/call.rs
@@ -1,4 +1,4 @@
-//! Calls as a caller makes them: the same client for the direct way and the way over an instance.
+//! HTTP calls of the benchmark, made by the same client directly and through an instance.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,16 +10,16 @@
 use serde_json::{json, Value};
 use tokio::time::Instant;
 
-use super::{stand::ACCOUNT_KEY, PathError};
+use super::{test_bed::ACCOUNT_KEY, PathError};
 
-/// How long the head of an answer may take.
-const HEAD: Duration = Duration::from_secs(30);
-/// What a token's event holds and no other event does.
-const TOKEN: &[u8] = b"\"token\":";
+/// The timeout for the head of an answer.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
+/// Occurs in every event that carries a token, and in no other event.
+const TOKEN_MARKER: &[u8] = b"\"token\":";
 
-/// Where a call goes and what it says.
+/// An HTTP call: its destination, content and idempotency key.
 #[derive(Clone, Debug)]
-pub(super) struct Sent {
+pub(super) struct HttpCall {
     pub(super) address: SocketAddr,
     pub(super) method: Method,
     pub(super) path: String,
@@ -27,8 +27,8 @@
     pub(super) key: Option<String>,
 }
 
-impl Sent {
-    /// Asks an engine for tokens, as an instance would.
+impl HttpCall {
+    /// Creates a call that asks an engine for tokens, as an instance does.
     pub(super) fn direct(address: SocketAddr, request: &str, tokens: u32) -> Self {
         let body = json!({
             "request": request, "attempt": 0, "model": "drafts", "version": "v1",
@@ -37,7 +37,7 @@
         Self::post(address, "/v1/generate", &body)
     }
 
-    /// Asks an instance for tokens.
+    /// Creates a call that asks an instance for tokens.
     pub(super) fn completion(address: SocketAddr, tokens: u32) -> Self {
         let body = json!({
             "model": "drafts", "prompt": "a letter", "max_tokens": tokens, "seed": 1,
@@ -46,7 +46,7 @@
         Self::post(address, "/v1/completions", &body)
     }
 
-    /// Reads a stream that an engine has, from its start.
+    /// Creates a call that reads an existing stream of an engine from its start.
     pub(super) fn stream(address: SocketAddr, name: &str) -> Self {
         let path = format!("/v1/streams/{name}?from=0");
         Self {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Sends the call on a new connection, and waits for the head of the answer.
+    /// Sends the call on a new connection and waits for the head of the answer.
     pub(super) async fn open(&self) -> Result<Answer, Report<PathError>> {
         let mut request = Request::builder()
             .method(self.method.clone())
@@ -82,8 +82,10 @@
         let request = request
             .body(Full::new(Bytes::from(self.body.clone())))
             .change_context(PathError::Call)?;
-        let fresh = NewConnection::connect(self.address).await;
-        let answer = fresh.change_context(PathError::Call)?.send(request, HEAD);
+        let connection = NewConnection::connect(self.address).await;
+        let answer = connection
+            .change_context(PathError::Call)?
+            .send(request, HEAD_TIMEOUT);
         let answer = answer.await.change_context(PathError::Call)?;
         if !answer.response.status().is_success() {
             let status = answer.response.status();
@@ -95,18 +97,18 @@
         Ok(answer)
     }
 
-    /// Makes the call and returns how long it took, in microseconds.
+    /// Makes the call and returns its duration in microseconds.
     pub(super) async fn timed(&self) -> Result<f64, Report<PathError>> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let answer = self.open().await?;
         let body = answer.response.into_body().collect().await;
         body.change_context(PathError::Call)?;
-        Ok(began.elapsed().as_secs_f64() * 1e6)
+        Ok(started_at.elapsed().as_secs_f64() * 1e6)
     }
 
-    /// Reads a stream to its end and returns when it was asked for and when each token came.
+    /// Reads a stream to its end. Returns the time of the call and the arrival time of each token.
     pub(super) async fn tokens(&self) -> Result<(Instant, Vec<Instant>), Report<PathError>> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let answer = self.open().await?;
         let mut body = answer.response.into_body();
         let mut times = Vec::new();
@@ -115,16 +117,18 @@
             let Some(data) = frame.data_ref() else {
                 continue;
             };
-            // Events are small, and each is written as a whole.
+            // Events are small and each is written at once, so none is split between two frames.
             let now = Instant::now();
-            let count = data.windows(TOKEN.len()).filter(|part| *part == TOKEN);
-            times.extend(count.map(|_| now));
+            let tokens = data
+                .windows(TOKEN_MARKER.len())
+                .filter(|window| *window == TOKEN_MARKER);
+            times.extend(tokens.map(|_| now));
         }
-        Ok((began, times))
+        Ok((started_at, times))
     }
 }
 
-/// Reads an answer and forgets it.
+/// Reads the body of an answer to its end and discards it.
 pub(super) async fn drain(answer: Answer) {
     let Answer {
         response,
--- a/bench/src/path/usage.rs
+++ b/bench/src/path/usage.rs
@@ -1,4 +1,4 @@
-//! What the system says of this process: the CPU time of threads and resident memory.
+//! CPU time of threads and resident memory of this process, read from `/proc`.
 
 use std::fs;
 
@@ -8,24 +8,24 @@
 
 const PAGE_BYTES: f64 = 4096.0;
 
-/// Returns the CPU time of all threads with a name, in seconds, and how many there are.
+/// Returns the total CPU time in seconds of all threads named `name`.
 ///
-/// `schedstat` counts in nanoseconds; `stat` only in hundredths of a second.
-pub(super) fn cpu_s(name: &str) -> Result<f64, Report<PathError>> {
+/// Reads `schedstat`, which counts in nanoseconds; `stat` counts in hundredths of a second.
+pub(super) fn cpu_seconds(name: &str) -> Result<f64, Report<PathError>> {
     let tasks = fs::read_dir("/proc/self/task").change_context(PathError::Usage)?;
     let mut total_ns = 0.0;
     for task in tasks {
         let path = task.change_context(PathError::Usage)?.path();
-        // A thread may end between the listing and the reading.
-        let Ok(found) = fs::read_to_string(path.join("comm")) else {
+        // A thread may exit after it was listed.
+        let Ok(thread_name) = fs::read_to_string(path.join("comm")) else {
             continue;
         };
-        if found.trim() != name {
+        if thread_name.trim() != name {
             continue;
         }
         let text = fs::read_to_string(path.join("schedstat")).unwrap_or_default();
-        let first = text.split_whitespace().next();
-        total_ns += first.and_then(|text| text.parse().ok()).unwrap_or(0.0);
+        let cpu_ns = text.split_whitespace().next();
+        total_ns += cpu_ns.and_then(|text| text.parse().ok()).unwrap_or(0.0);
     }
     Ok(total_ns / 1e9)
 }
--- a/bench/src/route/overload.rs
+++ b/bench/src/route/overload.rs
@@ -1,11 +1,11 @@
 //! Goodput, fairness, refusals and retries under overload and when engines crash.
 //!
 //! The model: 3 instances in front of 20 engines of 8 slots. Requests arrive as a Poisson process,
-//! 70% interactive (0.3 s of work on average, start deadline after 2 s) and 30% drafts (1.5 s, start
-//! deadline after 8 s). Of 10 accounts of equal weight, two send 35% of the requests each. Load
+//! 70% interactive (0.3 s of work on average, must start within 2 s) and 30% drafts (1.5 s, must
+//! start within 8 s). Of 10 accounts of equal weight, two send 35% of the requests each. Load
 //! reports arrive every 0.5 s and are 1 s old. An attempt that has not started after a quarter of
-//! the time to the deadline is retried. A request is good if it starts before its deadline; work on
-//! others is wasted. Goodput is the good work divided by the capacity of the live engines.
+//! the allowed time is retried. A request is good if it starts in the allowed time; work on others
+//! is wasted. Goodput is the good work divided by the capacity of the live engines.
 
 mod request;
 mod simulation;
