--- a/bench/src/route/cost.rs
+++ b/bench/src/route/cost.rs
@@ -19,8 +19,8 @@
 const PICKS_PER_SAMPLE: u32 = 100;
 const SAMPLES: usize = 400;
 const ACCOUNTS: usize = 600;
-/// How many views of the largest size the memory benchmark creates. It creates more smaller views,
-/// so that the total number of targets is the same.
+/// How many views of the largest size the memory benchmark creates. Of the smaller sizes it creates
+/// more, so that the total number of targets is about the same.
 const MEMORY_VIEWS: usize = 8;
 const PAGE_BYTES: f64 = 4_096.0;
 
--- a/bench/src/route/overload/simulation.rs
+++ b/bench/src/route/overload/simulation.rs
@@ -66,7 +66,9 @@
     attempts: Vec<Attempt>,
     engines: Vec<Engine>,
     instances: Vec<Instance>,
+    /// The loads of all engines at recent ticks, from which delayed reports are taken.
     history: VecDeque<Vec<u32>>,
+    /// Scheduled events by time, and in the order of scheduling for the same time.
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     event_count: u64,
 }
@@ -358,6 +360,7 @@
         }
     }
 
+    /// Retries an attempt that has not started in time.
     fn on_start_timeout(&mut self, attempt: usize) {
         let Attempt {
             request,
@@ -375,6 +378,7 @@
         }
     }
 
+    /// Records the failure of an attempt and schedules a retry if the policy allows one.
     fn fail(&mut self, request: usize, engine: usize, failure: Failure) {
         let decision = failure.retry_decision();
         let instance_state = &mut self.instances[self.requests[request].instance];
@@ -448,6 +452,7 @@
         }
     }
 
+    /// Crashes a third of the engines, which fails their attempts.
     fn crash_engines(&mut self) {
         for engine in 0..ENGINES / 3 {
             self.engines[engine].crashed = true;
