--- a/crates/answer/src/resume_scheduler.rs
+++ b/crates/answer/src/resume_scheduler.rs
@@ -71,8 +71,8 @@
     pub target: TargetKey,
 }
 
-/// How many prefixes a target reads concurrently, for all instances together. Measured; see the
-/// design note.
+/// How many prefixes a target reads concurrently, for all instances together. The limit bounds how
+/// long the target's other answers stall, since it generates none of their tokens while it reads.
 const TARGET_RESUMES: u32 = 8;
 
 impl Default for ResumeLimits {
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -34,7 +34,8 @@
     pub time_fraction: f64,
 }
 
-/// Intermediate stages chosen by the measurements in docs/design/rollouts.md.
+/// Default intermediate stages. More than half of the time is spent at shares of 10 % or less, where
+/// a bad version reaches few requests.
 pub const STAGE_TEMPLATES: [StageTemplate; 4] = [
     StageTemplate {
         share_ppm: 20_000,
--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -37,7 +37,7 @@
     pub bayes_factor: f64,
 }
 
-/// Configuration of the judge and of the stages; measurements chose the defaults.
+/// Configuration of the judge and of the stages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutConfig {
     /// Whether to test each request class separately as well.
--- a/crates/route/src/failure.rs
+++ b/crates/route/src/failure.rs
@@ -53,8 +53,7 @@
     /// The decisions follow "Retry Classification When the Failure Arrives as a Timeout" with three
     /// exceptions. A refused connection is retried at another target immediately, where the paper
     /// waits for the same peer. A 500 is retried once; the paper never retries it. A reset is
-    /// retried once; the paper retries it up to a cap. `docs/design/routing.md` has the
-    /// measurements.
+    /// retried once; the paper retries it up to a cap.
     ///
     /// # Examples
     ///
