--- a/daemon/tests/fleet.rs
+++ b/daemon/tests/fleet.rs
@@ -1,5 +1,7 @@
-//! Stand-ins and instances on loopback; each instance has a runtime of its own, so that it can be
-//! killed as a process is.
+//! Instances on loopback with stand-ins for the platform and the targets.
+//!
+//! Each instance runs in its own Tokio runtime; shutting the runtime down simulates the kill of a
+//! process.
 
 use std::{
     collections::BTreeMap,
@@ -36,33 +38,33 @@
 };
 
 pub(crate) const ACCOUNT_KEY: &str = "showroom-key";
-const SUBMITTER: &str = "aigul-key";
-const APPROVER: &str = "marat-key";
-const CENTRES: [&str; 3] = ["east", "west", "north"];
-/// How long anything may take that is waited for.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+const SUBMITTER_KEY: &str = "aigul-key";
+const APPROVER_KEY: &str = "marat-key";
+const DATA_CENTRES: [&str; 3] = ["east", "west", "north"];
+/// How long [`wait_until`] and requests of [`completion_request`] wait.
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An instance and its runtime.
+/// An instance in its own runtime.
 pub(crate) struct Instance {
     pub(crate) address: SocketAddr,
     settings: Settings,
     runtime: Option<Runtime>,
-    stops: mpsc::Sender<()>,
-    ended: Option<tokio::task::JoinHandle<()>>,
+    stop_sender: mpsc::Sender<()>,
+    run_task: Option<tokio::task::JoinHandle<()>>,
 }
 
-/// An engine and where it serves.
+/// The stand-in of a target and its HTTP server, which is dropped to simulate a crash.
 pub(crate) struct Target<T> {
     pub(crate) stand_in: T,
     pub(crate) server: Option<Server>,
 }
 
-/// Stand-ins and instances.
+/// Three instances with stand-ins for the platform, three engines and a plain service.
 pub(crate) struct Fleet {
     pub(crate) platform: Platform,
     _platform_server: Server,
     pub(crate) engines: Vec<Target<Engine>>,
-    pub(crate) desk: Target<Service>,
+    pub(crate) service: Target<Service>,
     pub(crate) instances: Vec<Instance>,
 }
 
@@ -79,81 +81,82 @@
             .enable_all()
             .build()
             .unwrap();
-        let (stops, stopped) = mpsc::channel(2);
-        let run = server::run(settings.clone(), stopped);
-        let ended = runtime.spawn(async move { run.await.unwrap() });
+        let (stop_sender, stop_receiver) = mpsc::channel(2);
+        let run = server::run(settings.clone(), stop_receiver);
+        let run_task = runtime.spawn(async move { run.await.unwrap() });
         Self {
             address: settings.address,
             settings,
             runtime: Some(runtime),
-            stops,
-            ended: Some(ended),
+            stop_sender,
+            run_task: Some(run_task),
         }
     }
 
-    /// Ends the instance at once, with all its connections.
+    /// Stops the instance without a drain and drops all its connections.
     pub(crate) fn kill(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
         }
     }
 
-    /// Starts the instance again; it has kept nothing.
+    /// Starts the instance again at the same addresses, without any state from before.
     pub(crate) fn restart(&mut self) {
         self.kill();
         let settings = self.settings.clone();
-        await_free(settings.address);
-        await_free(settings.peer_address);
+        wait_until_free(settings.address);
+        wait_until_free(settings.peer_address);
         *self = Self::start(settings);
     }
 
-    /// Asks for a planned stop.
+    /// Requests a planned stop.
     pub(crate) async fn stop(&self) {
-        self.stops.send(()).await.unwrap();
+        self.stop_sender.send(()).await.unwrap();
     }
 
     /// Waits until a planned stop is complete.
-    pub(crate) async fn ended(&mut self) {
-        self.ended.take().unwrap().await.unwrap();
+    pub(crate) async fn wait_stopped(&mut self) {
+        self.run_task.take().unwrap().await.unwrap();
     }
 }
 
 impl Fleet {
-    /// Starts three instances before three engines that have `v1`, with the first bundle in force.
-    pub(crate) async fn start(gap: Duration) -> Self {
-        let fleet = Self::without_bundle(gap).await;
-        let digest = fleet.sign(&fleet.bundle()).await;
+    /// Starts three instances and three engines that have loaded `v1`, and activates the bundle of
+    /// [`Self::bundle`] as revision 1.
+    pub(crate) async fn start(token_interval: Duration) -> Self {
+        let fleet = Self::without_bundle(token_interval).await;
+        let digest = fleet.submit_and_approve(&fleet.bundle()).await;
         fleet.roll(digest).await;
         fleet.await_revision(1).await;
         fleet
     }
 
-    async fn without_bundle(gap: Duration) -> Self {
+    async fn without_bundle(token_interval: Duration) -> Self {
         let ports = free_ports(6);
         let listing = InstanceList {
             instances: (0..3)
-                .map(|i| listed(i, ports[2 * i], ports[2 * i + 1]))
+                .map(|i| listed_instance(i, ports[2 * i], ports[2 * i + 1]))
                 .collect(),
             targets: Vec::new(),
         };
         let platform = Platform::new(listing, Duration::ZERO);
-        let platform_server = platform.serve(any()).await.unwrap();
+        let platform_server = platform.serve(any_port()).await.unwrap();
         let mut engines = Vec::new();
         for _ in 0..3 {
             let stand_in = Engine::new(EngineSettings {
                 versions: vec!["v1".into()],
-                token_interval: gap,
+                token_interval,
                 prefill_per_token: Duration::ZERO,
                 slots: 256,
                 checks_fencing: true,
             });
-            let server = Some(stand_in.serve(any()).await.unwrap());
+            let server = Some(stand_in.serve(any_port()).await.unwrap());
             engines.push(Target { stand_in, server });
         }
-        let desk = Service::default();
-        let server = Some(desk.serve(any()).await.unwrap());
-        let desk = Target {
-            stand_in: desk,
+        let service = Service::default();
+        let server = Some(service.serve(any_port()).await.unwrap());
+        let service = Target {
+            stand_in: service,
             server,
         };
         let instances = (0..3)
@@ -164,24 +167,26 @@
             platform,
             _platform_server: platform_server,
             engines,
-            desk,
+            service,
             instances,
         };
-        fleet.await_all("/v1/health").await;
+        fleet.wait_until_reachable("/v1/health").await;
         fleet
     }
 
-    /// Returns the first bundle.
+    /// Returns the bundle that is active as revision 1.
     pub(crate) fn bundle(&self) -> Value {
         let engine = |(i, engine): (usize, &Target<Engine>)| {
             let address = engine.server.as_ref().unwrap().address;
             json!({"name": format!("engine-{i}"), "kind": "engine", "address": address,
-                   "data_centre": CENTRES[i], "slots": 256, "fencing": "checked"})
+                   "data_centre": DATA_CENTRES[i], "slots": 256, "fencing": "checked"})
         };
         let mut targets: Vec<Value> = self.engines.iter().enumerate().map(engine).collect();
-        let desk = self.desk.server.as_ref().unwrap().address;
-        targets.push(json!({"name": "desk-0", "kind": "service", "address": desk,
-                            "data_centre": "east"}));
+        let service_address = self.service.server.as_ref().unwrap().address;
+        targets.push(
+            json!({"name": "desk-0", "kind": "service", "address": service_address,
+                            "data_centre": "east"}),
+        );
         json!({
             "format": 1, "title": "test", "targets": targets,
             "models": [{
@@ -198,18 +203,18 @@
         })
     }
 
-    /// Submits and approves a bundle.
-    pub(crate) async fn sign(&self, bundle: &Value) -> Digest {
+    /// Submits a bundle as one operator and approves it as another.
+    pub(crate) async fn submit_and_approve(&self, bundle: &Value) -> Digest {
         let bundle = Bundle::parse(&bundle.to_string()).unwrap();
         let text = serde_json::to_vec(&bundle).unwrap();
-        let submitter = self.client(SUBMITTER);
+        let submitter = self.client(SUBMITTER_KEY);
         submitter
             .operator(Method::POST, "submit", text)
             .await
             .unwrap();
         let digest = bundle.digest();
         let body = json!({ "digest": digest }).to_string();
-        let approver = self.client(APPROVER);
+        let approver = self.client(APPROVER_KEY);
         approver
             .operator(Method::POST, "approve", body)
             .await
@@ -217,31 +222,31 @@
         digest
     }
 
-    /// Puts an approved bundle in force.
+    /// Rolls an approved bundle and returns the reply to the operator.
     pub(crate) async fn roll(&self, digest: Digest) -> Value {
         let body = json!({ "digest": digest }).to_string();
-        let approver = self.client(APPROVER);
+        let approver = self.client(APPROVER_KEY);
         approver.operator(Method::POST, "roll", body).await.unwrap()
     }
 
-    /// Returns a client that knows all instances.
+    /// Returns a client with the addresses of all instances.
     pub(crate) fn client(&self, key: &str) -> Client {
         let known = self.instances.iter().map(|instance| instance.address);
         Client::new(known.collect(), key).unwrap()
     }
 
-    /// Returns what an operator is told at one instance.
+    /// Returns the status that one instance reports to operators.
     pub(crate) async fn status(&self, instance: usize) -> Option<Value> {
         let known = vec![self.instances[instance].address];
-        let client = Client::new(known, SUBMITTER).unwrap();
+        let client = Client::new(known, SUBMITTER_KEY).unwrap();
         client.operator(Method::GET, "status", "").await.ok()
     }
 
-    /// Waits until a revision is in force at all instances.
+    /// Waits until every instance has activated this revision or a later one.
     pub(crate) async fn await_revision(&self, revision: u64) {
         for instance in 0..self.instances.len() {
             let mut seen = Value::Null;
-            wait_for(async || {
+            wait_until(async || {
                 seen = self.status(instance).await.unwrap_or_default();
                 seen["revision"].as_u64() >= Some(revision)
             })
@@ -249,45 +254,50 @@
         }
     }
 
-    /// Returns how many generations the engines have started.
-    pub(crate) fn starts(&self) -> usize {
+    /// Returns how many generations all engines together have started.
+    pub(crate) fn generation_starts(&self) -> usize {
         let engines = self.engines.iter();
         engines.map(|it| it.stand_in.log().starts.len()).sum()
     }
 
-    async fn await_all(&self, path: &str) {
+    async fn wait_until_reachable(&self, path: &str) {
         for instance in &self.instances {
-            wait_for(async || get(instance.address, path).await.is_some()).await;
+            wait_until(async || get(instance.address, path).await.is_some()).await;
         }
     }
 }
 
-/// Returns the state of an instance that nobody else knows, with a bundle in force, and what it is
-/// told of targets. Its tasks are not started.
-pub(crate) fn lone(bundle: &Value) -> (Arc<Node>, mpsc::Receiver<TargetEvent>) {
-    let (events, told) = mpsc::channel(1024);
+/// Returns the state of an instance outside any fleet, with an active bundle, and the receiver of its
+/// target events.
+///
+/// Background tasks of the instance are not started.
+pub(crate) fn standalone_node(bundle: &Value) -> (Arc<Node>, mpsc::Receiver<TargetEvent>) {
+    let (events, target_events) = mpsc::channel(1024);
     let settings = settings(0, 20_001, 20_002, "127.0.0.1:1".parse().unwrap());
     let node = Node::new(settings, Metrics::local(), events);
     let bundle = Bundle::parse(&bundle.to_string()).unwrap();
-    let headline = BundleHeader {
+    let header = BundleHeader {
         revision: Revision(1),
         digest: bundle.digest(),
         parts: BTreeMap::new(),
     };
-    node.activate_bundle(ActiveBundle::new(headline, Arc::new(bundle)));
-    (node, told)
+    node.activate_bundle(ActiveBundle::new(header, Arc::new(bundle)));
+    (node, target_events)
 }
 
-/// Waits until something holds, and fails the test if it does not in time.
-pub(crate) async fn wait_for(mut holds: impl AsyncFnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !holds().await {
-        assert!(Instant::now() < until, "it does not come about in time");
+/// Polls a condition until it holds; fails the test after [`WAIT_TIMEOUT`].
+pub(crate) async fn wait_until(mut condition: impl AsyncFnMut() -> bool) {
+    let until = Instant::now() + WAIT_TIMEOUT;
+    while !condition().await {
+        assert!(
+            Instant::now() < until,
+            "the condition did not hold within {WAIT_TIMEOUT:?}"
+        );
         time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// Reads a small answer.
+/// Sends a GET request and returns the status and the JSON body of the reply.
 pub(crate) async fn get(address: SocketAddr, path: &str) -> Option<(u16, Value)> {
     let (status, body) =
         celerypond_daemon::engine::short_call(address, Method::GET, path, Vec::new())
@@ -299,8 +309,8 @@
     ))
 }
 
-/// Returns the tokens that an engine of `version` gives for a prompt.
-pub(crate) fn reference(version: &str, prompt: &str, seed: u64, count: usize) -> Vec<u32> {
+/// Returns the tokens that an engine generates for a prompt with `version`.
+pub(crate) fn expected_tokens(version: &str, prompt: &str, seed: u64, count: usize) -> Vec<u32> {
     let inputs = SequenceInputs {
         model: "drafts",
         version,
@@ -312,8 +322,8 @@
     tokens.into_iter().map(|token| token.0).collect()
 }
 
-/// Returns an idempotent call to the plain service.
-pub(crate) fn stock() -> ServiceCall {
+/// Returns an idempotent call to the plain service `desk`.
+pub(crate) fn stock_query() -> ServiceCall {
     ServiceCall {
         service: "desk".into(),
         method: "GET".into(),
@@ -323,8 +333,8 @@
     }
 }
 
-/// Returns a request for tokens.
-pub(crate) fn prompt(text: &str, seed: u64, tokens: u32) -> CompletionRequest {
+/// Returns a completion request for the model `drafts`.
+pub(crate) fn completion_request(text: &str, seed: u64, tokens: u32) -> CompletionRequest {
     CompletionRequest {
         model: "drafts".into(),
         prompt: text.into(),
@@ -332,17 +342,19 @@
         seed: Some(seed),
         adapter: None,
         key: None,
-        timeout: PATIENCE,
+        timeout: WAIT_TIMEOUT,
     }
 }
 
-/// Receives an answer to its end, calling `at` with the number of tokens so far.
-pub(crate) async fn receive(
+/// Sends a completion request and returns all tokens of the answer.
+///
+/// Calls `on_token` after each token with the number of tokens received so far.
+pub(crate) async fn receive_tokens(
     client: &Client,
-    prompt: CompletionRequest,
-    mut at: impl FnMut(usize),
+    request: CompletionRequest,
+    mut on_token: impl FnMut(usize),
 ) -> Result<Vec<u32>, String> {
-    let mut answer = client.generate(prompt).await;
+    let mut answer = client.generate(request).await;
     let mut tokens = Vec::new();
     loop {
         match answer.next().await {
@@ -355,7 +367,7 @@
                     "a token is missing or repeated"
                 );
                 tokens.push(token);
-                at(tokens.len());
+                on_token(tokens.len());
             }
             Err(Ok(_)) => return Ok(tokens),
             Err(Err(report)) => return Err(report.current_context().to_string()),
@@ -363,10 +375,10 @@
     }
 }
 
-/// Returns ports that no other test of this binary gets.
+/// Returns free ports that no other test of this binary is given.
 ///
-/// They lie below those that the system gives to connections and to listeners on port 0, which
-/// could otherwise take a port between this check and the start of the instance.
+/// They lie below the ephemeral port range. Otherwise the system could assign one of them to an outgoing
+/// connection or a listener on port 0 between this check and the start of the instance.
 fn free_ports(count: usize) -> Vec<u16> {
     static NEXT: AtomicU16 = AtomicU16::new(21_000);
 
@@ -381,36 +393,41 @@
     ports
 }
 
-/// Waits until the runtime of a killed instance has closed a listener, which it does a little later.
-fn await_free(address: SocketAddr) {
-    let until = std::time::Instant::now() + PATIENCE;
+/// Waits until the runtime of a killed instance has closed its listener.
+///
+/// `shutdown_background` returns before that.
+fn wait_until_free(address: SocketAddr) {
+    let until = std::time::Instant::now() + WAIT_TIMEOUT;
     while TcpListener::bind(address).is_err() {
-        assert!(std::time::Instant::now() < until, "{address} stays in use");
+        assert!(
+            std::time::Instant::now() < until,
+            "{address} is still in use"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
-fn listed(i: usize, port: u16, peer_port: u16) -> ListedInstance {
+fn listed_instance(i: usize, port: u16, peer_port: u16) -> ListedInstance {
     ListedInstance {
         name: format!("entry-{i}"),
         address: format!("127.0.0.1:{port}"),
         peer_address: format!("127.0.0.1:{peer_port}"),
-        data_centre: CENTRES[i].into(),
+        data_centre: DATA_CENTRES[i].into(),
         state: "live".into(),
     }
 }
 
 pub(crate) fn settings(i: usize, port: u16, peer_port: u16, platform: SocketAddr) -> Settings {
     let settings = json!({
-        "instance": format!("entry-{i}"), "data_centre": CENTRES[i],
+        "instance": format!("entry-{i}"), "data_centre": DATA_CENTRES[i],
         "address": format!("127.0.0.1:{port}"), "peer_address": format!("127.0.0.1:{peer_port}"),
         "platform": [platform], "fleet_key": Digest::of(b"fleet"),
-        "operators": [{"name": "aigul", "key_digest": Digest::of(SUBMITTER.as_bytes())},
-                      {"name": "marat", "key_digest": Digest::of(APPROVER.as_bytes())}],
+        "operators": [{"name": "aigul", "key_digest": Digest::of(SUBMITTER_KEY.as_bytes())},
+                      {"name": "marat", "key_digest": Digest::of(APPROVER_KEY.as_bytes())}],
     });
     Settings::parse(&settings.to_string()).unwrap()
 }
--- a/daemon/tests/runner.rs
+++ b/daemon/tests/runner.rs
@@ -1,13 +1,13 @@
-//! Whole instances on loopback, under failure.
+//! Tests of whole instances on loopback, most of them under failures.
 
 mod fleet;
 mod test_answers;
+mod test_bundle_subset;
 mod test_bundles;
 mod test_calls;
+mod test_engine_stream;
 mod test_front;
 mod test_inbox;
 mod test_limits;
-mod test_links;
-mod test_part;
 mod test_rollouts;
 mod test_targets;
--- a/daemon/tests/test_part.rs
+++ b/daemon/tests/test_bundle_subset.rs
@@ -1,4 +1,4 @@
-//! The part of a bundle that one instance uses.
+//! The part of the targets of a bundle that one instance sends work to.
 
 use celerypond_bundle::Bundle;
 use celerypond_daemon::bundle_subset::restrict_to_group;
@@ -29,13 +29,17 @@
         .collect()
 }
 
-/// All instances together still use every engine, none uses much more than its part, and a service of
-/// one target keeps it everywhere.
+// All instances together must use every engine, none may use many more than its part, and a service with
+// one target must keep it at every instance.
 #[rstest]
 #[case::today(7, 40, 40)]
 #[case::more(200, 2_500, 400)]
 #[case::full(900, 11_000, 500)]
-fn groups_cover_all_engines(#[case] count: usize, #[case] engines: usize, #[case] most: usize) {
+fn groups_cover_all_engines(
+    #[case] count: usize,
+    #[case] engines: usize,
+    #[case] max_targets: usize,
+) {
     let bundle = bundle(engines);
     let names: Vec<TargetName> = bundle
         .targets
@@ -44,18 +48,21 @@
         .collect();
     let all = instances(count);
     let mut covered = std::collections::HashSet::new();
-    for own in &all {
-        let subset = Subset::of(own, &all, &names);
-        let part = restrict_to_group(&bundle, &subset.targets);
-        let used = &part.models[0].versions[0].targets;
+    for instance_name in &all {
+        let subset = Subset::of(instance_name, &all, &names);
+        let subset_bundle = restrict_to_group(&bundle, &subset.targets);
+        let used_targets = &subset_bundle.models[0].versions[0].targets;
         assert!(
-            used.len() >= 8 && used.len() <= most,
-            "{own} uses {}",
-            used.len()
+            used_targets.len() >= 8 && used_targets.len() <= max_targets,
+            "{instance_name} uses {} engines",
+            used_targets.len()
         );
-        assert_eq!(part.services[0].targets, bundle.services[0].targets);
-        assert!(part.target(&"desk-1".into()).is_some());
-        covered.extend(used.iter().cloned());
+        assert_eq!(
+            subset_bundle.services[0].targets,
+            bundle.services[0].targets
+        );
+        assert!(subset_bundle.target(&"desk-1".into()).is_some());
+        covered.extend(used_targets.iter().cloned());
         if covered.len() == engines {
             break;
         }
--- a/daemon/tests/test_calls.rs
+++ b/daemon/tests/test_calls.rs
@@ -1,4 +1,7 @@
-//! Calls that may not be repeated.
+//! Calls to plain services that must not run twice.
+//!
+//! The calls place holds on items at the service `desk`, as declared in the bundle with
+//! `idempotent: false`.
 
 use std::time::{Duration, Instant};
 
@@ -7,10 +10,10 @@
 
 use crate::fleet::{Fleet, ACCOUNT_KEY};
 
-const GAP: Duration = Duration::from_millis(5);
-const LIMIT: Duration = Duration::from_millis(1900);
+const TOKEN_INTERVAL: Duration = Duration::from_millis(5);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1900);
 
-fn hold(key: Option<&str>) -> ServiceCall {
+fn hold_request(key: Option<&str>) -> ServiceCall {
     ServiceCall {
         service: "desk".into(),
         method: "POST".into(),
@@ -20,95 +23,107 @@
     }
 }
 
-fn runs(fleet: &Fleet, key: &str) -> usize {
-    let log = fleet.desk.stand_in.log();
+fn run_count(fleet: &Fleet, key: &str) -> usize {
+    let log = fleet.service.stand_in.log();
     log.iter().filter(|run| run.key == key).count()
 }
 
-/// All callers see the one answer. Nine callers send one hold under one key to three instances at
-/// once; one of them runs it and the others wait for its result.
+// Nine callers send one hold with the same key to three instances at once. The hold must run once, and all
+// callers must get the reply of this run.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_hold_is_sent_to_all_instances_at_once() {
-    let fleet = Fleet::start(GAP).await;
+    let fleet = Fleet::start(TOKEN_INTERVAL).await;
     let clients: Vec<Client> = (0..9)
         .map(|i| Client::new(vec![fleet.instances[i % 3].address], ACCOUNT_KEY).unwrap())
         .collect();
-    let called = hold(Some("hold-1"));
-    let calls = clients.iter().map(|client| client.call(&called, LIMIT));
+    let request = hold_request(Some("hold-1"));
+    let calls = clients
+        .iter()
+        .map(|client| client.call(&request, CALL_TIMEOUT));
     let answers = futures::future::join_all(calls).await;
     let bodies: Vec<_> = answers
         .into_iter()
         .map(|answer| answer.unwrap().body)
         .collect();
     assert!(bodies.iter().all(|body| *body == bodies[0]));
-    assert_eq!(runs(&fleet, "hold-1"), 1);
+    assert_eq!(run_count(&fleet, "hold-1"), 1);
 }
 
-/// Each caller sees an answer or an honest "unknown". The store's replies to the next writes are lost
-/// after the writes took effect; what was written is found by reading it back.
+// The replies of the store to the next writes are lost after the writes took effect. The instance must read
+// back what was written, and a retry must not run the hold again.
 #[tokio::test(flavor = "multi_thread")]
 async fn replies_of_the_store_are_lost() {
-    let fleet = Fleet::start(GAP).await;
+    let fleet = Fleet::start(TOKEN_INTERVAL).await;
     let client = fleet.client(ACCOUNT_KEY);
     fleet.platform.set_faults(PlatformFault {
         lose_replies: Some(2),
         ..PlatformFault::default()
     });
-    // The answer itself may be late; what counts is that no repetition runs the hold again.
+    // A call may time out or end as unknown; the test only checks that no retry runs the hold again.
     for _ in 0..3 {
-        let _ = client.call(&hold(Some("hold-2")), LIMIT).await;
+        let _ = client
+            .call(&hold_request(Some("hold-2")), CALL_TIMEOUT)
+            .await;
     }
-    let answer = client.call(&hold(Some("hold-2")), LIMIT).await;
-    assert!(runs(&fleet, "hold-2") <= 1, "{answer:?}");
+    let answer = client
+        .call(&hold_request(Some("hold-2")), CALL_TIMEOUT)
+        .await;
+    assert!(run_count(&fleet, "hold-2") <= 1, "{answer:?}");
 }
 
-/// The caller is told that the hold may have run, at the end of its deadline, and so it is told when
-/// it asks again. The service runs the hold and never answers.
+// The service runs the hold and never replies. At the deadline, and again when it retries, the caller must
+// be told that the hold may have run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_service_runs_a_hold_and_does_not_answer() {
-    let fleet = Fleet::start(GAP).await;
+    let fleet = Fleet::start(TOKEN_INTERVAL).await;
     let client = fleet.client(ACCOUNT_KEY);
-    fleet.desk.stand_in.set_faults(ServiceFault {
+    fleet.service.stand_in.set_faults(ServiceFault {
         swallow: Some(1),
         ..ServiceFault::default()
     });
     for _ in 0..2 {
-        let error = client.call(&hold(Some("hold-3")), LIMIT).await.unwrap_err();
+        let error = client
+            .call(&hold_request(Some("hold-3")), CALL_TIMEOUT)
+            .await
+            .unwrap_err();
         assert!(!error.current_context().proves_not_run(), "{error:?}");
     }
-    assert_eq!(runs(&fleet, "hold-3"), 1);
+    assert_eq!(run_count(&fleet, "hold-3"), 1);
 }
 
-/// The caller is told that the call may have run. The service fails after it has run the hold, and
-/// the bundle does not say that its failures prove anything.
+// The service replies with a failure after it has run the hold, and the bundle does not declare that its
+// failures prove that a call has not run. The caller must be told that the hold may have run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_service_fails_after_it_has_run_a_hold() {
-    let fleet = Fleet::start(GAP).await;
+    let fleet = Fleet::start(TOKEN_INTERVAL).await;
     let client = fleet.client(ACCOUNT_KEY);
-    fleet.desk.stand_in.set_faults(ServiceFault {
+    fleet.service.stand_in.set_faults(ServiceFault {
         fail_after_run: Some(1),
         ..ServiceFault::default()
     });
-    let error = client.call(&hold(None), LIMIT).await.unwrap_err();
+    let error = client
+        .call(&hold_request(None), CALL_TIMEOUT)
+        .await
+        .unwrap_err();
     assert!(error.to_string().starts_with("unknown"), "{error:?}");
-    assert_eq!(fleet.desk.stand_in.log().len(), 1);
+    assert_eq!(fleet.service.stand_in.log().len(), 1);
 }
 
-/// The caller is refused at once and told when to come back, and its hold did not run. The store that
-/// must record the hold is down.
+// The store that must record the hold is down. The caller must be refused without delay, with an error that
+// proves that the hold did not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_store_is_down_when_a_hold_comes() {
-    let fleet = Fleet::start(GAP).await;
-    let known = vec![fleet.instances[0].address];
-    let client = Client::new(known, ACCOUNT_KEY).unwrap();
+    let fleet = Fleet::start(TOKEN_INTERVAL).await;
+    let addresses = vec![fleet.instances[0].address];
+    let client = Client::new(addresses, ACCOUNT_KEY).unwrap();
     fleet.platform.set_faults(PlatformFault {
         down: Some(true),
         ..PlatformFault::default()
     });
     let started = Instant::now();
-    // A limit shorter than the time to come back, so that the client does not ask again.
+    // The timeout is shorter than the retry delay in the reply, so the caller does not retry.
     let error = client
-        .call(&hold(Some("hold-4")), Duration::from_millis(150))
+        .call(&hold_request(Some("hold-4")), Duration::from_millis(150))
         .await;
     let error = error.unwrap_err();
     assert!(error.current_context().proves_not_run(), "{error:?}");
@@ -117,28 +132,31 @@
         "{:?}",
         started.elapsed()
     );
-    assert_eq!(runs(&fleet, "hold-4"), 0);
+    assert_eq!(run_count(&fleet, "hold-4"), 0);
 }
 
-/// No hold runs twice. An instance dies right after it took the hold; the caller sends it again to
-/// another instance, which finds the record of the first.
+// An instance dies while it runs a hold, and the caller sends the hold again to another instance. This one
+// must find the record of the first run and not run the hold again.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_dies_while_it_runs_a_hold() {
-    let mut fleet = Fleet::start(GAP).await;
-    fleet.desk.stand_in.set_faults(ServiceFault {
+    let mut fleet = Fleet::start(TOKEN_INTERVAL).await;
+    fleet.service.stand_in.set_faults(ServiceFault {
         slow_ms: Some(100),
         ..ServiceFault::default()
     });
     for (delay, key) in [(5, "hold-5"), (40, "hold-6"), (120, "hold-7")] {
-        let first = Client::new(vec![fleet.instances[0].address], ACCOUNT_KEY).unwrap();
-        let called = hold(Some(key));
-        let call = tokio::spawn(async move { first.call(&called, LIMIT).await.is_ok() });
+        let first_client = Client::new(vec![fleet.instances[0].address], ACCOUNT_KEY).unwrap();
+        let request = hold_request(Some(key));
+        let call =
+            tokio::spawn(async move { first_client.call(&request, CALL_TIMEOUT).await.is_ok() });
         tokio::time::sleep(Duration::from_millis(delay)).await;
         fleet.instances[0].kill();
         call.abort();
-        let second = Client::new(vec![fleet.instances[1].address], ACCOUNT_KEY).unwrap();
-        let answer = second.call(&hold(Some(key)), LIMIT).await;
-        assert!(runs(&fleet, key) <= 1, "{key}: {answer:?}");
+        let second_client = Client::new(vec![fleet.instances[1].address], ACCOUNT_KEY).unwrap();
+        let answer = second_client
+            .call(&hold_request(Some(key)), CALL_TIMEOUT)
+            .await;
+        assert!(run_count(&fleet, key) <= 1, "{key}: {answer:?}");
         fleet.instances[0].restart();
         fleet.await_revision(1).await;
     }
--- a/daemon/tests/test_links.rs
+++ b/daemon/tests/test_engine_stream.rs
@@ -1,4 +1,4 @@
-//! One connection to an engine.
+//! The inputs that one connection to an engine produces.
 
 use std::{
     sync::{Arc, Mutex},
@@ -13,9 +13,9 @@
 use celerypond_types::{Attempt, Priority};
 use tokio::sync::mpsc;
 
-/// Now and then a caller waited a second for the first token. An engine ends its answer and closes the
-/// connection; the close was reported after the end, so the engine was suspected of a broken
-/// connection and was given nothing for a second.
+// An engine closes its connection after the end of an answer. When this close was reported after the end,
+// the engine was suspected of a broken connection and got no work for a second, and now and then a caller
+// waited that long for its first token.
 #[tokio::test]
 async fn an_engine_closes_the_connection_after_the_end_of_its_answer() {
     let engine = Engine::new(EngineSettings {
@@ -26,7 +26,7 @@
         checks_fencing: true,
     });
     let server = engine.serve("127.0.0.1:0".parse().unwrap()).await.unwrap();
-    let ask = GenerationRequest {
+    let request = GenerationRequest {
         request: "r".into(),
         model: "drafts".into(),
         adapter: None,
@@ -45,15 +45,22 @@
         prefix: Vec::new(),
     };
     let stall = Arc::new(Mutex::new(TimeoutEstimator::new(TimeoutLimits::default())));
-    let (inputs, mut received) = mpsc::channel(16);
-    engine_stream::start(Arc::new(ask), server.address, start, stall, inputs).await;
-    let mut all = Vec::new();
-    while let Some(input) = received.recv().await {
-        all.push(input);
+    let (input_sender, mut input_receiver) = mpsc::channel(16);
+    engine_stream::start(
+        Arc::new(request),
+        server.address,
+        start,
+        stall,
+        input_sender,
+    )
+    .await;
+    let mut received_inputs = Vec::new();
+    while let Some(input) = input_receiver.recv().await {
+        received_inputs.push(input);
     }
     assert!(
         matches!(
-            all[..],
+            received_inputs[..],
             [
                 Input::Opened(_),
                 Input::Event(_, Event::Frame(_)),
@@ -61,6 +68,6 @@
                 Input::Event(_, Event::Done(_)),
             ]
         ),
-        "{all:?}"
+        "{received_inputs:?}"
     );
 }
--- a/daemon/tests/test_front.rs
+++ b/daemon/tests/test_front.rs
@@ -1,4 +1,4 @@
-//! What callers are told about bad requests.
+//! HTTP replies of an instance: errors of invalid requests, status codes and limits.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use crate::fleet::{get, Fleet, ACCOUNT_KEY};
 
-const GAP: Duration = Duration::from_millis(1);
+const TOKEN_INTERVAL: Duration = Duration::from_millis(1);
 
 async fn post(fleet: &Fleet, path: &str, headers: &[(&str, &str)], body: Vec<u8>) -> (u16, Value) {
     let address = fleet.instances[0].address;
@@ -22,10 +22,13 @@
         request = request.header(*name, *value);
     }
     let request = request.body(Full::new(body.into())).unwrap();
-    let fresh = celerypond_daemon::http_call::NewConnection::connect(address)
+    let connection = celerypond_daemon::http_call::NewConnection::connect(address)
+        .await
+        .unwrap();
+    let answer = connection
+        .send(request, Duration::from_secs(5))
         .await
         .unwrap();
-    let answer = fresh.send(request, Duration::from_secs(5)).await.unwrap();
     let status = answer.response.status().as_u16();
     let body = answer
         .response
@@ -39,13 +42,19 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_requests_get_their_errors() {
-    let fleet = Fleet::start(GAP).await;
+    let fleet = Fleet::start(TOKEN_INTERVAL).await;
     let key = ("authorization", "Bearer showroom-key");
-    let wrong = ("authorization", "Bearer nobody");
+    let wrong_key = ("authorization", "Bearer nobody");
     let good = json!({"model": "drafts", "prompt": "x", "max_tokens": 2});
     let cases = [
         ("no key", vec![], good.clone(), 401, "unauthorized"),
-        ("wrong key", vec![wrong], good.clone(), 401, "unauthorized"),
+        (
+            "wrong key",
+            vec![wrong_key],
+            good.clone(),
+            401,
+            "unauthorized",
+        ),
         (
             "no model",
             vec![key],
@@ -97,10 +106,10 @@
         ),
     ];
     for (name, headers, body, status, kind) in cases {
-        let (found, answer) =
+        let (actual_status, answer) =
             post(&fleet, "/v1/completions", &headers, body.to_string().into()).await;
         assert_eq!(
-            (found, answer["error"]["kind"].as_str()),
+            (actual_status, answer["error"]["kind"].as_str()),
             (status, Some(kind)),
             "{name}: {answer}"
         );
@@ -127,37 +136,40 @@
 #[case::history_without_key("/v1/operator/history", 401)]
 #[tokio::test(flavor = "multi_thread")]
 async fn paths_answer_with_their_status(#[case] path: &str, #[case] status: u16) {
-    let fleet = Fleet::start(GAP).await;
-    let (found, _) = get(fleet.instances[0].address, path).await.unwrap();
-    assert_eq!(found, status);
+    let fleet = Fleet::start(TOKEN_INTERVAL).await;
+    let (actual_status, _) = get(fleet.instances[0].address, path).await.unwrap();
+    assert_eq!(actual_status, status);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_idempotent_call_passes_through() {
-    let fleet = Fleet::start(GAP).await;
+    let fleet = Fleet::start(TOKEN_INTERVAL).await;
     let client = Client::new(vec![fleet.instances[0].address], ACCOUNT_KEY).unwrap();
-    let called = ServiceCall {
+    let request_to_service = ServiceCall {
         service: "desk".into(),
         method: "GET".into(),
         path: "/stock?item=4".into(),
         body: "".into(),
         key: None,
     };
-    let response = client.call(&called, Duration::from_secs(2)).await.unwrap();
+    let response = client
+        .call(&request_to_service, Duration::from_secs(2))
+        .await
+        .unwrap();
     assert_eq!(response.status, 200);
 }
 
-/// Callers over their account's limit get 429 with when to come back, also for calls to plain services,
-/// which once went past the limit.
+// Calls to plain services once bypassed the limit of the account. Beyond it, callers must get 429 with the
+// time after which to retry.
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_to_services_count_against_the_limit_of_the_account() {
-    let fleet = Fleet::start(GAP).await;
+    let fleet = Fleet::start(TOKEN_INTERVAL).await;
     let mut bundle = fleet.bundle();
     bundle["accounts"][0]["requests_per_s"] = json!(3);
-    let digest = fleet.sign(&bundle).await;
+    let digest = fleet.submit_and_approve(&bundle).await;
     fleet.roll(digest).await;
     fleet.await_revision(2).await;
-    // The part of an account is reckoned each second.
+    // Instances recompute their shares of the limit every second.
     tokio::time::sleep(Duration::from_millis(2500)).await;
     let key = ("authorization", "Bearer showroom-key");
     let mut refused = 0;
@@ -172,6 +184,6 @@
     }
     assert!(
         refused >= 6,
-        "{refused} of 12 calls were refused at 3 a second over three instances"
+        "{refused} of 12 calls were refused, with a limit of 3 per second over three instances"
     );
 }
--- a/daemon/tests/test_inbox.rs
+++ b/daemon/tests/test_inbox.rs
@@ -1,4 +1,4 @@
-//! Datagrams of other instances.
+//! Receive times of datagrams from other instances.
 
 use std::{net::UdpSocket as Sender, sync::Arc, time::Duration};
 
@@ -8,7 +8,7 @@
     time::{sleep, Instant},
 };
 
-// Guards against a paused process that takes reports which waited meanwhile for new ones.
+// Guards against a process that was paused and then treats reports that were queued in its socket as new.
 #[tokio::test]
 async fn datagram_that_the_runtime_has_not_polled_counts_from_before_it_was_sent() {
     let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
@@ -20,7 +20,7 @@
     let sent = Instant::now();
     let sender = Sender::bind("127.0.0.1:0").unwrap();
     sender.send_to(b"report", to).unwrap();
-    // Nothing is awaited in between, so the runtime does not see the datagram.
+    // This blocks the thread of the runtime, which thus does not notice the datagram.
     std::thread::sleep(Duration::from_millis(50));
     assert!(inbox.next(&mut buffer).is_none());
     socket.readable().await.unwrap();
--- a/daemon/tests/test_limits.rs
+++ b/daemon/tests/test_limits.rs
@@ -1,4 +1,4 @@
-//! What one of several instances takes of the limits.
+//! The share of account limits that one of several instances admits.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,13 +12,13 @@
 use serde_json::{from_value, json};
 use tokio::{sync::mpsc, time};
 
-use crate::fleet::{settings, wait_for};
+use crate::fleet::{settings, wait_until};
 
 const LIMIT: u32 = 10_000;
-/// The part of a limit that idle instances share when the others may use all the rest.
-const IDLE: f64 = IDLE_SHARE / (1.0 + IDLE_SHARE);
+/// The share of a limit that all idle instances together get while the active ones may use the rest.
+const IDLE_INSTANCES_SHARE: f64 = IDLE_SHARE / (1.0 + IDLE_SHARE);
 
-fn node() -> Arc<Node> {
+fn new_node() -> Arc<Node> {
     let platform = "127.0.0.1:1".parse().unwrap();
     let (events, _) = mpsc::channel(1);
     Node::new(
@@ -28,8 +28,8 @@
     )
 }
 
-/// Returns a list of so many instances, this one first; the others do not answer.
-fn list(count: usize) -> InstanceList {
+/// Returns a list of `count` instances, with the tested one first; the others do not respond.
+fn instance_list(count: usize) -> InstanceList {
     let instance = |i| {
         json!({"name": format!("entry-{i}"), "address": "127.0.0.1:2",
                "peer_address": "127.0.0.1:3", "data_centre": "east", "state": "live"})
@@ -44,24 +44,27 @@
     from_value(json!({"format": 1, "title": "test", "targets": [], "accounts": [account]})).unwrap()
 }
 
-/// Returns the part of the limit that a full limiter admits at once.
-fn part(limiter: &AccountLimiter, now_ms: u64) -> f64 {
+/// Returns the share of the limit that a limiter with full buckets admits at once.
+fn admitted_share(limiter: &AccountLimiter, now_ms: u64) -> f64 {
     let taken = (0..LIMIT).take_while(|_| limiter.admit(0, now_ms).is_ok());
     taken.count() as f64 / f64::from(LIMIT)
 }
 
-/// Callers of one account together get more than their limit, if an instance that has just started
-/// takes the whole of it. It knows nobody; then the platform lists instances that it has not heard
-/// of. It may take its part of what idle instances have, and the whole only if it is listed alone.
+// Guards against an account that exceeds its limit because an instance that has just started and knows no
+// peer yet admits all of it. The instance may admit its part of the share of idle instances, also when the
+// platform lists instances that it has not heard of, and the whole limit only if it is listed alone.
 #[rstest]
-#[case::no_list(None, IDLE / 7.0)]
-#[case::others_are_listed(Some(3), IDLE / 3.0)]
+#[case::no_list(None, IDLE_INSTANCES_SHARE / 7.0)]
+#[case::others_are_listed(Some(3), IDLE_INSTANCES_SHARE / 3.0)]
 #[case::listed_alone(Some(1), 1.0)]
 #[tokio::test]
-async fn an_instance_that_heard_of_nobody(#[case] listed: Option<usize>, #[case] most: f64) {
-    let node = node();
+async fn an_instance_that_heard_of_nobody(
+    #[case] listed: Option<usize>,
+    #[case] expected_share: f64,
+) {
+    let node = new_node();
     if let Some(count) = listed {
-        node.set_instance_list(list(count));
+        node.set_instance_list(instance_list(count));
     }
     let now = time::Instant::now();
     node.view.rcu(|view| view.with_bundle(&bundle(), now));
@@ -72,29 +75,32 @@
         Arc::clone(&view.accounts().get(key).unwrap().limiter)
     };
     limiter.set_account_limit(&account, limits::initial_share(&node), 0);
-    assert_near(part(&limiter, 60_000), most);
+    assert_near(admitted_share(&limiter, 60_000), expected_share);
     let task = tokio::spawn(limits::run(Arc::clone(&node)));
     time::sleep(Duration::from_millis(200)).await;
     node.shutdown.cancel();
     task.await.unwrap();
-    assert_near(part(&limiter, 120_000), most);
+    assert_near(admitted_share(&limiter, 120_000), expected_share);
 }
 
-fn assert_near(part: f64, wanted: f64) {
-    assert!((part - wanted).abs() < 0.001, "{part} is not {wanted}");
+fn assert_near(admitted_share: f64, expected: f64) {
+    assert!(
+        (admitted_share - expected).abs() < 0.001,
+        "the admitted share is {admitted_share}, expected {expected}"
+    );
 }
 
-/// Callers wait in the queues of the engines, where accounts are not treated fairly, if each of
-/// three instances takes itself for the only one and fills all slots.
+// Guards against instances that each assume to be the only one and fill all slots. Requests would then
+// wait in the queues of the engines, which are not fair between accounts.
 #[tokio::test]
 async fn the_view_counts_the_listed_instances() {
-    let node = node();
-    node.set_instance_list(list(3));
+    let node = new_node();
+    node.set_instance_list(instance_list(3));
     let tasks = [
         tokio::spawn(gossip::run(Arc::clone(&node))),
         tokio::spawn(limits::run(Arc::clone(&node))),
     ];
-    wait_for(async || node.view.load().instances() == 3).await;
+    wait_until(async || node.view.load().instances() == 3).await;
     node.shutdown.cancel();
     for task in tasks {
         task.await.unwrap();
--- a/daemon/tests/test_rollouts.rs
+++ b/daemon/tests/test_rollouts.rs
@@ -1,4 +1,4 @@
-//! Rollouts through whole instances.
+//! Rollouts of model versions by whole instances.
 
 use std::{
     sync::atomic::{AtomicBool, Ordering::Relaxed},
@@ -8,12 +8,12 @@
 use celerypond_testutils::fault::{BadVersion, EngineFault};
 use serde_json::{json, Value};
 
-use crate::fleet::{prompt, receive, Fleet, ACCOUNT_KEY};
+use crate::fleet::{completion_request, receive_tokens, Fleet, ACCOUNT_KEY};
 
-/// How many callers ask at once.
+/// Number of concurrent callers.
 const CALLERS: u64 = 24;
 
-fn second(fleet: &Fleet) -> Value {
+fn bundle_with_v2(fleet: &Fleet) -> Value {
     let mut bundle = fleet.bundle();
     let targets = bundle["models"][0]["versions"][0]["targets"].clone();
     let version = json!({"name": "v2", "weights": "drafts/v2", "targets": targets});
@@ -24,19 +24,20 @@
     bundle
 }
 
-/// Rolls the second bundle with callers at work, and returns the status at its end.
+/// Rolls the bundle with `v2` while callers send requests, and returns the status when the rollout has
+/// ended or after 60 seconds.
 async fn roll(fleet: &Fleet) -> Value {
-    let digest = fleet.sign(&second(fleet)).await;
+    let digest = fleet.submit_and_approve(&bundle_with_v2(fleet)).await;
     fleet.roll(digest).await;
-    let over = AtomicBool::new(false);
+    let is_ended = AtomicBool::new(false);
     let caller = async |caller: u64| {
         let address = fleet.instances[caller as usize % 3].address;
         let client = celerypond_cli::Client::new(vec![address], ACCOUNT_KEY).unwrap();
         let mut seed = caller << 32;
-        while !over.load(Relaxed) {
+        while !is_ended.load(Relaxed) {
             seed += 1;
-            // Some answers of a bad version fail; this is what the rollout must find out.
-            let _ = receive(&client, prompt("p", seed, 4), |_| {}).await;
+            // Some answers of a bad version fail; the rollout must detect this.
+            let _ = receive_tokens(&client, completion_request("p", seed, 4), |_| {}).await;
         }
     };
     let watch = async {
@@ -45,7 +46,7 @@
             let status = fleet.status(0).await.unwrap_or_default();
             let ended = status["rollout"]["ending"].is_string();
             if ended || tokio::time::Instant::now() > until {
-                over.store(true, Relaxed);
+                is_ended.store(true, Relaxed);
                 return status;
             }
             tokio::time::sleep(Duration::from_millis(200)).await;
@@ -56,8 +57,8 @@
     status
 }
 
-/// Operators are told `taken_back`. The engines load the new version by orders, and then 60 of 100 of
-/// its answers fail; after that the version gets no request.
+// The engines load the new version by orders, and then 60% of its answers fail. The rollout must end as
+// `taken_back`.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_bad_version_is_taken_back() {
     let fleet = Fleet::start(Duration::from_millis(1)).await;
@@ -76,7 +77,7 @@
     assert_eq!(status["rollout"]["cause"], "failures", "{status:#}");
 }
 
-/// Operators are told `done`, before the deadline of the rollout.
+// A rollout of a version without faults must end as `done` before its deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_good_version_is_completed() {
     let fleet = Fleet::start(Duration::from_millis(1)).await;
--- a/daemon/tests/test_targets.rs
+++ b/daemon/tests/test_targets.rs
@@ -1,4 +1,4 @@
-//! Targets and instances that leave.
+//! Targets and instances that leave, fall silent or fail.
 
 use std::{
     sync::{
@@ -26,16 +26,17 @@
 };
 
 use crate::fleet::{
-    get, lone, prompt, receive, reference, stock, wait_for, Fleet, Target, ACCOUNT_KEY,
+    completion_request, expected_tokens, get, receive_tokens, standalone_node, stock_query,
+    wait_until, Fleet, Target, ACCOUNT_KEY,
 };
 
-const GAP: Duration = Duration::from_millis(2);
+const TOKEN_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Callers see nothing of it. An engine says that it leaves; three seconds later it gets no new work
-/// from any instance, and what it had goes on to its end.
+// An engine announces that it is leaving and will only finish the work it has. Three seconds later no instance
+// may send it new work, and callers must still get whole answers.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_engine_gets_no_new_work_after_three_seconds() {
-    let fleet = Fleet::start(GAP).await;
+    let fleet = Fleet::start(TOKEN_INTERVAL).await;
     let client = fleet.client(ACCOUNT_KEY);
     fleet.engines[0].stand_in.set_faults(EngineFault {
         leaving: Some(true),
@@ -44,69 +45,72 @@
     tokio::time::sleep(Duration::from_secs(3)).await;
     let before = fleet.engines[0].stand_in.log().starts.len();
     for seed in 0..30 {
-        let tokens = receive(&client, prompt("p", seed, 3), |_| {}).await;
-        assert_eq!(tokens.unwrap(), reference("v1", "p", seed, 3));
+        let tokens = receive_tokens(&client, completion_request("p", seed, 3), |_| {}).await;
+        assert_eq!(tokens.unwrap(), expected_tokens("v1", "p", seed, 3));
     }
     assert_eq!(fleet.engines[0].stand_in.log().starts.len(), before);
 }
 
-/// Callers see all of their answers. An instance is asked to stop while it streams one, while an idle
-/// connection stays open and while a caller who holds its address connects anew.
+// An instance is asked to stop while it streams an answer, while an idle connection stays open and while a
+// caller that still uses its address opens a new connection. All requests must be served, and the idle
+// connection must not delay the stop.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_cuts_off_no_request() {
     let mut fleet = Fleet::start(Duration::from_millis(10)).await;
     let address = fleet.instances[0].address;
     let client = celerypond_cli::Client::new(vec![address], ACCOUNT_KEY).unwrap();
     let idle = tokio::net::TcpStream::connect(address).await.unwrap();
-    let running = {
+    let answer_task = {
         let client = client.clone();
-        tokio::spawn(async move { receive(&client, prompt("long", 1, 300), |_| {}).await })
+        tokio::spawn(async move {
+            receive_tokens(&client, completion_request("long", 1, 300), |_| {}).await
+        })
     };
     tokio::time::sleep(Duration::from_millis(500)).await;
     fleet.instances[0].stop().await;
-    wait_for(async || {
+    wait_until(async || {
         let (_, entries) = get(address, "/v1/entries").await.unwrap();
         !entries.to_string().contains(&address.to_string())
     })
     .await;
-    // Someone who was given the address before is still served.
+    // A caller that got the address from an earlier list is still served.
     let (status, _) = get(address, "/v1/health").await.unwrap();
     assert_eq!(status, 200);
     assert_eq!(
-        running.await.unwrap().unwrap(),
-        reference("v1", "long", 1, 300)
+        answer_task.await.unwrap().unwrap(),
+        expected_tokens("v1", "long", 1, 300)
     );
     fleet.instances[0].stop().await;
-    tokio::time::timeout(Duration::from_secs(10), fleet.instances[0].ended())
+    tokio::time::timeout(Duration::from_secs(10), fleet.instances[0].wait_stopped())
         .await
-        .expect("an idle connection must not hold up the stop");
+        .expect("an idle connection must not delay the stop");
     drop(idle);
 }
 
-/// A caller gets an answer on a connection that is open, whenever it comes. The last reply came before
-/// a planned stop, so it said for how long the connection may be used again and not that it closes;
-/// the instance is then asked twice to stop, and the caller sends its next request.
+// The last reply on a connection was sent before a planned stop, so it announced how long the connection may
+// be reused and not that it closes. The instance is then asked twice to stop. The next request on this
+// connection must still be answered, and only this reply may announce the close.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_leaves_a_connection_that_callers_may_use_again() {
-    let fleet = Fleet::start(GAP).await;
+    let fleet = Fleet::start(TOKEN_INTERVAL).await;
     let mut caller = TcpStream::connect(fleet.instances[0].address)
         .await
         .unwrap();
-    let first = ask(&mut caller).await;
+    let first = send_health_request(&mut caller).await;
     assert!(first.contains("keep-alive: timeout=10"), "{first}");
     assert!(!first.contains("connection: close"), "{first}");
     fleet.instances[0].stop().await;
     tokio::time::sleep(Duration::from_millis(200)).await;
     fleet.instances[0].stop().await;
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let second = ask(&mut caller).await;
+    let second = send_health_request(&mut caller).await;
     assert!(second.starts_with("http/1.1 200"), "{second}");
     assert!(second.contains("connection: close"), "{second}");
     assert_eq!(caller.read(&mut [0; 1]).await.unwrap(), 0);
 }
 
-/// Sends a request and returns the reply in lower case.
-async fn ask(caller: &mut TcpStream) -> String {
+/// Sends a request for `/v1/health` and returns the reply in lower case.
+async fn send_health_request(caller: &mut TcpStream) -> String {
     let request = b"GET /v1/health HTTP/1.1\r\nhost: entry\r\n\r\n";
     caller.write_all(request).await.unwrap();
     let mut reply = String::new();
@@ -119,27 +123,30 @@
     reply
 }
 
-/// Callers get all answers, within the time that one question for health takes. A target is in the
-/// bundle whose word no instance hears, as when an instance is cut off: it answers calls but never
-/// says that it is live. It gets no work: neither a call, nor an answer that failed at its first
-/// engine, since the target may have left and nothing would tell.
+// Two targets in the bundle never reply to health checks although they accept calls, as seen by an
+// instance that is cut off from their reports. They must get no work, neither calls nor answers that failed
+// at their first engine, since a target that never reports to be live may have left unnoticed. Callers must
+// get all answers within the time of one health check.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_never_says_that_it_is_live_gets_no_work() {
-    let fleet = Fleet::start(GAP).await;
-    let work = Arc::new(AtomicUsize::new(0));
-    let mutes = [mute(Arc::clone(&work)).await, mute(Arc::clone(&work)).await];
+    let fleet = Fleet::start(TOKEN_INTERVAL).await;
+    let work_count = Arc::new(AtomicUsize::new(0));
+    let silent_targets = [
+        start_silent_target(Arc::clone(&work_count)).await,
+        start_silent_target(Arc::clone(&work_count)).await,
+    ];
     let mut bundle = fleet.bundle();
     let list = bundle["targets"].as_array_mut().unwrap();
     for (at, name, kind) in [(0, "desk-1", "service"), (1, "engine-3", "engine")] {
         list.push(
-            json!({"name": name, "kind": kind, "address": mutes[at].address,
+            json!({"name": name, "kind": kind, "address": silent_targets[at].address,
                          "data_centre": "east", "slots": 256}),
         );
     }
     bundle["services"][0]["targets"] = json!(["desk-0", "desk-1"]);
     bundle["models"][0]["versions"][0]["targets"] =
         json!(["engine-0", "engine-1", "engine-2", "engine-3"]);
-    let digest = fleet.sign(&bundle).await;
+    let digest = fleet.submit_and_approve(&bundle).await;
     fleet.roll(digest).await;
     fleet.await_revision(2).await;
     fleet.engines[0].stand_in.set_faults(EngineFault {
@@ -148,21 +155,24 @@
     });
     let client = fleet.client(ACCOUNT_KEY);
     for seed in 0..20 {
-        client.call(&stock(), Duration::from_secs(2)).await.unwrap();
-        let tokens = receive(&client, prompt("p", seed, 3), |_| {}).await;
-        assert_eq!(tokens.unwrap(), reference("v1", "p", seed, 3));
+        client
+            .call(&stock_query(), Duration::from_secs(2))
+            .await
+            .unwrap();
+        let tokens = receive_tokens(&client, completion_request("p", seed, 3), |_| {}).await;
+        assert_eq!(tokens.unwrap(), expected_tokens("v1", "p", seed, 3));
     }
-    assert_eq!(work.load(Relaxed), 0);
+    assert_eq!(work_count.load(Relaxed), 0);
 }
 
-/// Starts a target that counts its work and is silent about itself.
-async fn mute(work: Arc<AtomicUsize>) -> Server {
+/// Starts a target that counts the calls and generations it is sent and never replies to health checks.
+async fn start_silent_target(work_count: Arc<AtomicUsize>) -> Server {
     let handle = move |request: http::Request<bytes::Bytes>| {
-        let work = Arc::clone(&work);
+        let work_count = Arc::clone(&work_count);
         async move {
             match request.uri().path() {
                 "/stock" | "/v1/generate" => {
-                    work.fetch_add(1, Relaxed);
+                    work_count.fetch_add(1, Relaxed);
                 }
                 _ => std::future::pending().await,
             }
@@ -174,23 +184,23 @@
         .unwrap()
 }
 
-/// Callers see nothing of it. An instance learns how long requests take at an engine from those that
-/// end there; from that follows for how long it trusts a report of load.
+// An instance must measure the service time of an engine from the requests that end there. It decides how
+// long a load report of the engine is valid.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_time_of_an_answer_is_learnt() {
-    let fleet = Fleet::start(GAP).await;
+    let fleet = Fleet::start(TOKEN_INTERVAL).await;
     let mut bundle = fleet.bundle();
     bundle["models"][0]["versions"][0]["targets"] = json!(["engine-0"]);
-    let (node, _told) = lone(&bundle);
-    let client = serve(&node).await;
-    let tokens = receive(&client, prompt("p", 1, 50), |_| {}).await;
-    assert_eq!(tokens.unwrap(), reference("v1", "p", 1, 50));
+    let (node, _target_events) = standalone_node(&bundle);
+    let client = serve_callers(&node).await;
+    let tokens = receive_tokens(&client, completion_request("p", 1, 50), |_| {}).await;
+    assert_eq!(tokens.unwrap(), expected_tokens("v1", "p", 1, 50));
     let view = node.view.load_full();
     let state = &view
         .target(view.target_key(&"engine-0".into()).unwrap())
         .unwrap()
         .state;
-    wait_for(async || state.in_flight() == 0).await;
+    wait_until(async || state.in_flight() == 0).await;
     assert!(
         state.mean_service_ms() >= Some(50),
         "{:?}",
@@ -198,29 +208,28 @@
     );
 }
 
-/// Serves callers for an instance without its other tasks.
-async fn serve(node: &Arc<Node>) -> Client {
+/// Runs only the caller listener and the admission of an instance, and returns a client of it.
+async fn serve_callers(node: &Arc<Node>) -> Client {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(front::serve(Arc::clone(node), listener));
     tokio::spawn(Admission::run(Arc::clone(node)));
-    // The account's part of its limit is saved up from nothing.
+    // The buckets of the account start empty and fill up to this instance's share of the limit.
     tokio::time::sleep(Duration::from_secs(1)).await;
     Client::new(vec![address], ACCOUNT_KEY).unwrap()
 }
 
-/// Callers see all tokens, and operators what happened: connections that fall silent are stalls, and
-/// the same engine goes on; an engine that dies closes its connections, which is no stall, and
-/// another goes on.
+// Connections that stop delivering data must count as a stall and a resume at the same engine. An engine
+// that dies closes its connections, which must count as a resume at another engine and not as a stall.
 #[rstest]
 #[case::connections_fall_silent(true, [1, 1, 0])]
 #[case::the_engine_dies(false, [0, 0, 1])]
 #[tokio::test(flavor = "multi_thread")]
 async fn stalls_and_resumes_are_counted(#[case] is_silent: bool, #[case] counts: [u64; 3]) {
-    let mut fleet = Fleet::start(GAP).await;
-    let (node, _told) = lone(&fleet.bundle());
-    let client = serve(&node).await;
-    let tokens = receive(&client, prompt("p", 2, 100), |count| {
+    let mut fleet = Fleet::start(TOKEN_INTERVAL).await;
+    let (node, _target_events) = standalone_node(&fleet.bundle());
+    let client = serve_callers(&node).await;
+    let tokens = receive_tokens(&client, completion_request("p", 2, 100), |count| {
         let busy = |engine: &&mut Target<Engine>| !engine.stand_in.log().starts.is_empty();
         let engine = fleet.engines.iter_mut().find(busy).unwrap();
         match is_silent {
@@ -232,7 +241,7 @@
             _ => {}
         }
     });
-    assert_eq!(tokens.await.unwrap(), reference("v1", "p", 2, 100));
+    assert_eq!(tokens.await.unwrap(), expected_tokens("v1", "p", 2, 100));
     let counters = [
         Counter::Stalls,
         Counter::ResumedSame,
@@ -241,25 +250,24 @@
     assert_eq!(counters.map(|counter| node.metrics.count(counter)), counts);
 }
 
-/// Callers get the failure of their own call, and others go on getting answers. Calls that may be
-/// repeated fail at each of three services: one that ends services must not be carried to all of
-/// them, and the retries of calls that fail at a service end with that service's own budget. Each
-/// failure is told to those who eject targets.
+// An idempotent call fails at each of three targets. It must be retried once at most, since a call that
+// crashes its target must not reach all of them, and not at all when the retry budget of the failing
+// target is exhausted. Each failure must be reported as an event for the ejection of targets.
 #[rstest]
 #[case::a_failed_call_is_tried_once_more(false, 2)]
 #[case::the_services_have_used_up_their_retries(true, 1)]
 #[tokio::test]
 async fn retries_of_calls_to_services_are_bounded(#[case] used_up: bool, #[case] tries: usize) {
-    let work = Arc::new(AtomicUsize::new(0));
+    let work_count = Arc::new(AtomicUsize::new(0));
     let mut servers = Vec::new();
     let mut targets = Vec::new();
     for i in 0..3 {
-        let server = failing(Arc::clone(&work)).await;
+        let server = start_failing_service(Arc::clone(&work_count)).await;
         targets.push(json!({"name": format!("desk-{i}"), "kind": "service",
                             "address": server.address, "data_centre": "east"}));
         servers.push(server);
     }
-    let (node, mut told) = lone(&json!({
+    let (node, mut target_events) = standalone_node(&json!({
         "format": 1, "title": "test", "targets": targets, "accounts": [],
         "services": [{"name": "desk", "targets": ["desk-0", "desk-1", "desk-2"],
                       "deadline_ms": 2_000}],
@@ -285,20 +293,20 @@
         matches!(&outcome, Outcome::Ran(reply) if reply.status == 500),
         "{outcome:?}"
     );
-    assert_eq!(work.load(Relaxed), tries);
+    assert_eq!(work_count.load(Relaxed), tries);
     for _ in 0..tries {
-        let event = told.try_recv();
+        let event = target_events.try_recv();
         assert!(matches!(event, Ok(TargetEvent::Failed { .. })), "{event:?}");
     }
 }
 
-/// Callers get failures of a bad service for a while, then none. One of three services fails each call
-/// and says that it is live; all instances eject it, and at most a probe comes to it after that.
+// One of three targets of a service fails every call although it reports to be live. All instances must
+// eject it, after which it gets probes at most.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_service_that_fails_is_ejected() {
-    let fleet = Fleet::start(GAP).await;
-    let work = Arc::new(AtomicUsize::new(0));
-    let bad = failing(Arc::clone(&work)).await;
+    let fleet = Fleet::start(TOKEN_INTERVAL).await;
+    let work_count = Arc::new(AtomicUsize::new(0));
+    let bad = start_failing_service(Arc::clone(&work_count)).await;
     let other = Service::default();
     let good = other.serve("127.0.0.1:0".parse().unwrap()).await.unwrap();
     let mut bundle = fleet.bundle();
@@ -308,25 +316,28 @@
                          "data_centre": "west"}));
     }
     bundle["services"][0]["targets"] = json!(["desk-0", "desk-1", "desk-2"]);
-    let digest = fleet.sign(&bundle).await;
+    let digest = fleet.submit_and_approve(&bundle).await;
     fleet.roll(digest).await;
     fleet.await_revision(2).await;
     let client = Client::new(vec![fleet.instances[2].address], ACCOUNT_KEY).unwrap();
-    wait_for(async || {
-        let before = work.load(Relaxed);
+    wait_until(async || {
+        let before = work_count.load(Relaxed);
         for _ in 0..40 {
-            client.call(&stock(), Duration::from_secs(2)).await.unwrap();
+            client
+                .call(&stock_query(), Duration::from_secs(2))
+                .await
+                .unwrap();
         }
-        before > 0 && work.load(Relaxed) == before
+        before > 0 && work_count.load(Relaxed) == before
     })
     .await;
 }
 
-/// Starts a service that is well and fails each call.
-async fn failing(work: Arc<AtomicUsize>) -> Server {
+/// Starts a service that replies to health checks as live and fails all other calls.
+async fn start_failing_service(work_count: Arc<AtomicUsize>) -> Server {
     let handle = move |request: http::Request<bytes::Bytes>| {
         let is_probe = request.uri().path() == "/health";
-        work.fetch_add(usize::from(!is_probe), Relaxed);
+        work_count.fetch_add(usize::from(!is_probe), Relaxed);
         async move {
             match is_probe {
                 true => reply::json(StatusCode::OK, &json!({"state": "live", "running": 0})),
