--- a/daemon/tests/soak/faults.rs
+++ b/daemon/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults in series that overlap.
+//! Overlapping random faults of processes and connections.
 
 use std::{os::unix::process::ExitStatusExt as _, time::Duration};
 
@@ -9,56 +9,72 @@
 
 use crate::fleet::Fleet;
 
-/// What is undone when a fault is over.
+/// How a fault is undone when its time is over.
 #[derive(Clone, Copy, Debug)]
 enum Undo {
     Restart(usize),
     RestartAll,
-    /// The run that was told to stop; an overlapping kill may have replaced it since.
-    RestartWhenEnded(usize, u32),
+    /// Contains the pid of the process that was told to stop; an overlapping kill may have replaced that process since.
+    RestartAfterExit(usize, u32),
     Continue(usize),
     Link(usize),
-    OwnLink(usize),
+    InstanceStoreLink(usize),
     StoreLink,
     Store,
 }
 
-/// How long a process takes at most to end by a signal that it does not listen for.
-const DYING: Duration = Duration::from_millis(300);
-/// How many kinds of faults there are, and how many of them seeds had at first.
-const KINDS: u32 = 14;
-const FIRST_KINDS: u32 = 11;
+/// How long a process takes at most to exit after a signal that it does not handle.
+const EXIT_TIME: Duration = Duration::from_millis(300);
+/// Number of kinds of faults.
+const FAULT_KINDS: u32 = 14;
+/// Number of kinds of faults that seeds below [`crate::FIRST_SEED_WITH_ALL_FAULTS`] use.
+const ORIGINAL_FAULT_KINDS: u32 = 11;
 
-/// Injects faults for so long, and undoes all of them; `is_wide` asks for all kinds.
-pub(crate) async fn inject(fleet: &mut Fleet, rng: &mut SmallRng, time: Duration, is_wide: bool) {
-    let kinds = if is_wide { KINDS } else { FIRST_KINDS };
-    let end = Instant::now() + time;
-    let mut open: Vec<(Instant, Undo)> = Vec::new();
+/// Injects faults for a time and undoes all of them; without `has_all_kinds`, only the original kinds.
+pub(crate) async fn inject_faults(
+    fleet: &mut Fleet,
+    rng: &mut SmallRng,
+    total: Duration,
+    has_all_kinds: bool,
+) {
+    let kinds = if has_all_kinds {
+        FAULT_KINDS
+    } else {
+        ORIGINAL_FAULT_KINDS
+    };
+    let end = Instant::now() + total;
+    let mut pending: Vec<(Instant, Undo)> = Vec::new();
     while Instant::now() < end {
-        let lasts = Duration::from_millis(rng.random_range(100..1_500));
-        if let Some(undo) = begin(fleet, rng, kinds) {
-            open.push((Instant::now() + lasts, undo));
+        let duration = Duration::from_millis(rng.random_range(100..1_500));
+        if let Some(undo) = start_fault(fleet, rng, kinds) {
+            pending.push((Instant::now() + duration, undo));
         }
         sleep(Duration::from_millis(rng.random_range(50..500))).await;
         let now = Instant::now();
-        let (due, later): (Vec<_>, Vec<_>) = open.into_iter().partition(|(at, _)| *at <= now);
-        open = later;
+        let (due, later): (Vec<_>, Vec<_>) = pending.into_iter().partition(|(at, _)| *at <= now);
+        pending = later;
         for (_, undo) in due {
-            finish(fleet, undo).await;
+            undo_fault(fleet, undo).await;
         }
     }
-    for (_, undo) in open {
-        finish(fleet, undo).await;
+    for (_, undo) in pending {
+        undo_fault(fleet, undo).await;
     }
-    sleep(DYING).await;
-    restart_hung_up(fleet);
+    sleep(EXIT_TIME).await;
+    restart_after_hangup(fleet);
 }
 
-/// Injects faults of single instances for so long, and undoes all of them: one is killed, paused, or has a link to the
-/// store that is silent, narrow or goes one way, while configurations, some of them large, follow each other.
-pub(crate) async fn inject_single(fleet: &mut Fleet, rng: &mut SmallRng, time: Duration) {
-    let end = Instant::now() + time;
-    let mut open: Vec<(Instant, usize, Undo)> = Vec::new();
+/// Injects faults of single instances for a time and undoes all of them.
+///
+/// An instance is killed or paused, or its link to the store is silent, silent in one direction, delayed or throttled.
+/// Meanwhile new configurations are written, some of them large.
+pub(crate) async fn inject_single_instance_faults(
+    fleet: &mut Fleet,
+    rng: &mut SmallRng,
+    total: Duration,
+) {
+    let end = Instant::now() + total;
+    let mut pending: Vec<(Instant, usize, Undo)> = Vec::new();
     while Instant::now() < end {
         match rng.random_range(0..3) {
             0 => fleet.change_config(),
@@ -66,27 +82,27 @@
             _ => {}
         }
         let instance = rng.random_range(0..fleet.processes.len());
-        let lasts = Duration::from_millis(rng.random_range(500..5_000));
-        if open.iter().all(|(_, n, _)| *n != instance) {
-            let undo = begin_single(fleet, rng, instance);
-            open.push((Instant::now() + lasts, instance, undo));
+        let duration = Duration::from_millis(rng.random_range(500..5_000));
+        if pending.iter().all(|(_, n, _)| *n != instance) {
+            let undo = start_single_instance_fault(fleet, rng, instance);
+            pending.push((Instant::now() + duration, instance, undo));
         }
         sleep(Duration::from_millis(rng.random_range(100..1_500))).await;
         let now = Instant::now();
-        let (due, later): (Vec<_>, Vec<_>) = open.into_iter().partition(|(at, ..)| *at <= now);
-        open = later;
+        let (due, later): (Vec<_>, Vec<_>) = pending.into_iter().partition(|(at, ..)| *at <= now);
+        pending = later;
         for (_, instance, undo) in due {
-            finish(fleet, undo).await;
-            fleet.versions.set_calm(instance, true);
+            undo_fault(fleet, undo).await;
+            fleet.versions.set_undisturbed(instance, true);
         }
     }
-    for (_, _, undo) in open {
-        finish(fleet, undo).await;
+    for (_, _, undo) in pending {
+        undo_fault(fleet, undo).await;
     }
 }
 
-fn begin_single(fleet: &mut Fleet, rng: &mut SmallRng, instance: usize) -> Undo {
-    fleet.versions.set_calm(instance, false);
+fn start_single_instance_fault(fleet: &mut Fleet, rng: &mut SmallRng, instance: usize) -> Undo {
+    fleet.versions.set_undisturbed(instance, false);
     let link = match rng.random_range(0..6) {
         0 => {
             fleet.processes[instance].signal(Signal::KILL);
@@ -101,24 +117,26 @@
         4 => Link::Delayed(Duration::from_millis(rng.random_range(100..900))),
         _ => Link::Throttled(rng.random_range(50_000..400_000)),
     };
-    fleet.own_links[instance].set_link(link);
-    Undo::OwnLink(instance)
+    fleet.instance_store_links[instance].set_link(link);
+    Undo::InstanceStoreLink(instance)
 }
 
-/// Starts processes again, as the platform does, that a hang-up ended before they could listen for it: just
-/// started, perhaps paused meanwhile. Those that ended in any other way by themselves stay ended.
-fn restart_hung_up(fleet: &mut Fleet) {
+/// Restarts processes that SIGHUP ended before they had installed a handler for it, as the platform does.
+///
+/// This happens to processes that have just started, perhaps with a pause in between. Processes that exited by
+/// themselves in any other way are not restarted, so that the run fails.
+fn restart_after_hangup(fleet: &mut Fleet) {
     for process in &mut fleet.processes {
-        let signal = process.ended().and_then(|ended| ended.signal());
+        let signal = process.exit_status().and_then(|status| status.signal());
         if signal == Some(Signal::HUP.as_raw()) {
             process.restart();
         }
     }
 }
 
-fn begin(fleet: &mut Fleet, rng: &mut SmallRng, kinds: u32) -> Option<Undo> {
+fn start_fault(fleet: &mut Fleet, rng: &mut SmallRng, kinds: u32) -> Option<Undo> {
     let instance = rng.random_range(0..fleet.processes.len());
-    let target = rng.random_range(0..fleet.links.len());
+    let target = rng.random_range(0..fleet.target_links.len());
     let delay = Duration::from_millis(rng.random_range(20..400));
     match rng.random_range(0..kinds) {
         0 => {
@@ -127,20 +145,20 @@
         }
         1 => {
             fleet.processes[instance].signal(Signal::TERM);
-            let run = fleet.processes[instance].id();
-            Some(Undo::RestartWhenEnded(instance, run))
+            let pid = fleet.processes[instance].pid();
+            Some(Undo::RestartAfterExit(instance, pid))
         }
         2 => {
             fleet.processes[instance].signal(Signal::STOP);
             Some(Undo::Continue(instance))
         }
         3 => {
-            fleet.links[target].reset();
+            fleet.target_links[target].reset();
             None
         }
-        4 => Some(link(fleet, target, Link::Delayed(delay))),
-        5 => Some(link(fleet, target, Link::OneWay)),
-        6 => Some(link(fleet, target, Link::Silent)),
+        4 => Some(set_target_link(fleet, target, Link::Delayed(delay))),
+        5 => Some(set_target_link(fleet, target, Link::OneWay)),
+        6 => Some(set_target_link(fleet, target, Link::Silent)),
         7 => {
             fleet.store_link.reset();
             None
@@ -175,28 +193,31 @@
     }
 }
 
-fn link(fleet: &Fleet, target: usize, link: Link) -> Undo {
-    fleet.links[target].set_link(link);
+fn set_target_link(fleet: &Fleet, target: usize, link: Link) -> Undo {
+    fleet.target_links[target].set_link(link);
     Undo::Link(target)
 }
 
-async fn finish(fleet: &mut Fleet, undo: Undo) {
+async fn undo_fault(fleet: &mut Fleet, undo: Undo) {
     match undo {
         Undo::Restart(n) => restart(fleet, n),
         Undo::RestartAll => (0..fleet.processes.len()).for_each(|n| restart(fleet, n)),
-        Undo::RestartWhenEnded(n, run) => {
+        Undo::RestartAfterExit(n, pid) => {
             let process = &mut fleet.processes[n];
-            if process.id() == run {
+            if process.pid() == pid {
                 process.signal(Signal::CONT);
-                assert!(process.wait_ended().await, "a planned stop took too long");
+                assert!(
+                    process.wait_for_exit().await,
+                    "a planned stop took too long"
+                );
             }
             restart(fleet, n);
         }
         Undo::Continue(n) => fleet.processes[n].signal(Signal::CONT),
-        Undo::Link(n) => fleet.links[n].set_link(Link::Healthy),
-        Undo::OwnLink(n) => {
-            fleet.own_links[n].set_link(Link::Healthy);
-            fleet.versions.set_calm(n, true);
+        Undo::Link(n) => fleet.target_links[n].set_link(Link::Healthy),
+        Undo::InstanceStoreLink(n) => {
+            fleet.instance_store_links[n].set_link(Link::Healthy);
+            fleet.versions.set_undisturbed(n, true);
         }
         Undo::StoreLink => fleet.store_link.set_link(Link::Healthy),
         Undo::Store => fleet.store.set_mode(Mode::Up),
--- a/daemon/tests/soak/fleet.rs
+++ b/daemon/tests/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! Instances as processes, with stand-ins around them.
+//! Instances run as processes, with stand-ins for the store and the targets.
 
 use std::{
     net::SocketAddr,
@@ -19,35 +19,35 @@
 use rustix::process::{kill_process, Pid, Signal};
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::versions::Versions;
+use crate::versions::ConfigVersions;
 
-/// Seeds that each instance knows at most, as on the platform.
-const SEEDS: usize = 3;
-/// Events of a whole stream.
+/// Number of seed peers in the settings of each instance, as on the platform.
+const SEED_PEERS: usize = 3;
+/// Number of events in a complete stream.
 pub(crate) const EVENTS: u64 = 40;
-/// The pause before each event.
-const GAP: Duration = Duration::from_millis(15);
-/// How long an instance may take to serve when the faults are over.
-const SERVE: Duration = Duration::from_secs(10);
-/// How long a planned stop may take: the grace in the settings and a second.
-const STOP: Duration = Duration::from_secs(4);
-/// The port for callers, at each instance.
-const PORT: u16 = 8_740;
-/// The port for the question whether it is ready.
-const READY: u16 = 8_749;
-/// The first port for other instances.
-const PEERS: u16 = 7_410;
+/// Delay before each event.
+const EVENT_INTERVAL: Duration = Duration::from_millis(15);
+/// How long an instance may take until it serves after the faults.
+const SERVE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a planned stop may take: the grace period in the settings plus one second.
+const STOP_TIMEOUT: Duration = Duration::from_secs(4);
+/// Port for callers of each instance.
+const CALLER_PORT: u16 = 8_740;
+/// Port for the readiness check.
+const READY_PORT: u16 = 8_749;
+/// First port for connections of other instances.
+const FIRST_PEER_PORT: u16 = 7_410;
 
-/// Instances as processes, with stand-ins around them.
+/// Instances run as processes, with stand-ins for the store and the targets.
 pub(crate) struct Fleet {
     pub(crate) store: Store,
     pub(crate) store_link: Proxy,
-    /// The link of each instance to the store.
-    pub(crate) own_links: Vec<Proxy>,
-    pub(crate) versions: Versions,
+    /// The link of each instance to the store, which leads through `store_link`.
+    pub(crate) instance_store_links: Vec<Proxy>,
+    pub(crate) versions: ConfigVersions,
     pub(crate) targets: Vec<Target>,
-    pub(crate) links: Vec<Proxy>,
-    /// Each has a loopback address of its own.
+    pub(crate) target_links: Vec<Proxy>,
+    /// The instances; each has its own loopback address.
     pub(crate) processes: Vec<Process>,
     /// The version of the configuration in the store.
     version: u64,
@@ -59,12 +59,13 @@
         let store = Store::start().await.unwrap();
         let store_link = Proxy::start(store.server.address).await;
         store.put("config/main", &config(1));
-        let (mut targets, mut links) = (Vec::new(), Vec::new());
+        let (mut targets, mut target_links) = (Vec::new(), Vec::new());
         for n in 0..5 {
             let service = if n < 2 { "shop" } else { "writer" };
             let name = format!("i-{n}");
-            let own = name.clone();
-            let target = Target::start(move |request, _| answer(request, &own)).await;
+            let server_name = name.clone();
+            let target =
+                Target::start(move |request, _| target_response(request, &server_name)).await;
             let target = target.unwrap();
             let link = Proxy::start(target.address).await;
             store.put(
@@ -72,48 +73,51 @@
                 &target_entry(service, link.address),
             );
             targets.push(target);
-            links.push(link);
+            target_links.push(link);
         }
         let files = tempfile::tempdir().unwrap();
-        let mut own_links = Vec::new();
+        let mut instance_store_links = Vec::new();
         for _ in 0..instances {
-            own_links.push(Proxy::start(store_link.address).await);
+            instance_store_links.push(Proxy::start(store_link.address).await);
         }
-        let starts = own_links.iter().enumerate();
+        let starts = instance_store_links.iter().enumerate();
         let processes = starts
             .map(|(n, link)| Process::start(n, &files, link.address))
             .collect();
-        let versions = Versions::new(instances);
+        let versions = ConfigVersions::new(instances);
         versions.written(1);
         let fleet = Self {
             store,
             store_link,
-            own_links,
+            instance_store_links,
             versions,
             targets,
-            links,
+            target_links,
             processes,
             version: 1,
             files,
         };
-        let late = fleet.wait_serving().await;
-        assert!(late.is_empty(), "not serving at first: {late:?}");
+        let not_serving = fleet.wait_serving().await;
+        assert!(
+            not_serving.is_empty(),
+            "instances do not serve after their start: {not_serving:?}"
+        );
         fleet
     }
 
-    /// Returns where callers connect.
+    /// Returns the addresses of all instances for callers.
     pub(crate) fn addresses(&self) -> Vec<SocketAddr> {
         (0..self.processes.len()).map(address).collect()
     }
 
-    /// Puts the next version of the configuration into the store.
+    /// Writes the next version of the configuration to the store.
     pub(crate) fn change_config(&mut self) {
         self.version += 1;
         self.store.put("config/main", &config(self.version));
         self.versions.written(self.version);
     }
 
-    /// Puts the next version, with so many routes more, into the store.
+    /// Writes the next version of the configuration, with `routes` additional routes, to the store.
     pub(crate) fn grow_config(&mut self, routes: usize) {
         self.version += 1;
         let config = large_config(self.version, routes);
@@ -121,71 +125,71 @@
         self.versions.written(self.version);
     }
 
-    /// Waits until all instances serve; returns those that did not in time.
+    /// Waits until all instances have served a request; returns those that did not within [`SERVE_TIMEOUT`].
     pub(crate) async fn wait_serving(&self) -> Vec<SocketAddr> {
-        let end = Instant::now() + SERVE;
-        let mut late = self.addresses();
-        while !late.is_empty() && Instant::now() < end {
-            let mut left = Vec::new();
-            for address in late {
+        let end = Instant::now() + SERVE_TIMEOUT;
+        let mut not_serving = self.addresses();
+        while !not_serving.is_empty() && Instant::now() < end {
+            let mut still_not_serving = Vec::new();
+            for address in not_serving {
                 if !serves(address).await {
-                    left.push(address);
+                    still_not_serving.push(address);
                 }
             }
-            late = left;
+            not_serving = still_not_serving;
             sleep(Duration::from_millis(50)).await;
         }
-        late
+        not_serving
     }
 
-    /// Keeps settings and log lines of all processes; returns where they are.
+    /// Keeps the directory with the settings and logs of all processes after the test; returns its path.
     pub(crate) fn keep_files(&mut self) -> PathBuf {
         self.files.disable_cleanup(true);
         self.files.path().to_owned()
     }
 
-    /// Returns how those processes ended that do not run.
-    pub(crate) fn ended(&mut self) -> Vec<ExitStatus> {
+    /// Returns the exit statuses of the processes that do not run.
+    pub(crate) fn exit_statuses(&mut self) -> Vec<ExitStatus> {
         let processes = self.processes.iter_mut();
-        processes.filter_map(Process::ended).collect()
+        processes.filter_map(Process::exit_status).collect()
     }
 
-    /// Stops all instances as planned.
+    /// Stops all instances by SIGTERM and checks that none exceeds [`STOP_TIMEOUT`].
     pub(crate) async fn stop(mut self) {
         for process in &mut self.processes {
             process.signal(Signal::TERM);
         }
-        let mut late = 0;
+        let mut overdue = 0;
         for process in &mut self.processes {
-            late += usize::from(!process.wait_ended().await);
+            overdue += usize::from(!process.wait_for_exit().await);
         }
         assert_eq!(
-            late,
+            overdue,
             0,
-            "planned stops took too long, files: {:?}",
+            "planned stops exceeded {STOP_TIMEOUT:?}, files: {:?}",
             self.keep_files()
         );
     }
 }
 
 async fn serves(address: SocketAddr) -> bool {
-    let probe = plain("GET /safe/probe", "probe");
-    let got = timeout(Duration::from_secs(1), send(address, &probe)).await;
-    got.is_ok_and(|got: ReceivedResponse| got.status == 200)
+    let probe = plain_request("GET /safe/probe", "probe");
+    let response = timeout(Duration::from_secs(1), send(address, &probe)).await;
+    response.is_ok_and(|response: ReceivedResponse| response.status == 200)
 }
 
-/// Makes a request for a response in one piece.
-pub(crate) fn plain(line: &str, id: &str) -> Vec<u8> {
+/// Returns a request whose response is not a stream.
+pub(crate) fn plain_request(line: &str, id: &str) -> Vec<u8> {
     routed_request(line, id, 2_000, id)
 }
 
-/// Makes a request for a stream.
-pub(crate) fn stream(id: &str) -> Vec<u8> {
+/// Returns a request for a stream of events.
+pub(crate) fn stream_request(id: &str) -> Vec<u8> {
     routed_request("POST /draft/1", id, 8_000, id)
 }
 
 fn address(n: usize) -> SocketAddr {
-    format!("{}:{PORT}", ip(n)).parse().unwrap()
+    format!("{}:{CALLER_PORT}", ip(n)).parse().unwrap()
 }
 
 fn ip(n: usize) -> String {
@@ -193,42 +197,50 @@
     loopback::address(number).to_string()
 }
 
-fn answer(request: &ReceivedRequest, name: &str) -> Vec<Action> {
+fn target_response(request: &ReceivedRequest, name: &str) -> Vec<Action> {
     if let Some(actions) = platform_response(request, name) {
         return actions;
     }
     if request.request_line.contains("/draft/") {
-        let mut actions = events(request, last_event(request) + 1..=EVENTS, GAP);
+        let mut actions = events(request, last_event(request) + 1..=EVENTS, EVENT_INTERVAL);
         actions.push(end_of_chunks());
         return actions;
     }
     ok(request, &format!("answer to {}", request.id()))
 }
 
-/// One instance as a process.
+/// An instance run as a process.
 pub(crate) struct Process {
     child: Child,
-    file: PathBuf,
+    settings_path: PathBuf,
 }
 
 impl Process {
     fn start(n: usize, files: &tempfile::TempDir, store: SocketAddr) -> Self {
-        let file = files.path().join(format!("{n}.conf"));
-        let seeds: Vec<String> = (0..SEEDS).map(|n| format!("{}:1", ip(n))).collect();
-        let text = settings_file(&ip(n), [PORT, READY, PEERS], &seeds.join(","), store);
-        std::fs::write(&file, text).unwrap();
-        let child = spawn(&file);
-        Self { child, file }
+        let settings_path = files.path().join(format!("{n}.conf"));
+        let seeds: Vec<String> = (0..SEED_PEERS).map(|n| format!("{}:1", ip(n))).collect();
+        let text = settings_file(
+            &ip(n),
+            [CALLER_PORT, READY_PORT, FIRST_PEER_PORT],
+            &seeds.join(","),
+            store,
+        );
+        std::fs::write(&settings_path, text).unwrap();
+        let child = spawn(&settings_path);
+        Self {
+            child,
+            settings_path,
+        }
     }
 
-    /// Starts it again after it has ended.
+    /// Starts the process again after it has exited.
     pub(crate) fn restart(&mut self) {
-        self.child = spawn(&self.file);
+        self.child = spawn(&self.settings_path);
     }
 
-    /// Sends a signal to the process that this soak has started.
+    /// Sends a signal to the process unless it has exited.
     pub(crate) fn signal(&mut self, signal: Signal) {
-        // A process that was waited for has no id to send to any more.
+        // The pid of a process that has been waited for may belong to another process.
         if !matches!(self.child.try_wait(), Ok(None)) {
             return;
         }
@@ -236,24 +248,23 @@
         kill_process(pid.unwrap(), signal).unwrap();
     }
 
-    /// Returns the id of its present run.
-    pub(crate) fn id(&self) -> u32 {
+    /// Returns the process id, which changes with each restart.
+    pub(crate) fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Returns how it ended; nothing while it runs.
-    pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
+    /// Returns the exit status, or `None` while the process runs.
+    pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Returns whether it runs.
     pub(crate) fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits until it has ended; kills it if a planned stop takes too long, and returns whether it did not.
-    pub(crate) async fn wait_ended(&mut self) -> bool {
-        let until = Instant::now() + STOP;
+    /// Waits until the process has exited and returns true; kills it after [`STOP_TIMEOUT`] and returns false.
+    pub(crate) async fn wait_for_exit(&mut self) -> bool {
+        let until = Instant::now() + STOP_TIMEOUT;
         while self.is_running() {
             if Instant::now() > until {
                 self.signal(Signal::KILL);
@@ -273,15 +284,15 @@
     }
 }
 
-fn spawn(file: &PathBuf) -> Child {
+fn spawn(settings_path: &PathBuf) -> Child {
     let program = env!("CARGO_BIN_EXE_celerypondd");
     let log = std::fs::File::options()
         .create(true)
         .append(true)
-        .open(file.with_extension("log"));
+        .open(settings_path.with_extension("log"));
     Command::new(program)
         .arg("--relay")
-        .env(SETTINGS_VARIABLE, file)
+        .env(SETTINGS_VARIABLE, settings_path)
         .stdout(log.map_or_else(|_| Stdio::null(), Stdio::from))
         .spawn()
         .unwrap()
--- a/daemon/tests/soak/main.rs
+++ b/daemon/tests/soak/main.rs
@@ -1,7 +1,8 @@
-//! A randomized soak of real processes with faults from outside.
+//! A randomized soak test that injects faults into instances run as processes and into their connections.
 //!
-//! `SOAK_FROM` and `SOAK_SEEDS` name the first seed and how many are run, `SOAK_INSTANCES` how many processes;
-//! without them a short run of fixed seeds with three is made. Seeds that ever failed stay in [`KEPT`].
+//! The environment variables `SOAK_FROM` and `SOAK_SEEDS` set the first seed and the number of seeds, and
+//! `SOAK_INSTANCES` the number of processes. By default, three processes run a short list of fixed seeds. Seeds
+//! that have ever failed stay in [`KEPT`] and [`KEPT_SINGLE`].
 
 mod callers;
 mod faults;
@@ -14,100 +15,117 @@
 use rand::{rngs::SmallRng, SeedableRng as _};
 use tokio::sync::Mutex;
 
-use crate::{callers::Callers, fleet::Fleet, record::Record, versions::Probes};
+use crate::{callers::Callers, fleet::Fleet, record::ResponseLog, versions::SupersededRouteProbes};
 
-/// Seeds that failed once.
+/// Seeds that have failed before.
 ///
-/// - 1029: an idempotent request that both targets took and left unanswered ended with "not run", for no
-///   target was left to ask.
-/// - 50021: a process was hung up before it listened for that, ended, and nobody started it again.
+/// - 1029: an idempotent request that both targets accepted and did not answer ended as "not run", because no
+///   target was left to try.
+/// - 50021: a process got SIGHUP before it had installed its handler and exited, and nothing restarted it.
 const KEPT: [u64; 2] = [1029, 50_021];
-/// Seeds of the short run.
-const SHORT: [u64; 3] = [1, 2, WIDE];
-/// Seeds below have the first faults only, so that kept ones stay as they were.
-const WIDE: u64 = 10_000;
-/// Seeds of faults of single instances that failed once, most as a superseded configuration was served by.
+/// Additional seeds of a run without environment variables.
+const SHORT_RUN: [u64; 3] = [1, 2, FIRST_SEED_WITH_ALL_FAULTS];
+/// Seeds below this one use only the original kinds of faults, so that kept seeds still generate the same faults.
+const FIRST_SEED_WITH_ALL_FAULTS: u64 = 10_000;
+/// Seeds with faults of single instances that have failed before, most because a request was served by a
+/// superseded configuration.
 ///
-/// - 60100: unverified versions counted as just verified.
-/// - 60214: a paused process took reports that had waited meanwhile for new ones.
-/// - 60307: an instance knew by gossip alone that there was a newer version.
-/// - 60347: a process that had been paused took its socket for empty though reports waited there.
-/// - 60406: a process that had been paused served before it had read the changes.
-/// - 60300, 60308, 60350: the store's stand-in held up all threads of the soak, so that nobody heard of a version.
+/// - 60100: versions that had never been verified counted as just verified.
+/// - 60214: a process that had been paused treated reports queued in the meantime as new.
+/// - 60307: an instance knew only from gossip that there was a newer version.
+/// - 60347: a process that had been paused treated its socket as empty although reports were queued in it.
+/// - 60406: a process that had been paused served requests before it had read the changes.
+/// - 60300, 60308, 60350: the stand-in for the store blocked all threads of the soak, so no instance was
+///   notified of a version.
 const KEPT_SINGLE: [u64; 8] = [
     60_100, 60_214, 60_300, 60_307, 60_308, 60_347, 60_350, 60_406,
 ];
-/// Seeds from here on have faults of single instances and their links to the store, and large configurations.
-const SINGLE: u64 = 60_000;
-/// Instances of a run that names no number.
-const INSTANCES: usize = 3;
-/// How long faults are injected under one seed.
-const FAULTS: Duration = Duration::from_secs(5);
-/// How long faults of single instances are injected under one seed.
-const SINGLE_FAULTS: Duration = Duration::from_secs(12);
+/// Seeds from this one on use faults of single instances and their links to the store, and large configurations.
+const FIRST_SEED_WITH_SINGLE_INSTANCE_FAULTS: u64 = 60_000;
+/// Number of instances without `SOAK_INSTANCES`.
+const DEFAULT_INSTANCES: usize = 3;
+/// How long one seed injects faults.
+const FAULT_DURATION: Duration = Duration::from_secs(5);
+/// How long one seed injects faults of single instances.
+const SINGLE_INSTANCE_FAULT_DURATION: Duration = Duration::from_secs(12);
 
-/// Held by the soak that runs: those of one process have the same addresses.
-static TURN: Mutex<()> = Mutex::const_new(());
+/// Held during a run, since all runs of one test process use the same addresses.
+static SOAK_LOCK: Mutex<()> = Mutex::const_new(());
 
-fn number(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     env::var(name).ok().and_then(|text| text.parse().ok())
 }
 
-/// Returns the requested seeds within a range, or these.
-fn seeds(kept: impl Iterator<Item = u64>, range: Range<u64>) -> Vec<u64> {
-    match number("SOAK_SEEDS") {
+/// Returns the seeds requested by the environment that lie in `range`, or `default` if there are none requested.
+fn seeds(default: impl Iterator<Item = u64>, range: Range<u64>) -> Vec<u64> {
+    match env_number("SOAK_SEEDS") {
         Some(count) => {
-            let from: u64 = number("SOAK_FROM").unwrap_or_default();
-            let asked = from..from + count;
-            asked.filter(|seed| range.contains(seed)).collect()
+            let from: u64 = env_number("SOAK_FROM").unwrap_or_default();
+            let requested = from..from + count;
+            requested.filter(|seed| range.contains(seed)).collect()
         }
-        None => kept.collect(),
+        None => default.collect(),
     }
 }
 
-/// Callers ask, keep their connections and ask again, while instances are killed, stopped and paused, one or
-/// all at once, while the configuration changes, and while connections to targets and the store are delayed, reset, cut one way or silenced, in
-/// overlapping turns. No caller may get a wrong, a torn or another's answer, nothing that may run once
-/// runs twice, a refusal is true, and when the faults are over every instance serves.
+// Callers send requests over kept connections during overlapping faults: instances are killed, stopped and paused,
+// one or all at once, the configuration changes, and connections to targets and the store are delayed, reset,
+// silenced or silenced in one direction. No caller may get a wrong or torn response or that of another request,
+// no request that must run at most once may run twice, a refused request must not have run, and every instance
+// must serve after the faults.
 #[tokio::test(flavor = "multi_thread")]
 async fn promises_hold_under_faults_from_outside() {
-    for seed in seeds(KEPT.into_iter().chain(SHORT), 0..SINGLE) {
+    for seed in seeds(
+        KEPT.into_iter().chain(SHORT_RUN),
+        0..FIRST_SEED_WITH_SINGLE_INSTANCE_FAULTS,
+    ) {
         run(seed).await;
     }
 }
 
-// Guards against instances that were killed, paused or cut off and serve by a configuration superseded for too long.
+// Guards against instances that serve requests by a configuration superseded for too long after they were killed,
+// paused or cut off from the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_superseded_configuration_is_served_under_faults_of_single_instances() {
-    for seed in seeds(KEPT_SINGLE.into_iter(), SINGLE..u64::MAX) {
+    for seed in seeds(
+        KEPT_SINGLE.into_iter(),
+        FIRST_SEED_WITH_SINGLE_INSTANCE_FAULTS..u64::MAX,
+    ) {
         run(seed).await;
     }
 }
 
 async fn run(seed: u64) {
-    let _turn = TURN.lock().await;
-    let instances = number("SOAK_INSTANCES").map_or(INSTANCES, |n| n as usize);
+    let _guard = SOAK_LOCK.lock().await;
+    let instances = env_number("SOAK_INSTANCES").map_or(DEFAULT_INSTANCES, |n| n as usize);
     let mut rng = SmallRng::seed_from_u64(seed);
-    let record = Record::default();
+    let responses = ResponseLog::default();
     let mut fleet = Fleet::start(instances).await;
-    let callers = Callers::start(&fleet, &record, seed);
-    if seed >= SINGLE {
-        let probes = Probes::start(&fleet, seed);
-        faults::inject_single(&mut fleet, &mut rng, SINGLE_FAULTS).await;
+    let callers = Callers::start(&fleet, &responses, seed);
+    if seed >= FIRST_SEED_WITH_SINGLE_INSTANCE_FAULTS {
+        let probes = SupersededRouteProbes::start(&fleet, seed);
+        faults::inject_single_instance_faults(&mut fleet, &mut rng, SINGLE_INSTANCE_FAULT_DURATION)
+            .await;
         probes.stop().await;
     } else {
-        faults::inject(&mut fleet, &mut rng, FAULTS, seed >= WIDE).await;
+        faults::inject_faults(
+            &mut fleet,
+            &mut rng,
+            FAULT_DURATION,
+            seed >= FIRST_SEED_WITH_ALL_FAULTS,
+        )
+        .await;
     }
     callers.stop().await;
-    let late = fleet.wait_serving().await;
-    let mut faults = record.check(&fleet);
-    faults.extend(fleet.versions.late());
+    let not_serving = fleet.wait_serving().await;
+    let mut violations = responses.check(&fleet);
+    violations.extend(fleet.versions.late_responses());
     assert!(
-        faults.is_empty() && late.is_empty(),
-        "seed {seed}: {faults:#?} {late:?}, ended: {:?}, files: {:?}",
-        fleet.ended(),
+        violations.is_empty() && not_serving.is_empty(),
+        "seed {seed}: violations: {violations:#?}, not serving: {not_serving:?}, exit statuses: {:?}, files: {:?}",
+        fleet.exit_statuses(),
         fleet.keep_files()
     );
-    println!("seed {seed}: {}", record.summary());
+    println!("seed {seed}: {}", responses.summary());
     fleet.stop().await;
 }
--- a/daemon/tests/soak/record.rs
+++ b/daemon/tests/soak/record.rs
@@ -1,4 +1,4 @@
-//! What callers got and targets saw, and the promises over both.
+//! Log of the responses to callers, and its check against the requests that targets received.
 
 use std::{
     collections::HashMap,
@@ -9,56 +9,58 @@
 
 use crate::fleet::{Fleet, EVENTS};
 
-/// A kind of request.
+/// How a request may be handled; `Unsafe` ones must run at most once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Kind {
+pub(crate) enum RequestKind {
     Safe,
     Unsafe,
     Stream,
 }
 
-/// What callers got.
+/// The responses that callers received.
 #[derive(Clone, Default)]
-pub(crate) struct Record {
-    got: Arc<Mutex<Vec<(Kind, String, ReceivedResponse)>>>,
+pub(crate) struct ResponseLog {
+    entries: Arc<Mutex<Vec<(RequestKind, String, ReceivedResponse)>>>,
 }
 
-impl Record {
-    pub(crate) fn add(&self, kind: Kind, id: String, got: ReceivedResponse) {
-        self.lock().push((kind, id, got));
+impl ResponseLog {
+    pub(crate) fn add(&self, kind: RequestKind, id: String, response: ReceivedResponse) {
+        self.lock().push((kind, id, response));
     }
 
-    /// Returns all promises that were broken.
+    /// Checks all responses and the number of runs at the targets; returns a line for each violation.
     pub(crate) fn check(&self, fleet: &Fleet) -> Vec<String> {
-        let mut runs: HashMap<String, usize> = HashMap::new();
+        let mut run_counts: HashMap<String, usize> = HashMap::new();
         for request in fleet.targets.iter().flat_map(|target| target.received()) {
             if platform_response(&request, "").is_none() {
-                *runs.entry(request.id().to_owned()).or_default() += 1;
+                *run_counts.entry(request.id().to_owned()).or_default() += 1;
             }
         }
-        let mut broken = Vec::new();
-        for (kind, id, got) in self.lock().iter() {
-            let runs = runs.get(id).copied().unwrap_or_default();
-            let fault = match got.status {
-                200 if *kind == Kind::Stream => stream_fault(got),
-                200 => plain_fault(id, got),
-                408 | 421 | 429 | 503 if runs > 0 => Some("refused, and it ran"),
-                401 | 404 => Some("denied, though it is allowed"),
+        let mut violations = Vec::new();
+        for (kind, id, response) in self.lock().iter() {
+            let runs = run_counts.get(id).copied().unwrap_or_default();
+            let violation = match response.status {
+                200 if *kind == RequestKind::Stream => stream_violation(response),
+                200 => plain_response_violation(id, response),
+                408 | 421 | 429 | 503 if runs > 0 => Some("was refused although it ran"),
+                401 | 404 => Some("was denied although it is allowed"),
                 _ => None,
             };
-            let twice = (*kind == Kind::Unsafe && runs > 1).then_some("ran twice");
-            for fault in fault.into_iter().chain(twice) {
-                broken.push(format!("{kind:?} {id}: {fault}; {runs} runs; {got:?}"));
+            let ran_twice = (*kind == RequestKind::Unsafe && runs > 1).then_some("ran twice");
+            for violation in violation.into_iter().chain(ran_twice) {
+                violations.push(format!(
+                    "{kind:?} {id}: {violation}; {runs} runs; {response:?}"
+                ));
             }
         }
-        broken
+        violations
     }
 
-    /// Returns how many requests had which status.
+    /// Returns the number of responses per kind of request and status.
     pub(crate) fn summary(&self) -> String {
-        let mut counts: HashMap<(Kind, u16), usize> = HashMap::new();
-        for (kind, _, got) in self.lock().iter() {
-            *counts.entry((*kind, got.status)).or_default() += 1;
+        let mut counts: HashMap<(RequestKind, u16), usize> = HashMap::new();
+        for (kind, _, response) in self.lock().iter() {
+            *counts.entry((*kind, response.status)).or_default() += 1;
         }
         let mut counts: Vec<String> = counts
             .into_iter()
@@ -68,28 +70,29 @@
         counts.join(", ")
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<(Kind, String, ReceivedResponse)>> {
-        self.got.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Vec<(RequestKind, String, ReceivedResponse)>> {
+        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn plain_fault(id: &str, got: &ReceivedResponse) -> Option<&'static str> {
-    if !got.is_response_to(id) {
-        return Some("another request's answer, or unsigned");
+fn plain_response_violation(id: &str, response: &ReceivedResponse) -> Option<&'static str> {
+    if !response.is_response_to(id) {
+        return Some("the response belongs to another request or is unsigned");
     }
-    // One that ends early does not look complete.
-    (got.is_whole && got.body != format!("answer to {id}")).then_some("a wrong body")
+    // The body of a truncated response is not compared, since the caller can tell that it is incomplete.
+    (response.is_whole && response.body != format!("answer to {id}")).then_some("the body is wrong")
 }
 
-fn stream_fault(got: &ReceivedResponse) -> Option<&'static str> {
-    let ids = got
+fn stream_violation(response: &ReceivedResponse) -> Option<&'static str> {
+    let ids = response
         .body
         .split('\n')
         .filter_map(|line| line.strip_prefix("id: "));
     let ids: Vec<u64> = ids.filter_map(|id| id.parse().ok()).collect();
     let is_in_order = ids.iter().copied().eq(1..=ids.len() as u64);
     if !is_in_order {
-        return Some("an event is missing, or came twice");
+        return Some("an event is missing or repeated");
     }
-    (got.is_whole && ids.len() as u64 != EVENTS).then_some("ended as complete before its end")
+    (response.is_whole && ids.len() as u64 != EVENTS)
+        .then_some("the stream ended as complete before its last event")
 }
--- a/daemon/tests/soak/versions.rs
+++ b/daemon/tests/soak/versions.rs
@@ -1,4 +1,4 @@
-//! Requests by routes of superseded configurations.
+//! Requests that match only routes of superseded configurations.
 
 use std::{
     net::SocketAddr,
@@ -14,33 +14,33 @@
 };
 use tokio_util::sync::CancellationToken;
 
-use crate::fleet::{plain, Fleet};
+use crate::fleet::{plain_request, Fleet};
 
-/// The bound after which no request is served by a superseded version; the default of the settings.
-const BOUND: Duration = Duration::from_secs(2);
-/// How long an instance has to be undisturbed to report to the others what the store holds.
-const STEADY: Duration = Duration::from_secs(3);
-/// The time between two requests to an instance.
-const PAUSE: Duration = Duration::from_millis(40);
+/// How long a superseded version may still serve requests; the default of the settings.
+const STALENESS_BOUND: Duration = Duration::from_secs(2);
+/// How long an instance must be free of faults until it reports the newest version in the store to the others.
+const RECOVERY_TIME: Duration = Duration::from_secs(3);
+/// Interval between probes of one instance.
+const PROBE_INTERVAL: Duration = Duration::from_millis(40);
 
-/// When versions came, and since when instances are undisturbed.
+/// When versions were written to the store, and since when each instance is free of faults.
 #[derive(Clone, Default)]
-pub(crate) struct Versions(Arc<Mutex<State>>);
+pub(crate) struct ConfigVersions(Arc<Mutex<State>>);
 
 #[derive(Default)]
 struct State {
-    /// Versions and when the store had acknowledged each.
+    /// Each version and when the store acknowledged it.
     written: Vec<(u64, Instant)>,
-    /// Since when each instance runs with a sound link; nothing while it does not.
-    calm: Vec<Option<Instant>>,
-    /// Requests that were served by a version superseded for longer than the bound.
-    late: Vec<String>,
+    /// Since when each instance runs with a healthy link to the store; `None` during a fault.
+    undisturbed_since: Vec<Option<Instant>>,
+    /// A line for each request that was served by a version superseded for longer than [`STALENESS_BOUND`].
+    late_responses: Vec<String>,
 }
 
-impl Versions {
+impl ConfigVersions {
     pub(crate) fn new(instances: usize) -> Self {
         let versions = Self::default();
-        versions.lock().calm = vec![Some(Instant::now()); instances];
+        versions.lock().undisturbed_since = vec![Some(Instant::now()); instances];
         versions
     }
 
@@ -49,26 +49,28 @@
         self.lock().written.push((version, Instant::now()));
     }
 
-    /// Records that a fault of an instance begins or ends.
-    pub(crate) fn set_calm(&self, instance: usize, is_calm: bool) {
-        self.lock().calm[instance] = is_calm.then(Instant::now);
+    /// Records that a fault of an instance begins or has ended.
+    pub(crate) fn set_undisturbed(&self, instance: usize, is_undisturbed: bool) {
+        self.lock().undisturbed_since[instance] = is_undisturbed.then(Instant::now);
     }
 
-    /// Returns the requests that were served by a version superseded for longer than the bound.
-    pub(crate) fn late(&self) -> Vec<String> {
-        self.lock().late.clone()
+    /// Returns a line for each request that was served by a version superseded for longer than [`STALENESS_BOUND`].
+    pub(crate) fn late_responses(&self) -> Vec<String> {
+        self.lock().late_responses.clone()
     }
 
-    /// Returns the versions that were superseded for longer than the bound, if some instance can report the newest.
+    /// Returns the versions superseded for longer than [`STALENESS_BOUND`], or none unless some instance has been free of
+    /// faults for long enough to report the newest.
     fn superseded(&self, now: Instant) -> Vec<u64> {
         let state = self.lock();
-        let mut since = state.calm.iter().flatten();
-        if !since.any(|since| now.saturating_duration_since(*since) > STEADY) {
+        let mut since = state.undisturbed_since.iter().flatten();
+        if !since.any(|since| now.saturating_duration_since(*since) > RECOVERY_TIME) {
             return Vec::new();
         }
         let pairs = state.written.windows(2);
-        let old = pairs.filter(|pair| now.saturating_duration_since(pair[1].1) > BOUND);
-        old.map(|pair| pair[0].0).collect()
+        let superseded_pairs =
+            pairs.filter(|pair| now.saturating_duration_since(pair[1].1) > STALENESS_BOUND);
+        superseded_pairs.map(|pair| pair[0].0).collect()
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -76,13 +78,13 @@
     }
 }
 
-/// Requests to each instance by routes of superseded versions, until they are stopped.
-pub(crate) struct Probes {
+/// Tasks that probe each instance with routes of superseded versions until they are stopped.
+pub(crate) struct SupersededRouteProbes {
     tasks: JoinSet<()>,
     stop: CancellationToken,
 }
 
-impl Probes {
+impl SupersededRouteProbes {
     pub(crate) fn start(fleet: &Fleet, seed: u64) -> Self {
         let stop = CancellationToken::new();
         let mut tasks = JoinSet::new();
@@ -103,26 +105,27 @@
 
 async fn probe(
     address: SocketAddr,
-    versions: Versions,
+    versions: ConfigVersions,
     stop: CancellationToken,
     mut rng: SmallRng,
 ) {
     let mut count = 0;
     while !stop.is_cancelled() {
-        sleep(PAUSE).await;
+        sleep(PROBE_INTERVAL).await;
         let sent = Instant::now();
         let Some(version) = versions.superseded(sent).choose(&mut rng).copied() else {
             continue;
         };
         count += 1;
-        let request = plain(&format!("GET /v{version}/probe"), &format!("probe{count}"));
-        let got = timeout(Duration::from_secs(1), send(address, &request)).await;
-        if got.is_ok_and(|got: ReceivedResponse| got.status == 200) {
+        let request = plain_request(&format!("GET /v{version}/probe"), &format!("probe{count}"));
+        let response = timeout(Duration::from_secs(1), send(address, &request)).await;
+        if response.is_ok_and(|response: ReceivedResponse| response.status == 200) {
             let mut state = versions.lock();
-            let superseded = state.written.iter().find(|one| one.0 > version);
-            let age = superseded.map(|one| sent.saturating_duration_since(one.1));
-            let line = format!("{address} served version {version} {age:?} after the next one");
-            state.late.push(line);
+            let superseded = state.written.iter().find(|entry| entry.0 > version);
+            let age = superseded.map(|entry| sent.saturating_duration_since(entry.1));
+            let line =
+                format!("{address} served version {version} {age:?} after a newer one was written");
+            state.late_responses.push(line);
         }
     }
 }
